--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -45,6 +45,17 @@
 
 // newFleetHolding builds one that keeps the places of those who are gone for so long.
 func newFleetHolding(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string) *procs.Rig {
+	t.Helper()
+	return newFleetOf(t, platform, n, seed, hold, more, program)
+}
+
+// newFleetFrom builds one whose gateways are started by the given command.
+func newFleetFrom(t *testing.T, platform *stand.Platform, n int, seed uint64, more func(i int) string, program func() *exec.Cmd) *procs.Rig {
+	t.Helper()
+	return newFleetOf(t, platform, n, seed, 3*time.Minute, more, program)
+}
+
+func newFleetOf(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string, program func() *exec.Cmd) *procs.Rig {
 	t.Helper()
 	r := procs.New(t, procs.Config{Platform: platform, Gateways: n, Seed: seed, Program: program, Fleet: func(r *procs.Rig, i int) string {
 		return fmt.Sprintf("fleet {\n address = %q\n places = %d\n expect = %d\n hold = %ds\n seeds = [%q, %q]\n keys = \"keys\"\n state = \"%s/state\"\n status = %q\n}\n%s",
