--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -129,11 +129,11 @@
 }
 
 // stats reads a load report: an object, or pairs of name and value.
-func stats(raw map[string]float64) decide.Report {
+func stats(raw map[string]float64) decide.LoadReport {
 	if len(raw) == 0 {
 		return nil
 	}
-	r := decide.Report{}
+	r := decide.LoadReport{}
 	for name, v := range raw {
 		r[reportName(name)] = v
 	}
@@ -170,14 +170,14 @@
 			DurationNs  int64
 		}
 		err := json.Unmarshal(raw, &e)
-		return decide.AnswerStarted{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
-			Took: time.Duration(e.DurationNs)}, err
+		return decide.ResponseStarted{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
+			Latency: time.Duration(e.DurationNs)}, err
 	case "Returned":
 		return parseEnded(raw)
 	case "ClientLeft":
 		var e struct{ Xid string }
 		err := json.Unmarshal(raw, &e)
-		return decide.ClientGone{ID: e.Xid}, err
+		return decide.ClientDisconnected{ID: e.Xid}, err
 	case "Elapsed":
 		var e struct{ Tag uint64 }
 		err := json.Unmarshal(raw, &e)
@@ -191,7 +191,7 @@
 		}
 		err := json.Unmarshal(raw, &e)
 		return decide.ProbeEnded{Server: e.Server, Outcome: decide.Outcome(e.StateCode),
-			Took: time.Duration(e.DurationNs), Report: stats(e.ServerStats)}, err
+			Latency: time.Duration(e.DurationNs), Report: stats(e.ServerStats)}, err
 	case "Datagram":
 		var e struct {
 			Src  int
@@ -207,8 +207,8 @@
 			DurationNs int64
 		}
 		err := json.Unmarshal(raw, &e)
-		return decide.Counted{Name: e.Counter, Outcome: decide.Outcome(e.StateCode), Total: e.NowAt,
-			Took: time.Duration(e.DurationNs)}, err
+		return decide.CounterCallEnded{Name: e.Counter, Outcome: decide.Outcome(e.StateCode), Total: e.NowAt,
+			Latency: time.Duration(e.DurationNs)}, err
 	}
 	return nil, nil
 }
@@ -227,13 +227,13 @@
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return nil, err
 	}
-	kinds := map[string]decide.FleetKind{"patch": decide.FleetDelta, "whole": decide.FleetFull,
-		"stale_copy": decide.FleetStale, "broken": decide.FleetFailed}
+	kinds := map[string]decide.ListKind{"patch": decide.ListDelta, "whole": decide.ListFull,
+		"stale_copy": decide.ListStale, "broken": decide.ListFailed}
 	kind, ok := kinds[e.Kind]
 	if !ok {
 		return nil, fmt.Errorf("field \"Kind\": unknown %q", e.Kind)
 	}
-	u := decide.FleetUpdate{Kind: kind, Version: e.Stamp}
+	u := decide.ServerListUpdate{Kind: kind, Version: e.Stamp}
 	states := map[string]decide.State{"IN": decide.Serving, "LAME": decide.Draining, "OUT": decide.Gone}
 	for _, n := range e.NodesList {
 		state, ok := states[n.StageState]
@@ -256,8 +256,8 @@
 	}
 	err := json.Unmarshal(raw, &e)
 	return decide.Request{ID: e.Xid, Class: e.Type, Plan: e.Tier, Customer: e.Account, Units: e.SizeUnits,
-		Deadline: time.Duration(e.DeadlineNs), First: e.FromNo, Spread: e.EntryPoints,
-		Again: e.AgainByClient, Write: e.Mutates}, err
+		Deadline: time.Duration(e.DeadlineNs), FirstGateway: e.FromNo, GatewayCount: e.EntryPoints,
+		ClientRetry: e.AgainByClient, Write: e.Mutates}, err
 }
 
 func parseEnded(raw json.RawMessage) (decide.Event, error) {
@@ -273,17 +273,17 @@
 	}
 	err := json.Unmarshal(raw, &e)
 	return decide.AttemptEnded{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
-		Outcome: decide.Outcome(e.StateCode), Took: time.Duration(e.DurationNs), Done: e.Ended,
-		Metered: e.Metered, TrueUnits: e.Actual, Report: stats(e.ServerStats)}, err
+		Outcome: decide.Outcome(e.StateCode), Latency: time.Duration(e.DurationNs), RequestDone: e.Ended,
+		MeteredPercentPlusOne: e.Metered, ActualUnits: e.Actual, Report: stats(e.ServerStats)}, err
 }
 
 // wireAction writes an action in the wire's words.
 func wireAction(a decide.Action) any {
 	type msg = map[string]any
 	switch a := a.(type) {
-	case decide.Send:
+	case decide.SendAttempt:
 		return msg{"m": "Assign", "Xid": a.ID, "Server": a.Server, "AllowForNs": int64(a.Timeout)}
-	case decide.Cancel:
+	case decide.CancelAttempt:
 		return msg{"m": "Withdraw", "Xid": a.ID, "Trial": a.Attempt}
 	case decide.Refuse:
 		return msg{"m": "Busy", "Xid": a.ID, "RetryInNs": int64(a.RetryAfter)}
@@ -297,12 +297,12 @@
 		return msg{"m": "LetGo", "Server": a.Server}
 	case decide.Subscribe:
 		return msg{"m": "Listen", "Want": a.On}
-	case decide.FetchList:
+	case decide.FetchServerList:
 		return msg{"m": "Snapshot"}
-	case decide.Tell:
+	case decide.SendToPeer:
 		return msg{"m": "Tell", "To": a.To, "Blob": a.Text}
-	case decide.Count:
-		return msg{"m": "Enter", "Counter": a.Name, "Step": a.Add, "TtlNs": int64(a.TTL)}
+	case decide.IncrementCounter:
+		return msg{"m": "Enter", "Counter": a.Name, "Step": a.Delta, "TtlNs": int64(a.TTL)}
 	case decide.Log:
 		return msg{"m": "Log", "Words": a.Text}
 	}
--- a/cmd/wirehost/wire_test.go
+++ b/cmd/wirehost/wire_test.go
@@ -92,7 +92,7 @@
 
 func TestPanicIsABug(t *testing.T) {
 	g := &instance{gw: &decide.Gateway{}} // not made by New
-	out, err := json.Marshal(g.handle(1, decide.FleetUpdate{Servers: []decide.Server{{ID: "s"}}}))
+	out, err := json.Marshal(g.handle(1, decide.ServerListUpdate{Servers: []decide.Server{{ID: "s"}}}))
 	if err != nil || !strings.Contains(string(out), `"Bug"`) {
 		t.Errorf("got %s, %v, want a Bug", out, err)
 	}
@@ -100,17 +100,17 @@
 
 func TestActions(t *testing.T) {
 	for want, a := range map[string]decide.Action{
-		`{"AllowForNs":5,"Server":"s","Xid":"x","m":"Assign"}`:        decide.Send{ID: "x", Server: "s", Timeout: 5},
-		`{"Trial":2,"Xid":"x","m":"Withdraw"}`:                        decide.Cancel{ID: "x", Attempt: 2},
+		`{"AllowForNs":5,"Server":"s","Xid":"x","m":"Assign"}`:        decide.SendAttempt{ID: "x", Server: "s", Timeout: 5},
+		`{"Trial":2,"Xid":"x","m":"Withdraw"}`:                        decide.CancelAttempt{ID: "x", Attempt: 2},
 		`{"RetryInNs":7,"Xid":"x","m":"Busy"}`:                        decide.Refuse{ID: "x", RetryAfter: 7},
 		`{"Xid":"x","m":"ReportFailure"}`:                             decide.Fail{ID: "x"},
 		`{"FireAtNs":9,"Tag":9007199254740993,"m":"SetAlarm"}`:        decide.SetTimer{At: 9, Token: 9007199254740993},
 		`{"Server":"s","m":"AskLoad"}`:                                decide.Probe{Server: "s"},
 		`{"Server":"s","m":"LetGo"}`:                                  decide.CloseIdle{Server: "s"},
 		`{"Want":true,"m":"Listen"}`:                                  decide.Subscribe{On: true},
-		`{"m":"Snapshot"}`:                                            decide.FetchList{},
-		`{"Blob":"hi","To":1,"m":"Tell"}`:                             decide.Tell{To: 1, Text: "hi"},
-		`{"Counter":9007199254740993,"Step":2,"TtlNs":3,"m":"Enter"}`: decide.Count{Name: 9007199254740993, Add: 2, TTL: 3},
+		`{"m":"Snapshot"}`:                                            decide.FetchServerList{},
+		`{"Blob":"hi","To":1,"m":"Tell"}`:                             decide.SendToPeer{To: 1, Text: "hi"},
+		`{"Counter":9007199254740993,"Step":2,"TtlNs":3,"m":"Enter"}`: decide.IncrementCounter{Name: 9007199254740993, Delta: 2, TTL: 3},
 		`{"Words":"w","m":"Log"}`:                                     decide.Log{Text: "w"},
 	} {
 		if got, err := json.Marshal(wireAction(a)); err != nil || string(got) != want {
@@ -125,14 +125,14 @@
 		want   decide.Event
 	}{
 		{"Headers", `{"Xid":"x","Trial":1,"DurationNs":5,"Server":"s"}`,
-			decide.AnswerStarted{ID: "x", Server: "s", Attempt: 1, Took: 5}},
-		{"ClientLeft", `{"Xid":"x"}`, decide.ClientGone{ID: "x"}},
+			decide.ResponseStarted{ID: "x", Server: "s", Attempt: 1, Latency: 5}},
+		{"ClientLeft", `{"Xid":"x"}`, decide.ClientDisconnected{ID: "x"}},
 		{"Elapsed", `{"Tag":9223372036854775808}`, decide.TimerFired{Token: 1 << 63}},
 		{"Datagram", `{"Src":2,"Blob":"hi"}`, decide.PeerMessage{From: 2, Text: "hi"}},
 		{"Tallied", `{"Counter":9007199254740993,"StateCode":4,"NowAt":3.5,"DurationNs":2}`,
-			decide.Counted{Name: 9007199254740993, Outcome: decide.TimedOut, Total: 3.5, Took: 2}},
+			decide.CounterCallEnded{Name: 9007199254740993, Outcome: decide.TimedOut, Total: 3.5, Latency: 2}},
 		{"Query", `{"Xid":"x","Tier":"p","DeadlineNs":5,"EntryPoints":3,"AgainByClient":true,"SizeUnits":2,"FromNo":1,"Mutates":true,"Type":"k","Account":"a"}`,
-			decide.Request{ID: "x", Class: "k", Plan: "p", Customer: "a", Units: 2, Deadline: 5, First: 1, Spread: 3, Again: true, Write: true}},
+			decide.Request{ID: "x", Class: "k", Plan: "p", Customer: "a", Units: 2, Deadline: 5, FirstGateway: 1, GatewayCount: 3, ClientRetry: true, Write: true}},
 	} {
 		if got, err := parseEvent(c.m, []byte(c.raw)); err != nil || got != c.want {
 			t.Errorf("%s: got %#v, %v, want %#v", c.m, got, err, c.want)
@@ -140,7 +140,7 @@
 	}
 	got, err := parseEvent("Returned", []byte(`{"Xid":"x","Trial":1,"Server":"s","StateCode":6,"DurationNs":4,"Metered":86,"Actual":3,"ServerStats":{"recent_ms":2,"odd":1}}`))
 	e := got.(decide.AttemptEnded)
-	if err != nil || e.Outcome != decide.Reset || e.Metered != 86 || e.TrueUnits != 3 || e.Took != 4*time.Nanosecond ||
+	if err != nil || e.Outcome != decide.Reset || e.MeteredPercentPlusOne != 86 || e.ActualUnits != 3 || e.Latency != 4*time.Nanosecond ||
 		e.Report["latency_ms"] != 2 || e.Report["odd"] != 1 {
 		t.Errorf("Returned: got %#v, %v", got, err)
 	}
@@ -149,7 +149,7 @@
 		t.Errorf("Sampled: got %#v, %v", got, err)
 	}
 	got, err = parseEvent("PeersKnown", []byte(`{"Kind":"patch","Stamp":4,"NodesList":[{"StartTimeNs":6,"Model":"m","Az":"z","StageState":"LAME","Server":"s","Stripe":2,"CapacityHint":1.5}]}`))
-	if u := got.(decide.FleetUpdate); err != nil || u.Kind != decide.FleetDelta || len(u.Servers) != 1 ||
+	if u := got.(decide.ServerListUpdate); err != nil || u.Kind != decide.ListDelta || len(u.Servers) != 1 ||
 		u.Servers[0] != (decide.Server{ID: "s", Zone: "z", Cell: 2, Kind: "m", State: decide.Draining, Started: 6, Weight: 1.5}) {
 		t.Errorf("PeersKnown: got %#v, %v", got, err)
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -39,58 +39,58 @@
 
 // Class describes a kind of request.
 type Class struct {
-	Name       string
-	Effect     Effect
-	Group      Group         // for Keyed
-	Window     time.Duration // for Keyed: how long a repeat is dropped
-	Aim        time.Duration // an answer within this earns the full worth
-	AimStretch float64       // the aim grows by this multiple of a request's own work
-	Deadline   time.Duration // what a client waits for over all of its tries
-	Worth      float64
-	LateWorth  float64 // part of the worth that an answer past the aim earns
-	Stream     bool
+	Name                 string
+	Effect               Effect
+	Group                Group         // for Keyed
+	DedupWindow          time.Duration // for Keyed: how long a repeat is dropped
+	LatencyTarget        time.Duration // an answer within this earns the full worth
+	LatencyTargetStretch float64       // the aim grows by this multiple of a request's own work
+	Deadline             time.Duration // what a client waits for over all of its tries
+	Worth                float64
+	LateWorthFraction    float64 // part of the worth that an answer past the aim earns
+	Stream               bool
 }
 
 // What customers have, and what is known of it, is package quota's.
 type (
 	// Plan describes the quota of each customer on it, over all gateways together.
 	Plan = quota.Plan
-	// Memory is how full a customer's bucket was, as far as one gateway knew.
-	Memory = quota.Memory
-	// Room is what a customer's bucket at this gateway has room for.
-	Room = quota.Room
-	// Presence is whether the gateway of a number is there.
-	Presence = quota.Presence
+	// BucketSnapshot is how full a customer's bucket was, as far as one gateway knew.
+	BucketSnapshot = quota.Memory
+	// Allowance is what a customer's bucket at this gateway has room for.
+	Allowance = quota.Room
+	// PeerStatus is whether the gateway of a number is there.
+	PeerStatus = quota.Presence
 )
 
 // The presences.
 const (
-	Present = quota.Present
-	Missing = quota.Missing
-	Vacant  = quota.Vacant
+	PeerActive      = quota.Present
+	PeerUnreachable = quota.Missing
+	PeerAbsent      = quota.Vacant
 )
 
 // Limits tells what a gateway is allowed to do.
 type Limits struct {
-	MaxAttempts    int
-	Parallel       bool // two attempts of a request may be out at once
-	Cancel         bool
-	Peers          bool
-	Probes         bool
-	RetryAfter     bool
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
+	MaxAttempts      int
+	ParallelAttempts bool // two attempts of a request may be out at once
+	Cancel           bool
+	PeerMessages     bool
+	Probes           bool
+	RetryAfter       bool
+	MaxRetryAfter    time.Duration
+	ConnectTimeout   time.Duration
 }
 
 // Safety holds the figures of the rules.
 type Safety struct {
-	AnswerSlack  time.Duration
-	DrainGrace   time.Duration
-	ColdFrom     float64       // part of its capacity that a started server has at least
-	ColdFor      time.Duration // it is warm no later than this
-	FallMultiple float64       // work beyond this multiple of its present capacity ...
-	FallWindow   time.Duration // ... for this long makes it fall over
-	AskWithin    time.Duration // with Subscribe: how long an unasked list stays good
+	AnswerSlack    time.Duration
+	DrainGrace     time.Duration
+	ColdCapacity   float64       // part of its capacity that a started server has at least
+	ColdDuration   time.Duration // it is warm no later than this
+	OverloadFactor float64       // work beyond this multiple of its present capacity ...
+	OverloadWindow time.Duration // ... for this long makes it fall over
+	ListMaxAge     time.Duration // with Subscribe: how long an unasked list stays good
 }
 
 // Prices are points taken off the result, each for one unit of what it names.
@@ -115,7 +115,7 @@
 	Prices         Prices
 	ReportsOnProbe bool // load reports come with probe results only
 	Subscribe      bool // list changes come only when asked for
-	Remember       bool // what changes is marked for Gateway.Changed
+	TrackChanges   bool // what changes is marked for Gateway.Changed
 }
 
 func finite(field string, v float64) error {
@@ -139,13 +139,13 @@
 	if c.Limits.MaxAttempts < 1 {
 		return fmt.Errorf("decide: Limits.MaxAttempts is %d, want 1 or more", c.Limits.MaxAttempts)
 	}
-	if c.Safety.ColdFor > 0 && c.Safety.FallWindow <= 0 {
-		return fmt.Errorf("decide: Safety.FallWindow is %v, want more than 0", c.Safety.FallWindow)
+	if c.Safety.ColdDuration > 0 && c.Safety.OverloadWindow <= 0 {
+		return fmt.Errorf("decide: Safety.FallWindow is %v, want more than 0", c.Safety.OverloadWindow)
 	}
 	for _, f := range []struct {
 		name string
 		v    float64
-	}{{"Safety.ColdFrom", c.Safety.ColdFrom}, {"Safety.FallMultiple", c.Safety.FallMultiple},
+	}{{"Safety.ColdFrom", c.Safety.ColdCapacity}, {"Safety.FallMultiple", c.Safety.OverloadFactor},
 		{"PeerIntake", c.PeerIntake}, {"MaxUnits", c.MaxUnits}} {
 		if err := finite(f.name, f.v); err != nil {
 			return err
@@ -168,8 +168,8 @@
 	if k.Name == "" {
 		return fmt.Errorf("decide: %s.Name is empty", at)
 	}
-	if k.Aim <= 0 {
-		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", at, k.Aim)
+	if k.LatencyTarget <= 0 {
+		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", at, k.LatencyTarget)
 	}
 	return finite(at+".Worth", k.Worth)
 }
@@ -194,20 +194,20 @@
 // Outcome tells how an attempt, a probe or a counter call ended.
 type Outcome int
 
-// The outcomes. Full, NoConnection and Moot prove that the attempt never ran.
+// The outcomes. Rejected, NoConnection and NotSent prove that the attempt never ran.
 const (
 	OK Outcome = 1 + iota
 	Error
-	Full
+	Rejected
 	TimedOut
 	NoConnection
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 // neverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) neverRan() bool { return o == Full || o == NoConnection || o == Moot }
+func (o Outcome) neverRan() bool { return o == Rejected || o == NoConnection || o == NotSent }
 
 // State is what the list of servers says of one of them.
 type State int
@@ -230,15 +230,15 @@
 	Weight  float64
 }
 
-// Report is a server's own account of its load, by name of the figure (queue, util, qps, latency_ms,
+// LoadReport is a server's own account of its load, by name of the figure (queue, util, qps, latency_ms,
 // inflight, errors_per_s).
-type Report map[string]float64
+type LoadReport map[string]float64
 
-// Outcomes is a set of outcomes.
-type Outcomes uint16
+// OutcomeSet is a set of outcomes.
+type OutcomeSet uint16
 
-// OutcomeSet is the set of those outcomes.
-func OutcomeSet(all ...Outcome) (s Outcomes) {
+// NewOutcomeSet is the set of those outcomes.
+func NewOutcomeSet(all ...Outcome) (s OutcomeSet) {
 	for _, o := range all {
 		s |= 1 << o
 	}
@@ -246,149 +246,149 @@
 }
 
 // Has reports whether an outcome is in the set.
-func (s Outcomes) Has(o Outcome) bool { return s&(1<<o) != 0 }
+func (s OutcomeSet) Has(o Outcome) bool { return s&(1<<o) != 0 }
 
-// Bounds narrow what is decided for one request. They never widen what the settings and the rules allow. A Bounds is
+// RetryPolicy narrow what is decided for one request. They never widen what the settings and the rules allow. A RetryPolicy is
 // shared by many requests and not changed while one of them is open.
-type Bounds struct {
-	Attempts int           // in all; 0: as many as the settings allow
-	Attempt  time.Duration // longest time for one; 0: to the request's end
-	Whole    time.Duration // longest time for all, from the request on; 0: to its deadline
-	Again    Outcomes      // those after which another may be made; Moot is never followed by one
-	// Wait is the time before the first further attempt; each further one waits WaitGrowth times as long, WaitMost at
+type RetryPolicy struct {
+	MaxAttempts    int           // in all; 0: as many as the settings allow
+	AttemptTimeout time.Duration // longest time for one; 0: to the request's end
+	TotalTimeout   time.Duration // longest time for all, from the request on; 0: to its deadline
+	RetryOn        OutcomeSet    // those after which another may be made; Moot is never followed by one
+	// InitialBackoff is the time before the first further attempt; each further one waits WaitGrowth times as long, MaxBackoff at
 	// most, give or take the share Jitter. A second copy does not wait.
-	Wait, WaitMost     time.Duration
-	WaitGrowth, Jitter float64
-	Copies             bool          // a second copy may go out while an attempt is ...
-	CopyAfter          time.Duration // ... after this; 0: when the attempt is overdue by the module's own guess ...
-	CopyLeast          time.Duration // ... if so much time is left to it
-	Advice             time.Duration // told with a refusal for want of an answer; 0: the module's own
-	Budget             Budget        // nil: the module's own
+	InitialBackoff, MaxBackoff time.Duration
+	BackoffFactor, Jitter      float64
+	Hedge                      bool          // a second copy may go out while an attempt is ...
+	HedgeDelay                 time.Duration // ... after this; 0: when the attempt is overdue by the module's own guess ...
+	HedgeMinTimeLeft           time.Duration // ... if so much time is left to it
+	RetryAfter                 time.Duration // told with a refusal for want of an answer; 0: the module's own
+	Budget                     RetryBudget   // nil: the module's own
 }
 
-// Budget bounds further attempts. It is called from within Handle only.
-type Budget interface {
-	First(now time.Duration, s *Server)     // a first attempt goes to the server
-	Take(now time.Duration, s *Server) bool // whether a further one may, which is then made
+// RetryBudget bounds further attempts. It is called from within Handle only.
+type RetryBudget interface {
+	RecordFirstAttempt(now time.Duration, s *Server) // a first attempt goes to the server
+	TakeRetry(now time.Duration, s *Server) bool     // whether a further one may, which is then made
 }
 
 // Event is something that a gateway is told.
 type Event interface{ event() }
 
-// FleetKind tells how a FleetUpdate is to be read.
-type FleetKind int
+// ListKind tells how a FleetUpdate is to be read.
+type ListKind int
 
 // The kinds of update.
 const (
-	FleetDelta  FleetKind = iota // changed entries only
-	FleetFull                    // the whole list
-	FleetStale                   // the whole list as last held, maybe long out of date
-	FleetFailed                  // asking failed; the former list stays
+	ListDelta  ListKind = iota // changed entries only
+	ListFull                   // the whole list
+	ListStale                  // the whole list as last held, maybe long out of date
+	ListFailed                 // asking failed; the former list stays
 )
 
 type (
-	// FleetUpdate brings news of the list of servers.
-	FleetUpdate struct {
-		Kind    FleetKind
+	// ServerListUpdate brings news of the list of servers.
+	ServerListUpdate struct {
+		Kind    ListKind
 		Version uint64
 		Servers []Server
 	}
 	// Request is a client's request; it must get one final answer before Deadline.
 	Request struct {
-		ID, Class, Plan, Customer string
-		Units                     float64
-		Deadline                  time.Duration
-		First, Spread             int // the customer's gateways: number of the first, and how many
-		Again                     bool
-		Write                     bool
-		Bounds                    *Bounds // nil: none beyond the settings
+		ID, Class, Plan, Customer  string
+		Units                      float64
+		Deadline                   time.Duration
+		FirstGateway, GatewayCount int // the customer's gateways: number of the first, and how many
+		ClientRetry                bool
+		Write                      bool
+		RetryPolicy                *RetryPolicy // nil: none beyond the settings
 	}
-	// AnswerStarted says that a streamed answer has begun.
-	AnswerStarted struct {
+	// ResponseStarted says that a streamed answer has begun.
+	ResponseStarted struct {
 		ID, Server string
 		Attempt    int
-		Took       time.Duration
+		Latency    time.Duration
 	}
 	// AttemptEnded tells how an attempt ended. Done: the request is finished.
 	AttemptEnded struct {
-		ID, Server string
-		Attempt    int
-		Outcome    Outcome
-		Took       time.Duration
-		Done       bool
-		Metered    int     // 1 + the customer's use in percent of its rate; 0: not told
-		TrueUnits  float64 // 0: not told
-		Report     Report
+		ID, Server            string
+		Attempt               int
+		Outcome               Outcome
+		Latency               time.Duration
+		RequestDone           bool
+		MeteredPercentPlusOne int     // 1 + the customer's use in percent of its rate; 0: not told
+		ActualUnits           float64 // 0: not told
+		Report                LoadReport
 	}
-	// ClientGone says that the client left; no answer is owed.
-	ClientGone struct{ ID string }
+	// ClientDisconnected says that the client left; no answer is owed.
+	ClientDisconnected struct{ ID string }
 	// TimerFired is the answer to SetTimer.
 	TimerFired struct{ Token uint64 }
 	// ProbeEnded is the answer to Probe.
 	ProbeEnded struct {
 		Server  string
 		Outcome Outcome
-		Took    time.Duration
-		Report  Report
+		Latency time.Duration
+		Report  LoadReport
 	}
 	// PeerMessage is what another gateway told.
 	PeerMessage struct {
 		From int
 		Text string
 	}
-	// Standing is what the gateways of a fleet have agreed on. Without one, each has the number that its Config tells and all are
+	// MembershipUpdate is what the gateways of a fleet have agreed on. Without one, each has the number that its Config tells and all are
 	// there.
-	Standing struct {
-		Rank  int  // this gateway's number
-		Anew  bool // it was not this gateway's before, or may have been another's since
-		Alone bool // it is cut off: it keeps to its even part
-		Peers []Presence
+	MembershipUpdate struct {
+		Rank           int  // this gateway's number
+		RankReassigned bool // it was not this gateway's before, or may have been another's since
+		Isolated       bool // it is cut off: it keeps to its even part
+		Peers          []PeerStatus
 	}
-	// Recall is what is believed of the time before the start. What is known already is only raised by it.
-	Recall struct {
-		Known []Memory // as full as they are now
-		// Leaked is for how many seconds the buckets of all others have leaked since they may have been half full.
-		Leaked float64
-		Sends  float64 // usual requests a second that this gateway sent a warm server; 0: not known
+	// StateRestored is what is believed of the time before the start. What is known already is only raised by it.
+	StateRestored struct {
+		Buckets []BucketSnapshot // as full as they are now
+		// LeakedSeconds is for how many seconds the buckets of all others have leaked since they may have been half full.
+		LeakedSeconds  float64
+		WarmServerRate float64 // usual requests a second that this gateway sent a warm server; 0: not known
 	}
-	// Leaving says that the gateway stops and owes nothing any more: the last event that it takes.
-	Leaving struct{}
-	// Counted is the answer to Count.
-	Counted struct {
+	// Shutdown says that the gateway stops and owes nothing any more: the last event that it takes.
+	Shutdown struct{}
+	// CounterCallEnded is the answer to Count.
+	CounterCallEnded struct {
 		Name    uint64
 		Outcome Outcome
 		Total   float64
-		Took    time.Duration
+		Latency time.Duration
 	}
 )
 
-func (FleetUpdate) event()   {}
-func (Request) event()       {}
-func (AnswerStarted) event() {}
-func (AttemptEnded) event()  {}
-func (ClientGone) event()    {}
-func (TimerFired) event()    {}
-func (ProbeEnded) event()    {}
-func (PeerMessage) event()   {}
-func (Standing) event()      {}
-func (Leaving) event()       {}
-func (Counted) event()       {}
-func (Recall) event()        {}
+func (ServerListUpdate) event()   {}
+func (Request) event()            {}
+func (ResponseStarted) event()    {}
+func (AttemptEnded) event()       {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
+func (ProbeEnded) event()         {}
+func (PeerMessage) event()        {}
+func (MembershipUpdate) event()   {}
+func (Shutdown) event()           {}
+func (CounterCallEnded) event()   {}
+func (StateRestored) event()      {}
 
 // Action is something that a gateway wants done.
 type Action interface{ action() }
 
 type (
-	// Send starts an attempt. A request's attempts are numbered from 0.
-	Send struct {
+	// SendAttempt starts an attempt. A request's attempts are numbered from 0.
+	SendAttempt struct {
 		ID, Server string
 		Timeout    time.Duration // 0: until the client gives up
-		// WriteBy is when the last byte must be written, or nothing may be: servers forget the key of a request that may have
+		// WriteDeadline is when the last byte must be written, or nothing may be: servers forget the key of a request that may have
 		// run. 0: there is no such time.
-		WriteBy time.Duration
+		WriteDeadline time.Duration
 	}
-	// Cancel stops waiting for an attempt.
-	Cancel struct {
+	// CancelAttempt stops waiting for an attempt.
+	CancelAttempt struct {
 		ID      string
 		Attempt int
 	}
@@ -396,7 +396,7 @@
 	Refuse struct {
 		ID         string
 		RetryAfter time.Duration // 0: no advice
-		Quota      bool          // it is the customer's quota that has no room; else it is the servers, or an attempt that never ran
+		OverQuota  bool          // it is the customer's quota that has no room; else it is the servers, or an attempt that never ran
 	}
 	// Fail is a final answer that promises nothing.
 	Fail struct{ ID string }
@@ -411,32 +411,32 @@
 	CloseIdle struct{ Server string }
 	// Subscribe asks for changes of the list of servers, or no more of them.
 	Subscribe struct{ On bool }
-	// FetchList asks for the whole list once.
-	FetchList struct{}
-	// Tell sends a message to one peer.
-	Tell struct {
+	// FetchServerList asks for the whole list once.
+	FetchServerList struct{}
+	// SendToPeer sends a message to one peer.
+	SendToPeer struct {
 		To   int
 		Text string
 	}
-	// Count adds to a named number of the shared counter.
-	Count struct {
-		Name uint64
-		Add  float64
-		TTL  time.Duration
+	// IncrementCounter adds to a named number of the shared counter.
+	IncrementCounter struct {
+		Name  uint64
+		Delta float64
+		TTL   time.Duration
 	}
 	// Log adds a line to the operator's log.
 	Log struct{ Text string }
 )
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (SetTimer) action()  {}
-func (Probe) action()     {}
-func (CloseIdle) action() {}
-func (Subscribe) action() {}
-func (FetchList) action() {}
-func (Tell) action()      {}
-func (Count) action()     {}
-func (Log) action()       {}
+func (SendAttempt) action()      {}
+func (CancelAttempt) action()    {}
+func (Refuse) action()           {}
+func (Fail) action()             {}
+func (SetTimer) action()         {}
+func (Probe) action()            {}
+func (CloseIdle) action()        {}
+func (Subscribe) action()        {}
+func (FetchServerList) action()  {}
+func (SendToPeer) action()       {}
+func (IncrementCounter) action() {}
+func (Log) action()              {}
--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -33,15 +33,15 @@
 	g.all.open += a.work
 	s.sends.Add(g.now, a.work)
 	allow := max(r.until-g.now, time.Millisecond)
-	if b := r.Bounds; b != nil {
-		if b.Attempt > 0 {
-			allow = min(allow, b.Attempt)
+	if b := r.RetryPolicy; b != nil {
+		if b.AttemptTimeout > 0 {
+			allow = min(allow, b.AttemptTimeout)
 		}
-		if b.Copies && b.CopyAfter > 0 && b.CopyAfter < allow {
-			g.wake(r.ID, a.n, g.now+b.CopyAfter, forCopy)
+		if b.Hedge && b.HedgeDelay > 0 && b.HedgeDelay < allow {
+			g.wake(r.ID, a.n, g.now+b.HedgeDelay, forCopy)
 		}
 	}
-	g.do(Send{r.ID, s.ID, allow, writeBy})
+	g.do(SendAttempt{r.ID, s.ID, allow, writeBy})
 	if wait < allow {
 		g.wake(r.ID, a.n, g.now+wait, forOverdue)
 	}
@@ -55,8 +55,8 @@
 	if s.lastGood > a.at {
 		return
 	}
-	if b := r.Bounds; b != nil {
-		if b.Copies && b.CopyAfter == 0 {
+	if b := r.RetryPolicy; b != nil {
+		if b.Hedge && b.HedgeDelay == 0 {
 			g.copy(r, a)
 		}
 		return // its own time limit ends the attempt
@@ -64,9 +64,9 @@
 	if r.finished || r.streaming || g.budget < 1 || r.class.Effect == Unsafe {
 		return
 	}
-	if !g.cfg.Limits.Parallel {
+	if !g.cfg.Limits.ParallelAttempts {
 		if g.cfg.Limits.Cancel {
-			g.do(Cancel{r.ID, a.n}) // its end, as Cancelled, brings the next attempt
+			g.do(CancelAttempt{r.ID, a.n}) // its end, as Cancelled, brings the next attempt
 		}
 		return
 	}
@@ -76,11 +76,11 @@
 // copy sends a second copy within a request's bounds. Copies are the first to stop where the servers are
 // full, and none goes out that has too little time to win.
 func (g *Gateway) copy(r *request, a *attempt) {
-	b := r.Bounds
+	b := r.RetryPolicy
 	if r.finished || r.streaming || r.class.Effect == Unsafe || r.waiting != nil || r.out != 1 {
 		return
 	}
-	if r.until-g.now >= b.CopyLeast && g.pressed() <= copyFrom && g.again(r, a.server, false) {
+	if r.until-g.now >= b.HedgeMinTimeLeft && g.pressed() <= copyFrom && g.again(r, a.server, false) {
 		g.saw(a.server, r, g.now-a.at, true, true) // else a slow one would hide behind its copies
 	}
 }
@@ -89,17 +89,17 @@
 // wait that the request's bounds ask for. What waits has its place in the budget, so it waits for an attempt.
 // The module's own budget keeps repeats from feeding a jam: one that no server heard of is not in it.
 func (g *Gateway) again(r *request, last *server, unheard bool) bool {
-	b, most, wait := r.Bounds, g.cfg.Limits.MaxAttempts, time.Duration(0)
+	b, most, wait := r.RetryPolicy, g.cfg.Limits.MaxAttempts, time.Duration(0)
 	if b != nil {
-		if b.Attempts > 0 {
-			most = min(most, b.Attempts)
+		if b.MaxAttempts > 0 {
+			most = min(most, b.MaxAttempts)
 		}
 		if r.out == 0 {
 			wait = g.waitFor(r)
 		}
 	}
 	own := (b == nil || b.Budget == nil) && !unheard
-	if (own && g.budget < 1) || len(r.attempts) >= most || (r.out > 0 && !g.cfg.Limits.Parallel) {
+	if (own && g.budget < 1) || len(r.attempts) >= most || (r.out > 0 && !g.cfg.Limits.ParallelAttempts) {
 		return false
 	}
 	s, cost := g.choose(r, last)
@@ -108,7 +108,7 @@
 	}
 	if own {
 		g.budget--
-	} else if b != nil && b.Budget != nil && !b.Budget.Take(g.now, &s.Server) {
+	} else if b != nil && b.Budget != nil && !b.Budget.TakeRetry(g.now, &s.Server) {
 		return false
 	}
 	if wait > 0 {
@@ -122,10 +122,10 @@
 
 // waitFor is how long a request waits before its next attempt.
 func (g *Gateway) waitFor(r *request) time.Duration {
-	b := r.Bounds
-	wait := float64(b.Wait) * math.Pow(max(1, b.WaitGrowth), float64(len(r.attempts)-1))
-	if b.WaitMost > 0 {
-		wait = min(wait, float64(b.WaitMost))
+	b := r.RetryPolicy
+	wait := float64(b.InitialBackoff) * math.Pow(max(1, b.BackoffFactor), float64(len(r.attempts)-1))
+	if b.MaxBackoff > 0 {
+		wait = min(wait, float64(b.MaxBackoff))
 	}
 	return time.Duration(wait * (1 + b.Jitter*(2*g.rng.Float64()-1)))
 }
@@ -136,10 +136,10 @@
 	if r == nil || r.finished || r.waiting == nil {
 		return
 	}
-	s, b := r.waiting, r.Bounds
+	s, b := r.waiting, r.RetryPolicy
 	r.waiting = nil
 	if g.servers[s.ID] != s || !g.usable(s, r) {
-		if s, _ = g.choose(r, nil); s != nil && b.Budget != nil && !b.Budget.Take(g.now, &s.Server) {
+		if s, _ = g.choose(r, nil); s != nil && b.Budget != nil && !b.Budget.TakeRetry(g.now, &s.Server) {
 			s = nil
 		}
 	}
@@ -164,22 +164,22 @@
 		g.quota.TellSoon(r.cust)
 	}
 	g.judge(r, a, e)
-	if e.TrueUnits > 0 && g.cfg.SettledLater {
-		g.quota.Charge(r.cust, e.TrueUnits-r.units)
-		r.more += e.TrueUnits - r.units
-		r.units = e.TrueUnits
+	if e.ActualUnits > 0 && g.cfg.SettledLater {
+		g.quota.Charge(r.cust, e.ActualUnits-r.units)
+		r.more += e.ActualUnits - r.units
+		r.units = e.ActualUnits
 	}
-	if e.Metered > 0 {
-		g.quota.Meter(r.cust, e.Metered)
+	if e.MeteredPercentPlusOne > 0 {
+		g.quota.Meter(r.cust, e.MeteredPercentPlusOne)
 	}
-	if e.Done {
+	if e.RequestDone {
 		g.finish(r)
 	}
 	if r.finished {
 		g.forget(r)
 		return
 	}
-	if e.Outcome == Moot && len(r.attempts) == 1 {
+	if e.Outcome == NotSent && len(r.attempts) == 1 {
 		g.quota.Charge(r.cust, -r.units) // nothing was sent, so the quota took nothing
 		switch {
 		case g.quota.Mesh || r.granted == g.quota.Rank:
@@ -189,7 +189,7 @@
 		}
 		r.more = -r.units
 	}
-	worth := e.Outcome != Moot && (r.Bounds == nil || r.Bounds.Again.Has(e.Outcome))
+	worth := e.Outcome != NotSent && (r.RetryPolicy == nil || r.RetryPolicy.RetryOn.Has(e.Outcome))
 	if r.out > 0 || r.waiting != nil || (worth && g.again(r, a.server, e.Outcome == NoConnection)) {
 		return
 	}
--- a/decide/cold.go
+++ b/decide/cold.go
@@ -24,8 +24,8 @@
 		warm *= g.all.serving / n // it has more of this gateway's traffic, and none of most others'
 		chance += nearChance / math.Sqrt(float64(g.cfg.Gateways)*n/g.all.serving)
 	}
-	f := g.cfg.Safety.ColdFrom
-	age := 1 - (s.coldUntil-g.now).Seconds()/g.cfg.Safety.ColdFor.Seconds()
+	f := g.cfg.Safety.ColdCapacity
+	age := 1 - (s.coldUntil-g.now).Seconds()/g.cfg.Safety.ColdDuration.Seconds()
 	return coldTimes(g.cfg.Safety, chance) * (f + (1-f)*age) * warm
 }
 
@@ -51,12 +51,12 @@
 	return max(g.before, 1/(max(took, tookLeast)*float64(g.cfg.Gateways)))
 }
 
-// ColdTimes is how many times what it can do a cold server may be sent.
-func ColdTimes(s Safety) float64 { return coldTimes(s, 1) }
+// ColdLoadFactor is how many times what it can do a cold server may be sent.
+func ColdLoadFactor(s Safety) float64 { return coldTimes(s, 1) }
 
 // coldTimes is that where chance may make it so many times as much.
 func coldTimes(s Safety, chance float64) float64 {
-	return min(coldMost, coldMargin*s.FallMultiple/chance)
+	return min(coldMost, coldMargin*s.OverloadFactor/chance)
 }
 
 // keepSends follows what a warm server is sent, for a time when none is.
@@ -67,5 +67,5 @@
 	g.beforeAt = g.now
 }
 
-// Sends is what this gateway sends a warm server of late, in usual requests a second; 0: not known.
-func (g *Gateway) Sends() float64 { return g.before }
+// WarmServerRate is what this gateway sends a warm server of late, in usual requests a second; 0: not known.
+func (g *Gateway) WarmServerRate() float64 { return g.before }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -14,7 +14,7 @@
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	cfg := testConfig()
-	cfg.Limits.Peers = false // the quota is no matter here
+	cfg.Limits.PeerMessages = false // the quota is no matter here
 	cfg.Gateways = 300
 	cold, warm := 0, 0
 	for i := 0; i < cfg.Gateways; i++ {
@@ -23,27 +23,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Handle(0, FleetUpdate{Kind: FleetFull, Servers: servers})
+		g.Handle(0, ServerListUpdate{Kind: ListFull, Servers: servers})
 		for n := 0; n < 30; n++ {
 			now := time.Duration(n+1) * 400 * ms
 			g.Handle(now, TimerFired{beatToken})
 			if n == 25 {
-				g.Handle(now, FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s0", Zone: "a", Started: now}}})
+				g.Handle(now, ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s0", Zone: "a", Started: now}}})
 			}
 			id := fmt.Sprint(n)
-			for _, s := range find[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
-				Units: 1, Deadline: now + time.Second, Spread: 1})) {
+			for _, s := range find[SendAttempt](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
+				Units: 1, Deadline: now + time.Second, GatewayCount: 1})) {
 				if n >= 25 && s.Server == "s0" {
 					cold++
 				} else if n >= 25 {
 					warm++
 				}
-				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 50 * ms, Done: true})
+				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: 50 * ms, RequestDone: true})
 			}
 		}
 	}
 	usual := float64(warm) / 19
-	if most := cfg.Safety.FallMultiple * 0.4 * usual; float64(cold) > most || cold == 0 {
+	if most := cfg.Safety.OverloadFactor * 0.4 * usual; float64(cold) > most || cold == 0 {
 		t.Errorf("the cold server got %d in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
 	}
 }
@@ -59,15 +59,15 @@
 		}
 		now := time.Hour
 		list := []Server{{ID: "s1", Started: now}, {ID: "s2", Started: now}, {ID: "s3", Started: now}}
-		g.Handle(now, FleetUpdate{Kind: FleetFull, Servers: list})
-		g.Handle(now, Recall{Sends: sends})
+		g.Handle(now, ServerListUpdate{Kind: ListFull, Servers: list})
+		g.Handle(now, StateRestored{WarmServerRate: sends})
 		for i := range 3000 {
 			now += ms
 			id := fmt.Sprint("r", i)
 			for _, a := range g.Handle(now, Request{ID: id, Class: "get", Plan: "small", Customer: id, Units: 1, Deadline: now + time.Second}) {
-				if s, ok := a.(Send); ok {
+				if s, ok := a.(SendAttempt); ok {
 					sent[sends]++
-					g.Handle(now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 100 * ms, Done: true})
+					g.Handle(now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: 100 * ms, RequestDone: true})
 				}
 			}
 		}
--- a/decide/crossing_test.go
+++ b/decide/crossing_test.go
@@ -24,14 +24,14 @@
 	t.Helper()
 	r = newRig(t, nil, Server{ID: "s1", Zone: "a"})
 	id = "q"
-	bounds := &Bounds{Attempts: 3, Wait: 500 * ms, Again: OutcomeSet(Error)}
-	sent := find[Send](r.do(Request{ID: id, Class: "get", Plan: "wide", Customer: "c", Units: 1, Spread: 3, Deadline: r.now + deadline, Bounds: bounds}))
+	bounds := &RetryPolicy{MaxAttempts: 3, InitialBackoff: 500 * ms, RetryOn: NewOutcomeSet(Error)}
+	sent := find[SendAttempt](r.do(Request{ID: id, Class: "get", Plan: "wide", Customer: "c", Units: 1, GatewayCount: 3, Deadline: r.now + deadline, RetryPolicy: bounds}))
 	if len(sent) != 1 {
 		t.Fatal("the request is not sent")
 	}
 	r.now += 10 * ms
 	timers = r.end(id, 0, "s1", Error)
-	if len(find[SetTimer](timers)) == 0 || len(find[Send](timers)) != 0 {
+	if len(find[SetTimer](timers)) == 0 || len(find[SendAttempt](timers)) != 0 {
 		t.Fatalf("after the failure: %+v", timers)
 	}
 	return r, id, timers
@@ -44,10 +44,10 @@
 		sends     int
 	}{
 		"nothing":                  {nil, 1},
-		"the client's end":         {ClientGone{"q"}, 0},
-		"its server's drain":       {FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", Zone: "a", State: Draining}}}, 0},
-		"a list without it":        {FleetUpdate{Kind: FleetFull, Servers: []Server{}}, 0},
-		"its server's replacement": {FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "s2", Zone: "a"}}}, 1},
+		"the client's end":         {ClientDisconnected{"q"}, 0},
+		"its server's drain":       {ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", State: Draining}}}, 0},
+		"a list without it":        {ServerListUpdate{Kind: ListFull, Servers: []Server{}}, 0},
+		"its server's replacement": {ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "s2", Zone: "a"}}}, 1},
 	} {
 		r, id, timers := waiting(t, 2*time.Second)
 		ended := 0
@@ -56,7 +56,7 @@
 			ended += len(find[Refuse](acts)) + len(find[Fail](acts))
 		}
 		acts := r.fire(timers)
-		sent := find[Send](acts)
+		sent := find[SendAttempt](acts)
 		if len(sent) != x.sends {
 			t.Errorf("%s: %d attempts", name, len(sent))
 		}
@@ -76,7 +76,7 @@
 	r, _, timers := waiting(t, 2*time.Second)
 	r.now += 2 * time.Second
 	acts := r.fire(timers)
-	if len(find[Send](acts)) != 0 || len(find[Refuse](acts))+len(find[Fail](acts)) != 1 {
+	if len(find[SendAttempt](acts)) != 0 || len(find[Refuse](acts))+len(find[Fail](acts)) != 1 {
 		t.Errorf("behind the deadline: %+v", acts)
 	}
 }
@@ -88,7 +88,7 @@
 		j.loss = 0
 		asked, sent := 0, 0
 		j.watch = func(_ int, acts []Action) {
-			for _, s := range find[Send](acts) {
+			for _, s := range find[SendAttempt](acts) {
 				if s.ID[0] == 'w' {
 					sent++
 				}
@@ -97,14 +97,14 @@
 		for i := range 20 { // some of these gateways are the customer's homes, and ask nobody
 			id := string([]byte{'w', byte('a' + i)})
 			before := sent
-			j.handle(i, Request{ID: id, Class: "get", Plan: "wide", Customer: "x", Units: 1, Deadline: j.now + time.Second, Spread: 60})
+			j.handle(i, Request{ID: id, Class: "get", Plan: "wide", Customer: "x", Units: 1, Deadline: j.now + time.Second, GatewayCount: 60})
 			if sent > before {
 				sent--
 				continue
 			}
 			asked++
 			if leaves {
-				j.handle(i, ClientGone{ID: id})
+				j.handle(i, ClientDisconnected{ID: id})
 			}
 			j.pass(100 * ms)
 		}
@@ -123,25 +123,25 @@
 	r := newRig(t, nil)
 	began := r.now
 	id, first := r.send("put", "wide")
-	if first.WriteBy != 0 {
-		t.Errorf("the first attempt must be written by %v", first.WriteBy)
+	if first.WriteDeadline != 0 {
+		t.Errorf("the first attempt must be written by %v", first.WriteDeadline)
 	}
 	r.now += 100 * ms
-	second := find[Send](r.end(id, 0, first.Server, Reset))
-	if len(second) != 1 || second[0].WriteBy != began+2*time.Second-aimMargin {
+	second := find[SendAttempt](r.end(id, 0, first.Server, Reset))
+	if len(second) != 1 || second[0].WriteDeadline != began+2*time.Second-aimMargin {
 		t.Fatalf("after one that may have run: %+v", second)
 	}
 	r.now += 100 * ms
-	third := find[Send](r.end(id, 1, second[0].Server, Reset))
-	if len(third) != 1 || third[0].WriteBy != second[0].WriteBy {
+	third := find[SendAttempt](r.end(id, 1, second[0].Server, Reset))
+	if len(third) != 1 || third[0].WriteDeadline != second[0].WriteDeadline {
 		t.Errorf("after two that may have run: %+v", third)
 	}
 	id, first = r.send("put", "wide")
-	if again := find[Send](r.end(id, 0, first.Server, NoConnection)); len(again) != 1 || again[0].WriteBy != 0 {
+	if again := find[SendAttempt](r.end(id, 0, first.Server, NoConnection)); len(again) != 1 || again[0].WriteDeadline != 0 {
 		t.Errorf("after one that never ran: %+v", again)
 	}
 	id, first = r.send("get", "wide")
-	if again := find[Send](r.end(id, 0, first.Server, Reset)); len(again) != 1 || again[0].WriteBy != 0 {
+	if again := find[SendAttempt](r.end(id, 0, first.Server, Reset)); len(again) != 1 || again[0].WriteDeadline != 0 {
 		t.Errorf("a safe one: %+v", again)
 	}
 }
@@ -149,17 +149,17 @@
 // TestUnsafeIsNeverOutTwice: whatever else happens while an attempt of an unsafe request is out, or after it may have run, there is no
 // other.
 func TestUnsafeIsNeverOutTwice(t *testing.T) {
-	for outcome, again := range map[Outcome]bool{Error: false, Reset: false, TimedOut: false, Cancelled: false, Full: true, NoConnection: true} {
-		r := newRig(t, func(c *Config) { c.Limits.Parallel = true })
+	for outcome, again := range map[Outcome]bool{Error: false, Reset: false, TimedOut: false, Cancelled: false, Rejected: true, NoConnection: true} {
+		r := newRig(t, func(c *Config) { c.Limits.ParallelAttempts = true })
 		id, acts := r.ask("pay", "wide", "c", 1)
-		s, timers := find[Send](acts)[0], find[SetTimer](acts)
+		s, timers := find[SendAttempt](acts)[0], find[SetTimer](acts)
 		if len(timers) == 0 || timers[0].At >= r.now+time.Second {
 			t.Fatalf("no look at an overdue attempt: %+v", acts)
 		}
-		if more := find[Send](r.fire([]Action{timers[0]})); len(more) != 0 {
+		if more := find[SendAttempt](r.fire([]Action{timers[0]})); len(more) != 0 {
 			t.Fatalf("a second copy: %+v", more)
 		}
-		if more := find[Send](r.end(id, 0, s.Server, outcome)); len(more) > 0 != again {
+		if more := find[SendAttempt](r.end(id, 0, s.Server, outcome)); len(more) > 0 != again {
 			t.Errorf("after outcome %v: %+v", outcome, more)
 		}
 	}
--- a/decide/deaf_test.go
+++ b/decide/deaf_test.go
@@ -21,7 +21,7 @@
 		for _, a := range acts {
 			id, sent := "", false
 			switch a := a.(type) {
-			case Send:
+			case SendAttempt:
 				id, sent = a.ID, true
 			case Refuse:
 				id = a.ID
@@ -39,7 +39,7 @@
 		asked[id] = open{c, j.now}
 		j.inFlight[id] = units
 		j.handle(j.rnd.Intn(len(j.gws)), Request{ID: id, Class: "get", Plan: plan, Customer: c, Units: units,
-			Deadline: j.now + time.Second, Spread: len(j.gws)})
+			Deadline: j.now + time.Second, GatewayCount: len(j.gws)})
 		j.pass(gap)
 	}
 }
@@ -109,10 +109,10 @@
 				g.Handle(time.Hour, PeerMessage{From: 9, Text: w.Text(time.Hour)})
 				g.unheards = deafAfter // that was told before
 			}
-			sent += len(find[Send](g.Handle(time.Hour, Request{ID: id, Class: "get", Plan: "small", Customer: id, Units: 1,
-				Deadline: time.Hour + time.Second, Spread: 300})))
-			g.Handle(time.Hour, AttemptEnded{ID: id, Server: "s1", Outcome: OK, Took: ms, Done: true})
-			g.Handle(time.Hour, ClientGone{ID: id})
+			sent += len(find[SendAttempt](g.Handle(time.Hour, Request{ID: id, Class: "get", Plan: "small", Customer: id, Units: 1,
+				Deadline: time.Hour + time.Second, GatewayCount: 300})))
+			g.Handle(time.Hour, AttemptEnded{ID: id, Server: "s1", Outcome: OK, Latency: ms, RequestDone: true})
+			g.Handle(time.Hour, ClientDisconnected{ID: id})
 		}
 		if got := float64(sent) / 400; got < 0.8*borne || got > 1.2*borne {
 			t.Errorf("%.2f let in where %.2f is borne", got, borne)
@@ -143,7 +143,7 @@
 			id := fmt.Sprint(j.now)
 			j.inFlight[id] = 4
 			j.handle(j.rnd.Intn(set), Request{ID: id, Class: "get", Plan: "hard", Customer: "x", Units: 4,
-				Deadline: j.now + time.Second, Spread: set})
+				Deadline: j.now + time.Second, GatewayCount: set})
 			j.pass(10 * ms)
 		}
 		store = math.Min(60, store+30*(j.now-last).Seconds()) - (j.used - used)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -17,18 +17,18 @@
 		g.do(SetTimer{g.now + g.quota.BeatEvery(), beatToken})
 	}
 	switch e := ev.(type) {
-	case FleetUpdate:
+	case ServerListUpdate:
 		g.fleet(e)
 	case Request:
 		g.request(e)
-	case AnswerStarted:
+	case ResponseStarted:
 		if a := g.attempt(e.ID, e.Attempt); a != nil {
 			g.requests[e.ID].streaming = true
 			a.server.lastGood = g.now
 		}
 	case AttemptEnded:
 		g.ended(e)
-	case ClientGone:
+	case ClientDisconnected:
 		g.finish(g.requests[e.ID])
 	case TimerFired:
 		g.timer(e.Token)
@@ -37,12 +37,12 @@
 			g.word(e.From, e.Text)
 		}
 		g.quota.Heard(e.From, e.Text)
-	case Standing:
-		g.quota.Stand(e.Rank, e.Anew, e.Alone, e.Peers)
-	case Recall:
-		g.quota.Recall(e.Known, e.Leaked)
-		g.before = max(g.before, e.Sends)
-	case Leaving:
+	case MembershipUpdate:
+		g.quota.Stand(e.Rank, e.RankReassigned, e.Isolated, e.Peers)
+	case StateRestored:
+		g.quota.Recall(e.Buckets, e.LeakedSeconds)
+		g.before = max(g.before, e.WarmServerRate)
+	case Shutdown:
 		g.quota.HandOver()
 		g.quota.Leave()
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -15,20 +15,20 @@
 func testConfig() Config {
 	return Config{Gateways: 3, Zone: "a", PeerIntake: 40, MaxUnits: 8, SettledLater: true,
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-			{Name: "put", Effect: Keyed, Group: GroupCell, Window: 2 * time.Second, Aim: time.Second,
+			{Name: "get", Effect: Safe, LatencyTarget: time.Second, Deadline: 4 * time.Second, Worth: 1},
+			{Name: "put", Effect: Keyed, Group: GroupCell, DedupWindow: 2 * time.Second, LatencyTarget: time.Second,
 				Deadline: 4 * time.Second, Worth: 2},
-			{Name: "putall", Effect: Keyed, Group: GroupAll, Window: 2 * time.Second, Aim: time.Second,
+			{Name: "putall", Effect: Keyed, Group: GroupAll, DedupWindow: 2 * time.Second, LatencyTarget: time.Second,
 				Deadline: 4 * time.Second, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 2}},
+			{Name: "pay", Effect: Unsafe, LatencyTarget: time.Second, Deadline: 4 * time.Second, Worth: 2}},
 		Plans: []Plan{
 			{Name: "wide", Rate: 1000, Burst: 3000, Price: 1},
 			{Name: "small", Rate: 3, Burst: 12, Price: 1},
 			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 30, CeilingBurst: 60, CeilingSlack: 6, Price: 1},
 			{Name: "open", MaxOpen: 3, Price: 1}},
-		Limits: Limits{MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Safety: Safety{AnswerSlack: 16 * ms, ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 2,
-			FallWindow: time.Second}}
+		Limits: Limits{MaxAttempts: 3, Cancel: true, PeerMessages: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Safety: Safety{AnswerSlack: 16 * ms, ColdCapacity: 0.2, ColdDuration: 10 * time.Second, OverloadFactor: 2,
+			OverloadWindow: time.Second}}
 }
 
 // rig drives a gateway by hand.
@@ -53,7 +53,7 @@
 		servers = []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a", Cell: 1}}
 	}
 	r := &rig{t: t, g: g, now: time.Hour}
-	r.do(FleetUpdate{Kind: FleetStale, Servers: servers})
+	r.do(ServerListUpdate{Kind: ListStale, Servers: servers})
 	return r
 }
 
@@ -63,7 +63,7 @@
 	r.n++
 	id := fmt.Sprint("q", r.n)
 	return id, r.do(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
-		Deadline: r.now + 2*time.Second, Spread: 3})
+		Deadline: r.now + 2*time.Second, GatewayCount: 3})
 }
 
 func find[A Action](acts []Action) (out []A) {
@@ -76,10 +76,10 @@
 }
 
 // send asks and fails the test unless the request is sent on.
-func (r *rig) send(class, plan string) (string, Send) {
+func (r *rig) send(class, plan string) (string, SendAttempt) {
 	r.t.Helper()
 	id, acts := r.ask(class, plan, "c", 1)
-	s := find[Send](acts)
+	s := find[SendAttempt](acts)
 	if len(s) != 1 {
 		r.t.Fatalf("%s on %s: got %#v, want one Send", class, plan, acts)
 	}
@@ -89,7 +89,7 @@
 // serve asks, answers at once if the request is sent on, and tells whether it was.
 func (r *rig) serve(class, plan, customer string, units float64) bool {
 	id, acts := r.ask(class, plan, customer, units)
-	s := find[Send](acts)
+	s := find[SendAttempt](acts)
 	if len(s) == 1 {
 		r.end(id, 0, s[0].Server, OK)
 	}
@@ -97,7 +97,7 @@
 }
 
 func (r *rig) end(id string, n int, server string, o Outcome) []Action {
-	return r.do(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Took: 20 * ms, Done: o == OK})
+	return r.do(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Latency: 20 * ms, RequestDone: o == OK})
 }
 
 func TestBucket(t *testing.T) {
@@ -130,13 +130,13 @@
 	id, s := r.send("get", "wide")
 	c := r.g.quota.Find(words.Key("c"))
 	before := c.Level
-	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: ms, Done: true, TrueUnits: 6})
+	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, ActualUnits: 6})
 	if got := c.Level - before; got != 5 {
 		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
 	}
 	id, s = r.send("get", "wide")
 	before = c.Level
-	r.end(id, 0, s.Server, Moot)
+	r.end(id, 0, s.Server, NotSent)
 	if got := before - c.Level; got != 1 {
 		t.Errorf("a moot send gave back %v, want 1", got)
 	}
@@ -150,13 +150,13 @@
 
 func TestCeiling(t *testing.T) {
 	r := newRig(t, nil)
-	if _, acts := r.ask("get", "hard", "x", 8); len(find[Send](acts)) != 0 {
+	if _, acts := r.ask("get", "hard", "x", 8); len(find[SendAttempt](acts)) != 0 {
 		t.Fatal("sent on from the ceiling's store at the start, when it must count as empty")
 	}
 	sent, start := 0.0, r.now
 	for ; r.now < start+20*time.Second; r.now += 50 * ms {
 		id, acts := r.ask("get", "hard", "x", 4)
-		if s := find[Send](acts); len(s) == 1 {
+		if s := find[SendAttempt](acts); len(s) == 1 {
 			sent += 4
 			r.end(id, 0, s[0].Server, OK)
 		}
@@ -176,16 +176,16 @@
 		again   bool // a further attempt is allowed
 		refuse  bool // else: a refusal is allowed
 	}{
-		{"get", Error, true, true}, {"get", TimedOut, true, true}, {"get", Full, true, true},
-		{"put", Error, true, false}, {"put", Full, true, true}, {"put", Reset, true, false},
+		{"get", Error, true, true}, {"get", TimedOut, true, true}, {"get", Rejected, true, true},
+		{"put", Error, true, false}, {"put", Rejected, true, true}, {"put", Reset, true, false},
 		{"putall", Error, true, true}, {"putall", NoConnection, true, true},
 		{"pay", Error, false, false}, {"pay", TimedOut, false, false}, {"pay", Reset, false, false},
-		{"pay", Cancelled, false, false}, {"pay", Full, true, true}, {"pay", NoConnection, true, true},
+		{"pay", Cancelled, false, false}, {"pay", Rejected, true, true}, {"pay", NoConnection, true, true},
 	} {
 		r := newRig(t, nil)
 		id, s := r.send(c.class, "wide")
 		acts := r.end(id, 0, s.Server, c.outcome)
-		more := find[Send](acts)
+		more := find[SendAttempt](acts)
 		if (len(more) == 1) != c.again {
 			t.Errorf("%s after %v: got %#v, want again=%v", c.class, c.outcome, acts, c.again)
 		}
@@ -195,7 +195,7 @@
 		r.g.budget = 0 // no further attempts: the final answer
 		for i := 1; len(more) == 1; i++ {
 			acts = r.end(id, i, more[0].Server, c.outcome)
-			more = find[Send](acts)
+			more = find[SendAttempt](acts)
 		}
 		if refused, failed := len(find[Refuse](acts)), len(find[Fail](acts)); refused+failed != 1 || (refused == 1) != c.refuse {
 			t.Errorf("%s after %v: final %#v, want refuse=%v", c.class, c.outcome, acts, c.refuse)
@@ -204,17 +204,17 @@
 }
 
 func TestKeyedWindow(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Classes[2].Aim, c.Classes[2].Window = 3*time.Second, time.Second })
+	r := newRig(t, func(c *Config) { c.Classes[2].LatencyTarget, c.Classes[2].DedupWindow = 3*time.Second, time.Second })
 	id, s := r.send("putall", "wide")
 	r.now += 1100 * ms
-	if acts := r.end(id, 0, s.Server, Error); len(find[Send](acts)) != 0 {
+	if acts := r.end(id, 0, s.Server, Error); len(find[SendAttempt](acts)) != 0 {
 		t.Errorf("sent again after the window: %#v", acts)
 	}
 }
 
 func TestNoServer(t *testing.T) {
 	r := newRig(t, nil, []Server{}...)
-	r.do(FleetUpdate{Kind: FleetFull})
+	r.do(ServerListUpdate{Kind: ListFull})
 	if _, acts := r.ask("get", "wide", "c", 1); len(find[Refuse](acts)) != 1 {
 		t.Errorf("without servers: got %#v, want Refuse", acts)
 	}
@@ -222,20 +222,20 @@
 
 func TestDrains(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", State: Draining}}})
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s2", State: Gone}}})
+	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", State: Draining}}})
+	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s2", State: Gone}}})
 	for i := 0; i < 8; i++ {
 		if _, s := r.send("get", "wide"); s.Server != "s3" {
 			t.Fatalf("sent to %s, want s3", s.Server)
 		}
 		r.end(fmt.Sprint("q", r.n), 0, "s3", OK)
 	}
-	r.do(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "s2"}}})
+	r.do(ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "s2"}}})
 	if _, s := r.send("get", "wide"); s.Server != "s2" {
 		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
 	}
-	r.do(FleetUpdate{Kind: FleetFailed})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Send](acts)) != 1 {
+	r.do(ServerListUpdate{Kind: ListFailed})
+	if _, acts := r.ask("get", "wide", "c", 1); len(find[SendAttempt](acts)) != 1 {
 		t.Errorf("a failed list call lost the former list: %#v", acts)
 	}
 }
@@ -253,7 +253,7 @@
 		return n
 	}
 	run(10 * time.Second)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - ms}}})
+	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
 	if most := coldMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
@@ -276,7 +276,7 @@
 			continue
 		}
 		fails++
-		for _, m := range find[Send](r.end(id, 0, "s1", Error)) {
+		for _, m := range find[SendAttempt](r.end(id, 0, "s1", Error)) {
 			r.end(id, 1, m.Server, OK)
 		}
 	}
@@ -287,15 +287,15 @@
 	for i := 0; i < 100; i++ {
 		id, acts := all.ask("pay", "wide", "c", 1)
 		all.now += 20 * ms
-		if s := find[Send](acts); len(s) == 1 {
+		if s := find[SendAttempt](acts); len(s) == 1 {
 			all.end(id, 0, s[0].Server, Error)
 		}
 	}
 	got := map[string]bool{}
 	for i := 0; i < 60; i++ {
-		if _, acts := all.ask("pay", "wide", "c", 1); len(find[Send](acts)) == 1 {
-			got[find[Send](acts)[0].Server] = true
-			all.end(fmt.Sprint("q", all.n), 0, find[Send](acts)[0].Server, Error)
+		if _, acts := all.ask("pay", "wide", "c", 1); len(find[SendAttempt](acts)) == 1 {
+			got[find[SendAttempt](acts)[0].Server] = true
+			all.end(fmt.Sprint("q", all.n), 0, find[SendAttempt](acts)[0].Server, Error)
 		}
 	}
 	if len(got) < 3 {
@@ -343,7 +343,7 @@
 	r := newRig(t, nil)
 	for range int(openFree+openLeast) + 1 { // of three servers and as many gateways
 		id, acts := r.ask("get", "wide", "c", 1)
-		if s := find[Send](acts); len(s) == 1 {
+		if s := find[SendAttempt](acts); len(s) == 1 {
 			r.end(id, 0, s[0].Server, Cancelled)
 		}
 	}
@@ -361,14 +361,14 @@
 			t.Errorf("%#v: got %#v, want Refuse", e, acts)
 		}
 	}
-	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OK}, ClientGone{"zz"}, TimerFired{1 << 60},
-		AnswerStarted{ID: "zz"}, ProbeEnded{Server: "zz"}, Counted{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
+	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OK}, ClientDisconnected{"zz"}, TimerFired{1 << 60},
+		ResponseStarted{ID: "zz"}, ProbeEnded{Server: "zz"}, CounterCallEnded{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
 		if acts := r.do(e); len(acts) != 0 {
 			t.Errorf("%#v: got %#v, want nothing", e, acts)
 		}
 	}
 	id, s := r.send("get", "wide")
-	r.do(ClientGone{id})
+	r.do(ClientDisconnected{id})
 	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
 		t.Errorf("answered a request whose client is gone: %#v", acts)
 	}
@@ -384,7 +384,7 @@
 		"Gateways is 0":                func(c *Config) { c.Gateways = 0 },
 		"Plans[1].Rate is -1":          func(c *Config) { c.Plans[1].Rate = -1 },
 		"Plans[2].CeilingBurst is NaN": func(c *Config) { c.Plans[2].CeilingBurst = math.NaN() },
-		"Classes[0].Aim is 0s":         func(c *Config) { c.Classes[0].Aim = 0 },
+		"Classes[0].Aim is 0s":         func(c *Config) { c.Classes[0].LatencyTarget = 0 },
 		"Limits.MaxAttempts is 0":      func(c *Config) { c.Limits.MaxAttempts = 0 },
 	} {
 		cfg := testConfig()
@@ -398,7 +398,7 @@
 type flight struct {
 	req      Request
 	class    Class
-	attempts []Send
+	attempts []SendAttempt
 	at       []time.Duration
 	out      map[int]bool
 	mayRun   map[int]bool
@@ -426,7 +426,7 @@
 		}
 		r.g.survey()
 		_, acts := r.ask("get", "cheap", "y", 1)
-		return len(find[Send](acts)) == 0
+		return len(find[SendAttempt](acts)) == 0
 	}
 	if pressedBy(6) { // 24 of all gateways at 12 servers
 		t.Error("cheap work is shed with two requests a server")
@@ -449,10 +449,10 @@
 		for range 400 {
 			r.now += 100 * ms
 			id, acts := r.ask("get", "wide", "x", 1)
-			r.do(AttemptEnded{ID: id, Server: find[Send](acts)[0].Server, Outcome: OK, Took: took, Done: true})
+			r.do(AttemptEnded{ID: id, Server: find[SendAttempt](acts)[0].Server, Outcome: OK, Latency: took, RequestDone: true})
 		}
 		for n := range 400 {
-			if _, acts := r.ask("get", "cheap", "y", 1); len(find[Send](acts)) == 0 {
+			if _, acts := r.ask("get", "cheap", "y", 1); len(find[SendAttempt](acts)) == 0 {
 				return n
 			}
 		}
@@ -469,17 +469,17 @@
 func TestGoneServersAreForgotten(t *testing.T) {
 	r := newRig(t, nil)
 	id, s := r.send("get", "wide")
-	r.do(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
+	r.do(ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
 	if len(r.g.servers) != 2 || len(r.g.order) != 2 || len(r.g.shorts) != 2 {
 		t.Errorf("%d, %d and %d are known, want the new one and the one with an attempt out",
 			len(r.g.servers), len(r.g.order), len(r.g.shorts))
 	}
 	r.end(id, 0, s.Server, OK)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "new", State: Gone}, {ID: "never", State: Gone}}})
+	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "new", State: Gone}, {ID: "never", State: Gone}}})
 	if cold := r.g.servers["new"]; len(r.g.servers) != 1 || cold == nil || cold.State != Gone {
 		t.Errorf("known are %v, want the cold one", r.g.servers)
 	}
-	r.now += r.g.cfg.Safety.ColdFor
+	r.now += r.g.cfg.Safety.ColdDuration
 	r.do(TimerFired{Token: beatToken})
 	if len(r.g.servers)+len(r.g.order)+len(r.g.shorts) != 0 {
 		t.Errorf("still known are %v", r.g.servers)
@@ -490,7 +490,7 @@
 func TestGoneServerKeepsItsCell(t *testing.T) {
 	r := newRig(t, nil, Server{ID: "s", Zone: "a", Cell: 7})
 	r.send("put", "wide")
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s", State: Gone}}})
+	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s", State: Gone}}})
 	if s := r.g.servers["s"]; s.State != Gone || s.Cell != 7 || s.Zone != "a" {
 		t.Errorf("known is %+v", s.Server)
 	}
@@ -503,8 +503,8 @@
 	var acts []Action
 	for len(find[Refuse](acts)) == 0 {
 		id, a := r.ask("get", "small", "x", 1)
-		if acts = a; len(find[Send](acts)) > 0 {
-			r.end(id, 0, find[Send](acts)[0].Server, OK)
+		if acts = a; len(find[SendAttempt](acts)) > 0 {
+			r.end(id, 0, find[SendAttempt](acts)[0].Server, OK)
 		}
 	}
 	wait := find[Refuse](acts)[0].RetryAfter
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -11,10 +11,10 @@
 func Example() {
 	cfg := decide.Config{
 		Gateways: 1,
-		Classes:  []decide.Class{{Name: "read", Effect: decide.Safe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
+		Classes:  []decide.Class{{Name: "read", Effect: decide.Safe, LatencyTarget: time.Second, Deadline: 4 * time.Second, Worth: 1}},
 		Plans:    []decide.Plan{{Name: "basic", Rate: 5, Burst: 20, Price: 1}},
 		Limits:   decide.Limits{MaxAttempts: 3},
-		Safety:   decide.Safety{ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 2, FallWindow: time.Second},
+		Safety:   decide.Safety{ColdCapacity: 0.2, ColdDuration: 10 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second},
 	}
 	g, err := decide.New(cfg, 1)
 	if err != nil {
@@ -22,11 +22,11 @@
 		return
 	}
 	now := time.Minute // since an origin of the caller's choice
-	g.Handle(now, decide.FleetUpdate{Kind: decide.FleetFull, Servers: []decide.Server{{ID: "10.0.0.1:80"}}})
+	g.Handle(now, decide.ServerListUpdate{Kind: decide.ListFull, Servers: []decide.Server{{ID: "10.0.0.1:80"}}})
 	for _, a := range g.Handle(now, decide.Request{ID: "r1", Class: "read", Plan: "basic", Customer: "ada",
-		Units: 1, Deadline: now + 4*time.Second, Spread: 1}) {
+		Units: 1, Deadline: now + 4*time.Second, GatewayCount: 1}) {
 		switch a := a.(type) {
-		case decide.Send:
+		case decide.SendAttempt:
 			fmt.Println("send", a.ID, "to", a.Server)
 		case decide.Refuse:
 			fmt.Println("refuse", a.ID)
@@ -34,6 +34,6 @@
 	}
 	// Tell the gateway how the attempt ended; Done says that its answer went to the client.
 	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80", Outcome: decide.OK,
-		Took: 20 * time.Millisecond, Done: true})
+		Latency: 20 * time.Millisecond, RequestDone: true})
 	// Output: send r1 to 10.0.0.1:80
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -58,7 +58,7 @@
 	}
 	j.gws[i] = g
 	j.due = keepLetters(j.due, func(l letter) bool { return l.to != i })
-	j.handle(i, FleetUpdate{Kind: FleetStale, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
+	j.handle(i, ServerListUpdate{Kind: ListStale, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
 }
 
 func keepLetters(ls []letter, want func(letter) bool) (out []letter) {
@@ -77,7 +77,7 @@
 	}
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Tell:
+		case SendToPeer:
 			j.taken[a.To]++
 			if j.rnd.Float64() >= max(j.loss, j.lossAt[a.To]) && !j.down[a.To] {
 				late := time.Duration(2+j.rnd.Intn(16)) * ms
@@ -85,10 +85,10 @@
 			}
 		case SetTimer:
 			j.due = append(j.due, letter{at: a.At, to: i, ev: TimerFired{a.Token}})
-		case Send:
+		case SendAttempt:
 			j.used += j.inFlight[a.ID]
 			j.due = append(j.due, letter{at: j.now + 30*ms, to: i, ev: AttemptEnded{ID: a.ID, Server: a.Server,
-				Outcome: OK, Took: 30 * ms, Done: true}})
+				Outcome: OK, Latency: 30 * ms, RequestDone: true}})
 		case Refuse:
 			j.refused++
 		}
@@ -102,7 +102,7 @@
 			id := fmt.Sprint(j.now, "-", n)
 			j.inFlight[id] = units
 			j.handle(i, Request{ID: id, Class: "get", Plan: plan, Customer: "x", Units: units,
-				Deadline: j.now + 2*time.Second, Spread: len(j.gws)})
+				Deadline: j.now + 2*time.Second, GatewayCount: len(j.gws)})
 		}
 		j.pass(gap)
 	}
@@ -161,7 +161,7 @@
 	}{
 		{"stopped", func(j *joined) {
 			for i := 1; i < 3; i++ {
-				j.handle(i, Leaving{})
+				j.handle(i, Shutdown{})
 				j.down[i] = true
 			}
 		}, func(int) int { return 0 }, 0.93, 1.1},
@@ -309,7 +309,7 @@
 	g := join(t, 300, nil).gws[4]
 	until := time.Hour + 30*ms
 	acts := g.Handle(time.Hour, Request{ID: "q", Class: "get", Plan: "small", Customer: "x", Units: 2,
-		Deadline: until, Spread: 300})
+		Deadline: until, GatewayCount: 300})
 	for i := 0; i < 5; i++ {
 		if timers := find[SetTimer](acts); len(timers) > 0 && timers[0].At <= until {
 			acts = g.Handle(timers[0].At, TimerFired{timers[0].Token})
@@ -336,8 +336,8 @@
 	asked := func() (n int) {
 		for i := 0; i < 100; i++ {
 			id := fmt.Sprint(j.now, i)
-			n += len(find[Tell](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
-				Deadline: j.now + time.Second, Spread: 300})))
+			n += len(find[SendToPeer](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+				Deadline: j.now + time.Second, GatewayCount: 300})))
 		}
 		return n
 	}
@@ -382,20 +382,20 @@
 	for i := 0; i < 100; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
-	g.Handle(time.Second, FleetUpdate{Kind: FleetFull, Servers: servers})
+	g.Handle(time.Second, ServerListUpdate{Kind: ListFull, Servers: servers})
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
 		now := time.Second + time.Duration(i)*ms
 		id := fmt.Sprint(i)
 		key := fmt.Sprint("c", i%2000)
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
-			Deadline: now + time.Second, Spread: 200})
+			Deadline: now + time.Second, GatewayCount: 200})
 		for no, r := range g.asks {
 			w := words.Word{Kind: 'r', Key: r.cust.Key, No: no, N: 4, V: [4]float64{1}}
 			g.Handle(now, PeerMessage{From: g.quota.Home(r.cust.Key, 0), Text: w.Text(0)})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
-			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].server.ID, Outcome: OK, Took: ms, Done: true})
+			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].server.ID, Outcome: OK, Latency: ms, RequestDone: true})
 		}
 	}
 }
--- a/decide/letin.go
+++ b/decide/letin.go
@@ -29,14 +29,14 @@
 		return
 	}
 	r := &request{Request: e, class: k, units: max(0, e.Units), until: e.Deadline}
-	if k.LateWorth == 0 && !k.Stream && k.AimStretch == 0 {
-		r.until = min(e.Deadline, g.now+max(0, k.Aim-aimMargin))
+	if k.LateWorthFraction == 0 && !k.Stream && k.LatencyTargetStretch == 0 {
+		r.until = min(e.Deadline, g.now+max(0, k.LatencyTarget-aimMargin))
 	}
-	if b := e.Bounds; b != nil && b.Whole > 0 {
-		r.until = min(r.until, g.now+b.Whole)
+	if b := e.RetryPolicy; b != nil && b.TotalTimeout > 0 {
+		r.until = min(r.until, g.now+b.TotalTimeout)
 	}
 	c := g.quota.Customer(words.Key(e.Customer), planNo)
-	g.quota.Place(c, e.First, e.Spread)
+	g.quota.Place(c, e.FirstGateway, e.GatewayCount)
 	r.cust, r.granted = c, -1
 	g.requests[e.ID] = r
 	switch {
@@ -78,8 +78,8 @@
 		r.cust.Store -= r.units // else the home or roomAlone has taken them
 	}
 	g.quota.Charge(r.cust, r.units)
-	if b := r.Bounds; b != nil && b.Budget != nil {
-		b.Budget.First(g.now, &s.Server)
+	if b := r.RetryPolicy; b != nil && b.Budget != nil {
+		b.Budget.RecordFirstAttempt(g.now, &s.Server)
 	} else {
 		g.budget = min(budgetMost, g.budget+budgetPart)
 	}
@@ -106,7 +106,7 @@
 }
 
 func (g *Gateway) refuse(id string, wait time.Duration, quota bool) {
-	a := Refuse{ID: id, Quota: quota}
+	a := Refuse{ID: id, OverQuota: quota}
 	if g.cfg.Limits.RetryAfter {
 		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, wait)
 	}
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -12,7 +12,7 @@
 func remembering(t *testing.T, mode string) *joined {
 	return join(t, inFleet, func(c *Config) {
 		fleets[mode](c)
-		c.Remember = true
+		c.TrackChanges = true
 	})
 }
 
@@ -25,14 +25,14 @@
 		for _, what := range []string{"kept", "lost", "long ago"} {
 			j := remembering(t, mode)
 			j.flood(6*time.Second, everywhere...)
-			var kept [inFleet][]Memory
+			var kept [inFleet][]BucketSnapshot
 			for i, g := range j.gws {
-				kept[i] = g.Changed(nil, 100)
+				kept[i] = g.AppendChanged(nil, 100)
 				knows := 0 // as a home, or as all tell all
 				if key := words.Key("x"); mode == "mesh" || g.quota.Home(key, 0) == i || g.quota.Home(key, 1) == i {
 					knows = 1
 				}
-				if len(kept[i]) != knows || len(g.Changed(nil, 100)) != 0 {
+				if len(kept[i]) != knows || len(g.AppendChanged(nil, 100)) != 0 {
 					t.Fatalf("%s: gateway %d tells %d changes, want %d, once", mode, i, len(kept[i]), knows)
 				}
 			}
@@ -40,9 +40,9 @@
 				j.start(i)
 				switch m := kept[i]; what {
 				case "kept":
-					j.handle(i, Recall{Known: m})
+					j.handle(i, StateRestored{Buckets: m})
 				case "long ago":
-					j.handle(i, Recall{Leaked: 3600})
+					j.handle(i, StateRestored{LeakedSeconds: 3600})
 				}
 			}
 			after[what] = j.flood(3*time.Second, everywhere...)*3 - 3*20
@@ -59,11 +59,11 @@
 	j := remembering(t, "mesh")
 	g := j.gws[0]
 	for i, tc := range []struct {
-		m    Memory
+		m    BucketSnapshot
 		want float64 // units of 20
-	}{{Memory{Key: 7, Spread: 4, Fill: 0.5}, 10}, {Memory{Key: 7, Spread: 4, Fill: 0.2}, 10}, {Memory{Key: 7, Fill: 0.9}, 18},
-		{Memory{Key: 7, Plan: 3, Fill: 1}, 18}, {Memory{Key: 7, Fill: math.NaN()}, 18}, {Memory{Key: 7, Fill: -1}, 18}, {Memory{Key: 7, Fill: 1e9}, 80}} {
-		j.handle(0, Recall{Known: []Memory{tc.m}})
+	}{{BucketSnapshot{Key: 7, Spread: 4, Fill: 0.5}, 10}, {BucketSnapshot{Key: 7, Spread: 4, Fill: 0.2}, 10}, {BucketSnapshot{Key: 7, Fill: 0.9}, 18},
+		{BucketSnapshot{Key: 7, Plan: 3, Fill: 1}, 18}, {BucketSnapshot{Key: 7, Fill: math.NaN()}, 18}, {BucketSnapshot{Key: 7, Fill: -1}, 18}, {BucketSnapshot{Key: 7, Fill: 1e9}, 80}} {
+		j.handle(0, StateRestored{Buckets: []BucketSnapshot{tc.m}})
 		if c := g.quota.Find(7); c.Whole != tc.want || c.Level != tc.want/4 {
 			t.Errorf("recall %d: %v units of all, %v of its own part, want %v", i, c.Whole, c.Level, tc.want)
 		}
--- a/decide/near_test.go
+++ b/decide/near_test.go
@@ -18,15 +18,15 @@
 	t.Helper()
 	f := &thinFleet{gws: make([]*Gateway, gateways), sent: map[string]int{}}
 	cfg := testConfig()
-	cfg.Limits.Peers, cfg.Gateways = false, gateways // the quota is no matter here
-	cfg.Safety.FallMultiple = 4
+	cfg.Limits.PeerMessages, cfg.Gateways = false, gateways // the quota is no matter here
+	cfg.Safety.OverloadFactor = 4
 	for i := range f.gws {
 		cfg.Rank = i
 		g, err := New(cfg, int64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Handle(0, FleetUpdate{Kind: FleetFull, Servers: servers})
+		g.Handle(0, ServerListUpdate{Kind: ListFull, Servers: servers})
 		f.gws[i] = g
 	}
 	return f
@@ -41,11 +41,11 @@
 			f.n++
 			id := fmt.Sprint(f.n)
 			g.Handle(now, TimerFired{beatToken})
-			for _, s := range find[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
-				Deadline: now + time.Second, Spread: 1})) {
+			for _, s := range find[SendAttempt](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+				Deadline: now + time.Second, GatewayCount: 1})) {
 				met[i][s.Server] = true
 				f.sent[s.Server]++
-				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 50 * ms, Done: true})
+				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: 50 * ms, RequestDone: true})
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 		t.Errorf("%d of 150 servers used, %d requests at one where %d are the mean", len(f.sent), most, mean)
 	}
 	for _, g := range f.gws {
-		g.Handle(21*time.Second, FleetUpdate{Kind: FleetFull, Servers: numbered(0, 75, 0)})
+		g.Handle(21*time.Second, ServerListUpdate{Kind: ListFull, Servers: numbered(0, 75, 0)})
 	}
 	for i, m := range f.play(22*time.Second, 42*time.Second, 200*ms) {
 		for _, s := range f.gws[i].near[:nearLeast] {
@@ -103,21 +103,21 @@
 	cfg := f.gws[0].cfg
 	const starts = 6 * time.Second
 	for _, g := range f.gws {
-		g.Handle(starts, FleetUpdate{Kind: FleetDelta, Servers: numbered(60, 90, starts)})
+		g.Handle(starts, ServerListUpdate{Kind: ListDelta, Servers: numbered(60, 90, starts)})
 	}
 	cold := 0
-	for at := starts; at < starts+8*time.Second; at += cfg.Safety.FallWindow {
+	for at := starts; at < starts+8*time.Second; at += cfg.Safety.OverloadWindow {
 		f.sent = map[string]int{}
-		f.play(at, at+cfg.Safety.FallWindow, 200*ms)
+		f.play(at, at+cfg.Safety.OverloadWindow, 200*ms)
 		warm, all := 0, 0
 		for _, s := range numbered(0, 60, 0) {
 			warm += f.sent[s.ID]
 		}
 		for _, s := range numbered(60, 90, 0) {
-			age := (at - starts).Seconds() / cfg.Safety.ColdFor.Seconds()
-			can := cfg.Safety.ColdFrom + (1-cfg.Safety.ColdFrom)*age
-			if most := cfg.Safety.FallMultiple * can * float64(warm) / 60; float64(f.sent[s.ID]) > most {
-				t.Errorf("%s got %d in the %v from %v on, want %.0f at most", s.ID, f.sent[s.ID], cfg.Safety.FallWindow, at-starts, most)
+			age := (at - starts).Seconds() / cfg.Safety.ColdDuration.Seconds()
+			can := cfg.Safety.ColdCapacity + (1-cfg.Safety.ColdCapacity)*age
+			if most := cfg.Safety.OverloadFactor * can * float64(warm) / 60; float64(f.sent[s.ID]) > most {
+				t.Errorf("%s got %d in the %v from %v on, want %.0f at most", s.ID, f.sent[s.ID], cfg.Safety.OverloadWindow, at-starts, most)
 			}
 			all += f.sent[s.ID]
 		}
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -109,7 +109,7 @@
 // TestLeavingIsTold: each peer is told often enough that a loss does no harm, and by a message that it takes.
 func TestLeavingIsTold(t *testing.T) {
 	r, told := newRig(t, nil), map[int]int{}
-	for _, m := range find[Tell](r.do(Leaving{})) {
+	for _, m := range find[SendToPeer](r.do(Shutdown{})) {
 		if totals, ok := words.ParseTotals(m.Text, nil); ok && totals.Leaves {
 			told[m.To]++
 		}
@@ -117,7 +117,7 @@
 	if len(told) != 2 || told[1] != 3 || told[2] != 3 {
 		t.Errorf("told %v, want gateways 1 and 2 three times each", told)
 	}
-	if acts := newRig(t, func(c *Config) { c.Gateways, c.PeerIntake = 300, 1 }).do(Leaving{}); len(acts) != 0 {
+	if acts := newRig(t, func(c *Config) { c.Gateways, c.PeerIntake = 300, 1 }).do(Shutdown{}); len(acts) != 0 {
 		t.Errorf("where customers have homes nobody counts parts, yet it tells %#v", acts)
 	}
 }
@@ -127,17 +127,17 @@
 	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 1, 0, 0, 0))})
 	r.do(PeerMessage{From: 2, Text: message(1, 1)})
 	_, acts := r.ask("get", "small", "x", 1)
-	if len(find[Send](acts)) != 1 {
+	if len(find[SendAttempt](acts)) != 1 {
 		t.Fatalf("refused though all peers told that nothing was used: %#v", acts)
 	}
 	r.now += 100 * ms
 	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 1, 12, 12, 0))})
 	r.do(PeerMessage{From: 2, Text: message(1, 2)})
-	if _, acts = r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
+	if _, acts = r.ask("get", "small", "x", 1); len(find[SendAttempt](acts)) != 0 {
 		t.Errorf("sent on though a peer told that the whole burst is used")
 	}
 	r.now += 2 * time.Second // the peers have fallen silent; their told use leaks away
-	if _, acts = r.ask("get", "small", "x", 1); len(find[Send](acts)) != 1 {
+	if _, acts = r.ask("get", "small", "x", 1); len(find[SendAttempt](acts)) != 1 {
 		t.Errorf("refused after two seconds of leaking: %#v", acts)
 	}
 }
@@ -175,7 +175,7 @@
 	r := newRig(t, nil)
 	r.do(PeerMessage{From: 1, Text: message(1, 40, entry("x", 1, 700, 800, 30))})
 	r.do(PeerMessage{From: 2, Text: message(3, 50)})
-	if _, acts := r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
+	if _, acts := r.ask("get", "small", "x", 1); len(find[SendAttempt](acts)) != 0 {
 		t.Error("a restarted gateway sent on though its peers told that the burst is used up")
 	}
 }
@@ -188,7 +188,7 @@
 	told := map[int]int{}
 	for i := 0; i < 20; i++ {
 		r.now += 200 * ms
-		for _, m := range find[Tell](r.do(TimerFired{beatToken})) {
+		for _, m := range find[SendToPeer](r.do(TimerFired{beatToken})) {
 			if len(m.Text) > words.Most {
 				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), words.Most)
 			}
@@ -221,7 +221,7 @@
 	most := func() (n int) {
 		var sent []string
 		for range 5 {
-			if id, acts := r.ask("get", "open", "c", 1); len(find[Send](acts)) == 1 {
+			if id, acts := r.ask("get", "open", "c", 1); len(find[SendAttempt](acts)) == 1 {
 				sent = append(sent, id)
 			}
 		}
@@ -264,7 +264,7 @@
 	r := newRig(t, nil)
 	told := func() int {
 		r.now += r.g.quota.BeatEvery()
-		for _, m := range find[Tell](r.do(TimerFired{Token: beatToken})) {
+		for _, m := range find[SendToPeer](r.do(TimerFired{Token: beatToken})) {
 			if totals, _ := words.ParseTotals(m.Text, nil); m.To == 1 && len(totals.Entries) > 0 {
 				return totals.Entries[0].Open
 			}
@@ -285,7 +285,7 @@
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
 		r := newRig(t, nil)
 		id, s := r.send("get", "wide")
-		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: ms, Done: true, Metered: metered})
+		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, MeteredPercentPlusOne: metered})
 		c := r.g.quota.Find(words.Key("c"))
 		r.g.quota.Charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
 		if r.g.quota.Leak(c); math.Abs(c.Part-want) > 0.01 {
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
 	cfg := testConfig()
-	cfg.Limits.Parallel = seed%2 == 0
+	cfg.Limits.ParallelAttempts = seed%2 == 0
 	g, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	var handle func(ev Event)
 	check := func(a Action) {
 		switch a := a.(type) {
-		case Send:
+		case SendAttempt:
 			f := flights[a.ID]
 			if f == nil || f.done {
 				t.Fatalf("seed %d: Send for finished request %s", seed, a.ID)
@@ -56,14 +56,14 @@
 			if state[a.Server] != Serving {
 				t.Fatalf("seed %d: Send to %s, which drains or is gone", seed, a.Server)
 			}
-			if len(f.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.Parallel && len(f.out) > 0) {
+			if len(f.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.ParallelAttempts && len(f.out) > 0) {
 				t.Fatalf("seed %d: attempt %d with %d out", seed, len(f.attempts), len(f.out))
 			}
 			for n := range f.attempts {
 				if !f.mayRun[n] || f.class.Effect == Safe {
 					continue
 				}
-				if f.class.Effect == Unsafe || now-f.at[n] > f.class.Window ||
+				if f.class.Effect == Unsafe || now-f.at[n] > f.class.DedupWindow ||
 					(f.class.Group == GroupCell && cells[a.Server] != cells[f.attempts[n].Server]) {
 					t.Fatalf("seed %d: %s sent to %s after attempt %d may have run", seed, f.class.Name, a.Server, n)
 				}
@@ -102,7 +102,7 @@
 			check(a)
 		}
 	}
-	handle(FleetUpdate{Kind: FleetStale, Servers: servers})
+	handle(ServerListUpdate{Kind: ListStale, Servers: servers})
 	end := func(id string, n int, o Outcome) {
 		f := flights[id]
 		delete(f.out, n)
@@ -110,8 +110,8 @@
 			f.mayRun[n] = false
 		}
 		f.done = f.done || o == OK
-		handle(AttemptEnded{ID: id, Attempt: n, Server: f.attempts[n].Server, Outcome: o, Took: now - f.at[n],
-			Done: f.done, TrueUnits: float64(1 + rnd.Intn(8))})
+		handle(AttemptEnded{ID: id, Attempt: n, Server: f.attempts[n].Server, Outcome: o, Latency: now - f.at[n],
+			RequestDone: f.done, ActualUnits: float64(1 + rnd.Intn(8))})
 	}
 	for i := 0; i < 3000; i++ {
 		now += time.Duration(rnd.Intn(20)) * ms
@@ -121,7 +121,7 @@
 			id := fmt.Sprint("q", i)
 			q := Request{ID: id, Class: c.Name, Plan: cfg.Plans[rnd.Intn(len(cfg.Plans))].Name,
 				Customer: fmt.Sprint("c", rnd.Intn(6)), Units: float64(1 + rnd.Intn(4)),
-				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, Spread: 3}
+				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, GatewayCount: 3}
 			q.Customer += q.Plan
 			flights[id] = &flight{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
 			order = append(order, id)
@@ -133,7 +133,7 @@
 				s.State, s.Started = Serving, now
 			}
 			state[s.ID] = s.State
-			handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{*s}})
+			handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{*s}})
 		case k < 12:
 			handle(PeerMessage{From: 1 + rnd.Intn(2), Text: message(rnd.Intn(2), rnd.Intn(4096),
 				entry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
--- a/decide/reach_test.go
+++ b/decide/reach_test.go
@@ -13,14 +13,14 @@
 		for n := range 40 {
 			id, acts := r.ask([]string{"get", "pay"}[n%2], "wide", "c", 1)
 			for attempt := 0; ; attempt++ {
-				s := find[Send](acts)
+				s := find[SendAttempt](acts)
 				if len(s) == 0 {
 					refused += len(find[Refuse](acts))
 					break
 				}
 				sent[s[0].Server]++
 				if reachable(s[0].Server) {
-					r.do(AttemptEnded{ID: id, Attempt: attempt, Server: s[0].Server, Outcome: OK, Took: 20 * ms, Done: true})
+					r.do(AttemptEnded{ID: id, Attempt: attempt, Server: s[0].Server, Outcome: OK, Latency: 20 * ms, RequestDone: true})
 					break
 				}
 				acts = r.end(id, attempt, s[0].Server, NoConnection)
@@ -57,7 +57,7 @@
 	for s := r.g.servers["s1"]; s.downTill <= r.now; {
 		second()
 	}
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - r.g.cfg.Safety.ColdFor/2}}})
+	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - r.g.cfg.Safety.ColdDuration/2}}})
 	if s := r.g.servers["s1"]; s.downTill > r.now {
 		t.Error("a server that is listed with a new start is still left alone")
 	}
@@ -112,7 +112,7 @@
 	for n := range 3 * int(budgetMost) {
 		id, s := r.send("pay", "wide")
 		acts := r.end(id, 0, s.Server, NoConnection)
-		again := find[Send](acts)
+		again := find[SendAttempt](acts)
 		if len(again) != 1 || again[0].Server == s.Server {
 			t.Fatalf("request %d was not sent to another server after no connection to %s: %#v", n, s.Server, acts)
 		}
--- a/decide/rules.go
+++ b/decide/rules.go
@@ -30,7 +30,7 @@
 // however long its connection takes to come up. 0: there is no such time.
 func repeatBy(r *request) (by time.Duration) {
 	for _, a := range r.attempts {
-		if until := a.at + r.class.Window - aimMargin; r.class.Effect == Keyed && a.ran && (by == 0 || until < by) {
+		if until := a.at + r.class.DedupWindow - aimMargin; r.class.Effect == Keyed && a.ran && (by == 0 || until < by) {
 			by = until
 		}
 	}
@@ -44,8 +44,8 @@
 		(r.class.Effect == Keyed && r.class.Group == GroupAll)
 	if promise && r.out == 0 {
 		advice := retryAdvice
-		if r.Bounds != nil && r.Bounds.Advice > 0 {
-			advice = r.Bounds.Advice
+		if r.RetryPolicy != nil && r.RetryPolicy.RetryAfter > 0 {
+			advice = r.RetryPolicy.RetryAfter
 		}
 		g.refuse(r.ID, advice, false)
 	} else {
@@ -63,7 +63,7 @@
 	delete(g.asks, r.no)
 	for _, a := range r.attempts {
 		if !a.over && g.cfg.Limits.Cancel && !r.streaming {
-			g.do(Cancel{r.ID, a.n})
+			g.do(CancelAttempt{r.ID, a.n})
 		}
 	}
 	g.forget(r)
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -29,16 +29,16 @@
 	flowMost   = 2.2                     // over 1 nothing is shed: room for chance
 )
 
-func (g *Gateway) fleet(e FleetUpdate) {
-	if e.Kind == FleetFailed {
+func (g *Gateway) fleet(e ServerListUpdate) {
+	if e.Kind == ListFailed {
 		return
 	}
 	listed := map[string]bool{}
 	for _, s := range e.Servers {
 		listed[s.ID] = true
-		g.listed(s, e.Kind == FleetStale)
+		g.listed(s, e.Kind == ListStale)
 	}
-	if e.Kind != FleetDelta {
+	if e.Kind != ListDelta {
 		for _, s := range g.order {
 			if !listed[s.ID] {
 				s.State = Gone
@@ -56,8 +56,8 @@
 		return
 	}
 	s := g.server(e.ID)
-	if e.Started > s.Started && e.Started+g.cfg.Safety.ColdFor > g.now {
-		s.coldUntil, s.budget, s.budgetAt = e.Started+g.cfg.Safety.ColdFor, g.rng.Float64(), g.now
+	if e.Started > s.Started && e.Started+g.cfg.Safety.ColdDuration > g.now {
+		s.coldUntil, s.budget, s.budgetAt = e.Started+g.cfg.Safety.ColdDuration, g.rng.Float64(), g.now
 		s.slow, s.down, s.downTill = 1, 0, 0
 		clear(s.miss)
 	}
@@ -162,7 +162,7 @@
 // began before the last failure, or before a later answer, tells nothing new.
 func (g *Gateway) reached(s *server, a *attempt, o Outcome) {
 	switch {
-	case o == OK || o == Error || o == Full:
+	case o == OK || o == Error || o == Rejected:
 		s.down, s.downTill = 0, 0
 	case o == NoConnection && a.at >= s.downAt && a.at > s.lastGood:
 		s.down, s.downAt = s.down+1, g.now
@@ -199,17 +199,17 @@
 			}
 			return o.at < a.at
 		})
-		g.saw(s, r, e.Took, false, false)
+		g.saw(s, r, e.Latency, false, false)
 	case Error:
-		g.saw(s, r, e.Took, true, true)
+		g.saw(s, r, e.Latency, true, true)
 		s.lastGood = g.now
-	case Full:
-		g.saw(s, r, e.Took, true, false) // its queue is full: a jam as well
+	case Rejected:
+		g.saw(s, r, e.Latency, true, false) // its queue is full: a jam as well
 		s.lastGood = g.now
 	case NoConnection, Reset:
-		g.saw(s, r, e.Took, true, true)
+		g.saw(s, r, e.Latency, true, true)
 	case TimedOut:
-		g.saw(s, r, e.Took, true, false)
+		g.saw(s, r, e.Latency, true, false)
 	}
 }
 
--- a/decide/standing_test.go
+++ b/decide/standing_test.go
@@ -10,9 +10,9 @@
 )
 
 // stand tells all gateways how the fleet stands; who is not named is present.
-func (j *joined) stand(peers map[int]Presence, alone func(i int) bool) {
+func (j *joined) stand(peers map[int]PeerStatus, alone func(i int) bool) {
 	for i := range j.gws {
-		s := Standing{Rank: i, Alone: alone(i), Peers: make([]Presence, len(j.gws))}
+		s := MembershipUpdate{Rank: i, Isolated: alone(i), Peers: make([]PeerStatus, len(j.gws))}
 		for k, p := range peers {
 			s.Peers[k] = p
 		}
@@ -64,13 +64,13 @@
 // TestMissingKeepsItsEvenPart: of one that is missing, and may be at work cut off, the even part is kept, though it had no traffic
 // before; of a vacant number nothing is.
 func TestMissingKeepsItsEvenPart(t *testing.T) {
-	for presence, want := range map[Presence]float64{Missing: 15, Vacant: 20} {
+	for presence, want := range map[PeerStatus]float64{PeerUnreachable: 15, PeerAbsent: 20} {
 		j := join(t, inFleet, fleets["mesh"])
-		j.down[3] = presence == Vacant // it was never heard
+		j.down[3] = presence == PeerAbsent // it was never heard
 		j.flood(5*time.Second, 0, 1, 2)
 		j.down[3] = true
 		j.flood(time.Second, 0, 1, 2) // what it said last has come
-		j.stand(map[int]Presence{3: presence}, never)
+		j.stand(map[int]PeerStatus{3: presence}, never)
 		j.flood(3*time.Second, 0, 1, 2)
 		if got := j.flood(20*time.Second, 0, 1, 2); got < 0.9*want || got > 1.1*want {
 			t.Errorf("presence %d: %.1f units a second let in, want about %.0f", presence, got, want)
@@ -93,18 +93,18 @@
 	g := j.gws[2]
 	c := g.quota.Find(words.Key("x"))
 	c.Spare = 7
-	j.handle(2, Standing{Rank: 2, Anew: true, Peers: make([]Presence, 4)})
+	j.handle(2, MembershipUpdate{Rank: 2, RankReassigned: true, Peers: make([]PeerStatus, 4)})
 	if c.Spare != 0 || c.Lone < quota.StartLevel*20 {
 		t.Errorf("%v units of the former holder's ceiling, a bucket without homes at %v", c.Spare, c.Lone)
 	}
 	if want := quota.StartLevel * 20 / 4; c.Level < want || c.Store != 0 {
 		t.Errorf("level %.1f, want %.1f at least; store %.1f", c.Level, want, c.Store)
 	}
-	j.handle(2, Standing{Rank: 3, Peers: make([]Presence, 4)})
+	j.handle(2, MembershipUpdate{Rank: 3, Peers: make([]PeerStatus, 4)})
 	if g.quota.Rank != 3 {
 		t.Error("it goes by its former number")
 	}
-	for _, bad := range []Standing{{Rank: 4, Peers: make([]Presence, 4)}, {Rank: -1, Peers: make([]Presence, 4)}, {Rank: 1, Peers: make([]Presence, 3)}} {
+	for _, bad := range []MembershipUpdate{{Rank: 4, Peers: make([]PeerStatus, 4)}, {Rank: -1, Peers: make([]PeerStatus, 4)}, {Rank: 1, Peers: make([]PeerStatus, 3)}} {
 		if j.handle(2, bad); g.quota.Rank != 3 {
 			t.Errorf("a standing of another fleet is taken: %+v", bad)
 		}
@@ -126,7 +126,7 @@
 	j.flood(5*time.Second, everywhere...)
 	before := j.flood(20*time.Second, everywhere...)
 	j.down[first], j.down[second] = true, true
-	j.stand(map[int]Presence{first: Vacant, second: Missing}, never)
+	j.stand(map[int]PeerStatus{first: PeerAbsent, second: PeerUnreachable}, never)
 	for _, i := range rest {
 		a, b := j.gws[i].quota.Home(key, 0), j.gws[i].quota.Home(key, 1)
 		if a == b || j.down[a] || j.down[b] {
@@ -241,11 +241,11 @@
 		first, second := j.gws[0].quota.Home(key, 0), j.gws[0].quota.Home(key, 1)
 		j.flood(8*time.Second, everywhere...)
 		if j.loss = 0; told {
-			j.handle(first, Leaving{})
+			j.handle(first, Shutdown{})
 			j.pass(40 * ms)
 		}
 		j.down[first] = true
-		j.stand(map[int]Presence{first: Vacant}, never)
+		j.stand(map[int]PeerStatus{first: PeerAbsent}, never)
 		for n := range quota.Homes {
 			i := j.gws[second].quota.Home(key, n)
 			if i == second {
--- a/decide/state.go
+++ b/decide/state.go
@@ -161,12 +161,12 @@
 		plans: map[string]int{}, servers: map[string]*server{}, requests: map[string]*request{},
 		timers: map[uint64]attemptRef{}, nextToken: beatToken + 1,
 		asks: map[uint64]*request{}, shorts: map[uint64]*server{}, silent: map[int]time.Duration{}, trip: askFirst, flow: 1, budget: budgetMost}
-	g.quota = quota.New(quota.Config{Rank: cfg.Rank, Gateways: cfg.Gateways, Plans: cfg.Plans, Peers: cfg.Limits.Peers,
-		Intake: cfg.PeerIntake, Remember: cfg.Remember}, g.rng, func(to int, text string) { g.do(Tell{to, text}) })
+	g.quota = quota.New(quota.Config{Rank: cfg.Rank, Gateways: cfg.Gateways, Plans: cfg.Plans, Peers: cfg.Limits.PeerMessages,
+		Intake: cfg.PeerIntake, Remember: cfg.TrackChanges}, g.rng, func(to int, text string) { g.do(SendToPeer{to, text}) })
 	for i, k := range cfg.Classes {
-		g.classes[k.Name] = &class{no: i, Class: k, base: firstGuess * k.Aim.Seconds()}
-		if g.quickest == 0 || k.Aim.Seconds() < g.quickest {
-			g.quickest = k.Aim.Seconds()
+		g.classes[k.Name] = &class{no: i, Class: k, base: firstGuess * k.LatencyTarget.Seconds()}
+		if g.quickest == 0 || k.LatencyTarget.Seconds() < g.quickest {
+			g.quickest = k.LatencyTarget.Seconds()
 		}
 	}
 	for i, p := range cfg.Plans {
@@ -208,16 +208,18 @@
 	return s
 }
 
-// RoomOf reads a customer's bucket. It changes nothing. It reports false for a plan without a rate; a customer that is not
+// Allowance reads a customer's bucket. It changes nothing. It reports false for a plan without a rate; a customer that is not
 // known here is told the bucket of one that was not seen for long.
-func (g *Gateway) RoomOf(now time.Duration, customer, plan string) (Room, bool) {
+func (g *Gateway) Allowance(now time.Duration, customer, plan string) (Allowance, bool) {
 	no, ok := g.plans[plan]
 	if !ok {
-		return Room{}, false
+		return Allowance{}, false
 	}
 	return g.quota.RoomOf(now, words.Key(customer), no)
 }
 
-// Changed appends to a list what changed of the customers' buckets since it was last taken, so many at most; the others wait
+// AppendChanged appends to a list what changed of the customers' buckets since it was last taken, so many at most; the others wait
 // for the next call. There is nothing unless Config.Remember is set.
-func (g *Gateway) Changed(list []Memory, most int) []Memory { return g.quota.Changed(list, most) }
+func (g *Gateway) AppendChanged(list []BucketSnapshot, most int) []BucketSnapshot {
+	return g.quota.Changed(list, most)
+}
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -10,15 +10,15 @@
 // their answers passing for slowness of the server: on a site where units tell the work, one of 8 units takes eight
 // times as long as one of 1.
 func TestTimesGoByUnits(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Classes[0].Aim = 750 * ms })
+	r := newRig(t, func(c *Config) { c.Classes[0].LatencyTarget = 750 * ms })
 	serve := func(units float64, took time.Duration) bool {
 		id, acts := r.ask("get", "wide", "c", units)
-		sent := find[Send](acts)
+		sent := find[SendAttempt](acts)
 		if len(sent) == 0 {
 			return false
 		}
 		r.now += took
-		r.do(AttemptEnded{ID: id, Server: sent[0].Server, Outcome: OK, Took: took, Done: true})
+		r.do(AttemptEnded{ID: id, Server: sent[0].Server, Outcome: OK, Latency: took, RequestDone: true})
 		return true
 	}
 	for n := range 400 {
@@ -55,12 +55,12 @@
 		id, acts := r.ask("get", "wide", "c", units)
 		took := time.Duration(20*units) * ms
 		r.now += took
-		r.do(AttemptEnded{ID: id, Server: find[Send](acts)[0].Server, Outcome: OK, Took: took, Done: true})
+		r.do(AttemptEnded{ID: id, Server: find[SendAttempt](acts)[0].Server, Outcome: OK, Latency: took, RequestDone: true})
 	}
 	_, acts := r.ask("get", "wide", "c", 8)
-	large := find[Send](acts)[0].Server
+	large := find[SendAttempt](acts)[0].Server
 	for range 4 {
-		if _, acts := r.ask("get", "wide", "c", 1); find[Send](acts)[0].Server == large {
+		if _, acts := r.ask("get", "wide", "c", 1); find[SendAttempt](acts)[0].Server == large {
 			t.Errorf("a small request went to %s, which works on a large one, while the other has less to do", large)
 		}
 	}
@@ -72,10 +72,10 @@
 // TestWorkIsGivenBack holds the sums of open work to what is out: what ends, by whatever outcome, takes off just what it
 // brought, and what is left to run after its client gave up counts until a later answer or ghostFor.
 func TestWorkIsGivenBack(t *testing.T) {
-	for _, o := range []Outcome{OK, Error, Full, TimedOut, NoConnection, Reset, Cancelled, Moot} {
+	for _, o := range []Outcome{OK, Error, Rejected, TimedOut, NoConnection, Reset, Cancelled, NotSent} {
 		r := newRig(t, nil)
 		id, acts := r.ask("pay", "wide", "c", 5)
-		r.do(AttemptEnded{ID: id, Server: find[Send](acts)[0].Server, Outcome: o, Took: 40 * ms, Done: true})
+		r.do(AttemptEnded{ID: id, Server: find[SendAttempt](acts)[0].Server, Outcome: o, Latency: 40 * ms, RequestDone: true})
 		r.now += ghostFor + time.Second
 		r.do(TimerFired{beatToken})
 		if sum := r.g.all.open; math.Abs(sum) > 1e-9 {
@@ -93,15 +93,15 @@
 // what it may be sent is bounded by the rule's multiple and by what it can do, whichever is less.
 func TestColdBudgetIsInWork(t *testing.T) {
 	rate := func(multiple float64) (float64, *rig, *server) {
-		r := newRig(t, func(c *Config) { c.Safety.FallMultiple = multiple })
+		r := newRig(t, func(c *Config) { c.Safety.OverloadFactor = multiple })
 		for n := range 400 {
 			units := float64(1 + 7*(n%2))
 			id, acts := r.ask("get", "wide", "c", units)
 			took := time.Duration(20*units) * ms
 			r.now += took
-			r.do(AttemptEnded{ID: id, Server: find[Send](acts)[0].Server, Outcome: OK, Took: took, Done: true})
+			r.do(AttemptEnded{ID: id, Server: find[SendAttempt](acts)[0].Server, Outcome: OK, Latency: took, RequestDone: true})
 		}
-		r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
+		r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
 		s := r.g.servers["new"]
 		return r.g.coldRate(s), r, s
 	}
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -68,9 +68,9 @@
 		}
 	}
 	phase := &atomic.Int64{}
-	set.Remember = true
+	set.TrackChanges = true
 	r.cfg.Power = &gateway.Power{Start: start, Keeper: keeper, Every: b.Every, Clock: clocks,
-		Service: recovery.ServiceConfig{ColdFrom: set.Safety.ColdFrom, ColdFor: set.Safety.ColdFor, ColdTimes: decide.ColdTimes(set.Safety), MaxAdvice: set.Limits.MaxRetryAfter,
+		Service: recovery.ServiceConfig{ColdFrom: set.Safety.ColdCapacity, ColdFor: set.Safety.ColdDuration, ColdTimes: decide.ColdLoadFactor(set.Safety), MaxAdvice: set.Limits.MaxRetryAfter,
 			MaxUnits: set.MaxUnits, DearPrice: dearest(r.cfg), Seed: uint64(r.cfg.Seed)},
 		Phase: func(p recovery.Phase) { phase.Store(int64(p)) }}
 	if r.member != nil {
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -51,7 +51,7 @@
 	ev := r.event()
 	ev.Deadline = deadline
 	if r.routes != nil {
-		ev.Bounds = r.routes.Bounds(r.route, ev.Class, l.clock.Now())
+		ev.RetryPolicy = r.routes.Bounds(r.route, ev.Class, l.clock.Now())
 	}
 	l.feed(ev)
 	return r
@@ -86,7 +86,7 @@
 	}
 	l.log.Error("a request was left open past its deadline", "class", r.v.Class, "attempts", len(r.attempts))
 	l.answer(r, Response{Kind: Failed, Why: "failed", Late: true})
-	l.feed(decide.ClientGone{ID: r.id})
+	l.feed(decide.ClientDisconnected{ID: r.id})
 }
 
 // answer gives a request its final answer, once.
@@ -104,7 +104,7 @@
 		return
 	}
 	l.end(r)
-	l.feed(decide.ClientGone{ID: r.id})
+	l.feed(decide.ClientDisconnected{ID: r.id})
 }
 
 func (l *loop) end(r *request) {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -7,17 +7,17 @@
 // This file has what becomes of an attempt.
 
 // send starts an attempt.
-func (l *loop) send(s decide.Send) {
+func (l *loop) send(s decide.SendAttempt) {
 	r := l.requests[s.ID]
 	if r == nil {
 		return
 	}
 	now := l.clock.Now()
-	a := &attempt{req: r, n: len(r.attempts), at: now, until: l.decided + s.Timeout, writeBy: s.WriteBy, server: l.pool.servers[s.Server]}
+	a := &attempt{req: r, n: len(r.attempts), at: now, until: l.decided + s.Timeout, writeBy: s.WriteDeadline, server: l.pool.servers[s.Server]}
 	r.attempts = append(r.attempts, a)
 	r.out++
 	if r.done {
-		l.ended(a, decide.Moot)
+		l.ended(a, decide.NotSent)
 		return
 	}
 	a.expiry = l.at(a.until, func() { l.pool.expire(a) })
@@ -39,8 +39,8 @@
 	l.unset(a.tooLate)
 	r := a.req
 	r.out--
-	ev := decide.AttemptEnded{ID: r.id, Attempt: a.n, Outcome: o, Took: l.clock.Now() - a.at, Done: r.done,
-		Metered: u.metered, TrueUnits: u.units}
+	ev := decide.AttemptEnded{ID: r.id, Attempt: a.n, Outcome: o, Latency: l.clock.Now() - a.at, RequestDone: r.done,
+		MeteredPercentPlusOne: u.metered, ActualUnits: u.units}
 	if a.server != nil {
 		ev.Server = a.server.id
 	}
--- a/internal/gateway/back.go
+++ b/internal/gateway/back.go
@@ -43,11 +43,11 @@
 func (f AttemptResult) outcome() decide.Outcome {
 	switch f {
 	case NoRoom:
-		return decide.Moot
+		return decide.NotSent
 	case NeverLeft:
 		return decide.NoConnection
 	case TurnedAway:
-		return decide.Full
+		return decide.Rejected
 	case Broke:
 		return decide.Reset
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -136,7 +136,7 @@
 // peers reads the addresses between gateways, which are needed only where messages are allowed.
 func (f *fileConfig) peers(c *Config) error {
 	d := c.Settings.Decide
-	if !d.Limits.Peers || f.PeerListen == "" {
+	if !d.Limits.PeerMessages || f.PeerListen == "" {
 		return nil
 	}
 	var err error
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -48,7 +48,7 @@
 }
 
 // Fleet hands it a list of servers.
-func (c *Core) Fleet(kind decide.FleetKind, list ServerList) {
+func (c *Core) Fleet(kind decide.ListKind, list ServerList) {
 	c.l.fleet(kind, list)
 	c.Step()
 }
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -104,7 +104,7 @@
 	second, _ := open(l, "two")
 	broken := &decide.Gateway{} // not made by New
 	l.core = broken
-	l.feed(decide.FleetUpdate{Servers: []decide.Server{{ID: "s"}}})
+	l.feed(decide.ServerListUpdate{Servers: []decide.Server{{ID: "s"}}})
 	l.drainTodo()
 	if l.core == broken || len(l.requests) != 0 || len(w.givenUp) != 2 {
 		t.Errorf("%d requests are open, %d attempts given up, new module %v", len(l.requests), len(w.givenUp), l.core != broken)
@@ -272,7 +272,7 @@
 		l.pool.conns, s.conns = 0, 0
 		full()
 		a := &attempt{req: &request{id: "r"}, server: s}
-		if l.pool.start(a); !a.over || a.outcome != decide.Moot {
+		if l.pool.start(a); !a.over || a.outcome != decide.NotSent {
 			t.Errorf("%s: a connection over the bound is made", name)
 		}
 	}
@@ -311,7 +311,7 @@
 		result AttemptResult
 		whole  bool
 		want   decide.Outcome
-	}{{NoRoom, false, decide.Moot}, {NeverLeft, false, decide.NoConnection}, {TurnedAway, true, decide.Full}, {Broke, true, decide.Reset},
+	}{{NoRoom, false, decide.NotSent}, {NeverLeft, false, decide.NoConnection}, {TurnedAway, true, decide.Rejected}, {Broke, true, decide.Reset},
 		{Broke, false, decide.NoConnection}, {Unusable, true, decide.Error}} {
 		l, w := still(t, 1)
 		_, handle := open(l, "id")
@@ -364,12 +364,12 @@
 func TestGoneServerIsForgotten(t *testing.T) {
 	l, w := still(t, 1)
 	_, handle := open(l, "id")
-	l.fleet(decide.FleetFull, ServerList{Version: 2, Full: true})
+	l.fleet(decide.ListFull, ServerList{Version: 2, Full: true})
 	if len(l.pool.servers) != 1 || w.retired != 1 {
 		t.Errorf("%d servers with an attempt out, %d retired", len(l.pool.servers), w.retired)
 	}
 	l.pool.cancel(handle.r.attempts[0])
-	l.fleet(decide.FleetDelta, ServerList{Version: 3, Servers: []ServerEntry{{ID: "never", State: "removed"}}})
+	l.fleet(decide.ListDelta, ServerList{Version: 3, Servers: []ServerEntry{{ID: "never", State: "removed"}}})
 	if len(l.pool.servers) != 0 {
 		t.Errorf("%d servers are kept", len(l.pool.servers))
 	}
@@ -381,13 +381,13 @@
 	for i, e := range []ServerEntry{{Addr: "127.0.0.1:9", State: "up"}, {Addr: "127.0.0.1:9", State: "up", StartedMS: 7}} {
 		before := l.pool.servers["s-0"].transport
 		e.ID = "s-0"
-		l.fleet(decide.FleetDelta, ServerList{Version: uint64(2 + i), Servers: []ServerEntry{e}})
+		l.fleet(decide.ListDelta, ServerList{Version: uint64(2 + i), Servers: []ServerEntry{e}})
 		if l.pool.servers["s-0"].transport == before || w.retired != i+1 {
 			t.Errorf("%+v: the transport stays, %d retired", e, w.retired)
 		}
 	}
 	before := l.pool.servers["s-0"].transport
-	l.fleet(decide.FleetDelta, ServerList{Version: 4, Servers: []ServerEntry{{ID: "s-0", Addr: "127.0.0.1:9", State: "draining", StartedMS: 7}}})
+	l.fleet(decide.ListDelta, ServerList{Version: 4, Servers: []ServerEntry{{ID: "s-0", Addr: "127.0.0.1:9", State: "draining", StartedMS: 7}}})
 	if l.pool.servers["s-0"].transport != before || w.retired != 3 {
 		t.Errorf("draining: %d retired", w.retired)
 	}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -23,7 +23,7 @@
 func TestUnwrittenRepeatIsDropped(t *testing.T) {
 	for name, written := range map[string]bool{"written": true, "not written": false} {
 		cfg := SmallConfig(t, long, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", Zone: "a", State: "up", Weight: 1}})
-		cfg.Settings.Decide.Classes[1].Window = time.Second
+		cfg.Settings.Decide.Classes[1].DedupWindow = time.Second
 		w := &wire{}
 		cfg.Back = w
 		l, err := newLoop(cfg, &hand{time.Hour}, slog.New(slog.DiscardHandler))
@@ -62,7 +62,7 @@
 	first, _ := open(l, "one")
 	w.tries[0].Placed()
 	w.tries[0].Whole()
-	l.fleet(decide.FleetFull, ServerList{Version: 2, Full: true})
+	l.fleet(decide.ListFull, ServerList{Version: 2, Full: true})
 	l.drainTodo()
 	w.tries[0].Served([]byte("v"), nil)
 	l.drainTodo()
@@ -105,7 +105,7 @@
 func TestRequestThatTheModuleForgot(t *testing.T) {
 	l, _ := still(t, 1)
 	a, _ := open(l, "id")
-	l.feed(decide.ClientGone{ID: "1"})
+	l.feed(decide.ClientDisconnected{ID: "1"})
 	l.drainTodo()
 	if l.later(long - deadlineMargin + overdueAfter); len(a.ends) != 1 || a.ends[0].Kind != Failed {
 		t.Errorf("the client got %+v", a.ends)
@@ -148,7 +148,7 @@
 	}
 	told, moves, changed, goOn := make(chan uint64, 64), make(chan netip.AddrPort), make(chan struct{}), make(chan struct{})
 	first := true
-	hear := func(_ decide.FleetKind, list ServerList) {
+	hear := func(_ decide.ListKind, list ServerList) {
 		if list.Version == 42 && first { // the loop is slow to hear of this one
 			first = false
 			close(changed)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -34,7 +34,7 @@
 	over    time.Duration // past its wait a call is given up
 	check   time.Duration // a call that does not wait is given up
 	slow    time.Duration // the patient one is given up; 0: there is none
-	news    func(decide.FleetKind, ServerList)
+	news    func(decide.ListKind, ServerList)
 	log     *failureLog
 	version uint64 // of the list that is held
 	known   bool   // there is one
@@ -43,7 +43,7 @@
 	patient *call // is out beside short ones while discovery fails; nil: none
 }
 
-func newWatcher(addr netip.AddrPort, news func(decide.FleetKind, ServerList), log *slog.Logger) *watcher {
+func newWatcher(addr netip.AddrPort, news func(decide.ListKind, ServerList), log *slog.Logger) *watcher {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: watchOver}).DialContext,
 		MaxIdleConns: 1, DisableCompression: true}
 	return &watcher{client: &http.Client{Transport: transport}, base: "http://" + addr.String() + "/v1/servers",
@@ -54,7 +54,7 @@
 // the old address and begins with the whole list of the new one, only after the old watcher has ended: versions
 // of the two tell nothing of each other, so their changes must never be mixed. Until the new one answers, the
 // list last told stays.
-func follow(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, news func(decide.FleetKind, ServerList), log *slog.Logger) {
+func follow(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, news func(decide.ListKind, ServerList), log *slog.Logger) {
 	for ctx.Err() == nil {
 		at, cancel := context.WithCancel(ctx)
 		w, ended := newWatcher(addr, news, log), make(chan struct{})
@@ -194,9 +194,9 @@
 
 // take hands on a list.
 func (w *watcher) take(list ServerList) {
-	kind := decide.FleetDelta
+	kind := decide.ListDelta
 	if list.Full {
-		kind = decide.FleetFull
+		kind = decide.ListFull
 	}
 	w.version, w.known = list.Version, true
 	if list.Full || len(list.Servers) > 0 {
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -46,11 +46,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	type told struct {
-		kind decide.FleetKind
+		kind decide.ListKind
 		list ServerList
 	}
 	news := make(chan told, 16)
-	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(kind decide.FleetKind, list ServerList) {
+	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(kind decide.ListKind, list ServerList) {
 		select {
 		case news <- told{kind, list}:
 		default: // the last case goes on answering
@@ -65,10 +65,10 @@
 		}
 	}
 	first, second := <-news, <-news
-	if s := first.list.Servers[0].server(); first.kind != decide.FleetFull || s.State != decide.Serving || s.Started != 7*time.Millisecond || s.Cell != 3 {
+	if s := first.list.Servers[0].server(); first.kind != decide.ListFull || s.State != decide.Serving || s.Started != 7*time.Millisecond || s.Cell != 3 {
 		t.Errorf("first told %+v", first)
 	}
-	if s := second.list.Servers[0].server(); second.kind != decide.FleetDelta || s.State != decide.Draining {
+	if s := second.list.Servers[0].server(); second.kind != decide.ListDelta || s.State != decide.Draining {
 		t.Errorf("then told %+v", second)
 	}
 }
@@ -85,7 +85,7 @@
 	t.Helper()
 	web := httptest.NewServer(answer)
 	l := &lists{told: make(chan ServerList, 64)}
-	l.watcher = newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(_ decide.FleetKind, list ServerList) {
+	l.watcher = newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(_ decide.ListKind, list ServerList) {
 		l.told <- list
 	}, slog.New(slog.NewTextHandler(l, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -150,7 +150,7 @@
 	}))
 	defer w.Close()
 	told := make(chan ServerList, 64)
-	watcher := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(w.URL, "http://")), func(_ decide.FleetKind, list ServerList) { told <- list },
+	watcher := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(w.URL, "http://")), func(_ decide.ListKind, list ServerList) { told <- list },
 		slog.New(slog.DiscardHandler))
 	watcher.check, watcher.slow = time.Millisecond, time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -247,7 +247,7 @@
 		if r.plan.Closed() {
 			r.t.Errorf("%s is taken from a connection that is closed", e.ID)
 		}
-	case decide.ClientGone:
+	case decide.ClientDisconnected:
 		if r.gone[e.ID] {
 			r.t.Errorf("%s is told a second time to have no client", e.ID)
 		}
@@ -264,7 +264,7 @@
 			end(a.ID, "refused")
 		case decide.Fail:
 			end(a.ID, "failed")
-		case decide.Send:
+		case decide.SendAttempt:
 			if r.ended[a.ID] {
 				r.t.Errorf("%s goes out after its end", a.ID)
 			}
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -110,8 +110,8 @@
 func (d *Door) Abandon(t RequestHandle) { d.l.abandon(t.r) }
 
 // Room is what the customer's bucket has room for now.
-func (d *Door) Room(customer, plan string) (decide.Room, bool) {
-	return d.l.core.RoomOf(d.Now(), customer, plan)
+func (d *Door) Room(customer, plan string) (decide.Allowance, bool) {
+	return d.l.core.Allowance(d.Now(), customer, plan)
 }
 
 // admit counts a client's connection among the descriptors. It reports false if there is no room.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -75,7 +75,7 @@
 	if cfg.Power != nil {
 		l.power = l.newPower(cfg.Power)
 	}
-	l.fleet(decide.FleetStale, cfg.Known)
+	l.fleet(decide.ListStale, cfg.Known)
 	l.drainTodo()
 	return l, nil
 }
@@ -107,7 +107,7 @@
 		l.ring()
 		l.settle()
 	}
-	l.feed(decide.Leaving{})
+	l.feed(decide.Shutdown{})
 	l.drainTodo()
 }
 
@@ -205,21 +205,21 @@
 		}
 	}
 	clear(l.todo) // all of it was about what is over
-	l.feed(decide.FleetUpdate{Kind: decide.FleetFull, Servers: l.pool.listed()})
+	l.feed(decide.ServerListUpdate{Kind: decide.ListFull, Servers: l.pool.listed()})
 }
 
 // perform carries out what the module wants.
 func (l *loop) perform(a decide.Action) {
 	switch a := a.(type) {
-	case decide.Send:
+	case decide.SendAttempt:
 		l.send(a)
-	case decide.Cancel:
+	case decide.CancelAttempt:
 		if r := l.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			l.pool.cancel(r.attempts[a.Attempt])
 		}
 	case decide.Refuse:
 		if r := l.requests[a.ID]; r != nil {
-			l.answer(r, Response{Kind: Refused, After: a.RetryAfter, Quota: a.Quota})
+			l.answer(r, Response{Kind: Refused, After: a.RetryAfter, Quota: a.OverQuota})
 		}
 	case decide.Fail:
 		if r := l.requests[a.ID]; r != nil {
@@ -232,7 +232,7 @@
 				l.feed(decide.TimerFired{Token: a.Token})
 			}
 		})
-	case decide.Tell:
+	case decide.SendToPeer:
 		if l.peers == nil {
 			return
 		}
@@ -247,8 +247,8 @@
 }
 
 // fleet takes a list of servers.
-func (l *loop) fleet(kind decide.FleetKind, list ServerList) {
-	u := decide.FleetUpdate{Kind: kind, Version: list.Version}
+func (l *loop) fleet(kind decide.ListKind, list ServerList) {
+	u := decide.ServerListUpdate{Kind: kind, Version: list.Version}
 	listed := map[string]bool{}
 	for i := range list.Servers {
 		s := list.Servers[i].server()
@@ -256,7 +256,7 @@
 		u.Servers = append(u.Servers, s)
 		l.pool.update(s, list.Servers[i].Addr)
 	}
-	if kind != decide.FleetDelta {
+	if kind != decide.ListDelta {
 		l.pool.keepOnly(listed)
 	}
 	if l.power != nil {
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -41,14 +41,14 @@
 		return // what is open goes on by the number that it had
 	}
 	l.place.term, l.place.had = s.Term, true
-	e := decide.Standing{Rank: s.Place, Alone: s.Alone, Peers: make([]decide.Presence, len(s.Holders)),
-		Anew: was.had && (s.Place != l.rank || s.Term != was.term)}
+	e := decide.MembershipUpdate{Rank: s.Place, Isolated: s.Alone, Peers: make([]decide.PeerStatus, len(s.Holders)),
+		RankReassigned: was.had && (s.Place != l.rank || s.Term != was.term)}
 	for i, h := range s.Holders {
 		switch {
 		case h.Name == "" || h.State == fleet.Left:
-			e.Peers[i] = decide.Vacant
+			e.Peers[i] = decide.PeerAbsent
 		case h.State == fleet.Lost:
-			e.Peers[i] = decide.Missing
+			e.Peers[i] = decide.PeerUnreachable
 		}
 	}
 	l.rank = s.Place
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -75,11 +75,11 @@
 	"more": func(r *run, _ gateway.ServerList) { r.far.Write(r.again()) },
 	"drain": func(r *run, list gateway.ServerList) {
 		list.Servers[0].State = "draining"
-		r.core.Fleet(decide.FleetFull, list)
+		r.core.Fleet(decide.ListFull, list)
 	},
 	"move": func(r *run, list gateway.ServerList) {
 		list.Servers[0].StartedMS++
-		r.core.Fleet(decide.FleetFull, list)
+		r.core.Fleet(decide.ListFull, list)
 	},
 	"client leaves": func(r *run, _ gateway.ServerList) { acts["reset"](r) },
 	"term":          func(r *run, _ gateway.ServerList) { r.stop() },
@@ -148,7 +148,7 @@
 		r.pump()
 	}
 	list.Servers[0].State = "gone"
-	r.core.Fleet(decide.FleetFull, list)
+	r.core.Fleet(decide.ListFull, list)
 	r.conclude()
 	for end := time.Now().Add(endWithin); r.core.Figures().Connections > 0 || plan.Open() > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
--- a/internal/gateway/power.go
+++ b/internal/gateway/power.go
@@ -12,7 +12,7 @@
 type Keeper interface {
 	// Note takes customers whose buckets changed, the units that are answered a second, and the usual requests a second that a
 	// warm node is sent.
-	Note(changed []decide.Memory, work, sends float64)
+	Note(changed []decide.BucketSnapshot, work, sends float64)
 	// Heard takes what is known of other members.
 	Heard(seen map[string]recovery.Seen)
 	// Open tells that what is believed has been taken: from now on images are this process's. kept: by the disk's own.
@@ -44,7 +44,7 @@
 	belief  recovery.Belief
 	work    float64 // units answered a second, faded
 	workAt  time.Duration
-	changed []decide.Memory
+	changed []decide.BucketSnapshot
 	phase   recovery.Phase
 }
 
@@ -68,8 +68,8 @@
 		}
 		p.meet(1) // without a fleet there is nobody to wait for
 	}
-	p.changed = p.l.core.Changed(p.changed[:0], changedMost)
-	p.Keeper.Note(p.changed, p.worked(now), p.l.core.Sends())
+	p.changed = p.l.core.AppendChanged(p.changed[:0], changedMost)
+	p.Keeper.Note(p.changed, p.worked(now), p.l.core.WarmServerRate())
 	if note := p.svc.Tick(now); note != "" {
 		p.tell(note)
 	}
@@ -145,8 +145,8 @@
 }
 
 // listed tells the phases of the nodes that serve.
-func (p *power) listed(kind decide.FleetKind) {
-	if kind == decide.FleetFailed {
+func (p *power) listed(kind decide.ListKind) {
+	if kind == decide.ListFailed {
 		return
 	}
 	var starts []time.Duration
@@ -155,7 +155,7 @@
 			starts = append(starts, s.Started)
 		}
 	}
-	p.svc.Nodes(kind != decide.FleetStale, starts)
+	p.svc.Nodes(kind != decide.ListStale, starts)
 }
 
 // mayBegin reports whether it is a request's turn, and else when to return.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -84,7 +84,7 @@
 func (r *request) event() decide.Request {
 	v := r.v
 	return decide.Request{ID: r.id, Class: v.Class, Plan: v.Plan, Customer: v.Customer, Units: v.Units,
-		Spread: v.Spread, First: v.First, Again: v.Again, Write: v.Write}
+		GatewayCount: v.Spread, FirstGateway: v.First, ClientRetry: v.Again, Write: v.Write}
 }
 
 // Kind is how a request ended.
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	failures   = decide.OutcomeSet(decide.Full, decide.NoConnection, decide.Error, decide.Reset)
-	everything = failures | decide.OutcomeSet(decide.TimedOut, decide.Cancelled)
+	failures   = decide.NewOutcomeSet(decide.Rejected, decide.NoConnection, decide.Error, decide.Reset)
+	everything = failures | decide.NewOutcomeSet(decide.TimedOut, decide.Cancelled)
 )
 
 // routed is a gateway whose requests go by one route, held to the platform as at a start.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -94,7 +94,7 @@
 	l.in.post(func() { l.feed(decide.PeerMessage{From: from, Text: text}) })
 }
 
-func (l *loop) news(kind decide.FleetKind, list ServerList) {
+func (l *loop) news(kind decide.ListKind, list ServerList) {
 	l.in.post(func() { l.fleet(kind, list) })
 }
 
--- a/internal/record/keeper.go
+++ b/internal/record/keeper.go
@@ -88,7 +88,7 @@
 
 // Note takes customers whose buckets changed, the units that are answered a second, and the usual requests a second that a warm node
 // is sent.
-func (k *Keeper) Note(changed []decide.Memory, work, sends float64) {
+func (k *Keeper) Note(changed []decide.BucketSnapshot, work, sends float64) {
 	now := k.cfg.Clock()
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -183,7 +183,7 @@
 	name := filepath.Join(t.TempDir(), "power")
 	k := keeper(f, name, 100)
 	k.Open(false)
-	k.Note([]decide.Memory{{Key: 1, Fill: 0.5}}, 1, 0)
+	k.Note([]decide.BucketSnapshot{{Key: 1, Fill: 0.5}}, 1, 0)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -192,7 +192,7 @@
 	}()
 	<-f.reached
 	for i := range 50 { // would never return if the keeper held its lock over the disk's wait
-		k.Note([]decide.Memory{{Key: uint64(i), Fill: 0.6}}, 2, 0)
+		k.Note([]decide.BucketSnapshot{{Key: uint64(i), Fill: 0.6}}, 2, 0)
 	}
 	if img := k.Image(); len(img.Buckets) != 50 || img.Mark.Count != 0 {
 		t.Errorf("%d customers, %d images on the disk", len(img.Buckets), img.Mark.Count)
@@ -210,13 +210,13 @@
 	k := keeper(OS{}, "", 80)
 	k.Open(false)
 	for i := range 1000 {
-		k.Note([]decide.Memory{{Key: uint64(i), Fill: float64(i%100) / 100}, {Key: 9000, Plan: 5}}, 0, 0)
+		k.Note([]decide.BucketSnapshot{{Key: uint64(i), Fill: float64(i%100) / 100}, {Key: 9000, Plan: 5}}, 0, 0)
 		if i%50 == 49 {
 			k.Image()
 		}
 	}
 	for i := range 1000 { // with nobody who looks, as while a disk stalls
-		k.Note([]decide.Memory{{Key: uint64(2000 + i), Fill: 0.01}}, 0, 0)
+		k.Note([]decide.BucketSnapshot{{Key: uint64(2000 + i), Fill: 0.01}}, 0, 0)
 	}
 	if n := len(k.pending); n > 80 {
 		t.Errorf("%d customers wait to be taken in", n)
@@ -260,7 +260,7 @@
 	k.write()
 	on = true
 	for range 3 {
-		k.Note([]decide.Memory{{Key: 1, Fill: 0.5}}, 1, 0)
+		k.Note([]decide.BucketSnapshot{{Key: 1, Fill: 0.5}}, 1, 0)
 		k.write()
 	}
 	if img, err := Read(OS{}, name); err != nil || len(img.Buckets) != 0 || img.Mark.Count != 6 {
--- a/internal/recovery/belief.go
+++ b/internal/recovery/belief.go
@@ -271,7 +271,7 @@
 type Belief struct {
 	Verdict Verdict
 	Dark    time.Duration // since the disk's last image, less what counts as light
-	Recall  decide.Recall
+	Recall  decide.StateRestored
 	Work    float64 // units that all members answered a second; 0: not known
 	Own     float64 // of these this member, by its disk
 	Kept    int     // customers by the own disk
@@ -291,7 +291,7 @@
 		for _, v := range s.img.Aged(b.Dark, s.plans) {
 			fills[v.Key] = v
 		}
-		b.Kept, b.Recall.Leaked = len(fills), b.Dark.Seconds()
+		b.Kept, b.Recall.LeakedSeconds = len(fills), b.Dark.Seconds()
 	}
 	since := now.Since(s.now)
 	for _, name := range slices.Sorted(maps.Keys(s.words)) {
@@ -303,23 +303,23 @@
 			}
 		}
 	}
-	b.Recall.Known = s.known(fills)
+	b.Recall.Buckets = s.known(fills)
 	if b.Verdict == Kept && now.Since(s.img.Clock) < workFor {
-		b.Own, b.Recall.Sends = s.img.Work, s.img.Sends
+		b.Own, b.Recall.WarmServerRate = s.img.Work, s.img.Sends
 	}
 	b.Work = b.Own + s.others(now)
 	return b
 }
 
 // known are buckets in the module's words.
-func (s *Start) known(fills map[uint64]Bucket) (all []decide.Memory) {
+func (s *Start) known(fills map[uint64]Bucket) (all []decide.BucketSnapshot) {
 	number := map[string]int{}
 	for i := range s.self.Plans {
 		number[s.self.Plans[i].Name] = i
 	}
 	for _, key := range slices.Sorted(maps.Keys(fills)) {
 		v := fills[key]
-		all = append(all, decide.Memory{Key: v.Key, Plan: number[v.Plan], First: v.First, Spread: v.Of, Fill: v.Fill})
+		all = append(all, decide.BucketSnapshot{Key: v.Key, Plan: number[v.Plan], First: v.First, Spread: v.Of, Fill: v.Fill})
 	}
 	return all
 }
--- a/internal/recovery/belief_test.go
+++ b/internal/recovery/belief_test.go
@@ -133,7 +133,7 @@
 		least[1] = max(least[1], 0.2)
 	}
 	got := map[uint64]float64{}
-	for _, m := range b.Recall.Known {
+	for _, m := range b.Recall.Buckets {
 		got[m.Key] = m.Fill
 	}
 	for key, fill := range least {
@@ -146,8 +146,8 @@
 			t.Fatalf("%s: customer %d is known from nowhere", name, key)
 		}
 	}
-	if b.Verdict != want || b.Recall.Leaked != leaked {
-		t.Fatalf("%s: disk %v, want %v; strangers' buckets leaked for %v s, want %v", name, b.Verdict, want, b.Recall.Leaked, leaked)
+	if b.Verdict != want || b.Recall.LeakedSeconds != leaked {
+		t.Fatalf("%s: disk %v, want %v; strangers' buckets leaked for %v s, want %v", name, b.Verdict, want, b.Recall.LeakedSeconds, leaked)
 	}
 	if s.Lit() != (told[0] || told[1]) {
 		t.Fatalf("%s: lit %v", name, s.Lit())
@@ -186,7 +186,7 @@
 	}
 	s.Over()
 	s.Hear(Word{Name: "m0", Mark: Mark{1, 2}, Buckets: many})
-	if n := len(s.Believe(starts["other boot, 3 s"].now).Recall.Known); n != 0 {
+	if n := len(s.Believe(starts["other boot, 3 s"].now).Recall.Buckets); n != 0 {
 		t.Errorf("%d customers are learned after the start", n)
 	}
 }
--- a/internal/resp/back_test.go
+++ b/internal/resp/back_test.go
@@ -24,15 +24,15 @@
 		"":          nil, // without a fault in between it carries the request, so that the others can fail
 		"timed out": func(b *bench, _ *client) { b.later(long) },
 		"left":      func(_ *bench, c *client) { c.Close() },
-		"draining":  func(b *bench, _ *client) { b.Fleet(decide.FleetFull, server("draining")) },
+		"draining":  func(b *bench, _ *client) { b.Fleet(decide.ListFull, server("draining")) },
 		"drained and back": func(b *bench, _ *client) {
-			b.Fleet(decide.FleetFull, server("draining"))
-			b.Fleet(decide.FleetFull, server("up"))
+			b.Fleet(decide.ListFull, server("draining"))
+			b.Fleet(decide.ListFull, server("up"))
 		},
 		"moved": func(b *bench, _ *client) {
 			moved := server("up")
 			moved.Servers[0].Addr = "127.0.0.1:2"
-			b.Fleet(decide.FleetFull, moved)
+			b.Fleet(decide.ListFull, moved)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -246,7 +246,7 @@
 	for _, c := range []struct {
 		err  error
 		want decide.Outcome
-	}{{fmt.Errorf("dialing: %w", syscall.EMFILE), decide.Moot}, {errors.New("refused"), decide.NoConnection}} {
+	}{{fmt.Errorf("dialing: %w", syscall.EMFILE), decide.NotSent}, {errors.New("refused"), decide.NoConnection}} {
 		b := newBench(t, long)
 		try, _, _ := b.attempted("id")
 		b.node().dialed(try, 0, nil, c.err)
--- a/internal/route/block.go
+++ b/internal/route/block.go
@@ -14,12 +14,12 @@
 var outcomeWords = []string{"never-ran", "error", "timed-out", "reset"}
 
 var (
-	neverRan = decide.OutcomeSet(decide.Full, decide.NoConnection, decide.Moot)
-	outcomes = map[string]decide.Outcomes{
-		"never-ran": decide.OutcomeSet(decide.Full, decide.NoConnection),
-		"error":     decide.OutcomeSet(decide.Error),
-		"timed-out": decide.OutcomeSet(decide.TimedOut, decide.Cancelled),
-		"reset":     decide.OutcomeSet(decide.Reset),
+	neverRan = decide.NewOutcomeSet(decide.Rejected, decide.NoConnection, decide.NotSent)
+	outcomes = map[string]decide.OutcomeSet{
+		"never-ran": decide.NewOutcomeSet(decide.Rejected, decide.NoConnection),
+		"error":     decide.NewOutcomeSet(decide.Error),
+		"timed-out": decide.NewOutcomeSet(decide.TimedOut, decide.Cancelled),
+		"reset":     decide.NewOutcomeSet(decide.Reset),
 	}
 )
 
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -50,7 +50,7 @@
 	id       string
 	class    *decide.Class
 	route    *Route
-	bounds   *decide.Bounds
+	bounds   *decide.RetryPolicy
 	came     time.Duration
 	deadline time.Duration
 	sent     []*sent
@@ -86,7 +86,7 @@
 	}
 	w := &world{t: t, g: g, cfg: cfg, table: NewTable(routes, cfg), now: time.Hour, open: map[string]*asked{}, cells: map[string]int{},
 		firsts: map[int]int{}, further: map[int]int{}}
-	u := decide.FleetUpdate{Kind: decide.FleetFull, Version: 1}
+	u := decide.ServerListUpdate{Kind: decide.ListFull, Version: 1}
 	for i := range servers {
 		s := decide.Server{ID: fmt.Sprintf("s%d", i), Zone: "z", Cell: i % 2, Weight: 1}
 		w.cells[s.ID] = s.Cell
@@ -127,15 +127,15 @@
 	a.bounds = w.table.Bounds(n, class, w.now)
 	w.open[a.id] = a
 	w.all = append(w.all, a)
-	w.feed(decide.Request{ID: a.id, Class: class, Plan: plan, Customer: "0000000000000001", Units: 1, Deadline: a.deadline, Bounds: a.bounds})
+	w.feed(decide.Request{ID: a.id, Class: class, Plan: plan, Customer: "0000000000000001", Units: 1, Deadline: a.deadline, RetryPolicy: a.bounds})
 	return a
 }
 
 func (w *world) perform(act decide.Action) {
 	switch act := act.(type) {
-	case decide.Send:
+	case decide.SendAttempt:
 		w.send(w.open[act.ID], act)
-	case decide.Cancel:
+	case decide.CancelAttempt:
 		if a := w.open[act.ID]; a != nil {
 			w.end(a, act.Attempt, decide.Cancelled)
 		}
@@ -164,7 +164,7 @@
 }
 
 // send holds an attempt to the rules and to the bounds, and draws its fate.
-func (w *world) send(a *asked, act decide.Send) {
+func (w *world) send(a *asked, act decide.SendAttempt) {
 	s := &sent{server: act.Server, cell: w.cells[act.Server], at: w.now, end: w.now + act.Timeout}
 	b, out := a.bounds, 0
 	for _, o := range a.sent {
@@ -179,7 +179,7 @@
 			w.breach(a, "an unsafe request that may have run is sent again")
 		case o.cell != s.cell:
 			w.breach(a, "a keyed request that may have run is sent to another group")
-		case w.now-o.at >= a.class.Window:
+		case w.now-o.at >= a.class.DedupWindow:
 			w.breach(a, "a keyed repeat %v after an attempt that may have run", w.now-o.at)
 		}
 	}
@@ -188,7 +188,7 @@
 		last = max(last, o.end)
 	}
 	for _, o := range a.sent { // what ended last decides; where two copies end at once, either may
-		worth = worth || o.end == last && b.Again.Has(o.outcome)
+		worth = worth || o.end == last && b.RetryOn.Has(o.outcome)
 	}
 	if !worth {
 		w.breach(a, "another attempt after an outcome that is not worth one")
@@ -199,15 +199,15 @@
 	switch {
 	case a.answered > 0:
 		w.breach(a, "sent after its answer")
-	case len(a.sent) >= b.Attempts:
+	case len(a.sent) >= b.MaxAttempts:
 		w.breach(a, "attempt %d", len(a.sent)+1)
-	case out > 1 || out == 1 && !b.Copies:
+	case out > 1 || out == 1 && !b.Hedge:
 		w.breach(a, "a second copy")
-	case out == 1 && b.CopyAfter > 0 && w.now-a.sent[0].at < b.CopyAfter && len(a.sent) == 1:
+	case out == 1 && b.HedgeDelay > 0 && w.now-a.sent[0].at < b.HedgeDelay && len(a.sent) == 1:
 		w.breach(a, "a second copy after %v", w.now-a.sent[0].at)
-	case b.Attempt > 0 && act.Timeout > b.Attempt:
+	case b.AttemptTimeout > 0 && act.Timeout > b.AttemptTimeout:
 		w.breach(a, "an attempt has %v", act.Timeout)
-	case s.end > a.deadline+time.Millisecond || b.Whole > 0 && s.end > a.came+b.Whole+time.Millisecond:
+	case s.end > a.deadline+time.Millisecond || b.TotalTimeout > 0 && s.end > a.came+b.TotalTimeout+time.Millisecond:
 		w.breach(a, "an attempt lasts past the request's end")
 	}
 	if len(a.sent) == 0 {
@@ -225,11 +225,11 @@
 }
 
 // leastWait is the shortest wait between two attempts, before jitter.
-func leastWait(b *decide.Bounds) time.Duration {
-	if b.WaitMost > 0 {
-		return min(b.Wait, b.WaitMost)
+func leastWait(b *decide.RetryPolicy) time.Duration {
+	if b.MaxBackoff > 0 {
+		return min(b.InitialBackoff, b.MaxBackoff)
 	}
-	return b.Wait
+	return b.InitialBackoff
 }
 
 // end tells the module how an attempt ended, once.
@@ -239,12 +239,12 @@
 		return
 	}
 	s.over, s.end, s.outcome = true, w.now, o
-	s.ran = o != decide.Full && o != decide.NoConnection && o != decide.Moot
+	s.ran = o != decide.Rejected && o != decide.NoConnection && o != decide.NotSent
 	if o == decide.OK && a.answered == 0 {
 		w.answer(a)
 	}
 	w.at(w.now, func() { // as the gateway does: after the actions at hand
-		w.feed(decide.AttemptEnded{ID: a.id, Server: s.server, Attempt: n, Outcome: o, Took: s.end - s.at, Done: a.answered > 0})
+		w.feed(decide.AttemptEnded{ID: a.id, Server: s.server, Attempt: n, Outcome: o, Latency: s.end - s.at, RequestDone: a.answered > 0})
 	})
 }
 
@@ -311,7 +311,7 @@
 		w.fate = func(w *world, a *asked, s *sent) (decide.Outcome, time.Duration) {
 			switch mood {
 			case 1:
-				return []decide.Outcome{decide.Error, decide.Full, decide.Reset, decide.NoConnection}[r.IntN(4)], time.Millisecond
+				return []decide.Outcome{decide.Error, decide.Rejected, decide.Reset, decide.NoConnection}[r.IntN(4)], time.Millisecond
 			case 2:
 				return decide.TimedOut, time.Hour
 			case 3:
@@ -319,7 +319,7 @@
 					return decide.OK, time.Second
 				}
 			}
-			o := []decide.Outcome{decide.OK, decide.OK, decide.Error, decide.Full, decide.TimedOut, decide.NoConnection, decide.Reset, decide.Moot}[r.IntN(8)]
+			o := []decide.Outcome{decide.OK, decide.OK, decide.Error, decide.Rejected, decide.TimedOut, decide.NoConnection, decide.Reset, decide.NotSent}[r.IntN(8)]
 			return o, time.Duration(r.ExpFloat64() * float64([]time.Duration{time.Millisecond, 100 * time.Millisecond, 3 * time.Second}[r.IntN(3)]))
 		}
 		for range 30 {
@@ -367,14 +367,14 @@
 			if k.Effect == decide.Unsafe && o != decide.NoConnection {
 				broken = append(broken, "effect twice")
 			}
-			if k.Effect == decide.Keyed && o != decide.NoConnection && now+attempt > k.Window-margins.Window && now < whole {
+			if k.Effect == decide.Keyed && o != decide.NoConnection && now+attempt > k.DedupWindow-margins.Window && now < whole {
 				broken = append(broken, "outside the window")
 			}
 		}
 		if r.Copy.Allowed && n == 0 && k.Effect == decide.Unsafe {
 			broken = append(broken, "effect twice")
 		}
-		if r.Copy.Allowed && n == 0 && k.Effect == decide.Keyed && whole > k.Window-margins.Window {
+		if r.Copy.Allowed && n == 0 && k.Effect == decide.Keyed && whole > k.DedupWindow-margins.Window {
 			broken = append(broken, "outside the window")
 		}
 		if slow {
--- a/internal/route/prove.go
+++ b/internal/route/prove.go
@@ -193,7 +193,7 @@
 		return
 	}
 	switch {
-	case !p.cfg.Limits.Parallel:
+	case !p.cfg.Limits.ParallelAttempts:
 		p.errorf(r.at("copy"), "route %s: the platform allows one attempt at a time, so no second copy; leave copy out", r.Name)
 	case r.Attempts < 2:
 		p.errorf(r.at("attempts"), "route %s: a second copy is an attempt, and attempts is %d; attempts at least 2", r.Name, r.Attempts)
@@ -221,9 +221,9 @@
 	if r.Attempt > 0 {
 		span = min(whole, r.spans(r.Attempts))
 	}
-	if most := k.Window - p.margins.Window; span > most {
+	if most := k.DedupWindow - p.margins.Window; span > most {
 		p.errorf(r.at("whole"), "route %s, class %s: from the first attempt to the end of the last are %v, and nodes drop a repeat for %v, less %v; whole at most %v",
-			r.Name, k.Name, span, k.Window, p.margins.Window, max(0, most))
+			r.Name, k.Name, span, k.DedupWindow, p.margins.Window, max(0, most))
 	}
 }
 
--- a/internal/route/prove_test.go
+++ b/internal/route/prove_test.go
@@ -19,12 +19,12 @@
 func platform() *decide.Config {
 	return &decide.Config{Gateways: 1, Zone: "z",
 		Classes: []decide.Class{
-			{Name: "slot-lookup", Effect: decide.Safe, Aim: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 1},
-			{Name: "slot-book", Effect: decide.Keyed, Group: decide.GroupCell, Window: 12 * time.Second, Aim: 1500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 3},
-			{Name: "slot-hold", Effect: decide.Unsafe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 2},
-			{Name: "slot-long", Effect: decide.Keyed, Group: decide.GroupCell, Window: 12 * time.Second, Aim: 18 * time.Second, Deadline: 20 * time.Second, Worth: 1}},
+			{Name: "slot-lookup", Effect: decide.Safe, LatencyTarget: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 1},
+			{Name: "slot-book", Effect: decide.Keyed, Group: decide.GroupCell, DedupWindow: 12 * time.Second, LatencyTarget: 1500 * time.Millisecond, Deadline: 6 * time.Second, Worth: 3},
+			{Name: "slot-hold", Effect: decide.Unsafe, LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 2},
+			{Name: "slot-long", Effect: decide.Keyed, Group: decide.GroupCell, DedupWindow: 12 * time.Second, LatencyTarget: 18 * time.Second, Deadline: 20 * time.Second, Worth: 1}},
 		Plans:  []decide.Plan{{Name: "basic", Price: 1}, {Name: "standard", Price: 1}, {Name: "plus", Price: 1}},
-		Limits: decide.Limits{MaxAttempts: 5, Parallel: true, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second}}
+		Limits: decide.Limits{MaxAttempts: 5, ParallelAttempts: true, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second}}
 }
 
 var margins = Margins{Answer: 10 * time.Millisecond, Window: 10 * time.Millisecond}
@@ -47,7 +47,7 @@
 	}
 	cfg := platform()
 	if strings.HasPrefix(string(text), "# platform: single\n") {
-		cfg.Limits.Parallel, cfg.Limits.RetryAfter = false, false
+		cfg.Limits.ParallelAttempts, cfg.Limits.RetryAfter = false, false
 	}
 	c, diags, err := s.Load(file)
 	if err != nil {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -29,7 +29,7 @@
 
 	Attempt, Whole     time.Duration
 	Attempts           int
-	Again              decide.Outcomes
+	Again              decide.OutcomeSet
 	AgainWords         []string // Again, as the file spells it
 	Wait, WaitMost     time.Duration
 	WaitGrowth, Jitter float64
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -125,17 +125,17 @@
 	cfg := platform()
 	table := NewTable([]*Route{{Name: "r", Attempts: 2, Copy: CopyRule{Allowed: true, Quantile: 0.9}}}, cfg)
 	first := table.Bounds(0, "slot-lookup", time.Second)
-	if first.Copies {
+	if first.Hedge {
 		t.Error("second copies before any answer was seen")
 	}
 	for range 100 {
 		table.Answered(0, "slot-lookup", 50*time.Millisecond, time.Second)
 	}
 	second := table.Bounds(0, "slot-lookup", time.Second)
-	if first.Copies || !second.Copies || second.CopyAfter < 50*time.Millisecond || second.CopyAfter > 53*time.Millisecond {
+	if first.Hedge || !second.Hedge || second.HedgeDelay < 50*time.Millisecond || second.HedgeDelay > 53*time.Millisecond {
 		t.Errorf("first %+v, then %+v", first, second)
 	}
-	if other := table.Bounds(0, "slot-book", time.Second); other.Copies {
+	if other := table.Bounds(0, "slot-book", time.Second); other.Hedge {
 		t.Error("the other class has seen no answer")
 	}
 	if again := table.Bounds(0, "slot-lookup", time.Second); again != second {
@@ -145,7 +145,7 @@
 
 // With every node failing, a group gets first attempts x (1 + budget) at most, and the floor; each group by itself.
 func TestBudgetHoldsAtTotalFailure(t *testing.T) {
-	for _, o := range []decide.Outcome{decide.Error, decide.Full, decide.Reset} {
+	for _, o := range []decide.Outcome{decide.Error, decide.Rejected, decide.Reset} {
 		cfg := platform()
 		rt := &Route{Name: "r", Attempts: 5, Again: outcomes["error"] | outcomes["never-ran"] | outcomes["reset"], Budget: 0.2}
 		w := newWorld(t, cfg, []*Route{rt})
@@ -221,12 +221,12 @@
 func TestGroupsAreBounded(t *testing.T) {
 	s := newState(&Route{Budget: 1}, 1)
 	for cell := range 10 * groupsMost {
-		s.First(time.Second, &decide.Server{Cell: cell})
+		s.RecordFirstAttempt(time.Second, &decide.Server{Cell: cell})
 	}
 	if len(s.budgets) != groupsMost+1 {
 		t.Errorf("%d groups are kept", len(s.budgets))
 	}
-	if !s.Take(time.Second, &decide.Server{Cell: 1 << 20}) {
+	if !s.TakeRetry(time.Second, &decide.Server{Cell: 1 << 20}) {
 		t.Error("the groups without a budget of their own have none")
 	}
 }
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -13,7 +13,7 @@
 	open    int
 	budgets map[int]*tokens // by node group
 	times   []*Times        // by class; nil where no quantile is asked for
-	bounds  []*decide.Bounds
+	bounds  []*decide.RetryPolicy
 }
 
 const (
@@ -36,14 +36,14 @@
 }
 
 // make is the route in the module's words, with a delay of second copies.
-func (s *state) make(after time.Duration) *decide.Bounds {
+func (s *state) make(after time.Duration) *decide.RetryPolicy {
 	r := s.route
-	b := &decide.Bounds{Attempts: r.Attempts, Attempt: r.Attempt, Whole: r.Whole, Again: r.Again, Wait: r.Wait, WaitMost: r.WaitMost,
-		WaitGrowth: r.WaitGrowth, Jitter: r.Jitter, CopyLeast: r.Copy.Least, Advice: r.Advice, Budget: s}
-	if b.CopyAfter = r.Copy.After; after > 0 {
-		b.CopyAfter = after
+	b := &decide.RetryPolicy{MaxAttempts: r.Attempts, AttemptTimeout: r.Attempt, TotalTimeout: r.Whole, RetryOn: r.Again, InitialBackoff: r.Wait, MaxBackoff: r.WaitMost,
+		BackoffFactor: r.WaitGrowth, Jitter: r.Jitter, HedgeMinTimeLeft: r.Copy.Least, RetryAfter: r.Advice, Budget: s}
+	if b.HedgeDelay = r.Copy.After; after > 0 {
+		b.HedgeDelay = after
 	}
-	b.Copies = r.Copy.Allowed && b.CopyAfter > 0
+	b.Hedge = r.Copy.Allowed && b.HedgeDelay > 0
 	return b
 }
 
@@ -86,8 +86,8 @@
 	return k
 }
 
-// First counts a first attempt at a server's group.
-func (s *state) First(now time.Duration, to *decide.Server) {
+// RecordFirstAttempt counts a first attempt at a server's group.
+func (s *state) RecordFirstAttempt(now time.Duration, to *decide.Server) {
 	k := s.group(to.Cell)
 	k.fill(now, s.route.BudgetFloor)
 	if most := max(keptMost, s.route.BudgetFloor*burstSeconds); k.v < most {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Take takes a further attempt from the budget of a server's group, if it holds one. With F first attempts in t
+// TakeRetry takes a further attempt from the budget of a server's group, if it holds one. With F first attempts in t
 // seconds a group gets at most F x Budget + (t + burstSeconds) x BudgetFloor further ones.
-func (s *state) Take(now time.Duration, to *decide.Server) bool {
+func (s *state) TakeRetry(now time.Duration, to *decide.Server) bool {
 	k := s.group(to.Cell)
 	k.fill(now, s.route.BudgetFloor)
 	if k.v < 1 {
@@ -122,14 +122,14 @@
 func (t *Table) End(n int) { t.state[n].open-- }
 
 // Bounds is what holds for a request of a class on a route now. It is shared and must not be changed.
-func (t *Table) Bounds(n int, class string, now time.Duration) *decide.Bounds {
+func (t *Table) Bounds(n int, class string, now time.Duration) *decide.RetryPolicy {
 	s, i := t.state[n], t.classes[class]
 	times := s.times[i]
 	if times == nil {
 		return s.bounds[i]
 	}
 	if after := times.Quantile(now); after > 0 {
-		if d := after - s.bounds[i].CopyAfter; d > delayStep || d < -delayStep {
+		if d := after - s.bounds[i].HedgeDelay; d > delayStep || d < -delayStep {
 			s.bounds[i] = s.make(after) // requests that are open keep what they began with
 		}
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -90,8 +90,8 @@
 		return errors.New("no plans: TiersOfService is empty, want one or more")
 	}
 	for i, k := range d.Classes {
-		if k.Aim <= 0 {
-			return fmt.Errorf("Classes[%d].AimNs is %d, want more than 0", i, k.Aim)
+		if k.LatencyTarget <= 0 {
+			return fmt.Errorf("Classes[%d].AimNs is %d, want more than 0", i, k.LatencyTarget)
 		}
 	}
 	if d.Limits.MaxAttempts < 1 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -83,14 +83,14 @@
 		MaxUnits: s.Extra.UnitsTop, MeterPeriod: time.Duration(s.Extra.MeterNs), PeerIntake: s.Extra.PeerIntake,
 		Counter: s.Extra.HasCounter, CounterTimeout: time.Duration(s.Extra.CountWaitNs),
 		ReportsOnProbe: s.Telemetry.How == "probe", Subscribe: s.MembershipMode == "subscribe"}
-	c.Limits = decide.Limits{MaxAttempts: s.Limits.SendCap, Parallel: s.Limits.ParallelTries,
-		Cancel: s.Limits.MayCancel, Peers: s.Limits.Peers, Probes: s.Limits.Probes,
+	c.Limits = decide.Limits{MaxAttempts: s.Limits.SendCap, ParallelAttempts: s.Limits.ParallelTries,
+		Cancel: s.Limits.MayCancel, PeerMessages: s.Limits.Peers, Probes: s.Limits.Probes,
 		RetryAfter: s.Limits.RetryAfter, MaxRetryAfter: time.Duration(s.Limits.MaxRetryAfterNs),
 		ConnectTimeout: time.Duration(s.Limits.ConnectTimeoutNs)}
 	c.Safety = decide.Safety{AnswerSlack: time.Duration(s.Safety.AnswerSlackNs),
-		DrainGrace: time.Duration(s.Safety.DrainGraceNs), ColdFrom: s.Safety.ColdFrom,
-		ColdFor: time.Duration(s.Safety.ColdNs), FallMultiple: s.Safety.FallMultiple,
-		FallWindow: time.Duration(s.Safety.FallNs), AskWithin: time.Duration(s.Safety.AskWithinNs)}
+		DrainGrace: time.Duration(s.Safety.DrainGraceNs), ColdCapacity: s.Safety.ColdFrom,
+		ColdDuration: time.Duration(s.Safety.ColdNs), OverloadFactor: s.Safety.FallMultiple,
+		OverloadWindow: time.Duration(s.Safety.FallNs), ListMaxAge: time.Duration(s.Safety.AskWithinNs)}
 	c.Prices = decide.Prices{CrossZone: s.Prices.CrossZone, Waste: s.Prices.Waste, Probe: s.Prices.Probe,
 		Peer: s.Prices.Peer, LateFail: s.Prices.LateFail, Counter: s.Extra.CounterPrice}
 	effects := map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}
@@ -106,8 +106,8 @@
 			return c, fmt.Errorf("Classes[%d].Group: unknown %q", i, k.Group)
 		}
 		c.Classes = append(c.Classes, decide.Class{Name: k.Name, Effect: effect, Group: group,
-			Window: time.Duration(k.WindowNs), Aim: time.Duration(k.AimNs), AimStretch: k.AimStretch,
-			Deadline: time.Duration(k.GiveUpNs), Worth: k.Importance, LateWorth: k.LateWorth, Stream: k.Stream})
+			DedupWindow: time.Duration(k.WindowNs), LatencyTarget: time.Duration(k.AimNs), LatencyTargetStretch: k.AimStretch,
+			Deadline: time.Duration(k.GiveUpNs), Worth: k.Importance, LateWorthFraction: k.LateWorth, Stream: k.Stream})
 	}
 	for _, p := range s.TiersOfService {
 		c.Plans = append(c.Plans, decide.Plan{Name: p.Name, Rate: p.Refill, Burst: p.MostAtOnce,
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -133,7 +133,7 @@
 // serve has a gateway of the settings serve a request whose first attempt broke.
 func serve(t *testing.T, cfg decide.Config, class, plan string) {
 	t.Helper()
-	cfg.Gateways, cfg.Limits.Peers = 1, false
+	cfg.Gateways, cfg.Limits.PeerMessages = 1, false
 	g, err := decide.New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -143,11 +143,11 @@
 	for _, id := range []string{"a", "b"} {
 		servers = append(servers, decide.Server{ID: id, Zone: cfg.Zone, Weight: 1})
 	}
-	g.Handle(at, decide.FleetUpdate{Kind: decide.FleetFull, Version: 1, Servers: servers})
+	g.Handle(at, decide.ServerListUpdate{Kind: decide.ListFull, Version: 1, Servers: servers})
 	at += time.Minute // a gateway that has just started holds ceilings as if they were used up
 	sends := func(actions []decide.Action) (n int) {
 		for _, a := range actions {
-			if _, ok := a.(decide.Send); ok {
+			if _, ok := a.(decide.SendAttempt); ok {
 				n++
 			}
 		}
@@ -159,10 +159,10 @@
 			effect = k.Effect
 		}
 	}
-	if n := sends(g.Handle(at, decide.Request{ID: "1", Class: class, Plan: plan, Customer: "00000000b4d65521", Units: 1, Spread: 1, Deadline: at + time.Second})); n != 1 {
+	if n := sends(g.Handle(at, decide.Request{ID: "1", Class: class, Plan: plan, Customer: "00000000b4d65521", Units: 1, GatewayCount: 1, Deadline: at + time.Second})); n != 1 {
 		t.Fatalf("%s on %s: %d attempts", class, plan, n)
 	}
-	again := sends(g.Handle(at+time.Millisecond, decide.AttemptEnded{ID: "1", Server: "a", Outcome: decide.Reset, Took: time.Millisecond}))
+	again := sends(g.Handle(at+time.Millisecond, decide.AttemptEnded{ID: "1", Server: "a", Outcome: decide.Reset, Latency: time.Millisecond}))
 	if effect == decide.Unsafe && again != 0 || effect == decide.Safe && again != 1 {
 		t.Errorf("%s on %s: %d further attempts after one that may have run", class, plan, again)
 	}
--- a/internal/world/quotas.go
+++ b/internal/world/quotas.go
@@ -49,8 +49,8 @@
 	plans    map[string]*decide.Plan
 	gateways []*decide.Gateway
 	intake   []rateBucket
-	lives    []int                      // of each gateway's process: what was set for a former one is void
-	disks    []map[uint64]decide.Memory // what each has kept; nil: nothing is
+	lives    []int                              // of each gateway's process: what was set for a former one is void
+	disks    []map[uint64]decide.BucketSnapshot // what each has kept; nil: nothing is
 	seeds    *rand.Rand
 	list     []decide.Server
 	open     map[string]*openAsk
@@ -107,17 +107,17 @@
 	}
 	q.gateways[i] = g
 	q.lives[i]++
-	q.handle(i, decide.FleetUpdate{Kind: decide.FleetFull, Servers: q.list})
+	q.handle(i, decide.ServerListUpdate{Kind: decide.ListFull, Servers: q.list})
 	return nil
 }
 
 // Keep has every gateway keep what changed, so often.
 func (q *Quotas) Keep(every time.Duration) {
-	q.disks = make([]map[uint64]decide.Memory, len(q.gateways))
+	q.disks = make([]map[uint64]decide.BucketSnapshot, len(q.gateways))
 	for i := range q.gateways {
-		q.disks[i] = map[uint64]decide.Memory{}
+		q.disks[i] = map[uint64]decide.BucketSnapshot{}
 		q.K.Every(every, every, func() bool {
-			for _, m := range q.gateways[i].Changed(nil, keptMost) {
+			for _, m := range q.gateways[i].AppendChanged(nil, keptMost) {
 				q.disks[i][m.Key] = m
 			}
 			return true
@@ -133,9 +133,9 @@
 			return err
 		}
 		if q.disks != nil {
-			e := decide.Recall{}
+			e := decide.StateRestored{}
 			for _, key := range slices.Sorted(maps.Keys(q.disks[i])) {
-				e.Known = append(e.Known, q.disks[i][key])
+				e.Buckets = append(e.Buckets, q.disks[i][key])
 			}
 			q.handle(i, e)
 		}
@@ -166,7 +166,7 @@
 	q.By[a.ID].Asked += a.Units
 	at := (a.First + q.rnd.IntN(a.Spread)) % len(q.gateways)
 	q.handle(at, decide.Request{ID: id, Class: q.conf.Classes[0].Name, Plan: a.Plan, Customer: a.ID, Units: a.Units, Deadline: now + askPatience,
-		First: a.First, Spread: a.Spread})
+		FirstGateway: a.First, GatewayCount: a.Spread})
 }
 
 // handle hands a module an event and does what it wants.
@@ -180,7 +180,7 @@
 					q.handle(i, decide.TimerFired{Token: act.Token})
 				}
 			})
-		case decide.Tell:
+		case decide.SendToPeer:
 			q.Told++
 			q.Net.Packet(i, act.To, func() {
 				if !q.intake[act.To].take(q.K.Now(), q.conf.PeerIntake) {
@@ -189,13 +189,13 @@
 				}
 				q.handle(act.To, decide.PeerMessage{From: i, Text: act.Text})
 			})
-		case decide.Send:
+		case decide.SendAttempt:
 			q.ended(act.ID, true)
 			q.K.After(servedIn, func() {
 				if life != q.lives[i] {
 					return
 				}
-				q.handle(i, decide.AttemptEnded{ID: act.ID, Server: act.Server, Outcome: decide.OK, Took: servedIn, Done: true})
+				q.handle(i, decide.AttemptEnded{ID: act.ID, Server: act.Server, Outcome: decide.OK, Latency: servedIn, RequestDone: true})
 			})
 		case decide.Refuse:
 			q.ended(act.ID, false)
--- a/internal/world/quotas_test.go
+++ b/internal/world/quotas_test.go
@@ -10,12 +10,12 @@
 )
 
 func quotaConfig() decide.Config {
-	return decide.Config{Zone: "a", PeerIntake: 40, MaxUnits: 4, Remember: true,
-		Classes: []decide.Class{{Name: "get", Effect: decide.Safe, Aim: 500 * time.Millisecond, Deadline: askPatience, Worth: 1}},
+	return decide.Config{Zone: "a", PeerIntake: 40, MaxUnits: 4, TrackChanges: true,
+		Classes: []decide.Class{{Name: "get", Effect: decide.Safe, LatencyTarget: 500 * time.Millisecond, Deadline: askPatience, Worth: 1}},
 		Plans: []decide.Plan{{Name: "basic", Rate: 1.3, Burst: 8, Price: 1}, {Name: "standard", Rate: 3.6, Burst: 15, Price: 1},
 			{Name: "network", Rate: 25, Burst: 40, Price: 1}},
-		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Safety: decide.Safety{AnswerSlack: 16 * time.Millisecond, ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 4, FallWindow: time.Second}}
+		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, PeerMessages: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Safety: decide.Safety{AnswerSlack: 16 * time.Millisecond, ColdCapacity: 0.2, ColdDuration: 10 * time.Second, OverloadFactor: 4, OverloadWindow: time.Second}}
 }
 
 // quotaTrial is a fleet of so many gateways, of whose customers one in ten asks for three times its rate and the others for a third
