--- a/decide/admit.go
+++ b/decide/admit.go
@@ -21,20 +21,20 @@
 
 // room reports whether a customer's bucket at this gateway has room for so many units.
 func room(c *quota.Customer, units float64) bool {
-	return c.Plan.Rate == 0 || c.Level+c.Part*units <= c.Part*c.Plan.Burst
+	return c.Plan.Rate == 0 || c.Level+c.Share*units <= c.Share*c.Plan.Burst
 }
 
 // admit decides whether the quota has room.
 func (g *Gateway) admit(c *quota.Customer, r *request) bool {
 	g.quota.Leak(c)
-	g.quota.Ask(c, r.units)
+	g.quota.AddDemand(c, r.units)
 	return room(c, r.units) && g.roomOpen(c) &&
 		(c.Plan.CeilingRate == 0 || storeHas(c, r.units))
 }
 
 // storeHas reports that an even slice of the ceiling's store, empty at a start, has so many units.
 func storeHas(c *quota.Customer, units float64) bool {
-	return c.Store+quota.SlackPart*c.Plan.CeilingSlack/float64(c.Spread) >= units
+	return c.CeilingTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) >= units
 }
 
 // roomOpen holds the cap on attempts out. Caps are small: parts of them, rounded up, are one too many in
@@ -47,22 +47,22 @@
 	if elsewhere, told := g.quota.OpenElsewhere(c); told {
 		return c.Open+elsewhere < most
 	}
-	return float64(c.Open) < math.Ceil(c.Part*float64(most))
+	return float64(c.Open) < math.Ceil(c.Share*float64(most))
 }
 
 // roomIn is how long the quota needs to have room for so many units: what the client is told to wait.
 func (g *Gateway) roomIn(c *quota.Customer, units float64) time.Duration {
-	wait := (c.Shut - g.now).Seconds()
+	wait := (c.RefuseUntil - g.now).Seconds()
 	if p := c.Plan; p.Rate > 0 {
-		wait = max(wait, (c.Level+c.Part*(units-p.Burst))/(c.Part*p.Rate))
+		wait = max(wait, (c.Level+c.Share*(units-p.Burst))/(c.Share*p.Rate))
 	}
-	slack, left := quota.SlackPart*c.Plan.CeilingSlack/float64(c.Spread), (1-quota.HomePart)/float64(c.Spread)
-	switch slice := g.quota.Slice(c); {
+	slack, left := quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount), (1-quota.CoordinatorCeilingShare)/float64(c.GatewayCount)
+	switch slice := g.quota.CeilingShare(c); {
 	case c.Plan.CeilingRate == 0:
 	case slice > 0:
-		wait = max(wait, (units-slack-c.Store)/(c.Plan.CeilingRate*slice))
-	case g.quota.Alone: // else the home has said how long
-		wait = max(wait, (units-slack-c.Spare)/(c.Plan.CeilingRate*left))
+		wait = max(wait, (units-slack-c.CeilingTokens)/(c.Plan.CeilingRate*slice))
+	case g.quota.Isolated: // else the home has said how long
+		wait = max(wait, (units-slack-c.FallbackTokens)/(c.Plan.CeilingRate*left))
 	}
 	if wait <= 0 { // it is the cap on attempts out, which says nothing of time
 		return retryAdvice
@@ -77,27 +77,27 @@
 // home grants from, by those that are cut off too: some may be cut off while homes grant to the others. The platform
 // spreads a customer under a ceiling so that half of its burst, so parted, holds a request.
 func (g *Gateway) roomAlone(c *quota.Customer, units float64) bool {
-	if c.Plan.CeilingRate > 0 && c.Spare+quota.SlackPart*c.Plan.CeilingSlack/float64(c.Spread) < units {
+	if c.Plan.CeilingRate > 0 && c.FallbackTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) < units {
 		return false
 	}
-	if g.quota.Alone && !room(c, units) || !g.quota.Alone && !g.loneRoom(c, units) {
+	if g.quota.Isolated && !room(c, units) || !g.quota.Isolated && !g.loneRoom(c, units) {
 		return false
 	}
 	if c.Plan.CeilingRate > 0 {
-		c.Spare -= units
+		c.FallbackTokens -= units
 	}
 	return true
 }
 
 // loneRoom takes so many units of what passes here of a customer whose homes are silent, if there is room.
 func (g *Gateway) loneRoom(c *quota.Customer, units float64) bool {
-	part := min(1, quota.LoneTimes/float64(c.Spread))
-	c.Lone = max(0, c.Lone-part*c.Plan.Rate*(g.now-c.LoneAt).Seconds())
-	c.LoneAt = g.now
-	if c.Plan.Rate > 0 && (c.Lone > max(0, part*c.Plan.Burst-units) || g.rng.Float64() >= g.quota.Borne(c)) {
+	part := min(1, quota.FallbackFactor/float64(c.GatewayCount))
+	c.FallbackLevel = max(0, c.FallbackLevel-part*c.Plan.Rate*(g.now-c.FallbackLevelAt).Seconds())
+	c.FallbackLevelAt = g.now
+	if c.Plan.Rate > 0 && (c.FallbackLevel > max(0, part*c.Plan.Burst-units) || g.rng.Float64() >= g.quota.AllowedShare(c)) {
 		return false
 	}
-	c.Lone += units
+	c.FallbackLevel += units
 	return true
 }
 
@@ -105,34 +105,34 @@
 // It guards quota, cap on attempts out and ceiling; a question that comes twice gets the same answer once.
 func (g *Gateway) grant(c *quota.Customer, from int, no uint64, units float64) (ok bool, wait float64) {
 	g.quota.Leak(c)
-	g.quota.BecomeHome(c)
+	g.quota.BecomeCoordinator(c)
 	out := 0
 	for i := range c.Grants {
 		d := &c.Grants[i]
-		if d.From == from && d.No == no {
-			return d.OK, c.Wait
+		if d.From == from && d.RequestNo == no {
+			return d.OK, c.RetryWait
 		}
-		d.Out = d.Out && (g.now-d.At).Seconds() < g.quickest
-		if d.Out {
+		d.Open = d.Open && (g.now-d.At).Seconds() < g.quickest
+		if d.Open {
 			out++
 		}
 	}
-	c.Grants = slices.DeleteFunc(c.Grants, func(d quota.Grant) bool { return g.now-d.At > quota.GrantsKept })
-	c.Fleet.Add(g.now, units)
-	within := c.Plan.Rate == 0 || c.Whole+units <= c.Plan.Burst
+	c.Grants = slices.DeleteFunc(c.Grants, func(d quota.Grant) bool { return g.now-d.At > quota.GrantRetention })
+	c.FleetDemand.Add(g.now, units)
+	within := c.Plan.Rate == 0 || c.FleetLevel+units <= c.Plan.Burst
 	if units > 0 { // else nothing is asked for: see listen
-		g.quota.Watch(c, within)
+		g.quota.RecordDecision(c, within)
 	}
 	ok = within &&
-		(c.Plan.MaxOpen == 0 || out < c.Plan.MaxOpen) && (c.Plan.CeilingRate == 0 || c.Store >= units)
+		(c.Plan.MaxOpen == 0 || out < c.Plan.MaxOpen) && (c.Plan.CeilingRate == 0 || c.CeilingTokens >= units)
 	if ok {
-		g.quota.Granted(c, units)
+		g.quota.ChargeGrant(c, units)
 	}
 	if !ok && g.askRate.Get(g.now) > askIntake*g.cfg.PeerIntake {
-		c.Wait = min(waitMost.Seconds(), max(c.Wait, waitLeast)*waitGrow)
+		c.RetryWait = min(waitMost.Seconds(), max(c.RetryWait, waitLeast)*waitGrow)
 	} else {
-		c.Wait *= waitShrink
+		c.RetryWait *= waitShrink
 	}
-	c.Grants = append(c.Grants, quota.Grant{From: from, No: no, At: g.now, OK: ok, Out: ok && c.Plan.MaxOpen > 0})
-	return ok, c.Wait
+	c.Grants = append(c.Grants, quota.Grant{From: from, RequestNo: no, At: g.now, OK: ok, Open: ok && c.Plan.MaxOpen > 0})
+	return ok, c.RetryWait
 }
--- a/decide/api.go
+++ b/decide/api.go
@@ -56,18 +56,18 @@
 	// Plan describes the quota of each customer on it, over all gateways together.
 	Plan = quota.Plan
 	// BucketSnapshot is how full a customer's bucket was, as far as one gateway knew.
-	BucketSnapshot = quota.Memory
+	BucketSnapshot = quota.BucketSnapshot
 	// Allowance is what a customer's bucket at this gateway has room for.
-	Allowance = quota.Room
+	Allowance = quota.Allowance
 	// PeerStatus is whether the gateway of a number is there.
-	PeerStatus = quota.Presence
+	PeerStatus = quota.PeerStatus
 )
 
 // The presences.
 const (
-	PeerActive      = quota.Present
-	PeerUnreachable = quota.Missing
-	PeerAbsent      = quota.Vacant
+	PeerActive      = quota.PeerActive
+	PeerUnreachable = quota.PeerUnreachable
+	PeerAbsent      = quota.PeerAbsent
 )
 
 // Limits tells what a gateway is allowed to do.
--- a/decide/ask.go
+++ b/decide/ask.go
@@ -25,8 +25,8 @@
 	if g.deaf() {
 		g.listen(r)
 	}
-	for ; r.asked < 2*quota.HomesOf(c) && g.now < r.until && !g.quota.Alone && !g.deaf(); r.asked++ {
-		i := g.quota.Home(c.Key, r.asked/2)
+	for ; r.asked < 2*quota.CoordinatorCount(c) && g.now < r.until && !g.quota.Isolated && !g.deaf(); r.asked++ {
+		i := g.quota.Coordinator(c.Key, r.asked/2)
 		if i == g.quota.Rank {
 			ok, _ := g.grant(c, i, r.no, r.units)
 			r.granted = i
@@ -42,7 +42,7 @@
 			r.askedAt = g.now
 		}
 		g.asks[r.no] = r
-		g.quota.Tell(i, words.Asks, c, r.no, r.units)
+		g.quota.Send(i, words.KindRequest, c, r.no, r.units)
 		g.wake(r.ID, -1, min(r.until, g.now+askLeast+time.Duration(askWaits*float64(g.trip))), forOverdue)
 		return
 	}
@@ -60,10 +60,10 @@
 	if g.now-g.probedAt < deafProbe {
 		return
 	}
-	for n := range quota.Homes {
-		if i := g.quota.Home(r.cust.Key, n); i != g.quota.Rank {
+	for n := range quota.MaxCoordinators {
+		if i := g.quota.Coordinator(r.cust.Key, n); i != g.quota.Rank {
 			g.probedAt = g.now
-			g.quota.Tell(i, words.Asks, r.cust, r.no, 0)
+			g.quota.Send(i, words.KindRequest, r.cust, r.no, 0)
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 		g.unheards++
 	}
 	if r.asked%2 == 0 {
-		g.silent[g.quota.Home(r.cust.Key, r.asked/2-1)] = g.now + homeSilent
+		g.silent[g.quota.Coordinator(r.cust.Key, r.asked/2-1)] = g.now + homeSilent
 	}
 	delete(g.asks, r.no)
 	g.ask(r)
@@ -92,64 +92,64 @@
 	if !ok || w.Plan >= len(g.cfg.Plans) {
 		return
 	}
-	for _, v := range w.Sights[:w.Seen] {
+	for _, v := range w.Samples[:w.NumSamples] {
 		if s := g.shorts[v.Server]; s != nil && v.Class < len(g.cfg.Classes) {
-			g.note(s, g.classes[g.cfg.Classes[v.Class].Name], v.X, v.Missed, v.Failed)
+			g.note(s, g.classes[g.cfg.Classes[v.Class].Name], v.RelativeTime, v.Unsuccessful, v.NotOverload)
 		}
 	}
 	delete(g.silent, from)
 	if g.deaf() {
-		g.quota.Doubt()
+		g.quota.FillOverQuotaBuckets()
 	}
 	g.heardAt, g.unheards = g.now, 0
-	for _, f := range w.Floods[:w.Flooded] {
-		g.quota.Floods.Learn(f)
+	for _, f := range w.Reports[:w.NumReports] {
+		g.quota.OverQuota.Add(f)
 	}
-	mine := g.quota.IsHome(w.Key, g.quota.Rank)
+	mine := g.quota.IsCoordinator(w.Key, g.quota.Rank)
 	switch {
-	case w.Kind == words.Asks && w.N == 1 && w.V[0] >= 0 && mine:
+	case w.Kind == words.KindRequest && w.NumValues == 1 && w.Values[0] >= 0 && mine:
 		g.askRate.Add(g.now, 1)
 		c := g.quota.Customer(w.Key, w.Plan)
-		ok, wait := g.grant(c, from, w.No, w.V[0])
+		ok, wait := g.grant(c, from, w.RequestNo, w.Values[0])
 		granted := 0.0
 		if ok {
 			granted = 1
 		}
-		g.quota.Tell(from, words.Answers, c, w.No, granted, c.Whole, c.Fleet.Get(g.now), wait)
-	case w.Kind == words.Settles && w.N == 1 && mine:
-		g.quota.Settle(g.quota.Customer(w.Key, w.Plan), from, w.No, w.V[0])
-	case w.Kind == words.Grants && w.N == 1 && mine && g.quota.IsHome(w.Key, from):
-		g.quota.Twin(g.quota.Customer(w.Key, w.Plan), w.V[0])
-	case w.Kind == words.Hands && w.N == 1:
-		g.quota.Inherit(&w)
-	case w.Kind == words.Answers && w.N == 4:
+		g.quota.Send(from, words.KindReply, c, w.RequestNo, granted, c.FleetLevel, c.FleetDemand.Get(g.now), wait)
+	case w.Kind == words.KindSettle && w.NumValues == 1 && mine:
+		g.quota.Settle(g.quota.Customer(w.Key, w.Plan), from, w.RequestNo, w.Values[0])
+	case w.Kind == words.KindGrantTotal && w.NumValues == 1 && mine && g.quota.IsCoordinator(w.Key, from):
+		g.quota.ReceiveGrantTotal(g.quota.Customer(w.Key, w.Plan), w.Values[0])
+	case w.Kind == words.KindHandover && w.NumValues == 1:
+		g.quota.ReceiveHandover(&w)
+	case w.Kind == words.KindReply && w.NumValues == 4:
 		g.answer(from, &w)
 	}
 }
 
 // answer takes the home's word: it settles part and level, and then the bucket decides.
-func (g *Gateway) answer(from int, w *words.Word) {
-	r := g.asks[w.No]
+func (g *Gateway) answer(from int, w *words.CustomerMessage) {
+	r := g.asks[w.RequestNo]
 	if r == nil || r.cust.Key != w.Key {
 		return
 	}
-	ok, whole := w.V[0] > 0, w.V[1]
-	delete(g.asks, w.No)
+	ok, whole := w.Values[0] > 0, w.Values[1]
+	delete(g.asks, w.RequestNo)
 	if r.asked == 1 {
 		g.trip += time.Duration(0.1 * float64(g.now-r.askedAt-g.trip))
 	}
 	r.asking = false
 	c := r.cust
 	ok = ok && (c.Plan.CeilingRate == 0 || g.now-r.askedAt <= grantUse)
-	c.AsksAll, c.ToldAt = w.V[2], g.now
-	g.quota.Watch(c, ok)
+	c.TotalDemand, c.TotalDemandAt = w.Values[2], g.now
+	g.quota.RecordDecision(c, ok)
 	g.quota.Leak(c)
-	c.Level = c.Part * whole
+	c.Level = c.Share * whole
 	if ok {
 		r.granted = from
 	} else {
 		leaks := min(1, (whole+r.units-c.Plan.Burst)/max(c.Plan.Rate, 1e-9))
-		c.Shut = g.now + time.Duration(max(w.V[3], leaks)*float64(time.Second))
+		c.RefuseUntil = g.now + time.Duration(max(w.Values[3], leaks)*float64(time.Second))
 	}
 	g.decide(r, ok)
 }
@@ -162,6 +162,6 @@
 	if r.granted == g.quota.Rank {
 		g.quota.Settle(r.cust, g.quota.Rank, r.no, more)
 	} else {
-		g.quota.Tell(r.granted, words.Settles, r.cust, r.no, more)
+		g.quota.Send(r.granted, words.KindSettle, r.cust, r.no, more)
 	}
 }
--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -161,7 +161,7 @@
 	a.server.out--
 	r.cust.Open--
 	if r.cust.Plan.MaxOpen > 0 {
-		g.quota.TellSoon(r.cust)
+		g.quota.QueueUpdate(r.cust)
 	}
 	g.judge(r, a, e)
 	if e.ActualUnits > 0 && g.cfg.SettledLater {
@@ -170,7 +170,7 @@
 		r.units = e.ActualUnits
 	}
 	if e.MeteredPercentPlusOne > 0 {
-		g.quota.Meter(r.cust, e.MeteredPercentPlusOne)
+		g.quota.RecordMetered(r.cust, e.MeteredPercentPlusOne)
 	}
 	if e.RequestDone {
 		g.finish(r)
@@ -183,9 +183,9 @@
 		g.quota.Charge(r.cust, -r.units) // nothing was sent, so the quota took nothing
 		switch {
 		case g.quota.Mesh || r.granted == g.quota.Rank:
-			r.cust.Store += r.units
+			r.cust.CeilingTokens += r.units
 		case r.granted < 0:
-			r.cust.Spare += r.units
+			r.cust.FallbackTokens += r.units
 		}
 		r.more = -r.units
 	}
--- a/decide/deaf_test.go
+++ b/decide/deaf_test.go
@@ -105,8 +105,8 @@
 		for i := range 400 {
 			id := fmt.Sprint("x", borne, i)
 			if borne < 1 {
-				w := words.Word{Kind: 'd', Key: 1, N: 1, Flooded: 1, Floods: [words.FloodsOf]words.Flood{{Key: words.Key(id) & words.FloodMask, Borne: borne, At: time.Hour}}}
-				g.Handle(time.Hour, PeerMessage{From: 9, Text: w.Text(time.Hour)})
+				w := words.CustomerMessage{Kind: 'd', Key: 1, NumValues: 1, NumReports: 1, Reports: [words.MaxReports]words.OverQuotaReport{{Key: words.Key(id) & words.CustomerKeyMask, AllowedShare: borne, At: time.Hour}}}
+				g.Handle(time.Hour, PeerMessage{From: 9, Text: w.Encode(time.Hour)})
 				g.unheards = deafAfter // that was told before
 			}
 			sent += len(find[SendAttempt](g.Handle(time.Hour, Request{ID: id, Class: "get", Plan: "small", Customer: id, Units: 1,
@@ -163,16 +163,16 @@
 func TestDoubtAfterSilence(t *testing.T) {
 	j := join(t, 300, nil)
 	key := words.Key("x")
-	g := j.gws[j.gws[0].quota.Home(key, 0)]
+	g := j.gws[j.gws[0].quota.Coordinator(key, 0)]
 	flood, calm := g.quota.Customer(key, 1), g.quota.Customer(key+300, 1)
 	for range 20 {
-		g.quota.Watch(flood, false)
-		g.quota.Watch(calm, true)
+		g.quota.RecordDecision(flood, false)
+		g.quota.RecordDecision(calm, true)
 	}
 	j.now += time.Minute
 	g.unheards = deafAfter
-	g.Handle(j.now, PeerMessage{From: 9, Text: words.Word{Kind: 'd', Key: 1, N: 1}.Text(0)})
-	if g.quota.Leak(calm); flood.Whole != flood.Plan.Burst || calm.Whole != 0 || g.deaf() {
-		t.Errorf("buckets at %v and %v, deaf %v", flood.Whole, calm.Whole, g.deaf())
+	g.Handle(j.now, PeerMessage{From: 9, Text: words.CustomerMessage{Kind: 'd', Key: 1, NumValues: 1}.Encode(0)})
+	if g.quota.Leak(calm); flood.FleetLevel != flood.Plan.Burst || calm.FleetLevel != 0 || g.deaf() {
+		t.Errorf("buckets at %v and %v, deaf %v", flood.FleetLevel, calm.FleetLevel, g.deaf())
 	}
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -13,8 +13,8 @@
 	g.quota.Now = g.now
 	if !g.begun {
 		g.begun, g.started = true, g.now
-		g.quota.Begin(g.now)
-		g.do(SetTimer{g.now + g.quota.BeatEvery(), beatToken})
+		g.quota.Start(g.now)
+		g.do(SetTimer{g.now + g.quota.TickInterval(), beatToken})
 	}
 	switch e := ev.(type) {
 	case ServerListUpdate:
@@ -33,18 +33,18 @@
 	case TimerFired:
 		g.timer(e.Token)
 	case PeerMessage:
-		if !g.quota.Mesh && g.quota.Others(e.From) {
+		if !g.quota.Mesh && g.quota.IsPeer(e.From) {
 			g.word(e.From, e.Text)
 		}
-		g.quota.Heard(e.From, e.Text)
+		g.quota.ReceiveTotals(e.From, e.Text)
 	case MembershipUpdate:
-		g.quota.Stand(e.Rank, e.RankReassigned, e.Isolated, e.Peers)
+		g.quota.SetMembership(e.Rank, e.RankReassigned, e.Isolated, e.Peers)
 	case StateRestored:
-		g.quota.Recall(e.Buckets, e.LeakedSeconds)
+		g.quota.Restore(e.Buckets, e.LeakedSeconds)
 		g.before = max(g.before, e.WarmServerRate)
 	case Shutdown:
 		g.quota.HandOver()
-		g.quota.Leave()
+		g.quota.AnnounceLeave()
 	}
 	return g.out
 }
@@ -71,8 +71,8 @@
 
 // beat is the upkeep: peers are told, servers counted, customers forgotten of whom nothing is left to know.
 func (g *Gateway) beat() {
-	g.do(SetTimer{g.now + g.quota.BeatEvery(), beatToken})
-	g.quota.Beat()
+	g.do(SetTimer{g.now + g.quota.TickInterval(), beatToken})
+	g.quota.SendTotals()
 	g.survey()
 	g.quota.Sweep()
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -509,7 +509,7 @@
 	}
 	wait := find[Refuse](acts)[0].RetryAfter
 	c := r.g.quota.Find(words.Key("x"))
-	asked := c.Asked
+	asked := c.Demand
 	for _, at := range []time.Duration{wait * 9 / 10, wait * 11 / 10} {
 		then := *c
 		r.g.quota.Now = r.now + at
@@ -518,7 +518,7 @@
 			t.Errorf("advice is %v; room after %v: %v", wait, at, room(&then, 1))
 		}
 	}
-	if c.Asked != asked || wait <= 0 {
+	if c.Demand != asked || wait <= 0 {
 		t.Errorf("advice is %v", wait)
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -184,7 +184,7 @@
 // second one: both together grant the quota once.
 func TestHomesOfOneCustomerShareItsBucket(t *testing.T) {
 	j := join(t, 300, nil)
-	j.lossAt = map[int]float64{j.gws[0].quota.Home(words.Key("x"), 0): 0.6}
+	j.lossAt = map[int]float64{j.gws[0].quota.Coordinator(words.Key("x"), 0): 0.6}
 	const rate, burst, units, secs = 3.0, 12.0, 2.0, 30.0
 	j.run(secs*time.Second, 100*ms, "small", units, func(int) int { return j.rnd.Intn(300) })
 	if most := 1.35 * (rate*secs + burst); j.used > most || j.used < 0.8*rate*secs {
@@ -197,10 +197,10 @@
 func TestTwinWordsDoNoHarm(t *testing.T) {
 	j := join(t, 300, nil)
 	key := words.Key("x")
-	first, second := j.gws[0].quota.Home(key, 0), j.gws[0].quota.Home(key, 1)
+	first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
 	g := j.gws[second]
 	c := g.quota.Customer(key, 1)
-	before := c.Whole
+	before := c.FleetLevel
 	for _, step := range []struct {
 		from     int
 		given    float64
@@ -209,12 +209,12 @@
 	}{{first, 100, 0, "the first total"}, {first, 103, 3, "a step"}, {(first + second + 1) % 300, 109, 0, "a stranger's"},
 		{first, 109, 6, "two steps, one lost"}, {first, 109, 0, "the same again"}, {first, 127, 0, "more than a burst"},
 		{first, 4, 5, "a step over the wrap"}} {
-		text := words.Word{Kind: 'g', Key: key, Plan: 1, N: 1, V: [4]float64{step.given}}.Text(0)
+		text := words.CustomerMessage{Kind: 'g', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{step.given}}.Encode(0)
 		g.Handle(j.now, PeerMessage{From: step.from, Text: text})
-		if got := c.Whole - before; got != step.adds {
+		if got := c.FleetLevel - before; got != step.adds {
 			t.Errorf("%s: the bucket rose by %v, want %v", step.whatItIs, got, step.adds)
 		}
-		before = c.Whole
+		before = c.FleetLevel
 	}
 }
 
@@ -262,8 +262,8 @@
 func TestDeadHomeCostsLittle(t *testing.T) {
 	j := join(t, 300, nil)
 	key := words.Key("x")
-	for n := 0; n < quota.Homes; n++ {
-		j.down[j.gws[0].quota.Home(key, n)] = true
+	for n := 0; n < quota.MaxCoordinators; n++ {
+		j.down[j.gws[0].quota.Coordinator(key, n)] = true
 	}
 	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
 	if j.used < 20 {
@@ -281,26 +281,26 @@
 func TestWordsDoNoHarm(t *testing.T) {
 	j := join(t, 300, nil)
 	key := words.Key("x")
-	home := j.gws[j.gws[0].quota.Home(key, 0)]
-	ask := words.Word{Kind: 'a', Key: key, Plan: 1, No: 7, N: 1, V: [4]float64{2}}
+	home := j.gws[j.gws[0].quota.Coordinator(key, 0)]
+	ask := words.CustomerMessage{Kind: 'a', Key: key, Plan: 1, RequestNo: 7, NumValues: 1, Values: [4]float64{2}}
 	other := ask
 	other.Plan = 40
-	for _, text := range []string{"", "a", ask.Text(0)[:11], ask.Text(0) + "!!", "Z" + ask.Text(0)[1:], other.Text(0),
-		words.Word{Kind: 'a', Key: key + 1, Plan: 1, N: 1}.Text(0), words.Word{Kind: 'r', Key: key, N: 4}.Text(0),
-		words.Word{Kind: 'a', Key: key, Plan: 1, N: 1, V: [4]float64{-2}}.Text(0)} {
+	for _, text := range []string{"", "a", ask.Encode(0)[:11], ask.Encode(0) + "!!", "Z" + ask.Encode(0)[1:], other.Encode(0),
+		words.CustomerMessage{Kind: 'a', Key: key + 1, Plan: 1, NumValues: 1}.Encode(0), words.CustomerMessage{Kind: 'r', Key: key, NumValues: 4}.Encode(0),
+		words.CustomerMessage{Kind: 'a', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{-2}}.Encode(0)} {
 		if acts := home.Handle(j.now, PeerMessage{From: 299, Text: text}); len(acts) != 0 || home.quota.Find(key) != nil || home.quota.Find(key+1) != nil {
 			t.Errorf("%q: got %#v", text, acts)
 		}
 	}
 	for _, from := range []int{-1, 300, home.quota.Rank} {
-		if acts := home.Handle(j.now, PeerMessage{From: from, Text: ask.Text(0)}); len(acts) != 0 {
+		if acts := home.Handle(j.now, PeerMessage{From: from, Text: ask.Encode(0)}); len(acts) != 0 {
 			t.Errorf("from %d: got %#v", from, acts)
 		}
 	}
-	first := home.Handle(j.now, PeerMessage{From: 9, Text: ask.Text(0)})
-	again := home.Handle(j.now, PeerMessage{From: 9, Text: ask.Text(0)})
-	if len(first) != 1 || len(again) != 1 || home.quota.Find(key).Whole > quota.StartLevel*12+2 {
-		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.quota.Find(key).Whole)
+	first := home.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
+	again := home.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
+	if len(first) != 1 || len(again) != 1 || home.quota.Find(key).FleetLevel > quota.InitialFill*12+2 {
+		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.quota.Find(key).FleetLevel)
 	}
 }
 
@@ -328,9 +328,9 @@
 	g := j.gws[3]
 	told := func(missed bool, n int) {
 		for i := 0; i < n; i++ {
-			v := words.Sight{Server: words.Key("s1") & words.ServerMask, X: 1, Missed: missed}
-			w := words.Word{Kind: 'd', Key: 1, Plan: 0, N: 1, Seen: 1, Sights: [words.SightsOf]words.Sight{v}}
-			g.Handle(j.now, PeerMessage{From: 9, Text: w.Text(0)})
+			v := words.ServerSample{Server: words.Key("s1") & words.ServerKeyMask, RelativeTime: 1, Unsuccessful: missed}
+			w := words.CustomerMessage{Kind: 'd', Key: 1, Plan: 0, NumValues: 1, NumSamples: 1, Samples: [words.MaxSamples]words.ServerSample{v}}
+			g.Handle(j.now, PeerMessage{From: 9, Text: w.Encode(0)})
 		}
 	}
 	asked := func() (n int) {
@@ -391,8 +391,8 @@
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
 		for no, r := range g.asks {
-			w := words.Word{Kind: 'r', Key: r.cust.Key, No: no, N: 4, V: [4]float64{1}}
-			g.Handle(now, PeerMessage{From: g.quota.Home(r.cust.Key, 0), Text: w.Text(0)})
+			w := words.CustomerMessage{Kind: 'r', Key: r.cust.Key, RequestNo: no, NumValues: 4, Values: [4]float64{1}}
+			g.Handle(now, PeerMessage{From: g.quota.Coordinator(r.cust.Key, 0), Text: w.Encode(0)})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
 			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].server.ID, Outcome: OK, Latency: ms, RequestDone: true})
--- a/decide/letin.go
+++ b/decide/letin.go
@@ -36,22 +36,22 @@
 		r.until = min(r.until, g.now+b.TotalTimeout)
 	}
 	c := g.quota.Customer(words.Key(e.Customer), planNo)
-	g.quota.Place(c, e.FirstGateway, e.GatewayCount)
+	g.quota.SetGateways(c, e.FirstGateway, e.GatewayCount)
 	r.cust, r.granted = c, -1
 	g.requests[e.ID] = r
 	switch {
 	case g.quota.Mesh:
 		g.decide(r, g.admit(c, r))
-	case c.Shut > g.now: // a home is not asked in vain
-		c.Asked.Add(g.now, r.units)
-		g.quota.Watch(c, false)
+	case c.RefuseUntil > g.now: // a home is not asked in vain
+		c.Demand.Add(g.now, r.units)
+		g.quota.RecordDecision(c, false)
 		g.decide(r, false)
 	case g.shed(r):
-		c.Asked.Add(g.now, r.units)
+		c.Demand.Add(g.now, r.units)
 		r.shed = true
 		g.decide(r, false)
 	default:
-		c.Asked.Add(g.now, r.units)
+		c.Demand.Add(g.now, r.units)
 		g.askNo = g.askNo%4095 + 1
 		r.no = g.askNo
 		g.ask(r)
@@ -75,7 +75,7 @@
 		return
 	}
 	if g.quota.Mesh {
-		r.cust.Store -= r.units // else the home or roomAlone has taken them
+		r.cust.CeilingTokens -= r.units // else the home or roomAlone has taken them
 	}
 	g.quota.Charge(r.cust, r.units)
 	if b := r.RetryPolicy; b != nil && b.Budget != nil {
@@ -91,7 +91,7 @@
 // servers can do, and closes when they jam. A few may always be out, to find out that a jam is over.
 func (g *Gateway) pressed() float64 {
 	n := g.all.serving
-	seen := 1 - math.Exp(-max(g.now-g.started, time.Second/4).Seconds()/quota.PartMemory.Seconds())
+	seen := 1 - math.Exp(-max(g.now-g.started, time.Second/4).Seconds()/quota.RateTimeConstant.Seconds())
 	mine := g.done.Get(g.now) / seen * waitPart * g.quickest
 	least := openLeast * min(openMost, max(1, openPart*g.quickest/max(g.usual, 1e-6)))
 	return max(0, g.all.open-openFree*g.thin()) / max(mine, least*n/float64(g.cfg.Gateways))
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -29,7 +29,7 @@
 			for i, g := range j.gws {
 				kept[i] = g.AppendChanged(nil, 100)
 				knows := 0 // as a home, or as all tell all
-				if key := words.Key("x"); mode == "mesh" || g.quota.Home(key, 0) == i || g.quota.Home(key, 1) == i {
+				if key := words.Key("x"); mode == "mesh" || g.quota.Coordinator(key, 0) == i || g.quota.Coordinator(key, 1) == i {
 					knows = 1
 				}
 				if len(kept[i]) != knows || len(g.AppendChanged(nil, 100)) != 0 {
@@ -61,11 +61,11 @@
 	for i, tc := range []struct {
 		m    BucketSnapshot
 		want float64 // units of 20
-	}{{BucketSnapshot{Key: 7, Spread: 4, Fill: 0.5}, 10}, {BucketSnapshot{Key: 7, Spread: 4, Fill: 0.2}, 10}, {BucketSnapshot{Key: 7, Fill: 0.9}, 18},
+	}{{BucketSnapshot{Key: 7, GatewayCount: 4, Fill: 0.5}, 10}, {BucketSnapshot{Key: 7, GatewayCount: 4, Fill: 0.2}, 10}, {BucketSnapshot{Key: 7, Fill: 0.9}, 18},
 		{BucketSnapshot{Key: 7, Plan: 3, Fill: 1}, 18}, {BucketSnapshot{Key: 7, Fill: math.NaN()}, 18}, {BucketSnapshot{Key: 7, Fill: -1}, 18}, {BucketSnapshot{Key: 7, Fill: 1e9}, 80}} {
 		j.handle(0, StateRestored{Buckets: []BucketSnapshot{tc.m}})
-		if c := g.quota.Find(7); c.Whole != tc.want || c.Level != tc.want/4 {
-			t.Errorf("recall %d: %v units of all, %v of its own part, want %v", i, c.Whole, c.Level, tc.want)
+		if c := g.quota.Find(7); c.FleetLevel != tc.want || c.Level != tc.want/4 {
+			t.Errorf("recall %d: %v units of all, %v of its own part, want %v", i, c.FleetLevel, c.Level, tc.want)
 		}
 	}
 }
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -14,11 +14,11 @@
 }
 
 func entryOpen(key string, plan, used, asked, open, level int) words.Entry {
-	return words.Entry{Key: words.Key(key), Plan: plan, Used: float64(used), Asked: float64(asked), Open: open, Level: float64(level) / 30}
+	return words.Entry{Key: words.Key(key), Plan: plan, Used: float64(used), Requested: float64(asked), Open: open, Level: float64(level) / 30}
 }
 
 func message(epoch, seq int, entries ...words.Entry) string {
-	return words.Totals{Epoch: epoch, Seq: seq, Entries: entries}.Text()
+	return words.Totals{Epoch: epoch, Seq: seq, Entries: entries}.Encode()
 }
 
 func TestPartFollowsDemand(t *testing.T) {
@@ -29,13 +29,13 @@
 	r.do(PeerMessage{From: 2, Text: message(1, 1)})
 	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 0, 900, 0))})
 	r.g.quota.Leak(c)
-	if math.Abs(c.Part-1.0/3) > 1e-9 {
-		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.Part)
+	if math.Abs(c.Share-1.0/3) > 1e-9 {
+		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.Share)
 	}
 	r.ask("get", "wide", "x", 2700)
 	r.g.quota.Leak(c)
-	if c.Part < 0.65 || c.Part > 0.8 {
-		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.Part)
+	if c.Share < 0.65 || c.Share > 0.8 {
+		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.Share)
 	}
 }
 
@@ -56,16 +56,16 @@
 		r.now += 50 * ms
 	}
 	r.g.quota.Leak(c)
-	if c.Part < 1.0/3 || c.Part > 0.36 {
-		t.Errorf("part is %.3f while the others are silent and the traffic is as before, want a third", c.Part)
+	if c.Share < 1.0/3 || c.Share > 0.36 {
+		t.Errorf("part is %.3f while the others are silent and the traffic is as before, want a third", c.Share)
 	}
 	for range 100 { // they died: all of it comes here
 		r.ask("get", "wide", "x", 60)
 		r.now += 50 * ms
 	}
 	r.g.quota.Leak(c)
-	if c.Part < 0.5 || c.Part > 0.65 {
-		t.Errorf("part is %.3f with three times the traffic, want three fifths", c.Part)
+	if c.Share < 0.5 || c.Share > 0.65 {
+		t.Errorf("part is %.3f with three times the traffic, want three fifths", c.Share)
 	}
 }
 
@@ -74,13 +74,13 @@
 func TestGatewayThatLeavesIsNotCounted(t *testing.T) {
 	r := newRig(t, nil)
 	leave := func(from, epoch, seq int) {
-		r.do(PeerMessage{From: from, Text: words.Totals{Epoch: epoch, Seq: seq, Leaves: true}.Text()})
+		r.do(PeerMessage{From: from, Text: words.Totals{Epoch: epoch, Seq: seq, Leaving: true}.Encode()})
 	}
 	part := func() float64 {
 		r.ask("get", "wide", "x", 100)
 		c := r.g.quota.Find(words.Key("x"))
 		r.g.quota.Leak(c)
-		return c.Part
+		return c.Share
 	}
 	for from := 1; from < 3; from++ {
 		r.do(PeerMessage{From: from, Text: message(7, 1, entry("x", 0, 0, 0, 0))})
@@ -110,7 +110,7 @@
 func TestLeavingIsTold(t *testing.T) {
 	r, told := newRig(t, nil), map[int]int{}
 	for _, m := range find[SendToPeer](r.do(Shutdown{})) {
-		if totals, ok := words.ParseTotals(m.Text, nil); ok && totals.Leaves {
+		if totals, ok := words.ParseTotals(m.Text, nil); ok && totals.Leaving {
 			told[m.To]++
 		}
 	}
@@ -159,15 +159,15 @@
 		{From: 1, Text: ""},
 	} {
 		r.do(e)
-		if c.Whole != 4 {
-			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.Whole)
+		if c.FleetLevel != 4 {
+			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.FleetLevel)
 		}
 	}
 	r.do(PeerMessage{From: 1, Text: message(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
 	// A new life of the peer counts from 0 again, and all that it used since is news.
 	r.do(PeerMessage{From: 1, Text: message(2, 1, entry("x", 1, 3, 3, 0))})
-	if c.Whole != 7 {
-		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.Whole)
+	if c.FleetLevel != 7 {
+		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.FleetLevel)
 	}
 }
 
@@ -189,8 +189,8 @@
 	for i := 0; i < 20; i++ {
 		r.now += 200 * ms
 		for _, m := range find[SendToPeer](r.do(TimerFired{beatToken})) {
-			if len(m.Text) > words.Most {
-				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), words.Most)
+			if len(m.Text) > words.MaxSize {
+				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), words.MaxSize)
 			}
 			totals, _ := words.ParseTotals(m.Text, nil)
 			told[m.To] += len(totals.Entries)
@@ -263,7 +263,7 @@
 func TestOpenAttemptsAreTold(t *testing.T) {
 	r := newRig(t, nil)
 	told := func() int {
-		r.now += r.g.quota.BeatEvery()
+		r.now += r.g.quota.TickInterval()
 		for _, m := range find[SendToPeer](r.do(TimerFired{Token: beatToken})) {
 			if totals, _ := words.ParseTotals(m.Text, nil); m.To == 1 && len(totals.Entries) > 0 {
 				return totals.Entries[0].Open
@@ -288,8 +288,8 @@
 		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, MeteredPercentPlusOne: metered})
 		c := r.g.quota.Find(words.Key("c"))
 		r.g.quota.Charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
-		if r.g.quota.Leak(c); math.Abs(c.Part-want) > 0.01 {
-			t.Errorf("told %d: part is %v, want %v", metered, c.Part, want)
+		if r.g.quota.Leak(c); math.Abs(c.Share-want) > 0.01 {
+			t.Errorf("told %d: part is %v, want %v", metered, c.Share, want)
 		}
 	}
 }
@@ -301,9 +301,9 @@
 	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 50, 50, 1))})
 	r.now += 10 * time.Second
 	r.serve("get", "wide", "x", 900)
-	before := r.g.quota.Find(words.Key("x")).Whole
+	before := r.g.quota.Find(words.Key("x")).FleetLevel
 	r.do(PeerMessage{From: 1, Text: message(1, 3, entry("x", 0, 2, 2, 0))})
-	if now := r.g.quota.Find(words.Key("x")).Whole; now < before {
+	if now := r.g.quota.Find(words.Key("x")).FleetLevel; now < before {
 		t.Errorf("the customer's level fell from %v to %v", before, now)
 	}
 }
--- a/decide/quota/floods.go
+++ b/decide/quota/floods.go
@@ -16,21 +16,21 @@
 	floodsMost = 1024             // are kept: the longest known goes where there are more
 )
 
-// Floods are those that are known.
-type Floods struct {
-	by   map[uint64]words.Flood
+// OverQuotaReports are those that are known.
+type OverQuotaReports struct {
+	by   map[uint64]words.OverQuotaReport
 	ring []uint64 // their keys, in the order in which they are told
 	next int
 }
 
-// Learn takes a home's sight of one, here or told.
-func (f *Floods) Learn(v words.Flood) {
+// Add takes a home's sight of one, here or told.
+func (f *OverQuotaReports) Add(v words.OverQuotaReport) {
 	old, known := f.by[v.Key]
 	if known && old.At >= v.At {
 		return
 	}
 	if f.by == nil {
-		f.by = map[uint64]words.Flood{}
+		f.by = map[uint64]words.OverQuotaReport{}
 	}
 	if !known {
 		if len(f.ring) >= floodsMost {
@@ -44,12 +44,12 @@
 
 // tell is what the next word carries: first what is known of the customer that it is about. Those that are too old to be
 // believed are forgotten on the way.
-func (f *Floods) tell(now time.Duration, about uint64) (out [words.FloodsOf]words.Flood, n int) {
-	if v, ok := f.by[about&words.FloodMask]; ok && now-v.At < words.FloodOld*words.FloodAge {
+func (f *OverQuotaReports) tell(now time.Duration, about uint64) (out [words.MaxReports]words.OverQuotaReport, n int) {
+	if v, ok := f.by[about&words.CustomerKeyMask]; ok && now-v.At < words.MaxReportAgeSteps*words.ReportAgeStep {
 		out[0], n = v, 1
 	}
-	for range min(len(f.ring), 4*words.FloodsOf) {
-		if n == words.FloodsOf {
+	for range min(len(f.ring), 4*words.MaxReports) {
+		if n == words.MaxReports {
 			break
 		}
 		f.next %= len(f.ring)
@@ -62,7 +62,7 @@
 				return out, n
 			}
 			continue
-		case age < words.FloodOld*words.FloodAge:
+		case age < words.MaxReportAgeSteps*words.ReportAgeStep:
 			out[n] = v
 			n++
 		}
@@ -71,27 +71,27 @@
 	return out, n
 }
 
-// Borne is the part of what a customer asks that its quota bears, as far as is known here; 1 where nothing is. A home
+// AllowedShare is the part of what a customer asks that its quota bears, as far as is known here; 1 where nothing is. A home
 // sees too much of it where gateways refuse many requests unasked, as they see themselves.
-func (b *Book) Borne(c *Customer) float64 {
+func (b *Tracker) AllowedShare(c *Customer) float64 {
 	part := 1.0
-	if f, ok := b.Floods.by[c.Key&words.FloodMask]; ok && b.Now-f.At < floodKept {
-		part = f.Borne
+	if f, ok := b.OverQuota.by[c.Key&words.CustomerKeyMask]; ok && b.Now-f.At < floodKept {
+		part = f.AllowedShare
 	}
-	if here := 1 - c.Over; here < floodFrom {
+	if here := 1 - c.OverShare; here < floodFrom {
 		part = min(part, here)
 	}
 	return part
 }
 
-// Watch keeps what part of a customer's requests its quota bears: as its home of those that it is asked about, elsewhere
+// RecordDecision keeps what part of a customer's requests its quota bears: as its home of those that it is asked about, elsewhere
 // of those that came here.
-func (b *Book) Watch(c *Customer, within bool) {
+func (b *Tracker) RecordDecision(c *Customer, within bool) {
 	missed := 1.0
 	if within {
 		missed = 0
 	}
-	if c.Over += floodGain * (missed - c.Over); 1-c.Over < floodFrom {
-		b.Floods.Learn(words.Flood{Key: c.Key & words.FloodMask, Borne: 1 - c.Over, At: b.Now})
+	if c.OverShare += floodGain * (missed - c.OverShare); 1-c.OverShare < floodFrom {
+		b.OverQuota.Add(words.OverQuotaReport{Key: c.Key & words.CustomerKeyMask, AllowedShare: 1 - c.OverShare, At: b.Now})
 	}
 }
--- a/decide/quota/homes.go
+++ b/decide/quota/homes.go
@@ -9,21 +9,21 @@
 	"sloepick/decide/words"
 )
 
-// Homes. Where the intake is too small for telling everyone, a gateway's part of a mark is less than one request and what
+// MaxCoordinators. Where the intake is too small for telling everyone, a gateway's part of a mark is less than one request and what
 // it last heard is older than the bucket. There the bucket of the whole customer stands at its home.
 const (
-	Homes      = 2                 // of a customer; the second stands in for a silent first
-	GrantsKept = 3 * time.Second   // a home knows for so long what it granted
-	LoneTimes  = 4.0               // of the even part is what passes at a gateway of a customer, where no home tells
-	twinFrom   = 8.0               // units a second that a customer asks: from there, or if it floods, its homes tell ...
-	twinStep   = 0.2               // ... each other what they grant, by this part of the burst
-	handPart   = 0.5               // of a second's intake of each other gateway is filled as a home hands its customers over
-	handUp     = 0.5 / words.Steps // of a burst is told more, so that it is not rounded down
-	fillMost   = 4.0               // bursts: true units may fill a bucket beyond its mark, but not this far
+	MaxCoordinators = 2                        // of a customer; the second stands in for a silent first
+	GrantRetention  = 3 * time.Second          // a home knows for so long what it granted
+	FallbackFactor  = 4.0                      // of the even part is what passes at a gateway of a customer, where no home tells
+	twinFrom        = 8.0                      // units a second that a customer asks: from there, or if it floods, its homes tell ...
+	twinStep        = 0.2                      // ... each other what they grant, by this part of the burst
+	handPart        = 0.5                      // of a second's intake of each other gateway is filled as a home hands its customers over
+	handUp          = 0.5 / words.StepsPerUnit // of a burst is told more, so that it is not rounded down
+	fillMost        = 4.0                      // bursts: true units may fill a bucket beyond its mark, but not this far
 )
 
-// Home is the number of the nth gateway that keeps the customer's bucket, the same at every gateway.
-func (b *Book) Home(key uint64, n int) int {
+// Coordinator is the number of the nth gateway that keeps the customer's bucket, the same at every gateway.
+func (b *Tracker) Coordinator(key uint64, n int) int {
 	first := b.there(int(key % uint64(b.cfg.Gateways)))
 	if n == 0 {
 		return first
@@ -35,139 +35,139 @@
 	return second
 }
 
-// IsHome reports whether the gateway of that number is one of the customer's homes.
-func (b *Book) IsHome(key uint64, rank int) bool {
-	return b.Home(key, 0) == rank || b.Home(key, 1) == rank
+// IsCoordinator reports whether the gateway of that number is one of the customer's homes.
+func (b *Tracker) IsCoordinator(key uint64, rank int) bool {
+	return b.Coordinator(key, 0) == rank || b.Coordinator(key, 1) == rank
 }
 
-// HomesOf is how many homes a customer has: under a ceiling one, as what a second one kept would be lacking elsewhere.
-func HomesOf(c *Customer) int {
+// CoordinatorCount is how many homes a customer has: under a ceiling one, as what a second one kept would be lacking elsewhere.
+func CoordinatorCount(c *Customer) int {
 	if c.Plan.CeilingRate > 0 {
 		return 1
 	}
-	return Homes
+	return MaxCoordinators
 }
 
-// BecomeHome begins a bucket that another home kept until now: half full, with an empty store.
-func (b *Book) BecomeHome(c *Customer) {
+// BecomeCoordinator begins a bucket that another home kept until now: half full, with an empty store.
+func (b *Tracker) BecomeCoordinator(c *Customer) {
 	if b.away == nil {
 		return
 	}
-	now := [Homes]int16{int16(b.Home(c.Key, 0) + 1), int16(b.Home(c.Key, 1) + 1)}
+	now := [MaxCoordinators]int16{int16(b.Coordinator(c.Key, 0) + 1), int16(b.Coordinator(c.Key, 1) + 1)}
 	if was := c.homes; was != now {
 		if me := int16(b.Rank + 1); was[0] != me && was[1] != me {
-			if c.Store = 0; !c.recalled { // what a start recalled is as good as a home's bucket, wherever that was
-				c.Whole = max(c.Whole, StartLevel*c.Plan.Burst)
+			if c.CeilingTokens = 0; !c.recalled { // what a start recalled is as good as a home's bucket, wherever that was
+				c.FleetLevel = max(c.FleetLevel, InitialFill*c.Plan.Burst)
 			}
 		}
 		c.homes, c.recalled = now, false
 	}
 }
 
-// Granted charges at its home what it granted a customer, and tells the other home: who is not answered by one asks the
+// ChargeGrant charges at its home what it granted a customer, and tells the other home: who is not answered by one asks the
 // other, which would else give the quota a second time. Totals make lost words harmless.
-func (b *Book) Granted(c *Customer, units float64) {
-	c.Whole += units
-	c.Store -= units
+func (b *Tracker) ChargeGrant(c *Customer, units float64) {
+	c.FleetLevel += units
+	c.CeilingTokens -= units
 	b.noteChange(c)
-	c.given = math.Mod(c.given+units, words.GivenWrap)
+	c.given = math.Mod(c.given+units, words.GrantTotalModulus)
 	c.untold += units
-	much := c.Fleet.Get(b.Now) >= twinFrom || 1-c.Over < floodFrom
+	much := c.FleetDemand.Get(b.Now) >= twinFrom || 1-c.OverShare < floodFrom
 	if !much || c.untold < twinStep*c.Plan.Burst {
 		return
 	}
 	c.untold = 0
-	for n := range Homes {
-		if i := b.Home(c.Key, n); i != b.Rank {
-			b.Tell(i, words.Grants, c, 0, c.given)
+	for n := range MaxCoordinators {
+		if i := b.Coordinator(c.Key, n); i != b.Rank {
+			b.Send(i, words.KindGrantTotal, c, 0, c.given)
 		}
 	}
 }
 
-// Twin takes what the other home granted in all. More than a burst at once is no step but a home that began anew.
-func (b *Book) Twin(c *Customer, given float64) {
-	d := math.Mod(given-c.twinGiven+words.GivenWrap, words.GivenWrap)
+// ReceiveGrantTotal takes what the other home granted in all. More than a burst at once is no step but a home that began anew.
+func (b *Tracker) ReceiveGrantTotal(c *Customer, given float64) {
+	d := math.Mod(given-c.twinGiven+words.GrantTotalModulus, words.GrantTotalModulus)
 	if c.twinKnown && d <= c.Plan.Burst {
 		b.Leak(c)
-		c.Whole += d
+		c.FleetLevel += d
 	}
 	c.twinGiven, c.twinKnown = given, true
 }
 
 // Settle takes at a home how many units more than granted a request was, and that its attempt is over.
-func (b *Book) Settle(c *Customer, from int, no uint64, more float64) {
+func (b *Tracker) Settle(c *Customer, from int, no uint64, more float64) {
 	for i := range c.Grants {
-		if d := &c.Grants[i]; d.From == from && d.No == no && d.OK {
+		if d := &c.Grants[i]; d.From == from && d.RequestNo == no && d.OK {
 			b.Leak(c)
-			c.Whole = max(0, c.Whole+more)
-			d.Out = false
+			c.FleetLevel = max(0, c.FleetLevel+more)
+			d.Open = false
 		}
 	}
 }
 
-// Doubt takes, as nobody was heard for a while, that who floods was let in by others meanwhile: its bucket is full.
-func (b *Book) Doubt() {
+// FillOverQuotaBuckets takes, as nobody was heard for a while, that who floods was let in by others meanwhile: its bucket is full.
+func (b *Tracker) FillOverQuotaBuckets() {
 	for _, c := range b.queue {
-		if 1-c.Over < floodFrom {
+		if 1-c.OverShare < floodFrom {
 			b.Leak(c)
-			c.Whole = max(c.Whole, c.Plan.Burst)
+			c.FleetLevel = max(c.FleetLevel, c.Plan.Burst)
 		}
 	}
 }
 
 // HandOver tells those who keep the customers' buckets next, as this home stops for good, how full they are: the fullest first, and no
 // more than they take in. Else they would begin half full. It goes by what a fleet tells of who is there.
-func (b *Book) HandOver() {
+func (b *Tracker) HandOver() {
 	if b.Mesh || b.away == nil {
 		return
 	}
 	var mine []*Customer
 	for _, c := range b.queue {
-		if b.Leak(c); c.Whole > 0 && c.Plan.Rate > 0 && b.IsHome(c.Key, b.Rank) {
+		if b.Leak(c); c.FleetLevel > 0 && c.Plan.Rate > 0 && b.IsCoordinator(c.Key, b.Rank) {
 			mine = append(mine, c)
 		}
 	}
-	slices.SortStableFunc(mine, func(x, y *Customer) int { return cmp.Compare(y.Whole/y.Plan.Burst, x.Whole/x.Plan.Burst) })
+	slices.SortStableFunc(mine, func(x, y *Customer) int { return cmp.Compare(y.FleetLevel/y.Plan.Burst, x.FleetLevel/x.Plan.Burst) })
 	b.away[b.Rank] = true
-	for _, c := range mine[:min(len(mine), int(handPart*b.cfg.Intake)*max(1, b.cfg.Gateways-1))] {
-		for n := range HomesOf(c) {
-			b.Tell(b.Home(c.Key, n), words.Hands, c, 0, min(fillMost, c.Whole/c.Plan.Burst)+handUp)
+	for _, c := range mine[:min(len(mine), int(handPart*b.cfg.PeerIntake)*max(1, b.cfg.Gateways-1))] {
+		for n := range CoordinatorCount(c) {
+			b.Send(b.Coordinator(c.Key, n), words.KindHandover, c, 0, min(fillMost, c.FleetLevel/c.Plan.Burst)+handUp)
 		}
 	}
 }
 
-// Inherit takes what a home that stops tells of a customer: only ever to the fuller side. It is told before all know that
+// ReceiveHandover takes what a home that stops tells of a customer: only ever to the fuller side. It is told before all know that
 // the home is gone, so whoever hears it takes it, in a fleet alone.
-func (b *Book) Inherit(w *words.Word) {
+func (b *Tracker) ReceiveHandover(w *words.CustomerMessage) {
 	if b.away == nil {
 		return
 	}
 	c := b.Customer(w.Key, w.Plan)
 	b.Leak(c)
-	c.Whole, c.recalled = max(c.Whole, w.V[0]*c.Plan.Burst), true
+	c.FleetLevel, c.recalled = max(c.FleetLevel, w.Values[0]*c.Plan.Burst), true
 	b.noteChange(c)
 }
 
-// Tell sends a word about a customer, with what rides along.
-func (b *Book) Tell(to int, kind byte, c *Customer, no uint64, v ...float64) {
-	w := words.Word{Kind: kind, Key: c.Key, Plan: c.PlanNo, No: no, N: len(v)}
-	copy(w.V[:], v)
-	w.Sights, w.Seen = b.News.v, b.News.n
-	w.Floods, w.Flooded = b.Floods.tell(b.Now, c.Key)
-	b.tell(to, w.Text(b.Now))
+// Send sends a word about a customer, with what rides along.
+func (b *Tracker) Send(to int, kind byte, c *Customer, no uint64, v ...float64) {
+	w := words.CustomerMessage{Kind: kind, Key: c.Key, Plan: c.PlanNo, RequestNo: no, NumValues: len(v)}
+	copy(w.Values[:], v)
+	w.Samples, w.NumSamples = b.Samples.v, b.Samples.n
+	w.Reports, w.NumReports = b.OverQuota.tell(b.Now, c.Key)
+	b.tell(to, w.Encode(b.Now))
 }
 
-// Newest are the last few sights of own requests.
-type Newest struct {
-	v [words.SightsOf]words.Sight
+// RecentSamples are the last few sights of own requests.
+type RecentSamples struct {
+	v [words.MaxSamples]words.ServerSample
 	n int
 }
 
 // Add adds a sight; one that a word has no digit for is left out.
-func (n *Newest) Add(v words.Sight) {
+func (n *RecentSamples) Add(v words.ServerSample) {
 	if v.Class > words.MaxClass {
 		return
 	}
 	copy(n.v[1:], n.v[:])
-	n.v[0], n.n = v, min(n.n+1, words.SightsOf)
+	n.v[0], n.n = v, min(n.n+1, words.MaxSamples)
 }
--- a/decide/quota/memory.go
+++ b/decide/quota/memory.go
@@ -5,17 +5,17 @@
 // What of a gateway's knowledge may outlive its process. The caller takes what changed from time to time and keeps it; after a
 // start it hands back what it still believes, which counts as far as it is the worse for the customer.
 
-// Memory is how full a customer's bucket was, as far as one gateway knew.
-type Memory struct {
-	Key           uint64  // the customer's short name: 36 bits
-	Plan          int     // number of its plan
-	First, Spread int     // of its gateways, as in a request; Spread 0: not told
-	Fill          float64 // of the burst, by what all gateways together let in: 1 is full
+// BucketSnapshot is how full a customer's bucket was, as far as one gateway knew.
+type BucketSnapshot struct {
+	Key                        uint64  // the customer's short name: 36 bits
+	Plan                       int     // number of its plan
+	FirstGateway, GatewayCount int     // of its gateways, as in a request; Spread 0: not told
+	Fill                       float64 // of the burst, by what all gateways together let in: 1 is full
 }
 
-// Recall takes what is believed of the time before the start: of those known, as full as they are now; the buckets of all
+// Restore takes what is believed of the time before the start: of those known, as full as they are now; the buckets of all
 // others have leaked for so many seconds since they may have been half full.
-func (b *Book) Recall(known []Memory, leaked float64) {
+func (b *Tracker) Restore(known []BucketSnapshot, leaked float64) {
 	b.leaked = max(0, leaked)
 	for _, m := range known {
 		if m.Plan < 0 || m.Plan >= len(b.cfg.Plans) || math.IsNaN(m.Fill) {
@@ -23,44 +23,44 @@
 		}
 		_, met := b.customers[m.Key]
 		c := b.Customer(m.Key, m.Plan)
-		if m.Spread > 0 && m.Spread <= b.cfg.Gateways && !met {
-			c.Spread, c.First = m.Spread, m.First%b.cfg.Gateways
-			c.Part = 1 / float64(c.Spread)
+		if m.GatewayCount > 0 && m.GatewayCount <= b.cfg.Gateways && !met {
+			c.GatewayCount, c.FirstGateway = m.GatewayCount, m.FirstGateway%b.cfg.Gateways
+			c.Share = 1 / float64(c.GatewayCount)
 		}
 		if !met {
-			c.Level, c.Whole = 0, 0
+			c.Level, c.FleetLevel = 0, 0
 		}
 		b.Leak(c)
 		full := min(max(m.Fill, 0), fillMost) * c.Plan.Burst
-		c.Whole, c.Level = max(c.Whole, full), max(c.Level, c.Part*full)
+		c.FleetLevel, c.Level = max(c.FleetLevel, full), max(c.Level, c.Share*full)
 		c.recalled = true
 		b.noteChange(c)
 	}
 }
 
 // noteChange marks that a customer's bucket is not as it was last taken.
-func (b *Book) noteChange(c *Customer) {
-	if b.cfg.Remember && !c.noted && c.Plan.Rate > 0 {
+func (b *Tracker) noteChange(c *Customer) {
+	if b.cfg.TrackChanges && !c.noted && c.Plan.Rate > 0 {
 		c.noted = true
 		b.changed = append(b.changed, c)
 	}
 }
 
-// Changed appends to a list what changed since it was last taken, so many customers at most; the others wait for the next call.
+// AppendChanged appends to a list what changed since it was last taken, so many customers at most; the others wait for the next call.
 // There is nothing unless Config.Remember is set. Where customers have homes, their homes alone know how full they are.
-func (b *Book) Changed(list []Memory, most int) []Memory {
+func (b *Tracker) AppendChanged(list []BucketSnapshot, most int) []BucketSnapshot {
 	n := min(most, len(b.changed))
 	for _, c := range b.changed[:n] {
 		c.noted = false
-		if !b.Mesh && !b.Alone && !b.IsHome(c.Key, b.Rank) {
+		if !b.Mesh && !b.Isolated && !b.IsCoordinator(c.Key, b.Rank) {
 			continue
 		}
 		b.Leak(c)
-		fill := c.Whole / max(c.Plan.Burst, tiny)
-		if b.Alone { // what others let in is not known: its own part tells
-			fill = max(fill, min(1, c.Level/max(c.Part*c.Plan.Burst, tiny)))
+		fill := c.FleetLevel / max(c.Plan.Burst, tiny)
+		if b.Isolated { // what others let in is not known: its own part tells
+			fill = max(fill, min(1, c.Level/max(c.Share*c.Plan.Burst, tiny)))
 		}
-		list = append(list, Memory{Key: c.Key, Plan: c.PlanNo, First: c.First, Spread: c.Spread, Fill: fill})
+		list = append(list, BucketSnapshot{Key: c.Key, Plan: c.PlanNo, FirstGateway: c.FirstGateway, GatewayCount: c.GatewayCount, Fill: fill})
 	}
 	b.changed = b.changed[:copy(b.changed, b.changed[n:])]
 	return list
--- a/decide/quota/peers.go
+++ b/decide/quota/peers.go
@@ -38,106 +38,106 @@
 }
 
 // tellsAll reports whether the intake lets every gateway tell every other often enough.
-func (b *Book) tellsAll() bool {
-	return !b.cfg.Peers || intakePart*b.cfg.Intake >= meshPace*float64(b.cfg.Gateways-1)
+func (b *Tracker) tellsAll() bool {
+	return !b.cfg.PeersAllowed || intakePart*b.cfg.PeerIntake >= meshPace*float64(b.cfg.Gateways-1)
 }
 
-// BeatEvery is the pace at which Beat is to be called.
-func (b *Book) BeatEvery() time.Duration {
+// TickInterval is the pace at which Beat is to be called.
+func (b *Tracker) TickInterval() time.Duration {
 	if !b.Mesh {
 		return homeBeat
 	}
-	perS := intakePart * b.cfg.Intake / float64(max(1, b.cfg.Gateways-1))
+	perS := intakePart * b.cfg.PeerIntake / float64(max(1, b.cfg.Gateways-1))
 	return time.Duration(float64(time.Second) / max(perS, 1))
 }
 
-// Leave tells the peers that this gateway stops, so that they share its part at once.
-func (b *Book) Leave() {
+// AnnounceLeave tells the peers that this gateway stops, so that they share its part at once.
+func (b *Tracker) AnnounceLeave() {
 	for i := range b.peers {
 		if i == b.Rank {
 			continue
 		}
 		p := &b.peers[i]
-		p.mySeq = (p.mySeq + 1) % words.NumbersOf
-		text := words.Totals{Epoch: b.epoch, Seq: p.mySeq, Leaves: true}.Text()
+		p.mySeq = (p.mySeq + 1) % words.CounterModulus
+		text := words.Totals{Epoch: b.epoch, Seq: p.mySeq, Leaving: true}.Encode()
 		for range leaveTimes {
 			b.tell(i, text)
 		}
 	}
 }
 
-// TellSoon queues what is known of a customer for the other gateways of its set.
-func (b *Book) TellSoon(c *Customer) {
+// QueueUpdate queues what is known of a customer for the other gateways of its set.
+func (b *Tracker) QueueUpdate(c *Customer) {
 	for i := range b.peers {
 		b.tellOne(c, i)
 	}
 }
 
-func (b *Book) tellOne(c *Customer, i int) {
+func (b *Tracker) tellOne(c *Customer, i int) {
 	if i != b.Rank && b.inSet(c, i) && !c.queued[i] {
 		c.queued[i] = true
 		b.peers[i].queue = append(b.peers[i].queue, c)
 	}
 }
 
-// Beat tells each peer what changed.
-func (b *Book) Beat() {
+// SendTotals tells each peer what changed.
+func (b *Tracker) SendTotals() {
 	for i := range b.peers {
 		p := &b.peers[i]
 		if i == b.Rank || (len(p.queue) == 0 && b.Now-p.sent < quietBeat) {
 			continue
 		}
-		p.sent, p.mySeq = b.Now, (p.mySeq+1)%words.NumbersOf
+		p.sent, p.mySeq = b.Now, (p.mySeq+1)%words.CounterModulus
 		b.tell(i, b.message(i, p))
 	}
 }
 
-func (b *Book) message(i int, p *peer) string {
-	var entries [words.EntriesMost]words.Entry
+func (b *Tracker) message(i int, p *peer) string {
+	var entries [words.MaxEntries]words.Entry
 	n := min(len(p.queue), len(entries))
 	for at, c := range p.queue[:n] {
 		c.queued[i] = false
 		c.last = b.Now
 		b.Leak(c)
-		entries[at] = words.Entry{Key: c.Key, Plan: c.PlanNo, Used: c.usedSum, Asked: c.askedSum, Open: c.Open,
-			Level: c.Whole / max(c.Plan.Burst, 1)}
+		entries[at] = words.Entry{Key: c.Key, Plan: c.PlanNo, Used: c.usedSum, Requested: c.askedSum, Open: c.Open,
+			Level: c.FleetLevel / max(c.Plan.Burst, 1)}
 	}
 	p.queue = slices.Delete(p.queue, 0, n)
-	return words.Totals{Epoch: b.epoch, Seq: p.mySeq, Entries: entries[:n]}.Text()
+	return words.Totals{Epoch: b.epoch, Seq: p.mySeq, Entries: entries[:n]}.Encode()
 }
 
-// Heard takes a peer's totals. Totals make lost and repeated messages harmless, the number makes late
+// ReceiveTotals takes a peer's totals. Totals make lost and repeated messages harmless, the number makes late
 // ones so, the epoch a restart of the peer. What is malformed or from nobody is dropped.
-func (b *Book) Heard(from int, text string) {
-	if !b.Others(from) || len(b.peers) == 0 {
+func (b *Tracker) ReceiveTotals(from int, text string) {
+	if !b.IsPeer(from) || len(b.peers) == 0 {
 		return
 	}
-	var room [words.EntriesMost]words.Entry
+	var room [words.MaxEntries]words.Entry
 	t, ok := words.ParseTotals(text, room[:0])
 	if !ok {
 		return
 	}
 	p := &b.peers[from]
-	if p.known && p.epoch == t.Epoch && words.Step(float64(p.seq), float64(t.Seq)) <= 0 {
+	if p.known && p.epoch == t.Epoch && words.Delta(float64(p.seq), float64(t.Seq)) <= 0 {
 		return
 	}
-	if t.Leaves && p.known && p.epoch != t.Epoch {
+	if t.Leaving && p.known && p.epoch != t.Epoch {
 		return // a former life's word, late
 	}
 	if !p.known || p.epoch != t.Epoch {
 		b.greet(from, p)
 	}
-	p.epoch, p.seq, p.known, p.heard, p.left, p.missing = t.Epoch, t.Seq, true, b.Now, t.Leaves, false
+	p.epoch, p.seq, p.known, p.heard, p.left, p.missing = t.Epoch, t.Seq, true, b.Now, t.Leaving, false
 	for i := range t.Entries {
 		b.learn(from, p, &t.Entries[i])
 	}
 }
 
-// Others reports whether a number is another gateway's.
-func (b *Book) Others(rank int) bool { return rank >= 0 && rank < b.cfg.Gateways && rank != b.Rank }
+// IsPeer reports whether a number is another gateway's.
+func (b *Tracker) IsPeer(rank int) bool { return rank >= 0 && rank < b.cfg.Gateways && rank != b.Rank }
 
 // greet meets a new life of a peer: its totals begin anew, and it is told all there is to tell.
-func (b *Book) greet(i int, p *peer) {
+func (b *Tracker) greet(i int, p *peer) {
 	p.younger = p.known
 	for _, c := range b.queue {
 		c.told[i].have = false
@@ -145,7 +145,7 @@
 	}
 }
 
-func (b *Book) learn(from int, p *peer, e *words.Entry) {
+func (b *Tracker) learn(from int, p *peer, e *words.Entry) {
 	if e.Plan >= len(b.cfg.Plans) {
 		return
 	}
@@ -156,13 +156,13 @@
 	case !t.have && p.younger:
 		t.used, t.asked = 0, 0
 	case !t.have || b.Now-t.at > toldFor: // the peer may have forgotten the customer since, and count anew
-		t.used, t.asked = e.Used, e.Asked
-		c.Whole = max(c.Whole, e.Level*c.Plan.Burst)
+		t.used, t.asked = e.Used, e.Requested
+		c.FleetLevel = max(c.FleetLevel, e.Level*c.Plan.Burst)
 	}
 	t.have, t.at = true, b.Now
-	c.Whole = max(0, c.Whole+words.Step(t.used, e.Used))
-	t.rate.Add(b.Now, max(0, words.Step(t.asked, e.Asked)))
-	t.used, t.asked, t.open = e.Used, e.Asked, e.Open
+	c.FleetLevel = max(0, c.FleetLevel+words.Delta(t.used, e.Used))
+	t.rate.Add(b.Now, max(0, words.Delta(t.asked, e.Requested)))
+	t.used, t.asked, t.open = e.Used, e.Requested, e.Open
 	b.noteChange(c)
 }
 
@@ -171,7 +171,7 @@
 // its traffic comes here and the part grows by that; if it is cut off, both keep their parts as they were.
 // Without this, customers of a gateway that is down would have but the even parts of the others. A fleet
 // tells more: of one that is missing the even part is kept, in which it may be at work.
-func (b *Book) askedByAll(c *Customer, own float64) (all float64, oldest time.Duration, kept float64) {
+func (b *Tracker) askedByAll(c *Customer, own float64) (all float64, oldest time.Duration, kept float64) {
 	all, oldest = own, b.Now
 	for i := range b.peers {
 		p := &b.peers[i]
@@ -179,7 +179,7 @@
 			continue
 		}
 		if p.missing {
-			kept += 1 / float64(c.Spread)
+			kept += 1 / float64(c.GatewayCount)
 			continue
 		}
 		if !p.known {
@@ -189,14 +189,14 @@
 		if b.Now-p.heard >= peerStale {
 			at = p.heard
 		}
-		all += c.told[i].rate.Get(at) + partPrior*c.Plan.Rate/float64(c.Spread)
+		all += c.told[i].rate.Get(at) + partPrior*c.Plan.Rate/float64(c.GatewayCount)
 		oldest = min(oldest, p.heard)
 	}
 	return all, oldest, kept
 }
 
 // OpenElsewhere is what the other gateways of a customer's set have out for it; not told if one is silent.
-func (b *Book) OpenElsewhere(c *Customer) (out int, told bool) {
+func (b *Tracker) OpenElsewhere(c *Customer) (out int, told bool) {
 	for i := range b.peers {
 		p := &b.peers[i]
 		if i == b.Rank || !b.inSet(c, i) || p.left {
@@ -209,5 +209,5 @@
 			out += t.open
 		}
 	}
-	return out, c.Spread == 1 || len(b.peers) > 0
+	return out, c.GatewayCount == 1 || len(b.peers) > 0
 }
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -106,7 +106,7 @@
 func (g *Gateway) saw(s *server, r *request, took time.Duration, missed, failed bool) {
 	k, x := r.class, took.Seconds()/r.class.usual(r.units)
 	g.note(s, k, x, missed, failed)
-	g.quota.News.Add(words.Sight{Server: s.short, Class: k.no, X: x, Missed: missed, Failed: failed})
+	g.quota.Samples.Add(words.ServerSample{Server: s.short, Class: k.no, RelativeTime: x, Unsuccessful: missed, NotOverload: failed})
 	if !missed {
 		k.answered(r.units, took.Seconds())
 	}
@@ -177,7 +177,7 @@
 
 // thin is 1 where this gateway sees fewer answers in its memory than there are servers, and less where more.
 func (g *Gateway) thin() float64 {
-	return min(1, g.all.serving/max(g.done.Get(g.now)*quota.PartMemory.Seconds(), 1))
+	return min(1, g.all.serving/max(g.done.Get(g.now)*quota.RateTimeConstant.Seconds(), 1))
 }
 
 // judge takes what an outcome says of its server.
--- a/decide/shape/shape_test.go
+++ b/decide/shape/shape_test.go
@@ -19,16 +19,16 @@
 		{"none", func(int) float64 { return 0 }, func(n int) float64 { return float64(1+n%3) / 2 }, 8, 1},
 		{"no bearing", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return 0.5 + float64(n/2%2) }, 8, 1},
 		{"fewer for more", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return float64(2 - n%2) }, 8, 1},
-		{"steeper than in proportion", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return 0.1 + 1.8*float64(n%2) }, 0, Least},
+		{"steeper than in proportion", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return 0.1 + 1.8*float64(n%2) }, 0, MinRelativeTime},
 	} {
-		var s Line
-		if got := s.Of(c.at); got != 1 {
+		var s Linear
+		if got := s.RelativeTime(c.at); got != 1 {
 			t.Errorf("%s: %v before any answer, want 1", c.name, got)
 		}
 		for n := range 2000 {
 			s.Add(c.units(n), c.time(n))
 		}
-		if got := s.Of(c.at); math.Abs(got-c.want) > 0.08*c.want {
+		if got := s.RelativeTime(c.at); math.Abs(got-c.want) > 0.08*c.want {
 			t.Errorf("%s: %v units take %.3f times the usual, want %.3f", c.name, c.at, got, c.want)
 		}
 	}
--- a/decide/standing_test.go
+++ b/decide/standing_test.go
@@ -92,13 +92,13 @@
 	j.run(5*time.Second, time.Second, "p", 1, func(int) int { return 0 }) // buckets leak
 	g := j.gws[2]
 	c := g.quota.Find(words.Key("x"))
-	c.Spare = 7
+	c.FallbackTokens = 7
 	j.handle(2, MembershipUpdate{Rank: 2, RankReassigned: true, Peers: make([]PeerStatus, 4)})
-	if c.Spare != 0 || c.Lone < quota.StartLevel*20 {
-		t.Errorf("%v units of the former holder's ceiling, a bucket without homes at %v", c.Spare, c.Lone)
+	if c.FallbackTokens != 0 || c.FallbackLevel < quota.InitialFill*20 {
+		t.Errorf("%v units of the former holder's ceiling, a bucket without homes at %v", c.FallbackTokens, c.FallbackLevel)
 	}
-	if want := quota.StartLevel * 20 / 4; c.Level < want || c.Store != 0 {
-		t.Errorf("level %.1f, want %.1f at least; store %.1f", c.Level, want, c.Store)
+	if want := quota.InitialFill * 20 / 4; c.Level < want || c.CeilingTokens != 0 {
+		t.Errorf("level %.1f, want %.1f at least; store %.1f", c.Level, want, c.CeilingTokens)
 	}
 	j.handle(2, MembershipUpdate{Rank: 3, Peers: make([]PeerStatus, 4)})
 	if g.quota.Rank != 3 {
@@ -116,7 +116,7 @@
 func TestHomesMove(t *testing.T) {
 	j := join(t, inFleet, fleets["homes"])
 	key := words.Key("x")
-	first, second := j.gws[0].quota.Home(key, 0), j.gws[0].quota.Home(key, 1)
+	first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
 	var rest []int
 	for _, i := range everywhere {
 		if i != first && i != second {
@@ -128,16 +128,16 @@
 	j.down[first], j.down[second] = true, true
 	j.stand(map[int]PeerStatus{first: PeerAbsent, second: PeerUnreachable}, never)
 	for _, i := range rest {
-		a, b := j.gws[i].quota.Home(key, 0), j.gws[i].quota.Home(key, 1)
+		a, b := j.gws[i].quota.Coordinator(key, 0), j.gws[i].quota.Coordinator(key, 1)
 		if a == b || j.down[a] || j.down[b] {
 			t.Fatalf("gateway %d takes %d and %d for the homes", i, a, b)
 		}
 		c := j.gws[i].quota.Customer(key, 0)
-		c.Whole, c.Store = 0, 1000
-		if ok, _ := j.gws[i].grant(c, i, 1, 11); ok || c.Store != 0 {
-			t.Errorf("gateway %d begins a bucket of 20 with room for 11, and %v units under the ceiling", i, c.Store)
+		c.FleetLevel, c.CeilingTokens = 0, 1000
+		if ok, _ := j.gws[i].grant(c, i, 1, 11); ok || c.CeilingTokens != 0 {
+			t.Errorf("gateway %d begins a bucket of 20 with room for 11, and %v units under the ceiling", i, c.CeilingTokens)
 		}
-		c.Whole, c.Store = 0, 1000
+		c.FleetLevel, c.CeilingTokens = 0, 1000
 		if ok, _ := j.gws[i].grant(c, i, 2, 11); !ok {
 			t.Errorf("gateway %d begins the bucket twice", i)
 		}
@@ -181,7 +181,7 @@
 		c.PeerIntake = 7
 		c.Plans = []Plan{{Name: "p", Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4, Price: 1}}
 	})
-	home := j.gws[0].quota.Home(words.Key("x"), 0)
+	home := j.gws[0].quota.Coordinator(words.Key("x"), 0)
 	used, began := j.used, j.now
 	for round := range 3 {
 		apart := round%2 == 1
@@ -204,9 +204,9 @@
 	j := join(t, inFleet, fleets["homes"])
 	g := j.gws[0]
 	c := g.quota.Customer(words.Key("x"), 0)
-	c.Over = 0.5
-	if g.grant(c, 1, 1, 0); c.Over != 0.5 {
-		t.Errorf("a flood of 0.5 is told as %v", c.Over)
+	c.OverShare = 0.5
+	if g.grant(c, 1, 1, 0); c.OverShare != 0.5 {
+		t.Errorf("a flood of 0.5 is told as %v", c.OverShare)
 	}
 }
 
@@ -218,13 +218,13 @@
 		c.Plans = []Plan{{Name: "p", Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, Price: 1}}
 	})
 	key := words.Key("x")
-	g := j.gws[(j.gws[0].quota.Home(key, 0)+1)%inFleet]
+	g := j.gws[(j.gws[0].quota.Coordinator(key, 0)+1)%inFleet]
 	c := g.quota.Customer(key, 0)
-	c.Shut = g.now + 300*ms
+	c.RefuseUntil = g.now + 300*ms
 	if got := g.roomIn(c, 2); got != 300*ms {
 		t.Errorf("the home said 300 ms, the client is told %v", got)
 	}
-	g.quota.Alone, c.Shut, c.Spare = true, 0, 1
+	g.quota.Isolated, c.RefuseUntil, c.FallbackTokens = true, 0, 1
 	if got := g.roomIn(c, 2); got != 400*ms { // one unit at 20/8 a second
 		t.Errorf("cut off, the client is told %v, want 400ms", got)
 	}
@@ -238,7 +238,7 @@
 		j := join(t, inFleet, fleets["homes"])
 		j.stand(nil, never)
 		key := words.Key("x")
-		first, second := j.gws[0].quota.Home(key, 0), j.gws[0].quota.Home(key, 1)
+		first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
 		j.flood(8*time.Second, everywhere...)
 		if j.loss = 0; told {
 			j.handle(first, Shutdown{})
@@ -246,15 +246,15 @@
 		}
 		j.down[first] = true
 		j.stand(map[int]PeerStatus{first: PeerAbsent}, never)
-		for n := range quota.Homes {
-			i := j.gws[second].quota.Home(key, n)
+		for n := range quota.MaxCoordinators {
+			i := j.gws[second].quota.Coordinator(key, n)
 			if i == second {
 				continue
 			}
 			c := j.gws[i].quota.Customer(key, 0)
 			j.gws[i].quota.Leak(c)
-			j.gws[i].quota.BecomeHome(c)
-			more[told] = c.Plan.Burst - c.Whole
+			j.gws[i].quota.BecomeCoordinator(c)
+			more[told] = c.Plan.Burst - c.FleetLevel
 		}
 	}
 	t.Logf("room in the bucket of a flood at its new homes: %v", more)
--- a/decide/state.go
+++ b/decide/state.go
@@ -29,7 +29,7 @@
 	requests     map[string]*request
 	timers       map[uint64]attemptRef
 	nextToken    uint64
-	quota        *quota.Book
+	quota        *quota.Tracker
 	budget       float64
 	done         quota.Rate // answers of all servers
 	usual        float64    // usual time of what is sent, seconds
@@ -56,13 +56,13 @@
 type class struct {
 	Class
 	no   int
-	base float64    // usual seconds of an answer
-	n    float64    // answers seen
-	by   shape.Line // how it goes with the units
+	base float64      // usual seconds of an answer
+	n    float64      // answers seen
+	by   shape.Linear // how it goes with the units
 }
 
 // usual is the usual time in seconds of an answer to a request of so many units.
-func (k *class) usual(units float64) float64 { return max(k.base, 1e-6) * k.by.Of(units) }
+func (k *class) usual(units float64) float64 { return max(k.base, 1e-6) * k.by.RelativeTime(units) }
 
 func (k *class) answered(units, took float64) {
 	k.by.Add(units, took/max(k.base, 1e-6))
@@ -161,8 +161,8 @@
 		plans: map[string]int{}, servers: map[string]*server{}, requests: map[string]*request{},
 		timers: map[uint64]attemptRef{}, nextToken: beatToken + 1,
 		asks: map[uint64]*request{}, shorts: map[uint64]*server{}, silent: map[int]time.Duration{}, trip: askFirst, flow: 1, budget: budgetMost}
-	g.quota = quota.New(quota.Config{Rank: cfg.Rank, Gateways: cfg.Gateways, Plans: cfg.Plans, Peers: cfg.Limits.PeerMessages,
-		Intake: cfg.PeerIntake, Remember: cfg.TrackChanges}, g.rng, func(to int, text string) { g.do(SendToPeer{to, text}) })
+	g.quota = quota.New(quota.Config{Rank: cfg.Rank, Gateways: cfg.Gateways, Plans: cfg.Plans, PeersAllowed: cfg.Limits.PeerMessages,
+		PeerIntake: cfg.PeerIntake, TrackChanges: cfg.TrackChanges}, g.rng, func(to int, text string) { g.do(SendToPeer{to, text}) })
 	for i, k := range cfg.Classes {
 		g.classes[k.Name] = &class{no: i, Class: k, base: firstGuess * k.LatencyTarget.Seconds()}
 		if g.quickest == 0 || k.LatencyTarget.Seconds() < g.quickest {
@@ -195,7 +195,7 @@
 	if s := g.servers[id]; s != nil {
 		return s
 	}
-	s := &server{slow: 1, outAvg: 0.5, miss: make([]sighted, len(g.cfg.Classes)), short: words.Key(id) & words.ServerMask}
+	s := &server{slow: 1, outAvg: 0.5, miss: make([]sighted, len(g.cfg.Classes)), short: words.Key(id) & words.ServerKeyMask}
 	g.shorts[s.short] = s
 	g.servers[id] = s
 	at, _ := slices.BinarySearchFunc(g.order, id, func(s *server, id string) int {
@@ -215,11 +215,11 @@
 	if !ok {
 		return Allowance{}, false
 	}
-	return g.quota.RoomOf(now, words.Key(customer), no)
+	return g.quota.Allowance(now, words.Key(customer), no)
 }
 
 // AppendChanged appends to a list what changed of the customers' buckets since it was last taken, so many at most; the others wait
 // for the next call. There is nothing unless Config.Remember is set.
 func (g *Gateway) AppendChanged(list []BucketSnapshot, most int) []BucketSnapshot {
-	return g.quota.Changed(list, most)
+	return g.quota.AppendChanged(list, most)
 }
--- a/decide/words/digits.go
+++ b/decide/words/digits.go
@@ -1,12 +1,12 @@
 // Package words writes and reads what gateways tell each other: a word about one customer, or totals about many. A
-// message is at most [Most] bytes of digits of 6 bits each, so that it passes wherever text does. The package is pure;
+// message is at most [MaxSize] bytes of digits of 6 bits each, so that it passes wherever text does. The package is pure;
 // what is told, when and to whom is decided elsewhere. What can't be read is reported as such, whole, and never guessed at.
 package words
 
 import "strings"
 
-// Most is how many bytes a message has at most.
-const Most = 256
+// MaxSize is how many bytes a message has at most.
+const MaxSize = 256
 
 const digits = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
 
--- a/decide/words/totals.go
+++ b/decide/words/totals.go
@@ -13,30 +13,30 @@
 	entryLen     = 13  // customer of six digits, plan, used of two, asked of two, attempts out, level
 	levelSteps   = 30.0
 
-	EntriesMost = (Most - headLen) / entryLen // entries of a message
-	NumbersOf   = 4096                        // a message's number, an epoch and a total wrap there
+	MaxEntries     = (MaxSize - headLen) / entryLen // entries of a message
+	CounterModulus = 4096                           // a message's number, an epoch and a total wrap there
 )
 
 // Totals is such a message.
 type Totals struct {
 	Epoch, Seq int  // the sender's life, and the message's number in it
-	Leaves     bool // the sender stops
+	Leaving    bool // the sender stops
 	Entries    []Entry
 }
 
 // Entry is what the sender tells of a customer.
 type Entry struct {
-	Key         uint64
-	Plan        int
-	Used, Asked float64 // units that it has let in and was asked for in all; read, they wrap at NumbersOf
-	Open        int     // attempts that it has out; read, 63 at most
-	Level       float64 // of the customer's bucket, in bursts; read, 63/30 at most
+	Key             uint64
+	Plan            int
+	Used, Requested float64 // units that it has let in and was asked for in all; read, they wrap at NumbersOf
+	Open            int     // attempts that it has out; read, 63 at most
+	Level           float64 // of the customer's bucket, in bursts; read, 63/30 at most
 }
 
-// Text is the message as it is sent.
-func (t Totals) Text() string {
+// Encode is the message as it is sent.
+func (t Totals) Encode() string {
 	var b strings.Builder
-	if t.Leaves {
+	if t.Leaving {
 		b.WriteString(leaveVersion)
 	} else {
 		b.WriteString(version)
@@ -46,8 +46,8 @@
 	for _, e := range t.Entries {
 		encode(&b, e.Key, 6)
 		encode(&b, uint64(e.Plan), 1)
-		encode(&b, uint64(int64(math.Round(e.Used)))&(NumbersOf-1), 2)
-		encode(&b, uint64(int64(math.Round(e.Asked)))&(NumbersOf-1), 2)
+		encode(&b, uint64(int64(math.Round(e.Used)))&(CounterModulus-1), 2)
+		encode(&b, uint64(int64(math.Round(e.Requested)))&(CounterModulus-1), 2)
 		encode(&b, uint64(min(63, e.Open)), 1)
 		encode(&b, uint64(min(63, math.Round(levelSteps*e.Level))), 1)
 	}
@@ -59,8 +59,8 @@
 	if len(s) < headLen || (len(s)-headLen)%entryLen != 0 {
 		return t, false
 	}
-	t.Leaves = s[:1] == leaveVersion && len(s) == headLen
-	if _, ok = decode(s[1:]); !ok || (s[:1] != version && !t.Leaves) {
+	t.Leaving = s[:1] == leaveVersion && len(s) == headLen
+	if _, ok = decode(s[1:]); !ok || (s[:1] != version && !t.Leaving) {
 		return Totals{}, false
 	}
 	head, _ := decode(s[1:headLen])
@@ -69,12 +69,12 @@
 		key, _ := decode(s[:6])
 		v, _ := decode(s[6:entryLen])
 		t.Entries = append(t.Entries, Entry{Key: key, Plan: int(v >> 36), Used: float64(v >> 24 & 4095),
-			Asked: float64(v >> 12 & 4095), Open: int(v >> 6 & 63), Level: float64(v&63) / levelSteps})
+			Requested: float64(v >> 12 & 4095), Open: int(v >> 6 & 63), Level: float64(v&63) / levelSteps})
 	}
 	return t, true
 }
 
-// Step is the step from one told total to a later one; totals wrap and may also fall a little.
-func Step(from, to float64) float64 {
-	return float64((int(to)-int(from)+NumbersOf/2+NumbersOf)%NumbersOf - NumbersOf/2)
+// Delta is the step from one told total to a later one; totals wrap and may also fall a little.
+func Delta(from, to float64) float64 {
+	return float64((int(to)-int(from)+CounterModulus/2+CounterModulus)%CounterModulus - CounterModulus/2)
 }
--- a/internal/h2/mapping.go
+++ b/internal/h2/mapping.go
@@ -229,8 +229,8 @@
 // limits tells the room of the customer's bucket and the request's cost.
 func (r *response) limits(plan string, units float64, room decide.Allowance) {
 	name := strconv.Quote(plan)
-	r.set(fieldPolicy, fmt.Sprintf("%s;q=%d;w=%d", name, room.Most, wholeSeconds(room.Refills)))
-	r.set(fieldLimit, fmt.Sprintf("%s;r=%d;t=%d", name, room.Units, wholeSeconds(room.Full)))
+	r.set(fieldPolicy, fmt.Sprintf("%s;q=%d;w=%d", name, room.Limit, wholeSeconds(room.Window)))
+	r.set(fieldLimit, fmt.Sprintf("%s;r=%d;t=%d", name, room.Remaining, wholeSeconds(room.ResetIn)))
 	r.set(fieldCost, strconv.FormatFloat(units, 'f', -1, 64))
 }
 
--- a/internal/record/keeper.go
+++ b/internal/record/keeper.go
@@ -102,7 +102,7 @@
 			k.stats.Dropped++
 			continue
 		}
-		k.pending[m.Key] = kept{recovery.Bucket{Key: m.Key, Plan: k.cfg.Plans[m.Plan].Name, First: m.First, Of: m.Spread, Fill: m.Fill}, now}
+		k.pending[m.Key] = kept{recovery.Bucket{Key: m.Key, Plan: k.cfg.Plans[m.Plan].Name, First: m.FirstGateway, Of: m.GatewayCount, Fill: m.Fill}, now}
 	}
 }
 
--- a/internal/recovery/belief.go
+++ b/internal/recovery/belief.go
@@ -319,7 +319,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(fills)) {
 		v := fills[key]
-		all = append(all, decide.BucketSnapshot{Key: v.Key, Plan: number[v.Plan], First: v.First, Spread: v.Of, Fill: v.Fill})
+		all = append(all, decide.BucketSnapshot{Key: v.Key, Plan: number[v.Plan], FirstGateway: v.First, GatewayCount: v.Of, Fill: v.Fill})
 	}
 	return all
 }
