--- a/decide/ask.go
+++ b/decide/ask.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"sloepick/decide/peermsg"
 	"sloepick/decide/quota"
-	"sloepick/decide/words"
 )
 
 // This file decides whether to wait for the word of a customer's home, and for how long, where customers have homes.
@@ -42,7 +42,7 @@
 			r.askedAt = g.now
 		}
 		g.asks[r.no] = r
-		g.quota.Send(i, words.KindRequest, c, r.no, r.units)
+		g.quota.Send(i, peermsg.KindRequest, c, r.no, r.units)
 		g.wake(r.ID, -1, min(r.until, g.now+askLeast+time.Duration(askWaits*float64(g.trip))), forOverdue)
 		return
 	}
@@ -63,7 +63,7 @@
 	for n := range quota.MaxCoordinators {
 		if i := g.quota.Coordinator(r.cust.Key, n); i != g.quota.Rank {
 			g.probedAt = g.now
-			g.quota.Send(i, words.KindRequest, r.cust, r.no, 0)
+			g.quota.Send(i, peermsg.KindRequest, r.cust, r.no, 0)
 			return
 		}
 	}
@@ -88,7 +88,7 @@
 
 // word takes a word of another gateway. What is malformed, unknown or comes to the wrong home is dropped.
 func (g *Gateway) word(from int, text string) {
-	w, ok := words.Parse(g.now, text)
+	w, ok := peermsg.Parse(g.now, text)
 	if !ok || w.Plan >= len(g.cfg.Plans) {
 		return
 	}
@@ -107,7 +107,7 @@
 	}
 	mine := g.quota.IsCoordinator(w.Key, g.quota.Rank)
 	switch {
-	case w.Kind == words.KindRequest && w.NumValues == 1 && w.Values[0] >= 0 && mine:
+	case w.Kind == peermsg.KindRequest && w.NumValues == 1 && w.Values[0] >= 0 && mine:
 		g.askRate.Add(g.now, 1)
 		c := g.quota.Customer(w.Key, w.Plan)
 		ok, wait := g.grant(c, from, w.RequestNo, w.Values[0])
@@ -115,20 +115,20 @@
 		if ok {
 			granted = 1
 		}
-		g.quota.Send(from, words.KindReply, c, w.RequestNo, granted, c.FleetLevel, c.FleetDemand.Get(g.now), wait)
-	case w.Kind == words.KindSettle && w.NumValues == 1 && mine:
+		g.quota.Send(from, peermsg.KindReply, c, w.RequestNo, granted, c.FleetLevel, c.FleetDemand.Get(g.now), wait)
+	case w.Kind == peermsg.KindSettle && w.NumValues == 1 && mine:
 		g.quota.Settle(g.quota.Customer(w.Key, w.Plan), from, w.RequestNo, w.Values[0])
-	case w.Kind == words.KindGrantTotal && w.NumValues == 1 && mine && g.quota.IsCoordinator(w.Key, from):
+	case w.Kind == peermsg.KindGrantTotal && w.NumValues == 1 && mine && g.quota.IsCoordinator(w.Key, from):
 		g.quota.ReceiveGrantTotal(g.quota.Customer(w.Key, w.Plan), w.Values[0])
-	case w.Kind == words.KindHandover && w.NumValues == 1:
+	case w.Kind == peermsg.KindHandover && w.NumValues == 1:
 		g.quota.ReceiveHandover(&w)
-	case w.Kind == words.KindReply && w.NumValues == 4:
+	case w.Kind == peermsg.KindReply && w.NumValues == 4:
 		g.answer(from, &w)
 	}
 }
 
 // answer takes the home's word: it settles part and level, and then the bucket decides.
-func (g *Gateway) answer(from int, w *words.CustomerMessage) {
+func (g *Gateway) answer(from int, w *peermsg.CustomerMessage) {
 	r := g.asks[w.RequestNo]
 	if r == nil || r.cust.Key != w.Key {
 		return
@@ -162,6 +162,6 @@
 	if r.granted == g.quota.Rank {
 		g.quota.Settle(r.cust, g.quota.Rank, r.no, more)
 	} else {
-		g.quota.Send(r.granted, words.KindSettle, r.cust, r.no, more)
+		g.quota.Send(r.granted, peermsg.KindSettle, r.cust, r.no, more)
 	}
 }
--- a/decide/choose.go
+++ b/decide/choose.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 // This file decides which server a request goes to.
@@ -94,7 +94,7 @@
 // luck is a server's place in the order of the gateway of that number: rendezvous hashing (Thaler and Ravishankar,
 // 1998), mixed by the finalizer of SplitMix64.
 func luck(rank int, id string) uint64 {
-	x := words.Key(id) ^ uint64(rank+1)*0x9E3779B97F4A7C15
+	x := peermsg.Key(id) ^ uint64(rank+1)*0x9E3779B97F4A7C15
 	x = (x ^ x>>30) * 0xBF58476D1CE4E5B9
 	x = (x ^ x>>27) * 0x94D049BB133111EB
 	return x ^ x>>31
--- a/decide/deaf_test.go
+++ b/decide/deaf_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 // crowd plays requests of many customers, one each gap, at gateways drawn at random. What becomes of each is told
@@ -105,7 +105,7 @@
 		for i := range 400 {
 			id := fmt.Sprint("x", borne, i)
 			if borne < 1 {
-				w := words.CustomerMessage{Kind: 'd', Key: 1, NumValues: 1, NumReports: 1, Reports: [words.MaxReports]words.OverQuotaReport{{Key: words.Key(id) & words.CustomerKeyMask, AllowedShare: borne, At: time.Hour}}}
+				w := peermsg.CustomerMessage{Kind: 'd', Key: 1, NumValues: 1, NumReports: 1, Reports: [peermsg.MaxReports]peermsg.OverQuotaReport{{Key: peermsg.Key(id) & peermsg.CustomerKeyMask, AllowedShare: borne, At: time.Hour}}}
 				g.Handle(time.Hour, PeerMessage{From: 9, Text: w.Encode(time.Hour)})
 				g.unheards = deafAfter // that was told before
 			}
@@ -162,7 +162,7 @@
 // TestDoubtAfterSilence: as words come again, a home takes the buckets of those that flood to be full, and leaves the others as they are.
 func TestDoubtAfterSilence(t *testing.T) {
 	j := join(t, 300, nil)
-	key := words.Key("x")
+	key := peermsg.Key("x")
 	g := j.gws[j.gws[0].quota.Coordinator(key, 0)]
 	flood, calm := g.quota.Customer(key, 1), g.quota.Customer(key+300, 1)
 	for range 20 {
@@ -171,7 +171,7 @@
 	}
 	j.now += time.Minute
 	g.unheards = deafAfter
-	g.Handle(j.now, PeerMessage{From: 9, Text: words.CustomerMessage{Kind: 'd', Key: 1, NumValues: 1}.Encode(0)})
+	g.Handle(j.now, PeerMessage{From: 9, Text: peermsg.CustomerMessage{Kind: 'd', Key: 1, NumValues: 1}.Encode(0)})
 	if g.quota.Leak(calm); flood.FleetLevel != flood.Plan.Burst || calm.FleetLevel != 0 || g.deaf() {
 		t.Errorf("buckets at %v and %v, deaf %v", flood.FleetLevel, calm.FleetLevel, g.deaf())
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 const ms = time.Millisecond
@@ -128,7 +128,7 @@
 func TestSettlement(t *testing.T) {
 	r := newRig(t, nil)
 	id, s := r.send("get", "wide")
-	c := r.g.quota.Find(words.Key("c"))
+	c := r.g.quota.Find(peermsg.Key("c"))
 	before := c.Level
 	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, ActualUnits: 6})
 	if got := c.Level - before; got != 5 {
@@ -508,7 +508,7 @@
 		}
 	}
 	wait := find[Refuse](acts)[0].RetryAfter
-	c := r.g.quota.Find(words.Key("x"))
+	c := r.g.quota.Find(peermsg.Key("x"))
 	asked := c.Demand
 	for _, at := range []time.Duration{wait * 9 / 10, wait * 11 / 10} {
 		then := *c
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"sloepick/decide/peermsg"
 	"sloepick/decide/quota"
-	"sloepick/decide/words"
 )
 
 // joined is a few gateways whose messages reach each other late, some never, in an order that a seed decides.
@@ -184,7 +184,7 @@
 // second one: both together grant the quota once.
 func TestHomesOfOneCustomerShareItsBucket(t *testing.T) {
 	j := join(t, 300, nil)
-	j.lossAt = map[int]float64{j.gws[0].quota.Coordinator(words.Key("x"), 0): 0.6}
+	j.lossAt = map[int]float64{j.gws[0].quota.Coordinator(peermsg.Key("x"), 0): 0.6}
 	const rate, burst, units, secs = 3.0, 12.0, 2.0, 30.0
 	j.run(secs*time.Second, 100*ms, "small", units, func(int) int { return j.rnd.Intn(300) })
 	if most := 1.35 * (rate*secs + burst); j.used > most || j.used < 0.8*rate*secs {
@@ -196,7 +196,7 @@
 // that began anew tells first; what is lost in between is made good by the next total.
 func TestTwinWordsDoNoHarm(t *testing.T) {
 	j := join(t, 300, nil)
-	key := words.Key("x")
+	key := peermsg.Key("x")
 	first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
 	g := j.gws[second]
 	c := g.quota.Customer(key, 1)
@@ -209,7 +209,7 @@
 	}{{first, 100, 0, "the first total"}, {first, 103, 3, "a step"}, {(first + second + 1) % 300, 109, 0, "a stranger's"},
 		{first, 109, 6, "two steps, one lost"}, {first, 109, 0, "the same again"}, {first, 127, 0, "more than a burst"},
 		{first, 4, 5, "a step over the wrap"}} {
-		text := words.CustomerMessage{Kind: 'g', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{step.given}}.Encode(0)
+		text := peermsg.CustomerMessage{Kind: 'g', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{step.given}}.Encode(0)
 		g.Handle(j.now, PeerMessage{From: step.from, Text: text})
 		if got := c.FleetLevel - before; got != step.adds {
 			t.Errorf("%s: the bucket rose by %v, want %v", step.whatItIs, got, step.adds)
@@ -261,7 +261,7 @@
 // TestDeadHomeCostsLittle: with both homes of a customer down, the bucket of each gateway decides.
 func TestDeadHomeCostsLittle(t *testing.T) {
 	j := join(t, 300, nil)
-	key := words.Key("x")
+	key := peermsg.Key("x")
 	for n := 0; n < quota.MaxCoordinators; n++ {
 		j.down[j.gws[0].quota.Coordinator(key, n)] = true
 	}
@@ -280,14 +280,14 @@
 // TestWordsDoNoHarm: words that are malformed, of unknown plans or come to the wrong home change nothing.
 func TestWordsDoNoHarm(t *testing.T) {
 	j := join(t, 300, nil)
-	key := words.Key("x")
+	key := peermsg.Key("x")
 	home := j.gws[j.gws[0].quota.Coordinator(key, 0)]
-	ask := words.CustomerMessage{Kind: 'a', Key: key, Plan: 1, RequestNo: 7, NumValues: 1, Values: [4]float64{2}}
+	ask := peermsg.CustomerMessage{Kind: 'a', Key: key, Plan: 1, RequestNo: 7, NumValues: 1, Values: [4]float64{2}}
 	other := ask
 	other.Plan = 40
 	for _, text := range []string{"", "a", ask.Encode(0)[:11], ask.Encode(0) + "!!", "Z" + ask.Encode(0)[1:], other.Encode(0),
-		words.CustomerMessage{Kind: 'a', Key: key + 1, Plan: 1, NumValues: 1}.Encode(0), words.CustomerMessage{Kind: 'r', Key: key, NumValues: 4}.Encode(0),
-		words.CustomerMessage{Kind: 'a', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{-2}}.Encode(0)} {
+		peermsg.CustomerMessage{Kind: 'a', Key: key + 1, Plan: 1, NumValues: 1}.Encode(0), peermsg.CustomerMessage{Kind: 'r', Key: key, NumValues: 4}.Encode(0),
+		peermsg.CustomerMessage{Kind: 'a', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{-2}}.Encode(0)} {
 		if acts := home.Handle(j.now, PeerMessage{From: 299, Text: text}); len(acts) != 0 || home.quota.Find(key) != nil || home.quota.Find(key+1) != nil {
 			t.Errorf("%q: got %#v", text, acts)
 		}
@@ -328,8 +328,8 @@
 	g := j.gws[3]
 	told := func(missed bool, n int) {
 		for i := 0; i < n; i++ {
-			v := words.ServerSample{Server: words.Key("s1") & words.ServerKeyMask, RelativeTime: 1, Unsuccessful: missed}
-			w := words.CustomerMessage{Kind: 'd', Key: 1, Plan: 0, NumValues: 1, NumSamples: 1, Samples: [words.MaxSamples]words.ServerSample{v}}
+			v := peermsg.ServerSample{Server: peermsg.Key("s1") & peermsg.ServerKeyMask, RelativeTime: 1, Unsuccessful: missed}
+			w := peermsg.CustomerMessage{Kind: 'd', Key: 1, Plan: 0, NumValues: 1, NumSamples: 1, Samples: [peermsg.MaxSamples]peermsg.ServerSample{v}}
 			g.Handle(j.now, PeerMessage{From: 9, Text: w.Encode(0)})
 		}
 	}
@@ -391,7 +391,7 @@
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
 		for no, r := range g.asks {
-			w := words.CustomerMessage{Kind: 'r', Key: r.cust.Key, RequestNo: no, NumValues: 4, Values: [4]float64{1}}
+			w := peermsg.CustomerMessage{Kind: 'r', Key: r.cust.Key, RequestNo: no, NumValues: 4, Values: [4]float64{1}}
 			g.Handle(now, PeerMessage{From: g.quota.Coordinator(r.cust.Key, 0), Text: w.Encode(0)})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
--- a/decide/shape/shape.go
+++ b/decide/latencymodel/shape.go
@@ -1,5 +1,5 @@
 // Package shape learns how the time of a class's answers goes with the units that its requests tell. Pure.
-package shape
+package latencymodel
 
 // gain is the gain of what is known of a class's units and times: slow, as a site's units keep their meaning.
 const gain = 0.01
--- a/decide/shape/shape_test.go
+++ b/decide/latencymodel/shape_test.go
@@ -1,4 +1,4 @@
-package shape
+package latencymodel
 
 import (
 	"math"
--- a/decide/letin.go
+++ b/decide/letin.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
+	"sloepick/decide/peermsg"
 	"sloepick/decide/quota"
-	"sloepick/decide/words"
 )
 
 // This file decides whether a request is let in: by its quota, and by how pressed the servers are.
@@ -35,7 +35,7 @@
 	if b := e.RetryPolicy; b != nil && b.TotalTimeout > 0 {
 		r.until = min(r.until, g.now+b.TotalTimeout)
 	}
-	c := g.quota.Customer(words.Key(e.Customer), planNo)
+	c := g.quota.Customer(peermsg.Key(e.Customer), planNo)
 	g.quota.SetGateways(c, e.FirstGateway, e.GatewayCount)
 	r.cust, r.granted = c, -1
 	g.requests[e.ID] = r
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 // remembering is a fleet of four in which all tell all, that remembers.
@@ -29,7 +29,7 @@
 			for i, g := range j.gws {
 				kept[i] = g.AppendChanged(nil, 100)
 				knows := 0 // as a home, or as all tell all
-				if key := words.Key("x"); mode == "mesh" || g.quota.Coordinator(key, 0) == i || g.quota.Coordinator(key, 1) == i {
+				if key := peermsg.Key("x"); mode == "mesh" || g.quota.Coordinator(key, 0) == i || g.quota.Coordinator(key, 1) == i {
 					knows = 1
 				}
 				if len(kept[i]) != knows || len(g.AppendChanged(nil, 100)) != 0 {
--- a/decide/words/digits.go
+++ b/decide/peermsg/digits.go
@@ -1,7 +1,7 @@
 // Package words writes and reads what gateways tell each other: a word about one customer, or totals about many. A
 // message is at most [MaxSize] bytes of digits of 6 bits each, so that it passes wherever text does. The package is pure;
 // what is told, when and to whom is decided elsewhere. What can't be read is reported as such, whole, and never guessed at.
-package words
+package peermsg
 
 import "strings"
 
--- a/decide/words/word.go
+++ b/decide/peermsg/word.go
@@ -1,4 +1,4 @@
-package words
+package peermsg
 
 import (
 	"math"
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -6,25 +6,25 @@
 	"testing"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
-func entry(key string, plan, used, asked, level int) words.Entry {
+func entry(key string, plan, used, asked, level int) peermsg.Entry {
 	return entryOpen(key, plan, used, asked, 0, level)
 }
 
-func entryOpen(key string, plan, used, asked, open, level int) words.Entry {
-	return words.Entry{Key: words.Key(key), Plan: plan, Used: float64(used), Requested: float64(asked), Open: open, Level: float64(level) / 30}
+func entryOpen(key string, plan, used, asked, open, level int) peermsg.Entry {
+	return peermsg.Entry{Key: peermsg.Key(key), Plan: plan, Used: float64(used), Requested: float64(asked), Open: open, Level: float64(level) / 30}
 }
 
-func message(epoch, seq int, entries ...words.Entry) string {
-	return words.Totals{Epoch: epoch, Seq: seq, Entries: entries}.Encode()
+func message(epoch, seq int, entries ...peermsg.Entry) string {
+	return peermsg.Totals{Epoch: epoch, Seq: seq, Entries: entries}.Encode()
 }
 
 func TestPartFollowsDemand(t *testing.T) {
 	r := newRig(t, nil)
 	r.ask("get", "wide", "x", 100)
-	c := r.g.quota.Find(words.Key("x"))
+	c := r.g.quota.Find(peermsg.Key("x"))
 	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
 	r.do(PeerMessage{From: 2, Text: message(1, 1)})
 	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 0, 900, 0))})
@@ -45,7 +45,7 @@
 	r := newRig(t, nil)
 	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
 	r.do(PeerMessage{From: 2, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	c := r.g.quota.Find(words.Key("x"))
+	c := r.g.quota.Find(peermsg.Key("x"))
 	for n := range 100 { // all three ask alike; the last second is silent
 		r.ask("get", "wide", "x", 20)
 		if n < 75 {
@@ -74,11 +74,11 @@
 func TestGatewayThatLeavesIsNotCounted(t *testing.T) {
 	r := newRig(t, nil)
 	leave := func(from, epoch, seq int) {
-		r.do(PeerMessage{From: from, Text: words.Totals{Epoch: epoch, Seq: seq, Leaving: true}.Encode()})
+		r.do(PeerMessage{From: from, Text: peermsg.Totals{Epoch: epoch, Seq: seq, Leaving: true}.Encode()})
 	}
 	part := func() float64 {
 		r.ask("get", "wide", "x", 100)
-		c := r.g.quota.Find(words.Key("x"))
+		c := r.g.quota.Find(peermsg.Key("x"))
 		r.g.quota.Leak(c)
 		return c.Share
 	}
@@ -110,7 +110,7 @@
 func TestLeavingIsTold(t *testing.T) {
 	r, told := newRig(t, nil), map[int]int{}
 	for _, m := range find[SendToPeer](r.do(Shutdown{})) {
-		if totals, ok := words.ParseTotals(m.Text, nil); ok && totals.Leaving {
+		if totals, ok := peermsg.ParseTotals(m.Text, nil); ok && totals.Leaving {
 			told[m.To]++
 		}
 	}
@@ -146,7 +146,7 @@
 	r := newRig(t, nil)
 	r.do(PeerMessage{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))})
 	r.do(PeerMessage{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))})
-	c := r.g.quota.Find(words.Key("x"))
+	c := r.g.quota.Find(peermsg.Key("x"))
 	for _, e := range []PeerMessage{
 		{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))},  // again
 		{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))},  // late
@@ -189,10 +189,10 @@
 	for i := 0; i < 20; i++ {
 		r.now += 200 * ms
 		for _, m := range find[SendToPeer](r.do(TimerFired{beatToken})) {
-			if len(m.Text) > words.MaxSize {
-				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), words.MaxSize)
+			if len(m.Text) > peermsg.MaxSize {
+				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), peermsg.MaxSize)
 			}
-			totals, _ := words.ParseTotals(m.Text, nil)
+			totals, _ := peermsg.ParseTotals(m.Text, nil)
 			told[m.To] += len(totals.Entries)
 		}
 	}
@@ -265,7 +265,7 @@
 	told := func() int {
 		r.now += r.g.quota.TickInterval()
 		for _, m := range find[SendToPeer](r.do(TimerFired{Token: beatToken})) {
-			if totals, _ := words.ParseTotals(m.Text, nil); m.To == 1 && len(totals.Entries) > 0 {
+			if totals, _ := peermsg.ParseTotals(m.Text, nil); m.To == 1 && len(totals.Entries) > 0 {
 				return totals.Entries[0].Open
 			}
 		}
@@ -286,7 +286,7 @@
 		r := newRig(t, nil)
 		id, s := r.send("get", "wide")
 		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, MeteredPercentPlusOne: metered})
-		c := r.g.quota.Find(words.Key("c"))
+		c := r.g.quota.Find(peermsg.Key("c"))
 		r.g.quota.Charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
 		if r.g.quota.Leak(c); math.Abs(c.Share-want) > 0.01 {
 			t.Errorf("told %d: part is %v, want %v", metered, c.Share, want)
@@ -301,9 +301,9 @@
 	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 50, 50, 1))})
 	r.now += 10 * time.Second
 	r.serve("get", "wide", "x", 900)
-	before := r.g.quota.Find(words.Key("x")).FleetLevel
+	before := r.g.quota.Find(peermsg.Key("x")).FleetLevel
 	r.do(PeerMessage{From: 1, Text: message(1, 3, entry("x", 0, 2, 2, 0))})
-	if now := r.g.quota.Find(words.Key("x")).FleetLevel; now < before {
+	if now := r.g.quota.Find(peermsg.Key("x")).FleetLevel; now < before {
 		t.Errorf("the customer's level fell from %v to %v", before, now)
 	}
 }
--- a/decide/quota/book.go
+++ b/decide/quota/book.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 const (
@@ -78,7 +78,7 @@
 	if b.Mesh = b.tellsAll(); b.Mesh && cfg.PeersAllowed {
 		b.peers = make([]peer, cfg.Gateways)
 	}
-	b.epoch = rng.Intn(words.CounterModulus)
+	b.epoch = rng.Intn(peermsg.CounterModulus)
 	return b
 }
 
@@ -151,7 +151,7 @@
 // Find is a customer by its key, or nil if nothing is known of it.
 func (b *Tracker) Find(key uint64) *Customer { return b.customers[key] }
 
-// Customer finds a customer by its key (see [words.Key]), or makes it.
+// Customer finds a customer by its key (see [peermsg.Key]), or makes it.
 func (b *Tracker) Customer(key uint64, planNo int) *Customer {
 	if c := b.customers[key]; c != nil {
 		c.last = b.Now
--- a/decide/quota/book_test.go
+++ b/decide/quota/book_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 // three returns a book of three gateways that tell each other all, and what it has told.
@@ -50,7 +50,7 @@
 // TestNumberTakenAnewForgets: what was told to a number that is taken anew counts no more, nor what was told under it.
 func TestNumberTakenAnewForgets(t *testing.T) {
 	b, told := three()
-	b.ReceiveTotals(1, words.Totals{Epoch: 1, Seq: 1, Entries: []words.Entry{{Key: 5, Used: 9, Requested: 9}}}.Encode())
+	b.ReceiveTotals(1, peermsg.Totals{Epoch: 1, Seq: 1, Entries: []peermsg.Entry{{Key: 5, Used: 9, Requested: 9}}}.Encode())
 	c := b.Customer(5, 0)
 	b.AddDemand(c, 900)
 	b.Charge(c, 900)
@@ -61,7 +61,7 @@
 	b.Now += time.Second
 	b.SendTotals()
 	for _, text := range *told {
-		if m, ok := words.ParseTotals(text, nil); !ok || m.Seq != 1 || len(m.Entries) != 0 {
+		if m, ok := peermsg.ParseTotals(text, nil); !ok || m.Seq != 1 || len(m.Entries) != 0 {
 			t.Errorf("the number taken anew tells %+v first", m)
 		}
 	}
@@ -69,8 +69,8 @@
 
 // FuzzHeard feeds the reader of peers' totals; whatever comes must neither panic nor make units negative.
 func FuzzHeard(f *testing.F) {
-	f.Add(words.Totals{Epoch: 1, Seq: 1, Entries: []words.Entry{{Key: 1 << 35, Plan: 1, Used: 5, Requested: 5, Level: 0.2}}}.Encode())
-	f.Add(words.Totals{Epoch: 4095, Seq: 4095}.Encode())
+	f.Add(peermsg.Totals{Epoch: 1, Seq: 1, Entries: []peermsg.Entry{{Key: 1 << 35, Plan: 1, Used: 5, Requested: 5, Level: 0.2}}}.Encode())
+	f.Add(peermsg.Totals{Epoch: 4095, Seq: 4095}.Encode())
 	f.Add("b")
 	f.Add("e0102zzzz")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -89,12 +89,12 @@
 func TestFloodsAreTold(t *testing.T) {
 	var f OverQuotaReports
 	for i := range 2 * floodsMost {
-		f.Add(words.OverQuotaReport{Key: uint64(i), AllowedShare: 0.5, At: time.Hour})
+		f.Add(peermsg.OverQuotaReport{Key: uint64(i), AllowedShare: 0.5, At: time.Hour})
 	}
 	if len(f.by) != floodsMost || len(f.ring) != floodsMost {
 		t.Fatalf("%d and %d kept, want %d", len(f.by), len(f.ring), floodsMost)
 	}
-	f.Add(words.OverQuotaReport{Key: floodsMost, AllowedShare: 0.1, At: time.Hour - time.Second})
+	f.Add(peermsg.OverQuotaReport{Key: floodsMost, AllowedShare: 0.1, At: time.Hour - time.Second})
 	if f.by[floodsMost].AllowedShare != 0.5 {
 		t.Error("an older sight took a newer one's place")
 	}
@@ -108,7 +108,7 @@
 	if len(seen) != floodsMost {
 		t.Errorf("%d of %d told", len(seen), floodsMost)
 	}
-	if _, n := f.tell(time.Hour+words.MaxReportAgeSteps*words.ReportAgeStep, 1<<30); n != 0 {
+	if _, n := f.tell(time.Hour+peermsg.MaxReportAgeSteps*peermsg.ReportAgeStep, 1<<30); n != 0 {
 		t.Errorf("%d told that are old", n)
 	}
 	for range floodsMost {
--- a/decide/quota/floods.go
+++ b/decide/quota/floods.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 // Which customers ask for far more than their rate is known to their homes. Each word between gateways carries a few of
@@ -18,19 +18,19 @@
 
 // OverQuotaReports are those that are known.
 type OverQuotaReports struct {
-	by   map[uint64]words.OverQuotaReport
+	by   map[uint64]peermsg.OverQuotaReport
 	ring []uint64 // their keys, in the order in which they are told
 	next int
 }
 
 // Add takes a home's sight of one, here or told.
-func (f *OverQuotaReports) Add(v words.OverQuotaReport) {
+func (f *OverQuotaReports) Add(v peermsg.OverQuotaReport) {
 	old, known := f.by[v.Key]
 	if known && old.At >= v.At {
 		return
 	}
 	if f.by == nil {
-		f.by = map[uint64]words.OverQuotaReport{}
+		f.by = map[uint64]peermsg.OverQuotaReport{}
 	}
 	if !known {
 		if len(f.ring) >= floodsMost {
@@ -44,12 +44,12 @@
 
 // tell is what the next word carries: first what is known of the customer that it is about. Those that are too old to be
 // believed are forgotten on the way.
-func (f *OverQuotaReports) tell(now time.Duration, about uint64) (out [words.MaxReports]words.OverQuotaReport, n int) {
-	if v, ok := f.by[about&words.CustomerKeyMask]; ok && now-v.At < words.MaxReportAgeSteps*words.ReportAgeStep {
+func (f *OverQuotaReports) tell(now time.Duration, about uint64) (out [peermsg.MaxReports]peermsg.OverQuotaReport, n int) {
+	if v, ok := f.by[about&peermsg.CustomerKeyMask]; ok && now-v.At < peermsg.MaxReportAgeSteps*peermsg.ReportAgeStep {
 		out[0], n = v, 1
 	}
-	for range min(len(f.ring), 4*words.MaxReports) {
-		if n == words.MaxReports {
+	for range min(len(f.ring), 4*peermsg.MaxReports) {
+		if n == peermsg.MaxReports {
 			break
 		}
 		f.next %= len(f.ring)
@@ -62,7 +62,7 @@
 				return out, n
 			}
 			continue
-		case age < words.MaxReportAgeSteps*words.ReportAgeStep:
+		case age < peermsg.MaxReportAgeSteps*peermsg.ReportAgeStep:
 			out[n] = v
 			n++
 		}
@@ -75,7 +75,7 @@
 // sees too much of it where gateways refuse many requests unasked, as they see themselves.
 func (b *Tracker) AllowedShare(c *Customer) float64 {
 	part := 1.0
-	if f, ok := b.OverQuota.by[c.Key&words.CustomerKeyMask]; ok && b.Now-f.At < floodKept {
+	if f, ok := b.OverQuota.by[c.Key&peermsg.CustomerKeyMask]; ok && b.Now-f.At < floodKept {
 		part = f.AllowedShare
 	}
 	if here := 1 - c.OverShare; here < floodFrom {
@@ -92,6 +92,6 @@
 		missed = 0
 	}
 	if c.OverShare += floodGain * (missed - c.OverShare); 1-c.OverShare < floodFrom {
-		b.OverQuota.Add(words.OverQuotaReport{Key: c.Key & words.CustomerKeyMask, AllowedShare: 1 - c.OverShare, At: b.Now})
+		b.OverQuota.Add(peermsg.OverQuotaReport{Key: c.Key & peermsg.CustomerKeyMask, AllowedShare: 1 - c.OverShare, At: b.Now})
 	}
 }
--- a/decide/quota/homes.go
+++ b/decide/quota/homes.go
@@ -6,20 +6,20 @@
 	"slices"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 // MaxCoordinators. Where the intake is too small for telling everyone, a gateway's part of a mark is less than one request and what
 // it last heard is older than the bucket. There the bucket of the whole customer stands at its home.
 const (
-	MaxCoordinators = 2                        // of a customer; the second stands in for a silent first
-	GrantRetention  = 3 * time.Second          // a home knows for so long what it granted
-	FallbackFactor  = 4.0                      // of the even part is what passes at a gateway of a customer, where no home tells
-	twinFrom        = 8.0                      // units a second that a customer asks: from there, or if it floods, its homes tell ...
-	twinStep        = 0.2                      // ... each other what they grant, by this part of the burst
-	handPart        = 0.5                      // of a second's intake of each other gateway is filled as a home hands its customers over
-	handUp          = 0.5 / words.StepsPerUnit // of a burst is told more, so that it is not rounded down
-	fillMost        = 4.0                      // bursts: true units may fill a bucket beyond its mark, but not this far
+	MaxCoordinators = 2                          // of a customer; the second stands in for a silent first
+	GrantRetention  = 3 * time.Second            // a home knows for so long what it granted
+	FallbackFactor  = 4.0                        // of the even part is what passes at a gateway of a customer, where no home tells
+	twinFrom        = 8.0                        // units a second that a customer asks: from there, or if it floods, its homes tell ...
+	twinStep        = 0.2                        // ... each other what they grant, by this part of the burst
+	handPart        = 0.5                        // of a second's intake of each other gateway is filled as a home hands its customers over
+	handUp          = 0.5 / peermsg.StepsPerUnit // of a burst is told more, so that it is not rounded down
+	fillMost        = 4.0                        // bursts: true units may fill a bucket beyond its mark, but not this far
 )
 
 // Coordinator is the number of the nth gateway that keeps the customer's bucket, the same at every gateway.
@@ -70,7 +70,7 @@
 	c.FleetLevel += units
 	c.CeilingTokens -= units
 	b.noteChange(c)
-	c.given = math.Mod(c.given+units, words.GrantTotalModulus)
+	c.given = math.Mod(c.given+units, peermsg.GrantTotalModulus)
 	c.untold += units
 	much := c.FleetDemand.Get(b.Now) >= twinFrom || 1-c.OverShare < floodFrom
 	if !much || c.untold < twinStep*c.Plan.Burst {
@@ -79,14 +79,14 @@
 	c.untold = 0
 	for n := range MaxCoordinators {
 		if i := b.Coordinator(c.Key, n); i != b.Rank {
-			b.Send(i, words.KindGrantTotal, c, 0, c.given)
+			b.Send(i, peermsg.KindGrantTotal, c, 0, c.given)
 		}
 	}
 }
 
 // ReceiveGrantTotal takes what the other home granted in all. More than a burst at once is no step but a home that began anew.
 func (b *Tracker) ReceiveGrantTotal(c *Customer, given float64) {
-	d := math.Mod(given-c.twinGiven+words.GrantTotalModulus, words.GrantTotalModulus)
+	d := math.Mod(given-c.twinGiven+peermsg.GrantTotalModulus, peermsg.GrantTotalModulus)
 	if c.twinKnown && d <= c.Plan.Burst {
 		b.Leak(c)
 		c.FleetLevel += d
@@ -131,14 +131,14 @@
 	b.away[b.Rank] = true
 	for _, c := range mine[:min(len(mine), int(handPart*b.cfg.PeerIntake)*max(1, b.cfg.Gateways-1))] {
 		for n := range CoordinatorCount(c) {
-			b.Send(b.Coordinator(c.Key, n), words.KindHandover, c, 0, min(fillMost, c.FleetLevel/c.Plan.Burst)+handUp)
+			b.Send(b.Coordinator(c.Key, n), peermsg.KindHandover, c, 0, min(fillMost, c.FleetLevel/c.Plan.Burst)+handUp)
 		}
 	}
 }
 
 // ReceiveHandover takes what a home that stops tells of a customer: only ever to the fuller side. It is told before all know that
 // the home is gone, so whoever hears it takes it, in a fleet alone.
-func (b *Tracker) ReceiveHandover(w *words.CustomerMessage) {
+func (b *Tracker) ReceiveHandover(w *peermsg.CustomerMessage) {
 	if b.away == nil {
 		return
 	}
@@ -150,7 +150,7 @@
 
 // Send sends a word about a customer, with what rides along.
 func (b *Tracker) Send(to int, kind byte, c *Customer, no uint64, v ...float64) {
-	w := words.CustomerMessage{Kind: kind, Key: c.Key, Plan: c.PlanNo, RequestNo: no, NumValues: len(v)}
+	w := peermsg.CustomerMessage{Kind: kind, Key: c.Key, Plan: c.PlanNo, RequestNo: no, NumValues: len(v)}
 	copy(w.Values[:], v)
 	w.Samples, w.NumSamples = b.Samples.v, b.Samples.n
 	w.Reports, w.NumReports = b.OverQuota.tell(b.Now, c.Key)
@@ -159,15 +159,15 @@
 
 // RecentSamples are the last few sights of own requests.
 type RecentSamples struct {
-	v [words.MaxSamples]words.ServerSample
+	v [peermsg.MaxSamples]peermsg.ServerSample
 	n int
 }
 
 // Add adds a sight; one that a word has no digit for is left out.
-func (n *RecentSamples) Add(v words.ServerSample) {
-	if v.Class > words.MaxClass {
+func (n *RecentSamples) Add(v peermsg.ServerSample) {
+	if v.Class > peermsg.MaxClass {
 		return
 	}
 	copy(n.v[1:], n.v[:])
-	n.v[0], n.n = v, min(n.n+1, words.MaxSamples)
+	n.v[0], n.n = v, min(n.n+1, peermsg.MaxSamples)
 }
--- a/decide/quota/peers.go
+++ b/decide/quota/peers.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"sloepick/decide/words"
+	"sloepick/decide/peermsg"
 )
 
 // Telling everyone, where the intake lets it.
@@ -58,8 +58,8 @@
 			continue
 		}
 		p := &b.peers[i]
-		p.mySeq = (p.mySeq + 1) % words.CounterModulus
-		text := words.Totals{Epoch: b.epoch, Seq: p.mySeq, Leaving: true}.Encode()
+		p.mySeq = (p.mySeq + 1) % peermsg.CounterModulus
+		text := peermsg.Totals{Epoch: b.epoch, Seq: p.mySeq, Leaving: true}.Encode()
 		for range leaveTimes {
 			b.tell(i, text)
 		}
@@ -87,23 +87,23 @@
 		if i == b.Rank || (len(p.queue) == 0 && b.Now-p.sent < quietBeat) {
 			continue
 		}
-		p.sent, p.mySeq = b.Now, (p.mySeq+1)%words.CounterModulus
+		p.sent, p.mySeq = b.Now, (p.mySeq+1)%peermsg.CounterModulus
 		b.tell(i, b.message(i, p))
 	}
 }
 
 func (b *Tracker) message(i int, p *peer) string {
-	var entries [words.MaxEntries]words.Entry
+	var entries [peermsg.MaxEntries]peermsg.Entry
 	n := min(len(p.queue), len(entries))
 	for at, c := range p.queue[:n] {
 		c.queued[i] = false
 		c.last = b.Now
 		b.Leak(c)
-		entries[at] = words.Entry{Key: c.Key, Plan: c.PlanNo, Used: c.usedSum, Requested: c.askedSum, Open: c.Open,
+		entries[at] = peermsg.Entry{Key: c.Key, Plan: c.PlanNo, Used: c.usedSum, Requested: c.askedSum, Open: c.Open,
 			Level: c.FleetLevel / max(c.Plan.Burst, 1)}
 	}
 	p.queue = slices.Delete(p.queue, 0, n)
-	return words.Totals{Epoch: b.epoch, Seq: p.mySeq, Entries: entries[:n]}.Encode()
+	return peermsg.Totals{Epoch: b.epoch, Seq: p.mySeq, Entries: entries[:n]}.Encode()
 }
 
 // ReceiveTotals takes a peer's totals. Totals make lost and repeated messages harmless, the number makes late
@@ -112,13 +112,13 @@
 	if !b.IsPeer(from) || len(b.peers) == 0 {
 		return
 	}
-	var room [words.MaxEntries]words.Entry
-	t, ok := words.ParseTotals(text, room[:0])
+	var room [peermsg.MaxEntries]peermsg.Entry
+	t, ok := peermsg.ParseTotals(text, room[:0])
 	if !ok {
 		return
 	}
 	p := &b.peers[from]
-	if p.known && p.epoch == t.Epoch && words.Delta(float64(p.seq), float64(t.Seq)) <= 0 {
+	if p.known && p.epoch == t.Epoch && peermsg.Delta(float64(p.seq), float64(t.Seq)) <= 0 {
 		return
 	}
 	if t.Leaving && p.known && p.epoch != t.Epoch {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (b *Tracker) learn(from int, p *peer, e *words.Entry) {
+func (b *Tracker) learn(from int, p *peer, e *peermsg.Entry) {
 	if e.Plan >= len(b.cfg.Plans) {
 		return
 	}
@@ -160,8 +160,8 @@
 		c.FleetLevel = max(c.FleetLevel, e.Level*c.Plan.Burst)
 	}
 	t.have, t.at = true, b.Now
-	c.FleetLevel = max(0, c.FleetLevel+words.Delta(t.used, e.Used))
-	t.rate.Add(b.Now, max(0, words.Delta(t.asked, e.Requested)))
+	c.FleetLevel = max(0, c.FleetLevel+peermsg.Delta(t.used, e.Used))
+	t.rate.Add(b.Now, max(0, peermsg.Delta(t.asked, e.Requested)))
 	t.used, t.asked, t.open = e.Used, e.Requested, e.Open
 	b.noteChange(c)
 }
--- a/decide/quota/standing.go
+++ b/decide/quota/standing.go
@@ -1,6 +1,6 @@
 package quota
 
-import "sloepick/decide/words"
+import "sloepick/decide/peermsg"
 
 // PeerStatus is whether the gateway of a number is there.
 type PeerStatus int
@@ -68,7 +68,7 @@
 // renew begins a number: what the peers said was for another one, and the buckets are as after a start, half full, as another may
 // have used this number until now.
 func (b *Tracker) renew() {
-	b.epoch = b.rng.Intn(words.CounterModulus)
+	b.epoch = b.rng.Intn(peermsg.CounterModulus)
 	for i := range b.peers {
 		b.peers[i] = peer{left: b.peers[i].left, missing: b.peers[i].missing}
 	}
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"sloepick/decide/peermsg"
 	"sloepick/decide/quota"
-	"sloepick/decide/words"
 )
 
 // This file decides what a server is held to be like: slow, missing a class's requests, out of reach, loaded.
@@ -106,7 +106,7 @@
 func (g *Gateway) saw(s *server, r *request, took time.Duration, missed, failed bool) {
 	k, x := r.class, took.Seconds()/r.class.usual(r.units)
 	g.note(s, k, x, missed, failed)
-	g.quota.Samples.Add(words.ServerSample{Server: s.short, Class: k.no, RelativeTime: x, Unsuccessful: missed, NotOverload: failed})
+	g.quota.Samples.Add(peermsg.ServerSample{Server: s.short, Class: k.no, RelativeTime: x, Unsuccessful: missed, NotOverload: failed})
 	if !missed {
 		k.answered(r.units, took.Seconds())
 	}
--- a/decide/standing_test.go
+++ b/decide/standing_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"sloepick/decide/peermsg"
 	"sloepick/decide/quota"
-	"sloepick/decide/words"
 )
 
 // stand tells all gateways how the fleet stands; who is not named is present.
@@ -91,7 +91,7 @@
 	j.flood(3*time.Second, everywhere...)
 	j.run(5*time.Second, time.Second, "p", 1, func(int) int { return 0 }) // buckets leak
 	g := j.gws[2]
-	c := g.quota.Find(words.Key("x"))
+	c := g.quota.Find(peermsg.Key("x"))
 	c.FallbackTokens = 7
 	j.handle(2, MembershipUpdate{Rank: 2, RankReassigned: true, Peers: make([]PeerStatus, 4)})
 	if c.FallbackTokens != 0 || c.FallbackLevel < quota.InitialFill*20 {
@@ -115,7 +115,7 @@
 // in while it takes over; nor does a request wait in vain.
 func TestHomesMove(t *testing.T) {
 	j := join(t, inFleet, fleets["homes"])
-	key := words.Key("x")
+	key := peermsg.Key("x")
 	first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
 	var rest []int
 	for _, i := range everywhere {
@@ -181,7 +181,7 @@
 		c.PeerIntake = 7
 		c.Plans = []Plan{{Name: "p", Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4, Price: 1}}
 	})
-	home := j.gws[0].quota.Coordinator(words.Key("x"), 0)
+	home := j.gws[0].quota.Coordinator(peermsg.Key("x"), 0)
 	used, began := j.used, j.now
 	for round := range 3 {
 		apart := round%2 == 1
@@ -203,7 +203,7 @@
 func TestListeningIsNoRequest(t *testing.T) {
 	j := join(t, inFleet, fleets["homes"])
 	g := j.gws[0]
-	c := g.quota.Customer(words.Key("x"), 0)
+	c := g.quota.Customer(peermsg.Key("x"), 0)
 	c.OverShare = 0.5
 	if g.grant(c, 1, 1, 0); c.OverShare != 0.5 {
 		t.Errorf("a flood of 0.5 is told as %v", c.OverShare)
@@ -217,7 +217,7 @@
 		c.PeerIntake = 7
 		c.Plans = []Plan{{Name: "p", Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, Price: 1}}
 	})
-	key := words.Key("x")
+	key := peermsg.Key("x")
 	g := j.gws[(j.gws[0].quota.Coordinator(key, 0)+1)%inFleet]
 	c := g.quota.Customer(key, 0)
 	c.RefuseUntil = g.now + 300*ms
@@ -237,7 +237,7 @@
 	for _, told := range []bool{false, true} {
 		j := join(t, inFleet, fleets["homes"])
 		j.stand(nil, never)
-		key := words.Key("x")
+		key := peermsg.Key("x")
 		first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
 		j.flood(8*time.Second, everywhere...)
 		if j.loss = 0; told {
--- a/decide/state.go
+++ b/decide/state.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
+	"sloepick/decide/latencymodel"
+	"sloepick/decide/peermsg"
 	"sloepick/decide/quota"
-	"sloepick/decide/shape"
-	"sloepick/decide/words"
 )
 
 // The types of what a gateway keeps.
@@ -56,9 +56,9 @@
 type class struct {
 	Class
 	no   int
-	base float64      // usual seconds of an answer
-	n    float64      // answers seen
-	by   shape.Linear // how it goes with the units
+	base float64             // usual seconds of an answer
+	n    float64             // answers seen
+	by   latencymodel.Linear // how it goes with the units
 }
 
 // usual is the usual time in seconds of an answer to a request of so many units.
@@ -195,7 +195,7 @@
 	if s := g.servers[id]; s != nil {
 		return s
 	}
-	s := &server{slow: 1, outAvg: 0.5, miss: make([]sighted, len(g.cfg.Classes)), short: words.Key(id) & words.ServerKeyMask}
+	s := &server{slow: 1, outAvg: 0.5, miss: make([]sighted, len(g.cfg.Classes)), short: peermsg.Key(id) & peermsg.ServerKeyMask}
 	g.shorts[s.short] = s
 	g.servers[id] = s
 	at, _ := slices.BinarySearchFunc(g.order, id, func(s *server, id string) int {
@@ -215,7 +215,7 @@
 	if !ok {
 		return Allowance{}, false
 	}
-	return g.quota.Allowance(now, words.Key(customer), no)
+	return g.quota.Allowance(now, peermsg.Key(customer), no)
 }
 
 // AppendChanged appends to a list what changed of the customers' buckets since it was last taken, so many at most; the others wait
