--- a/cmd/sloectl/demo.go
+++ b/cmd/sloectl/demo.go
@@ -45,13 +45,13 @@
 	}
 	for i, n := range []int{24, 10, 6, 3} {
 		for j := range n {
-			c := stand.Customer{ID: fmt.Sprintf("%016x", 0x10000*(i+1)+j), Plan: p.Plans[i].Name, Spread: 2 + r.IntN(demoGateways-1),
-				First: r.IntN(demoGateways), Rate: p.Plans[i].Rate / units * (0.3 + 0.3*r.Float64())}
+			c := stand.Customer{ID: fmt.Sprintf("%016x", 0x10000*(i+1)+j), Plan: p.Plans[i].Name, GatewayCount: 2 + r.IntN(demoGateways-1),
+				FirstGateway: r.IntN(demoGateways), Rate: p.Plans[i].Rate / units * (0.3 + 0.3*r.Float64())}
 			if d.fleet > 0 {
-				c.Spread, c.First = d.fleet, 0
+				c.GatewayCount, c.FirstGateway = d.fleet, 0
 			}
 			if p.Plans[i].Name == "plus" && j == 0 {
-				c.Flood, c.FloodFrom, c.FloodTo = 12, length/5, length*8/15
+				c.SurgeFactor, c.SurgeFrom, c.SurgeTo = 12, length/5, length*8/15
 			}
 			all = append(all, c)
 		}
@@ -68,11 +68,11 @@
 	dir      string
 	site     *stand.Site
 	gateways []*stand.Process
-	places   []stand.Place
-	members  []stand.Place // of the fleet
+	places   []stand.Endpoint
+	members  []stand.Endpoint // of the fleet
 
 	mu   sync.Mutex
-	ends []stand.Ended
+	ends []stand.RequestResult
 }
 
 func demo(args []string, out, errs io.Writer) int {
@@ -128,8 +128,8 @@
 	}
 	play, cancel := context.WithTimeout(ctx, d.length)
 	defer cancel()
-	crowd := &stand.Crowd{Customers: d.customers(rand.New(rand.NewPCG(d.seed, 0))), Classes: d.site.Platform.Classes,
-		Seed: d.seed, Each: d.ended}
+	crowd := &stand.LoadGenerator{Customers: d.customers(rand.New(rand.NewPCG(d.seed, 0))), Classes: d.site.Platform.Classes,
+		Seed: d.seed, OnResult: d.ended}
 	for _, p := range d.places {
 		crowd.Gateways = append(crowd.Gateways, p.Listen)
 	}
@@ -166,7 +166,7 @@
 	return code, nil
 }
 
-func (d *demonstration) ended(e stand.Ended) {
+func (d *demonstration) ended(e stand.RequestResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ends = append(d.ends, e)
@@ -174,7 +174,7 @@
 
 // start brings up the site and the gateways, and waits until each gateway answers.
 func (d *demonstration) start(ctx context.Context) (err error) {
-	if d.site, err = stand.NewSite(stand.Clinic(), demoNodes); err != nil {
+	if d.site, err = stand.NewSite(stand.SmallPlatform(), demoNodes); err != nil {
 		return err
 	}
 	if d.dir, err = os.MkdirTemp("", "sloectl-demo-"); err != nil {
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	if d.places, err = stand.Places(2 * d.size()); err != nil { // of each the clients' address, and the fleet's
+	if d.places, err = stand.AllocateEndpoints(2 * d.size()); err != nil { // of each the clients' address, and the fleet's
 		return err
 	}
 	d.places, d.members = d.places[:d.size()], d.places[d.size():]
@@ -195,7 +195,7 @@
 		}
 	}
 	for i, g := range d.gateways {
-		if err := g.Answers(ctx, d.places[i].Listen); err != nil {
+		if err := g.WaitReady(ctx, d.places[i].Listen); err != nil {
 			return err
 		}
 	}
@@ -244,7 +244,7 @@
 
 // startGateway starts a daemon: this program itself, with the verb daemon.
 func (d *demonstration) startGateway(i int) error {
-	text, err := d.site.Platform.Config(i, d.places, d.site.Discovery.Addr().String(), d.seed, d.site.List())
+	text, err := d.site.Platform.GatewayConfig(i, d.places, d.site.Discovery.Addr().String(), d.seed, d.site.ServerList())
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 	}
 	cmd := exec.Command(self, "daemon", "-operator", operator)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", selfEnv+"=1")
-	g, err := stand.Start(cmd)
+	g, err := stand.StartProcess(cmd)
 	if err != nil {
 		return err
 	}
@@ -366,9 +366,9 @@
 	}
 	for _, e := range d.ends {
 		f := all[e.Plan]
-		f.counts[e.Kind]++
-		if e.Kind == stand.WasServed {
-			f.took = append(f.took, e.At.Sub(e.Sent))
+		f.counts[e.Outcome]++
+		if e.Outcome == stand.OutcomeServed {
+			f.took = append(f.took, e.EndedAt.Sub(e.SentAt))
 		}
 	}
 	return all
@@ -383,7 +383,7 @@
 		sum.took = append(sum.took, f.took...)
 	}
 	return fmt.Sprintf("%3.0f s  asked %d  served %d  refused %d  failed %d  p50 %d ms  p99 %d ms\n", since.Seconds(), sum.asked(),
-		sum.counts[stand.WasServed], sum.counts[stand.WasRefused], sum.counts[stand.WasFailed],
+		sum.counts[stand.OutcomeServed], sum.counts[stand.OutcomeRefused], sum.counts[stand.OutcomeFailed],
 		sum.quantile(0.5).Milliseconds(), sum.quantile(0.99).Milliseconds())
 }
 
@@ -393,13 +393,13 @@
 	all := d.figures()
 	for _, p := range d.site.Platform.Plans {
 		f := all[p.Name]
-		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d %8d %8d\n", p.Name, f.asked(), f.counts[stand.WasServed], f.counts[stand.WasRefused],
-			f.counts[stand.WasFailed], f.quantile(0.5).Milliseconds(), f.quantile(0.99).Milliseconds())
+		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d %8d %8d\n", p.Name, f.asked(), f.counts[stand.OutcomeServed], f.counts[stand.OutcomeRefused],
+			f.counts[stand.OutcomeFailed], f.quantile(0.5).Milliseconds(), f.quantile(0.99).Milliseconds())
 	}
 	fmt.Fprintf(&b, "%-10s %7s %7s %8s %7s\n", "node", "came", "ran", "away", "repeat")
 	for _, n := range d.site.Nodes {
 		c := n.Counts()
-		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d\n", n.ID(), c.Came, c.Ran, c.Away, c.Dropped)
+		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d\n", n.ID(), c.Received, c.Executed, c.Rejected, c.Deduplicated)
 	}
 	return b.String()
 }
@@ -411,11 +411,11 @@
 	kept := true
 	for _, v := range d.site.Audit(d.ends) {
 		word := "kept"
-		if v.Count > 0 {
+		if v.Violations > 0 {
 			word, kept = "BROKEN", false
 		}
-		fmt.Fprintf(out, "%-7s %s (%d looked at, %d against it)\n", word, v.Rule, v.Held, v.Count)
-		for _, c := range v.Broken {
+		fmt.Fprintf(out, "%-7s %s (%d looked at, %d against it)\n", word, v.Rule, v.Checked, v.Violations)
+		for _, c := range v.Examples {
 			fmt.Fprintf(out, "        %s\n", c)
 		}
 	}
--- a/internal/blocks/blocks_test.go
+++ b/internal/blocks/blocks_test.go
@@ -77,8 +77,8 @@
 // clinic is the demonstration's platform.
 func clinic(t *testing.T) *gateway.Config {
 	t.Helper()
-	places := []stand.Place{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
-	text, err := stand.Clinic().Config(0, places, "127.0.0.1:3", 1, stand.List{})
+	places := []stand.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
+	text, err := stand.SmallPlatform().GatewayConfig(0, places, "127.0.0.1:3", 1, stand.ServerList{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -15,42 +15,42 @@
 
 // TestColdServersUnderManyGateways plays twenty processes, none of which hears another, while servers start anew one after the
 // other: what all of them together send a cold server, by its own tally, stays within what it can take and chance.
-func TestColdServersUnderManyGateways(t *testing.T) { seeds.Play(t, []uint64{1}, coldServers) }
+func TestColdServersUnderManyGateways(t *testing.T) { seeds.Run(t, []uint64{1}, coldServers) }
 
 func coldServers(t *testing.T, seed uint64) {
 	const n, nodes = 20, 4
 	const load = 0.6 // of what all servers can do when they are warm
-	platform := stand.Clinic()
-	platform.Rules.FallMultiple = 1.1 // little more than a cold server can do: without slow start its even share pushes it over
-	platform.Rules.ColdFor = 10 * time.Second
-	r := procs.New(t, procs.Config{Platform: platform, Nodes: nodes, Gateways: n, Seed: seed, Program: program})
-	r.Mesh.Set(links.Cut, nil, nil)
-	r.Start(0, r.All()...)
+	platform := stand.SmallPlatform()
+	platform.Rules.OverloadFactor = 1.1 // little more than a cold server can do: without slow start its even share pushes it over
+	platform.Rules.ColdDuration = 10 * time.Second
+	r := procs.New(t, procs.Config{Platform: platform, Nodes: nodes, Gateways: n, Seed: seed, Command: program})
+	r.Mesh.SetFault(links.Blackhole, nil, nil)
+	r.Start(0, r.AllGateways()...)
 	rules := platform.Rules
-	platform.Rules.FallMultiple *= 2 // of the general audit, which has no room for chance: this test counts by the rule's own terms
+	platform.Rules.OverloadFactor *= 2 // of the general audit, which has no room for chance: this test counts by the rule's own terms
 	mean := meanWork(platform)
 	asked := load * nodes * float64(platform.Rules.Cores) / mean.Seconds()
 	var crowd []stand.Customer
 	const customers = 60 // so many that none floods: quotas are not what is tested
 	for i := range customers {
-		crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16+i), Plan: "network", Rate: asked / customers, Spread: n})
+		crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16+i), Plan: "network", Rate: asked / customers, GatewayCount: n})
 	}
-	p := r.Play(crowd, seed, r.Script(
+	p := r.RunLoad(crowd, seed, r.Script(
 		procs.Event{At: 4 * time.Second, Name: "two servers start anew", Do: func() {
 			r.Must(r.Site.Restart(0))
 			r.Must(r.Site.Restart(1))
 		}},
 		procs.Event{At: 10 * time.Second, Name: "a third one starts anew", Do: func() { r.Must(r.Site.Restart(2)) }},
 		procs.Event{At: 16 * time.Second, Name: "the end", Do: func() {}}))
-	share, sent := p.Served(2*time.Second, 4*time.Second, nil)
+	share, sent := p.ServedShare(2*time.Second, 4*time.Second, nil)
 	t.Logf("served before the first start: %.2f of %d", share, sent)
 	if share < 0.5 {
 		t.Error("what is asked hardly reaches the servers: the test shows nothing")
 	}
 	for node := range 3 {
 		id := r.Site.Nodes[node].ID()
-		worst := worstWindow(r.Site.Tally, rules, id, mean)
-		t.Logf("%s: %.2f of what may be, in the worst window of %v", id, worst, rules.FallWindow)
+		worst := worstWindow(r.Site.Recorder, rules, id, mean)
+		t.Logf("%s: %.2f of what may be, in the worst window of %v", id, worst, rules.OverloadWindow)
 		if worst > 1 {
 			t.Errorf("%s was pushed over: %.2f times what may be", id, worst)
 		}
@@ -70,28 +70,28 @@
 
 // worstWindow is the most work that a server got in a window while it was cold, as a share of what may be: N requests of mean work, N being
 // what it can take in the window, and 2 sqrt(N) + 2 for chance.
-func worstWindow(tally *stand.Tally, rules stand.Rules, node string, mean time.Duration) (worst float64) {
-	started := tally.Started(node)
+func worstWindow(tally *stand.Recorder, rules stand.Rules, node string, mean time.Duration) (worst float64) {
+	started := tally.StartTimes(node)
 	if len(started) == 0 {
 		return 0
 	}
 	start := started[0]
 	in := slices.DeleteFunc(tally.Arrivals(), func(a stand.Arrival) bool {
 		since := a.At.Sub(start)
-		return a.Node != node || since < 0 || since >= rules.ColdFor
+		return a.Node != node || since < 0 || since >= rules.ColdDuration
 	})
 	slices.SortFunc(in, func(a, b stand.Arrival) int { return a.At.Compare(b.At) })
 	for i, first := range in {
 		sent := time.Duration(0)
 		for _, a := range in[i:] {
-			if a.At.Sub(first.At) > rules.FallWindow {
+			if a.At.Sub(first.At) > rules.OverloadWindow {
 				break
 			}
 			sent += a.Work
 		}
-		warm := float64(first.At.Sub(start)) / float64(rules.ColdFor)
-		speed := rules.ColdFrom + (1-rules.ColdFrom)*warm
-		can := rules.FallMultiple * float64(rules.Cores) * speed * rules.FallWindow.Seconds() / mean.Seconds()
+		warm := float64(first.At.Sub(start)) / float64(rules.ColdDuration)
+		speed := rules.ColdCapacity + (1-rules.ColdCapacity)*warm
+		can := rules.OverloadFactor * float64(rules.Cores) * speed * rules.OverloadWindow.Seconds() / mean.Seconds()
 		worst = max(worst, sent.Seconds()/mean.Seconds()/(can+2*math.Sqrt(can)+2))
 	}
 	return worst
--- a/internal/daemon/commons_test.go
+++ b/internal/daemon/commons_test.go
@@ -20,17 +20,17 @@
 func TestNewsIsNeverYoungerThanTold(t *testing.T) {
 	t.Parallel() // it waits more than it works
 	const n = 6
-	usual := links.Fault{Loss: 0.05, Dup: 0.02, Fast: 3 * time.Millisecond, Slow: 20 * time.Millisecond}
-	r := newFleet(t, stand.Clinic(), n, 1, "commons {\n every = 200ms\n}\nregion floor-3 {\n clock = \"Asia/Seoul\"\n quiet = [\"daily 00:00-24:00\"]\n}\n")
-	pulse := stand.NewPulse()
+	usual := links.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
+	r := newFleet(t, stand.SmallPlatform(), n, 1, "commons {\n every = 200ms\n}\nregion floor-3 {\n clock = \"Asia/Seoul\"\n quiet = [\"daily 00:00-24:00\"]\n}\n")
+	pulse := stand.NewSchedulingMonitor()
 	t.Cleanup(pulse.Close)
-	r.Mesh.Set(usual, nil, nil)
-	r.Start(0, r.All()...)
-	agreed(t, r, time.Minute, r.All()...)
+	r.Mesh.SetFault(usual, nil, nil)
+	r.Start(0, r.AllGateways()...)
+	agreed(t, r, time.Minute, r.AllGateways()...)
 
 	conf := commons.Default()
 	conf.Every = askEvery
-	stale := conf.Stale(n, usual.Loss, usual.Slow)
+	stale := conf.Stale(n, usual.Loss, usual.MaxDelay)
 	var ages []time.Duration
 	// watch looks at all members that say something for a while. Where calm, all have to know all others as of stale ago.
 	watch := func(what string, took time.Duration, calm bool) (most time.Duration) {
@@ -43,7 +43,7 @@
 				if rep == nil {
 					continue
 				}
-				late := pulse.Within(asked.Add(-stale), time.Now())
+				late := pulse.DelayBetween(asked.Add(-stale), time.Now())
 				if calm && (!rep.Clock.OK || rep.Clock.Agree != n || len(rep.Regions) != 1 || rep.Regions[0].Left < time.Hour) {
 					t.Fatalf("%s: %s has the clock %+v and the regions %+v", what, rep.Name, rep.Clock, rep.Regions)
 				}
@@ -80,22 +80,22 @@
 	watch("in peace", 2*time.Second, true)
 
 	const cut = 3 * time.Second
-	r.Mesh.Part([]int{1})
+	r.Mesh.Partition([]int{1})
 	if most := watch("one is cut off", cut, false); most < cut/2 {
 		t.Errorf("one was cut off for %v, and nobody's news is older than %v", cut, most)
 	}
-	r.Mesh.Set(usual, nil, nil)
-	r.Mesh.Set(links.Cut, []int{2}, []int{0, 1, 3, 4, 5})
+	r.Mesh.SetFault(usual, nil, nil)
+	r.Mesh.SetFault(links.Blackhole, []int{2}, []int{0, 1, 3, 4, 5})
 	watch("one hears and is not heard", cut, false)
-	r.Mesh.Set(usual, nil, nil)
-	thaw := r.Freeze(3)
+	r.Mesh.SetFault(usual, nil, nil)
+	thaw := r.Suspend(3)
 	watch("one stands still", cut, false)
 	thaw()
 	watch("it goes on", time.Second, false)
 	r.Kill(4)
 	watch("one is dead", time.Second, false)
 	r.Start(0, 4)
-	agreed(t, r, time.Minute, r.All()...)
+	agreed(t, r, time.Minute, r.AllGateways()...)
 	settle()
 	watch("all are back", 2*time.Second, true)
 	slices.Sort(ages)
@@ -104,10 +104,10 @@
 }
 
 // counts holds that nothing waited long or was dropped between a member's goroutines.
-func counts(t *testing.T, r *procs.Rig) {
+func counts(t *testing.T, r *procs.Harness) {
 	t.Helper()
 	var all gossip.NewsCounts
-	for i := range r.Run {
+	for i := range r.Processes {
 		if rep := report(r, i); rep != nil {
 			all.Ring.Deepest = max(all.Ring.Deepest, rep.Heard.Ring.Deepest)
 			all.Ring.Dropped += rep.Heard.Ring.Dropped
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -67,7 +67,7 @@
 	t        *testing.T
 	ctx      context.Context
 	site     *stand.Site
-	place    stand.Place
+	place    stand.Endpoint
 	platform string // the platform's file
 	operator string // the operators' file, or ""
 	gateway  *stand.Process
@@ -81,7 +81,7 @@
 // newRigOf is a rig with so many nodes.
 func newRigOf(t *testing.T, operator string, nodes int) *rig {
 	t.Helper()
-	return newRigAt(t, operator, stand.Clinic(), nodes)
+	return newRigAt(t, operator, stand.SmallPlatform(), nodes)
 }
 
 // newRigAt is one of a platform.
@@ -94,13 +94,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	places, err := stand.Places(1)
+	places, err := stand.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	r := &rig{t: t, ctx: ctx, site: site, place: places[0], platform: filepath.Join(dir, "platform.json")}
-	text, err := site.Platform.Config(0, places, site.Discovery.Addr().String(), 1, site.List())
+	text, err := site.Platform.GatewayConfig(0, places, site.Discovery.Addr().String(), 1, site.ServerList())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,11 +111,11 @@
 	}
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1", "GW_CONFIG="+r.platform, "GW_OPERATOR="+r.operator, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=")
-	if r.gateway, err = stand.Start(cmd); err != nil {
+	if r.gateway, err = stand.StartProcess(cmd); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.gateway.Kill)
-	if err := r.gateway.Answers(ctx, r.place.Listen); err != nil {
+	if err := r.gateway.WaitReady(ctx, r.place.Listen); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -147,7 +147,7 @@
 // logs waits for the nth line of the log with a piece of text.
 func (r *rig) logs(piece string, n int) {
 	r.t.Helper()
-	if err := r.gateway.Log.Wait(r.ctx, piece, n); err != nil {
+	if err := r.gateway.Log.WaitFor(r.ctx, piece, n); err != nil {
 		r.t.Fatalf("%v; the log is\n%s", err, r.gateway.Log)
 	}
 }
@@ -298,7 +298,7 @@
 
 // Ten reloads a second, of good files and bad ones, while clients ask: no request is lost and no rule broken.
 func TestReloadsUnderLoad(t *testing.T) {
-	seeds.Play(t, []uint64{1}, reloadsUnderLoad)
+	seeds.Run(t, []uint64{1}, reloadsUnderLoad)
 }
 
 func reloadsUnderLoad(t *testing.T, seed uint64) {
@@ -306,14 +306,14 @@
 	ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
 	defer cancel()
 	var mu sync.Mutex
-	var ends []stand.Ended
-	crowd := stand.Crowd{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: seed, Each: func(e stand.Ended) {
+	var ends []stand.RequestResult
+	crowd := stand.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: seed, OnResult: func(e stand.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		ends = append(ends, e)
 	}}
 	for i := range 10 {
-		crowd.Customers = append(crowd.Customers, stand.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "plus", Rate: 3, Spread: 1})
+		crowd.Customers = append(crowd.Customers, stand.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "plus", Rate: 3, GatewayCount: 1})
 	}
 	done := make(chan struct{})
 	go func() {
@@ -343,8 +343,8 @@
 		t.Error("too little happened for a test")
 	}
 	for _, v := range r.site.Audit(ends) {
-		if v.Count > 0 {
-			t.Errorf("%s: %d against it: %v", v.Rule, v.Count, v.Broken)
+		if v.Violations > 0 {
+			t.Errorf("%s: %d against it: %v", v.Rule, v.Violations, v.Examples)
 		}
 	}
 	if err := r.gateway.Stop(); err != nil {
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -85,7 +85,7 @@
 	t.Parallel() // it waits more than it works
 	const n = 5
 	out := newOutside(t)
-	var ways [n]links.Ways
+	var ways [n]links.RelayFaults
 	var relays [n]*links.Relay
 	for i := range n {
 		var err error
@@ -93,15 +93,15 @@
 		must(t, err)
 		t.Cleanup(relays[i].Close)
 	}
-	r := newFleetWith(t, stand.Clinic(), n, 1, func(i int) string {
+	r := newFleetWith(t, stand.SmallPlatform(), n, 1, func(i int) string {
 		return fmt.Sprintf(dutiesOfThree, relays[i].Addr())
 	})
-	r.Start(0, r.All()...)
-	agreed(t, r, time.Minute, r.All()...)
+	r.Start(0, r.AllGateways()...)
+	agreed(t, r, time.Minute, r.AllGateways()...)
 	a := out.next(t)
 	ways[a].Set(links.Fault{Stall: true}, links.Fault{})
 	time.Sleep(300 * time.Millisecond) // a step of it is on its way
-	thawA := r.Freeze(a)
+	thawA := r.Suspend(a)
 	died := time.Now()
 	b := out.next(t, a)
 	t.Logf("g%d stands still with a step on its way; g%d owns %v later", a, b, time.Since(died).Round(time.Millisecond))
@@ -109,7 +109,7 @@
 		t.Logf("g%d votes no more %v later", a, renewed(t, r, a).Round(time.Millisecond))
 		b = out.next(t, a)
 	}
-	thawB := r.Freeze(b)
+	thawB := r.Suspend(b)
 	died = time.Now()
 	c := out.next(t, a, b)
 	t.Logf("g%d stands still; g%d owns %v later", b, c, time.Since(died).Round(time.Millisecond))
@@ -117,7 +117,7 @@
 	for end := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
 		out.mu.Lock()
 		late := out.fence.Turned
-		arrived := slices.ContainsFunc(out.turned, func(s duty.Step) bool { return strings.HasPrefix(s.Who, procs.Name(a)+".") })
+		arrived := slices.ContainsFunc(out.turned, func(s duty.Step) bool { return strings.HasPrefix(s.Who, procs.GatewayName(a)+".") })
 		out.mu.Unlock()
 		if arrived {
 			t.Logf("the late step arrived and was turned away: %v", late)
@@ -129,15 +129,15 @@
 	}
 	thawA()
 	thawB()
-	agreed(t, r, time.Minute, r.All()...)
+	agreed(t, r, time.Minute, r.AllGateways()...)
 	d := out.next(t)
-	r.Mesh.Part([]int{d})
+	r.Mesh.Partition([]int{d})
 	e := out.next(t, d)
 	t.Logf("g%d is cut off; g%d owns", d, e)
-	r.Mesh.Set(links.Fault{}, nil, nil)
+	r.Mesh.SetFault(links.Fault{}, nil, nil)
 	back := r.PowerLoss()
 	_, before := out.owners()
-	r.Start(0, r.All()...)
+	r.Start(0, r.AllGateways()...)
 	back()
 	for end := time.Now().Add(time.Minute); ; time.Sleep(20 * time.Millisecond) {
 		if _, steps := out.owners(); steps > before+3 {
@@ -175,9 +175,9 @@
 const dutiesOfThree = "duties {\n voters = 3\n lease = 2s\n report {\n url = \"http://%s/\"\n every = 100ms\n }\n}\n"
 
 // voters are the gateways that vote, as one of those that are there tells it, by number.
-func voters(t *testing.T, r *procs.Rig, but ...int) (who []int) {
+func voters(t *testing.T, r *procs.Harness, but ...int) (who []int) {
 	t.Helper()
-	for _, i := range r.All() {
+	for _, i := range r.AllGateways() {
 		rep := report(r, i)
 		if slices.Contains(but, i) || rep == nil {
 			continue
@@ -194,7 +194,7 @@
 }
 
 // renewed waits until those who stand still vote no more, and returns how long that took.
-func renewed(t *testing.T, r *procs.Rig, still ...int) time.Duration {
+func renewed(t *testing.T, r *procs.Harness, still ...int) time.Duration {
 	t.Helper()
 	for from := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		now := voters(t, r, still...)
@@ -219,28 +219,28 @@
 				t.Parallel() // it waits more than it works
 				const n = 5
 				out := newOutside(t)
-				r := newFleetHolding(t, stand.Clinic(), n, uint64(k), 15*time.Second, func(int) string {
+				r := newFleetHolding(t, stand.SmallPlatform(), n, uint64(k), 15*time.Second, func(int) string {
 					return fmt.Sprintf(dutiesOfThree, strings.TrimPrefix(out.URL, "http://"))
 				})
-				r.Start(0, r.All()...)
-				agreed(t, r, time.Minute, r.All()...)
+				r.Start(0, r.AllGateways()...)
+				agreed(t, r, time.Minute, r.AllGateways()...)
 				out.next(t)
 				three := voters(t, r)
 				if len(three) != 3 {
 					t.Fatalf("%v vote", three)
 				}
 				a, b := three[k%3], three[(k+1)%3]
-				thawA := r.Freeze(a)
+				thawA := r.Suspend(a)
 				if form == "one after the other" {
 					t.Logf("g%d stands still; others vote %v later", a, renewed(t, r, a).Round(time.Millisecond))
 				}
-				thawB := r.Freeze(b)
+				thawB := r.Suspend(b)
 				took := renewed(t, r, a, b)
 				goes := out.goesOn(t, a, b)
 				t.Logf("g%d and g%d stand still; others vote %v later, and the work goes on %v after that", a, b, took.Round(time.Millisecond), goes.Round(time.Millisecond))
 				thawA()
 				thawB()
-				agreed(t, r, time.Minute, r.All()...)
+				agreed(t, r, time.Minute, r.AllGateways()...)
 				out.goesOn(t)
 				out.audit(t)
 			})
@@ -259,7 +259,7 @@
 		o.mu.Lock()
 		steps := 0
 		for _, s := range o.taken[before:] {
-			if !slices.ContainsFunc(not, func(i int) bool { return strings.HasPrefix(s.Who, procs.Name(i)+".") }) {
+			if !slices.ContainsFunc(not, func(i int) bool { return strings.HasPrefix(s.Who, procs.GatewayName(i)+".") }) {
 				steps++
 			}
 		}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -32,44 +32,44 @@
 
 // newFleet builds a fleet that is not started yet. more stands in the operators' file of each behind its block fleet, with its disk's name
 // for DISK.
-func newFleet(t *testing.T, platform *stand.Platform, n int, seed uint64, more string) *procs.Rig {
+func newFleet(t *testing.T, platform *stand.Platform, n int, seed uint64, more string) *procs.Harness {
 	t.Helper()
-	return newFleetWith(t, platform, n, seed, func(i int) string { return strings.ReplaceAll(more, "DISK", procs.Name(i)) })
+	return newFleetWith(t, platform, n, seed, func(i int) string { return strings.ReplaceAll(more, "DISK", procs.GatewayName(i)) })
 }
 
 // newFleetWith builds one whose members have each their own more.
-func newFleetWith(t *testing.T, platform *stand.Platform, n int, seed uint64, more func(i int) string) *procs.Rig {
+func newFleetWith(t *testing.T, platform *stand.Platform, n int, seed uint64, more func(i int) string) *procs.Harness {
 	t.Helper()
 	return newFleetHolding(t, platform, n, seed, 3*time.Minute, more)
 }
 
 // newFleetHolding builds one that keeps the places of those who are gone for so long.
-func newFleetHolding(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string) *procs.Rig {
+func newFleetHolding(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string) *procs.Harness {
 	t.Helper()
 	return newFleetOf(t, platform, n, seed, hold, more, program)
 }
 
 // newFleetFrom builds one whose gateways are started by the given command.
-func newFleetFrom(t *testing.T, platform *stand.Platform, n int, seed uint64, more func(i int) string, program func() *exec.Cmd) *procs.Rig {
+func newFleetFrom(t *testing.T, platform *stand.Platform, n int, seed uint64, more func(i int) string, program func() *exec.Cmd) *procs.Harness {
 	t.Helper()
 	return newFleetOf(t, platform, n, seed, 3*time.Minute, more, program)
 }
 
-func newFleetOf(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string, program func() *exec.Cmd) *procs.Rig {
+func newFleetOf(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string, program func() *exec.Cmd) *procs.Harness {
 	t.Helper()
-	r := procs.New(t, procs.Config{Platform: platform, Gateways: n, Seed: seed, Program: program, Fleet: func(r *procs.Rig, i int) string {
+	r := procs.New(t, procs.Config{Platform: platform, Gateways: n, Seed: seed, Command: program, OperatorFile: func(r *procs.Harness, i int) string {
 		return fmt.Sprintf("fleet {\n address = %q\n places = %d\n expect = %d\n hold = %ds\n seeds = [%q, %q]\n keys = \"keys\"\n state = \"%s/state\"\n status = %q\n}\n%s",
-			r.Members[i], n, n, int(hold.Seconds()), r.Members[0], r.Members[1], procs.Name(i), procs.Name(i)+".sock", more(i))
+			r.MemberAddrs[i], n, n, int(hold.Seconds()), r.MemberAddrs[0], r.MemberAddrs[1], procs.GatewayName(i), procs.GatewayName(i)+".sock", more(i))
 	}})
-	r.Write(r.File("keys"), base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))+"\n")
+	r.WriteFile(r.FilePath("keys"), base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))+"\n")
 	return r
 }
 
 // report asks a gateway how it sees the fleet; nil: it does not say.
-func report(r *procs.Rig, i int) *gossip.Report {
+func report(r *procs.Harness, i int) *gossip.Report {
 	ctx, cancel := context.WithTimeout(r.Ctx, time.Second)
 	defer cancel()
-	rep, err := gossip.ReadStatus(ctx, r.File(procs.Name(i)+".sock"))
+	rep, err := gossip.ReadStatus(ctx, r.FilePath(procs.GatewayName(i)+".sock"))
 	if err != nil {
 		return nil
 	}
@@ -77,7 +77,7 @@
 }
 
 // agreed waits until those gateways have a place, and the same table.
-func agreed(t *testing.T, r *procs.Rig, within time.Duration, which ...int) time.Duration {
+func agreed(t *testing.T, r *procs.Harness, within time.Duration, which ...int) time.Duration {
 	t.Helper()
 	for from := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		var first []fleet.Holder
@@ -100,7 +100,7 @@
 			return time.Since(from)
 		}
 		if time.Since(from) > within {
-			for i, p := range r.Run {
+			for i, p := range r.Processes {
 				t.Logf("g%d: %s", i, p.Log)
 			}
 			t.Fatalf("no agreement within %v: %s", within, why)
@@ -116,10 +116,10 @@
 }
 
 // uses reads from the logs of all processes so far which place each had when.
-func uses(r *procs.Rig) (all []use) {
-	for i, lives := range r.Former {
+func uses(r *procs.Harness) (all []use) {
+	for i, lives := range r.History {
 		for _, life := range lives {
-			last := use{place: -1, who: procs.Name(i)}
+			last := use{place: -1, who: procs.GatewayName(i)}
 			end := func(at time.Time) {
 				if last.to = at; last.place >= 0 {
 					all = append(all, last)
@@ -141,7 +141,7 @@
 				}
 				last.from = when
 			}
-			to := life.To
+			to := life.EndedAt
 			if to.IsZero() {
 				to = time.Now()
 			}
@@ -152,7 +152,7 @@
 }
 
 // ownPlaces holds that no place was used by two at a time. While one stands still it does not use what it has.
-func ownPlaces(t *testing.T, r *procs.Rig, still ...string) {
+func ownPlaces(t *testing.T, r *procs.Harness, still ...string) {
 	t.Helper()
 	all := uses(r)
 	for i, a := range all {
@@ -171,7 +171,7 @@
 func floodsAndCalm(platform *stand.Platform, n int, times float64) (all []stand.Customer) {
 	for i, plan := range platform.Plans {
 		for k, share := range []float64{times, 0.5} {
-			all = append(all, stand.Customer{ID: fmt.Sprintf("%016x", 2*i+k+1), Plan: plan.Name, Rate: share * plan.Rate / unitsEach, Spread: n})
+			all = append(all, stand.Customer{ID: fmt.Sprintf("%016x", 2*i+k+1), Plan: plan.Name, Rate: share * plan.Rate / unitsEach, GatewayCount: n})
 		}
 	}
 	return all
@@ -183,28 +183,28 @@
 // stopped, let stand still and started again. Each request that a living gateway took has one answer, no key ran twice, the
 // ceiling holds, and no customer gets more than its quota and a stated slack.
 func TestFleetUnderKills(t *testing.T) {
-	seeds.Play(t, []uint64{1}, fleetUnderKills)
+	seeds.Run(t, []uint64{1}, fleetUnderKills)
 }
 
 func fleetUnderKills(t *testing.T, seed uint64) {
 	n := *fleetSize
-	platform := stand.Clinic()
+	platform := stand.SmallPlatform()
 	r := newFleet(t, platform, n, seed, "")
-	r.Start(0, r.All()...)
-	t.Logf("%d processes have their places %v after the last start", n, agreed(t, r, time.Minute, r.All()...))
+	r.Start(0, r.AllGateways()...)
+	t.Logf("%d processes have their places %v after the last start", n, agreed(t, r, time.Minute, r.AllGateways()...))
 	rnd := seeds.Rand(seed)
-	p := r.Play(floodsAndCalm(platform, n, 5), seed, func() {
+	p := r.RunLoad(floodsAndCalm(platform, n, 5), seed, func() {
 		for _, how := range []string{"kill", "stand still", "stop", "kill half"} {
 			time.Sleep(2 * time.Second)
 			i := rnd.IntN(n)
 			disturb(r, how, i)
-			t.Logf("%s g%d: whole again after %v", how, i, agreed(t, r, time.Minute, r.All()...))
+			t.Logf("%s g%d: whole again after %v", how, i, agreed(t, r, time.Minute, r.AllGateways()...))
 		}
 		time.Sleep(2 * time.Second)
 	})
 	ownPlaces(t, r)
 	for _, c := range p.Customers {
-		quota, got := p.Quota(&c)
+		quota, got := p.QuotaUsage(&c)
 		t.Logf("%s, asks for %.1f units a second: got %.0f units of %.0f", c.Plan, c.Rate*unitsEach, got, quota)
 		if got > 1.1*quota+p.Plan(&c).Burst/2 {
 			t.Errorf("customer %s on %s got %.0f units of %.0f", c.ID, c.Plan, got, quota)
@@ -213,29 +213,29 @@
 }
 
 // disturb does something to a gateway.
-func disturb(r *procs.Rig, how string, i int) {
+func disturb(r *procs.Harness, how string, i int) {
 	switch how {
 	case "kill":
-		back := r.Away(i)
+		back := r.MarkDown(i)
 		r.Kill(i)
 		r.Start(0, i)
 		back()
 	case "stand still":
-		thaw := r.Freeze(i)
+		thaw := r.Suspend(i)
 		time.Sleep(4 * time.Second)
 		thaw()
-		r.Must(r.Run[i].Log.Wait(r.Ctx, "standing aside until the fleet is heard", 1))
+		r.Must(r.Processes[i].Log.WaitFor(r.Ctx, "standing aside until the fleet is heard", 1))
 	case "stop":
-		back := r.Away(i)
-		r.Must(r.Run[i].Stop())
+		back := r.MarkDown(i)
+		r.Must(r.Processes[i].Stop())
 		r.Start(0, i)
 		back()
 	case "kill half":
 		var half []int
-		for k := range len(r.Run) / 2 {
-			half = append(half, (i+k)%len(r.Run))
+		for k := range len(r.Processes) / 2 {
+			half = append(half, (i+k)%len(r.Processes))
 		}
-		back := r.Away(half...)
+		back := r.MarkDown(half...)
 		r.Kill(half...)
 		r.Start(0, half...)
 		back()
@@ -253,18 +253,18 @@
 // them knows it, and is one of all again when they are mended.
 func TestMembersTalkByLinks(t *testing.T) {
 	t.Parallel() // it waits more than it works
-	r := newFleet(t, stand.Clinic(), 3, 1, "")
-	r.Start(0, r.All()...)
-	agreed(t, r, time.Minute, r.All()...)
-	r.Mesh.Part([]int{2})
-	r.Must(r.Run[2].Log.Wait(r.Ctx, "cut off: true", 2)) // as it was at its start
-	r.Mesh.Set(links.Fault{}, nil, nil)
-	r.Must(r.Run[2].Log.Wait(r.Ctx, "cut off: false", 2))
-	agreed(t, r, time.Minute, r.All()...)
-	if c := r.Mesh.Counts(); c.Passed == 0 || c.Lost == 0 {
+	r := newFleet(t, stand.SmallPlatform(), 3, 1, "")
+	r.Start(0, r.AllGateways()...)
+	agreed(t, r, time.Minute, r.AllGateways()...)
+	r.Mesh.Partition([]int{2})
+	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: true", 2)) // as it was at its start
+	r.Mesh.SetFault(links.Fault{}, nil, nil)
+	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: false", 2))
+	agreed(t, r, time.Minute, r.AllGateways()...)
+	if c := r.Mesh.Counts(); c.Forwarded == 0 || c.Lost == 0 {
 		t.Errorf("the links passed and lost %+v", c)
 	}
-	if _, err := os.Stat(filepath.Join(r.Disk(2), "state")); err != nil {
+	if _, err := os.Stat(filepath.Join(r.DiskDir(2), "state")); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -16,40 +16,40 @@
 // TestGatewaysCutOffFromEachOther plays clinics, one of each plan at five times its quota and others well within theirs, at six
 // processes whose messages are lost, late, doubled, and for a time all cut: each request has one answer, no key runs twice, the
 // ceiling holds; who floods gets its quota and a stated slack; who does not is let in while all are cut about as before.
-func TestGatewaysCutOffFromEachOther(t *testing.T) { seeds.Play(t, []uint64{1}, gatewaysCutOff) }
+func TestGatewaysCutOffFromEachOther(t *testing.T) { seeds.Run(t, []uint64{1}, gatewaysCutOff) }
 
 func gatewaysCutOff(t *testing.T, seed uint64) {
 	const n, calm = 6, 3
 	const seenFrom = 8 // units a second: at five times that each gateway knows a flood by its own requests
 	const cut, healed, over = 5 * time.Second, 10 * time.Second, 13 * time.Second
-	platform := stand.Clinic()
-	platform.Intake = 10 // too little for everyone to tell everyone: customers have homes
-	r := procs.New(t, procs.Config{Platform: platform, Gateways: n, Seed: seed, Program: program})
-	r.Start(0, r.All()...)
+	platform := stand.SmallPlatform()
+	platform.PeerIntake = 10 // too little for everyone to tell everyone: customers have homes
+	r := procs.New(t, procs.Config{Platform: platform, Gateways: n, Seed: seed, Command: program})
+	r.Start(0, r.AllGateways()...)
 	var crowd []stand.Customer
 	for i, plan := range platform.Plans {
-		crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16*i+1), Plan: plan.Name, Rate: 5 * plan.Rate / 1.38, Spread: n})
+		crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16*i+1), Plan: plan.Name, Rate: 5 * plan.Rate / 1.38, GatewayCount: n})
 		for k := range calm {
-			crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16*i+2+k), Plan: plan.Name, Rate: 0.4 * plan.Rate / 1.38, Spread: n})
+			crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16*i+2+k), Plan: plan.Name, Rate: 0.4 * plan.Rate / 1.38, GatewayCount: n})
 		}
 	}
-	usual := links.Fault{Loss: 0.05, Dup: 0.02, Fast: 3 * time.Millisecond, Slow: 20 * time.Millisecond}
-	p := r.Play(crowd, seed, r.Script(
-		procs.Event{At: 0, Name: "some messages are lost, late or doubled", Do: func() { r.Mesh.Set(usual, nil, nil) }},
-		procs.Event{At: cut, Name: "all are cut off from each other", Do: func() { r.Mesh.Set(links.Cut, nil, nil) }},
+	usual := links.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
+	p := r.RunLoad(crowd, seed, r.Script(
+		procs.Event{At: 0, Name: "some messages are lost, late or doubled", Do: func() { r.Mesh.SetFault(usual, nil, nil) }},
+		procs.Event{At: cut, Name: "all are cut off from each other", Do: func() { r.Mesh.SetFault(links.Blackhole, nil, nil) }},
 		procs.Event{At: healed, Name: "half hears the others and is not heard", Do: func() {
-			r.Mesh.Set(usual, nil, nil)
-			r.Mesh.Set(links.Cut, []int{0, 1, 2}, []int{3, 4, 5})
+			r.Mesh.SetFault(usual, nil, nil)
+			r.Mesh.SetFault(links.Blackhole, []int{0, 1, 2}, []int{3, 4, 5})
 		}},
 		procs.Event{At: over, Name: "the end", Do: func() {}}))
 	t.Logf("messages %+v", r.Mesh.Counts())
-	began, took := p.Began, p.Took
+	began, took := p.StartedAt, p.Elapsed
 	before, during := map[string][2]int{}, map[string][2]int{} // of plans: asked and served by those within their quotas
-	for _, e := range p.Ends {
+	for _, e := range p.Results {
 		if strings.HasSuffix(e.Customer, "1") {
 			continue
 		}
-		at, in := e.Sent.Sub(began), before
+		at, in := e.SentAt.Sub(began), before
 		if at > cut+2*time.Second && at < healed { // what has to be noticed is noticed by then
 			in = during
 		} else if at < time.Second || at > cut {
@@ -57,7 +57,7 @@
 		}
 		x := in[e.Plan]
 		x[0]++
-		if e.Kind == stand.WasServed {
+		if e.Outcome == stand.OutcomeServed {
 			x[1]++
 		}
 		in[e.Plan] = x
@@ -69,7 +69,7 @@
 			t.Errorf("%s: those within their quotas are hardly served while all are cut off", plan.Name)
 		}
 		flood := fmt.Sprintf("%016x", 16*indexOf(platform, plan.Name)+1)
-		got, quota := r.Site.Tally.Units(flood), plan.Rate*took.Seconds()+plan.Burst
+		got, quota := r.Site.Recorder.Units(flood), plan.Rate*took.Seconds()+plan.Burst
 		// Of a plan's flood below seenFrom too few requests tell; a burst more, as homes begin again after the cut.
 		slack := allowance.Over(allowance.Plan{Rate: plan.Rate, Burst: plan.Burst},
 			allowance.Trouble{Took: took, Silent: healed - cut, Known: plan.Rate >= seenFrom, Begun: 1})
@@ -82,9 +82,9 @@
 }
 
 // share is what nodes were sent of a customer in a time, in units of what its rate gives then.
-func share(r *procs.Rig, customer string, rate float64, began time.Time, from, to time.Duration) (units float64) {
+func share(r *procs.Harness, customer string, rate float64, began time.Time, from, to time.Duration) (units float64) {
 	seen := map[string]bool{}
-	for _, a := range r.Site.Tally.Arrivals() {
+	for _, a := range r.Site.Recorder.Arrivals() {
 		if at := a.At.Sub(began); a.Customer == customer && at >= from && at < to && !seen[a.ID] {
 			units += a.Units
 		}
--- a/internal/daemon/mixedbuilds_test.go
+++ b/internal/daemon/mixedbuilds_test.go
@@ -32,11 +32,11 @@
 		isOther[i] = i%2 == 1
 	}
 	more := keeps + fmt.Sprintf(dutiesOfThree, strings.TrimPrefix(out.URL, "http://")) + "commons {\n}\n"
-	platform := stand.Clinic()
+	platform := stand.SmallPlatform()
 	b := &blackout{t: t, platform: platform}
 	r := newFleetFrom(t, platform, n, 1, func(i int) string {
 		current = i
-		return strings.ReplaceAll(more, "DISK", procs.Name(i))
+		return strings.ReplaceAll(more, "DISK", procs.GatewayName(i))
 	}, func() *exec.Cmd {
 		binary := os.Args[0]
 		if isOther[current] {
@@ -46,37 +46,37 @@
 		cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1")
 		return cmd
 	})
-	b.Rig = r
-	b.Start(0, b.All()...)
-	t.Logf("agreed %v after the last start", agreed(t, r, time.Minute, b.All()...))
+	b.Harness = r
+	b.Start(0, b.AllGateways()...)
+	t.Logf("agreed %v after the last start", agreed(t, r, time.Minute, b.AllGateways()...))
 	out.next(t)
-	b.judge(b.Play(floodsAndCalm(platform, n, 5), 1, func() {
+	b.judge(b.RunLoad(floodsAndCalm(platform, n, 5), 1, func() {
 		time.Sleep(3 * time.Second)
 		for _, i := range []int{0, 1} {
 			disturb(r, "kill", i)
-			agreed(t, r, time.Minute, b.All()...)
+			agreed(t, r, time.Minute, b.AllGateways()...)
 		}
 		for _, i := range []int{2, 3} {
 			disturb(r, "stop", i)
-			agreed(t, r, time.Minute, b.All()...)
+			agreed(t, r, time.Minute, b.AllGateways()...)
 		}
 		t.Logf("the work goes on after %v", out.goesOn(t))
-		b.Mesh.Set(links.Cut, []int{4}, []int{5})
-		b.Mesh.Set(links.Cut, []int{5}, []int{4})
+		b.Mesh.SetFault(links.Blackhole, []int{4}, []int{5})
+		b.Mesh.SetFault(links.Blackhole, []int{5}, []int{4})
 		time.Sleep(4 * time.Second)
-		b.Mesh.Set(links.Fault{}, nil, nil)
-		agreed(t, r, time.Minute, b.All()...)
+		b.Mesh.SetFault(links.Fault{}, nil, nil)
+		agreed(t, r, time.Minute, b.AllGateways()...)
 		for range 2 {
 			b.lose(0, func() {
 				for i := range n {
 					isOther[i] = !isOther[i]
 				}
 			})
-			agreed(t, r, time.Minute, b.All()...)
+			agreed(t, r, time.Minute, b.AllGateways()...)
 			for i := range n {
-				must(t, b.Run[i].Log.Wait(b.Ctx, "power: full", 1))
-				if log := b.Run[i].Log.String(); strings.Contains(log, "disk absent") || strings.Contains(log, "set aside") || strings.Contains(log, "not a whole image") {
-					t.Errorf("%s (other build: %v) does not use the other build's state:\n%s", procs.Name(i), isOther[i], log)
+				must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: full", 1))
+				if log := b.Processes[i].Log.String(); strings.Contains(log, "disk absent") || strings.Contains(log, "set aside") || strings.Contains(log, "not a whole image") {
+					t.Errorf("%s (other build: %v) does not use the other build's state:\n%s", procs.GatewayName(i), isOther[i], log)
 				}
 			}
 			t.Logf("the work goes on after %v", out.goesOn(t))
--- a/internal/daemon/power_test.go
+++ b/internal/daemon/power_test.go
@@ -30,7 +30,7 @@
 
 // blackout is a rig whose power is lost under a crowd at five times its quota.
 type blackout struct {
-	*procs.Rig
+	*procs.Harness
 	t        *testing.T
 	platform *stand.Platform
 	losses   float64
@@ -38,10 +38,10 @@
 }
 
 func newBlackout(t *testing.T, n int, seed uint64, block string) *blackout {
-	platform := stand.Clinic()
-	b := &blackout{Rig: newFleet(t, platform, n, seed, block), t: t, platform: platform}
-	b.Start(0, b.All()...)
-	agreed(t, b.Rig, time.Minute, b.All()...)
+	platform := stand.SmallPlatform()
+	b := &blackout{Harness: newFleet(t, platform, n, seed, block), t: t, platform: platform}
+	b.Start(0, b.AllGateways()...)
+	agreed(t, b.Harness, time.Minute, b.AllGateways()...)
 	return b
 }
 
@@ -50,7 +50,7 @@
 	b.losses++
 	back := b.PowerLoss()
 	meanwhile()
-	b.Start(spacing, b.All()...)
+	b.Start(spacing, b.AllGateways()...)
 	back()
 }
 
@@ -73,8 +73,8 @@
 
 func (b *blackout) said(i int, piece string) {
 	b.t.Helper()
-	if !strings.Contains(b.Run[i].Log.String(), piece) {
-		b.t.Errorf("%s does not say %q:\n%s", procs.Name(i), piece, b.Run[i].Log)
+	if !strings.Contains(b.Processes[i].Log.String(), piece) {
+		b.t.Errorf("%s does not say %q:\n%s", procs.GatewayName(i), piece, b.Processes[i].Log)
 	}
 }
 
@@ -82,7 +82,7 @@
 func (b *blackout) tell(name string, from time.Time, before map[string]float64) {
 	took, over := time.Since(from).Seconds(), ""
 	for _, plan := range b.platform.Plans {
-		got := b.Site.Tally.Units(flooding(b.platform, plan.Name)) - before[plan.Name] - plan.Rate*took
+		got := b.Site.Recorder.Units(flooding(b.platform, plan.Name)) - before[plan.Name] - plan.Rate*took
 		over += fmt.Sprintf(", %s %.2f", plan.Name, got/plan.Burst)
 	}
 	b.t.Logf("%s: bursts beyond rate x time in %.1f s%s", name, took, over)
@@ -91,18 +91,18 @@
 func (b *blackout) units() map[string]float64 {
 	all := map[string]float64{}
 	for _, plan := range b.platform.Plans {
-		all[plan.Name] = b.Site.Tally.Units(flooding(b.platform, plan.Name))
+		all[plan.Name] = b.Site.Recorder.Units(flooding(b.platform, plan.Name))
 	}
 	return all
 }
 
 // judge holds each customer to its quota and the slack, and places to one user each.
-func (b *blackout) judge(p *procs.Played) {
+func (b *blackout) judge(p *procs.LoadResult) {
 	b.t.Helper()
-	ownPlaces(b.t, b.Rig)
+	ownPlaces(b.t, b.Harness)
 	for _, c := range p.Customers {
-		quota, got := p.Quota(&c)
-		may := quota + slack(p.Plan(&c), p.Took, b.losses, b.unproven)
+		quota, got := p.QuotaUsage(&c)
+		may := quota + slack(p.Plan(&c), p.Elapsed, b.losses, b.unproven)
 		b.t.Logf("%s, asks for %.1f units a second: got %.0f units of %.0f, and a slack to %.0f", c.Plan, c.Rate*unitsEach, got, quota, may)
 		if got > may {
 			b.t.Errorf("customer %s on %s got %.0f units, %.0f may be", c.ID, c.Plan, got, may)
@@ -113,7 +113,7 @@
 // TestFleetPowerLoss: power is lost again and again under a crowd at five times its quota, and comes back in one way after the other. Each
 // request that a living gateway took has one answer, no key runs twice, ceilings hold; who floods gets no more at a loss than its page
 // allows.
-func TestFleetPowerLoss(t *testing.T) { seeds.Play(t, []uint64{1}, fleetPowerLoss) }
+func TestFleetPowerLoss(t *testing.T) { seeds.Run(t, []uint64{1}, fleetPowerLoss) }
 
 func fleetPowerLoss(t *testing.T, seed uint64) {
 	n := max(8, *fleetSize)
@@ -134,56 +134,56 @@
 		{"disks lost, old, a neighbour's, torn", func() {
 			b.unproven += 4 / float64(n)
 			b.lose(0, func() {
-				b.Lose(0)
-				b.Replace(1, old)
-				b.Replace(2, b.Disk(3))
-				b.Tear(4, 0.5)
+				b.WipeDisk(0)
+				b.ReplaceDisk(1, old)
+				b.ReplaceDisk(2, b.DiskDir(3))
+				b.TruncateFiles(4, 0.5)
 			})
-			agreed(t, b.Rig, time.Minute, b.All()...)
+			agreed(t, b.Harness, time.Minute, b.AllGateways()...)
 			b.said(0, "disk absent")
 			b.said(1, "older than others know it")
 			b.said(2, "is another member's and is set aside")
 			b.said(4, "not a whole image")
 			for _, i := range []int{2, 4} {
 				for _, name := range []string{"power.bad", "state.bad"} {
-					if _, err := os.Stat(filepath.Join(b.Disk(i), name)); err != nil {
+					if _, err := os.Stat(filepath.Join(b.DiskDir(i), name)); err != nil {
 						t.Errorf("what was spoilt is not set aside: %v", err)
 					}
 				}
 			}
 		}},
 		{"clocks an hour back, and never set", func() {
-			b.Clock[5], b.Clock[6] = -time.Hour, -time.Since(time.Unix(0, 0))
+			b.ClockOffsets[5], b.ClockOffsets[6] = -time.Hour, -time.Since(time.Unix(0, 0))
 			b.lose(0, nothing)
 		}},
 		{"over links that lose a third, and a way that is cut", func() {
-			b.Mesh.Set(links.Fault{Loss: 0.3, Slow: 20 * time.Millisecond}, nil, nil)
-			b.Mesh.Set(links.Cut, []int{1}, []int{4})
+			b.Mesh.SetFault(links.Fault{Loss: 0.3, MaxDelay: 20 * time.Millisecond}, nil, nil)
+			b.Mesh.SetFault(links.Blackhole, []int{1}, []int{4})
 			b.lose(0, nothing)
-			agreed(t, b.Rig, time.Minute, b.All()...)
-			b.Mesh.Set(links.Fault{}, nil, nil)
+			agreed(t, b.Harness, time.Minute, b.AllGateways()...)
+			b.Mesh.SetFault(links.Fault{}, nil, nil)
 		}},
 		{"but one, which stands still", func() {
 			b.losses++
-			others := b.All()[:n-1]
-			thaw := b.Freeze(n - 1)
-			back := b.Away(others...)
+			others := b.AllGateways()[:n-1]
+			thaw := b.Suspend(n - 1)
+			back := b.MarkDown(others...)
 			b.Kill(others...)
 			b.Start(0, others...)
 			back()
 			time.Sleep(3 * time.Second)
 			thaw()
-			must(t, b.Run[n-1].Log.Wait(b.Ctx, "standing aside until the fleet is heard", 1))
+			must(t, b.Processes[n-1].Log.WaitFor(b.Ctx, "standing aside until the fleet is heard", 1))
 		}},
 	}
-	b.judge(b.Play(floodsAndCalm(b.platform, n, 5), seed, func() {
+	b.judge(b.RunLoad(floodsAndCalm(b.platform, n, 5), seed, func() {
 		time.Sleep(3 * time.Second) // buckets are at their marks
-		old = b.Copy(1)
+		old = b.CopyDisk(1)
 		for i, w := range ways {
 			before, from := b.units(), time.Now()
 			w.do()
 			if i < len(ways)-1 { // the frozen one's engine takes its time over who is who
-				agreed(t, b.Rig, time.Minute, b.All()...)
+				agreed(t, b.Harness, time.Minute, b.AllGateways()...)
 			}
 			time.Sleep(2 * time.Second)
 			b.tell(w.name, from, before)
@@ -193,13 +193,13 @@
 
 // TestPowerReturnsToColdNodes: the nodes lose their power too and come back cold, half of them before the gateways and half after. None is
 // pushed over, service rises with their speed, and refusals tell to return.
-func TestPowerReturnsToColdNodes(t *testing.T) { seeds.Play(t, []uint64{1}, coldNodes) }
+func TestPowerReturnsToColdNodes(t *testing.T) { seeds.Run(t, []uint64{1}, coldNodes) }
 
 func coldNodes(t *testing.T, seed uint64) {
 	const n = 4
 	b := newBlackout(t, n, seed, keeps)
 	lost, up := time.Duration(0), time.Duration(0)
-	p := b.Play(floodsAndCalm(b.platform, n, 5), seed, func() {
+	p := b.RunLoad(floodsAndCalm(b.platform, n, 5), seed, func() {
 		began := time.Now()
 		time.Sleep(4 * time.Second)
 		lost = time.Since(began)
@@ -212,7 +212,7 @@
 		b.said(i, "power: trickle")
 	}
 	share := func(from, to time.Duration) float64 {
-		s, asked := p.Served(from, to, nil)
+		s, asked := p.ServedShare(from, to, nil)
 		t.Logf("%v to %v: %.2f of %d served", from.Round(time.Millisecond), to.Round(time.Millisecond), s, asked)
 		return s
 	}
@@ -229,12 +229,12 @@
 	const n = 5
 	b := newBlackout(t, n, 1, keeps)
 	var lost time.Time
-	p := b.Play(floodsAndCalm(b.platform, n, 5), 1, func() {
+	p := b.RunLoad(floodsAndCalm(b.platform, n, 5), 1, func() {
 		time.Sleep(3 * time.Second)
 		b.losses++
 		lost = time.Now()
 		back := b.PowerLoss()
-		speak := b.Site.Discovery.Hush()
+		speak := b.Site.Discovery.Pause()
 		for i := range b.Site.Nodes {
 			if i%2 == 0 {
 				must(t, b.Site.Replace(i))
@@ -244,9 +244,9 @@
 		}
 		b.Start(0, 2, 3, 4, 1, 0)
 		back()
-		agreed(t, b.Rig, time.Minute, b.All()...)
+		agreed(t, b.Harness, time.Minute, b.AllGateways()...)
 		for i := range n {
-			must(t, b.Run[i].Log.Wait(b.Ctx, "power: trickle", 1))
+			must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: trickle", 1))
 		}
 		time.Sleep(5 * time.Second)
 		speak()
@@ -254,11 +254,11 @@
 	})
 	b.judge(p)
 	for i := range n {
-		if warm := b.platform.Rules.ColdFor * 9 / 10; time.Since(lost) < warm && strings.Contains(b.Run[i].Log.String(), "power: full") {
-			t.Errorf("%s is in full service while the nodes are cold", procs.Name(i))
+		if warm := b.platform.Rules.ColdDuration * 9 / 10; time.Since(lost) < warm && strings.Contains(b.Processes[i].Log.String(), "power: full") {
+			t.Errorf("%s is in full service while the nodes are cold", procs.GatewayName(i))
 		}
 	}
-	if share, asked := p.Served(p.Took-3*time.Second, p.Took, nil); share == 0 {
+	if share, asked := p.ServedShare(p.Elapsed-3*time.Second, p.Elapsed, nil); share == 0 {
 		t.Errorf("nothing of %d is served", asked)
 	}
 }
@@ -270,16 +270,16 @@
 	t.Parallel() // it waits more than it works
 	const n = 4
 	b := newBlackout(t, n, 1, keeps)
-	b.judge(b.Play(floodsAndCalm(b.platform, n, 5), 1, func() {
+	b.judge(b.RunLoad(floodsAndCalm(b.platform, n, 5), 1, func() {
 		time.Sleep(2 * time.Second)
-		b.lose(0, func() { b.Mesh.Part([]int{0, 1}) })
+		b.lose(0, func() { b.Mesh.Partition([]int{0, 1}) })
 		for i := range n {
-			must(t, b.Run[i].Log.Wait(b.Ctx, "is taken up alone", 1))
-			must(t, b.Run[i].Log.Wait(b.Ctx, "power: full", 1))
+			must(t, b.Processes[i].Log.WaitFor(b.Ctx, "is taken up alone", 1))
+			must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: full", 1))
 		}
 		time.Sleep(2 * time.Second)
-		b.Mesh.Set(links.Fault{}, nil, nil)
-		agreed(t, b.Rig, time.Minute, b.All()...)
+		b.Mesh.SetFault(links.Fault{}, nil, nil)
+		agreed(t, b.Harness, time.Minute, b.AllGateways()...)
 		time.Sleep(time.Second)
 	}))
 }
@@ -291,21 +291,21 @@
 	b := newBlackout(t, 3, 1, keeps)
 	b.PowerLoss()
 	b.Start(0, 0)
-	must(t, b.Run[0].Log.Wait(b.Ctx, "cut off: true; 1 of 3", 1))
-	file := b.File(procs.Name(0) + ".sloe")
+	must(t, b.Processes[0].Log.WaitFor(b.Ctx, "cut off: true; 1 of 3", 1))
+	file := b.FilePath(procs.GatewayName(0) + ".sloe")
 	text, err := os.ReadFile(file)
 	must(t, err)
-	b.Write(file, strings.Replace(string(text), "expect = 3", "expect = 1", 1))
-	must(t, b.Run[0].Signal(syscall.SIGHUP))
-	must(t, b.Run[0].Log.Wait(b.Ctx, "power: full", 1))
-	for rep := report(b.Rig, 0); rep == nil || rep.Phase != "full" || rep.Standing.Place < 0; rep = report(b.Rig, 0) { // told at its next tick
+	b.WriteFile(file, strings.Replace(string(text), "expect = 3", "expect = 1", 1))
+	must(t, b.Processes[0].Signal(syscall.SIGHUP))
+	must(t, b.Processes[0].Log.WaitFor(b.Ctx, "power: full", 1))
+	for rep := report(b.Harness, 0); rep == nil || rep.Phase != "full" || rep.Standing.Place < 0; rep = report(b.Harness, 0) { // told at its next tick
 		if time.Sleep(50 * time.Millisecond); b.Ctx.Err() != nil {
 			t.Fatalf("the status is %+v", rep)
 		}
 	}
 	second := program()
-	second.Env = append(second.Env, "GW_CONFIG="+b.File(procs.Name(0)+".json"), "GW_OPERATOR="+b.File("second.sloe"), "GW_NAME="+procs.Name(0))
-	b.Write(b.File("second.sloe"), "power {\n keep = \"g0/power\"\n}\n")
+	second.Env = append(second.Env, "GW_CONFIG="+b.FilePath(procs.GatewayName(0)+".json"), "GW_OPERATOR="+b.FilePath("second.sloe"), "GW_NAME="+procs.GatewayName(0))
+	b.WriteFile(b.FilePath("second.sloe"), "power {\n keep = \"g0/power\"\n}\n")
 	if out, err := second.CombinedOutput(); err == nil || !strings.Contains(string(out), "another process keeps its state under") {
 		t.Errorf("two processes on one disk: %v\n%s", err, out)
 	}
@@ -321,34 +321,34 @@
 	if *blackouts == 0 {
 		t.Skip("a long form; -blackouts runs it")
 	}
-	seeds.Play(t, []uint64{1, 2}, powerAtRandom)
+	seeds.Run(t, []uint64{1, 2}, powerAtRandom)
 }
 
 func powerAtRandom(t *testing.T, seed uint64) {
 	const n = 8
 	b := newBlackout(t, n, seed, keeps)
 	rnd := seeds.Rand(seed)
-	b.judge(b.Play(floodsAndCalm(b.platform, n, 5), seed, func() {
+	b.judge(b.RunLoad(floodsAndCalm(b.platform, n, 5), seed, func() {
 		time.Sleep(2 * time.Second)
-		old := b.Copy(0)
+		old := b.CopyDisk(0)
 		for k := range *blackouts {
-			b.Mesh.Set(links.Fault{Loss: 0.3 * rnd.Float64(), Dup: 0.1, Slow: time.Duration(rnd.IntN(30)) * time.Millisecond}, nil, nil)
+			b.Mesh.SetFault(links.Fault{Loss: 0.3 * rnd.Float64(), Duplicate: 0.1, MaxDelay: time.Duration(rnd.IntN(30)) * time.Millisecond}, nil, nil)
 			from, before, name := time.Now(), b.units(), ""
 			b.lose(time.Duration(rnd.IntN(200))*time.Millisecond, func() {
 				for i := range n {
-					b.Clock[i] = 0
+					b.ClockOffsets[i] = 0
 					switch fate := rnd.IntN(12); fate {
 					case 0:
-						b.Lose(i)
+						b.WipeDisk(i)
 					case 1:
-						b.Tear(i, rnd.Float64())
+						b.TruncateFiles(i, rnd.Float64())
 					case 2:
-						b.Replace(i, b.Disk((i+1)%n))
+						b.ReplaceDisk(i, b.DiskDir((i+1)%n))
 					case 3:
-						b.Replace(i, old) // of the others: another's, in its former life
+						b.ReplaceDisk(i, old) // of the others: another's, in its former life
 					case 4:
-						b.Clock[i] = -time.Duration(rnd.IntN(3600)) * time.Second
-						name += fmt.Sprintf(" g%d's clock %v", i, b.Clock[i])
+						b.ClockOffsets[i] = -time.Duration(rnd.IntN(3600)) * time.Second
+						name += fmt.Sprintf(" g%d's clock %v", i, b.ClockOffsets[i])
 						continue
 					default:
 						continue
@@ -358,7 +358,7 @@
 				}
 			})
 			if rnd.IntN(3) > 0 { // else it is lost again before they agree
-				agreed(t, b.Rig, time.Minute, b.All()...)
+				agreed(t, b.Harness, time.Minute, b.AllGateways()...)
 			}
 			time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
 			b.tell(fmt.Sprintf("loss %d,%s", k, name), from, before)
@@ -383,7 +383,7 @@
 	b := newBlackout(t, n, 1, block)
 	var lost, up time.Duration
 	var sent links.Counts
-	p := b.Play(floodsAndCalm(b.platform, n, 5), 1, func() {
+	p := b.RunLoad(floodsAndCalm(b.platform, n, 5), 1, func() {
 		began := time.Now()
 		time.Sleep(6 * time.Second)
 		from, before := time.Now(), b.units()
@@ -393,13 +393,13 @@
 		time.Sleep(2 * time.Second)
 		b.tell("from before the loss to 2 s after it", from, before)
 		now := b.Mesh.Counts()
-		t.Logf("%d datagrams and %d bytes by streams of a member meanwhile", (now.Passed-sent.Passed)/n, (now.Streamed-sent.Streamed)/n)
+		t.Logf("%d datagrams and %d bytes by streams of a member meanwhile", (now.Forwarded-sent.Forwarded)/n, (now.StreamBytes-sent.StreamBytes)/n)
 		time.Sleep(16 * time.Second)
 	})
 	worth := func(from, to time.Duration) float64 { // by plan's price, a second
 		sum := 0.0
-		for i := range p.Ends {
-			if e := &p.Ends[i]; e.Kind == stand.WasServed && e.At.Sub(p.Began) >= from && e.At.Sub(p.Began) < to {
+		for i := range p.Results {
+			if e := &p.Results[i]; e.Outcome == stand.OutcomeServed && e.EndedAt.Sub(p.StartedAt) >= from && e.EndedAt.Sub(p.StartedAt) < to {
 				sum += b.platform.Plans[indexOf(b.platform, e.Plan)].Price
 			}
 		}
@@ -408,7 +408,7 @@
 	before := worth(3*time.Second, lost)
 	for _, share := range []float64{0.01, 0.5, 0.9} {
 		at := up
-		for worth(at, at+2*window) < share*before && at < p.Took {
+		for worth(at, at+2*window) < share*before && at < p.Elapsed {
 			at += window
 		}
 		t.Logf("%.0f%% of the worth served before: %v after the return", 100*share, (at - up).Round(window))
--- a/internal/daemon/protocols_test.go
+++ b/internal/daemon/protocols_test.go
@@ -56,7 +56,7 @@
 }
 
 func costOf(t *testing.T, streams int, secure bool) string {
-	places, err := stand.Places(1)
+	places, err := stand.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	}
 	r := newRigOf(t, file+"}\n", costNodes)
 	for _, n := range r.site.Nodes {
-		n.Quick()
+		n.SkipWork()
 	}
 	conns := costOpen
 	if streams > 0 {
@@ -112,11 +112,11 @@
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
 	}
-	places, err := stand.Places(1)
+	places, err := stand.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := stand.Clinic()
+	p := stand.SmallPlatform()
 	p.Sockets = 4096
 	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\ngateway {\n clients {\n first-command = 1m\n write = 1m\n }\n}\n", places[0].Listen), p, 2)
 	rss := func() int {
@@ -146,7 +146,7 @@
 	idle := rss()
 	for i := range 10000 {
 		c := conns[i/100]
-		block := c.Block(stand.H2Request{Path: "/v1/do/slot-book", Customer: costCustomer(0, i), Plan: "network", ID: fmt.Sprint("m", i),
+		block := c.HeaderBlock(stand.H2Request{Path: "/v1/do/slot-book", Customer: costCustomer(0, i), Plan: "network", ID: fmt.Sprint("m", i),
 			Key: fmt.Sprint("k", i), Patience: time.Second, Units: "1"})
 		if err := c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*(i%100)), EndHeaders: true, BlockFragment: block}); err != nil {
 			t.Fatal(err)
@@ -181,21 +181,21 @@
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
 	}
-	places, err := stand.Places(1)
+	places, err := stand.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := stand.Clinic()
+	p := stand.SmallPlatform()
 	p.H2Nodes = 4
-	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\nback %s {\n}\n", places[0].Listen, stand.H2Kind), p, 4)
+	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\nback %s {\n}\n", places[0].Listen, stand.H2NodeKind), p, 4)
 	large := strings.Repeat("x", 64<<10)
 	for _, n := range r.site.Nodes {
-		n.Quick()
-		n.Rude(func(s *stand.H2Stream) bool {
+		n.SkipWork()
+		n.InterceptStreams(func(s *stand.H2Stream) bool {
 			if !strings.HasPrefix(s.Arrival.ID, "large") {
 				return false
 			}
-			s.Conn.Answer(s.ID, 200, large)
+			s.Conn.Respond(s.ID, 200, large)
 			return true
 		})
 	}
@@ -213,13 +213,13 @@
 				q := stand.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(round, i), Plan: "network", Patience: 1200 * time.Millisecond, Units: "1"}
 				if beside {
 					q.ID = fmt.Sprintf("large-%d-%d", round, i)
-					if _, err := c.Ask(q); err != nil {
+					if _, err := c.Send(q); err != nil {
 						t.Fatal(err)
 					}
 				}
 				q.ID, q.Customer = fmt.Sprintf("small-%d-%d-%v", round, i, beside), costCustomer(round+costRounds, i)
 				start := time.Now()
-				id, err := c.Ask(q)
+				id, err := c.Send(q)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -301,7 +301,7 @@
 	for done := 0; done < n; done++ {
 		for ; sent < n && len(starts) < open; sent++ {
 			start := time.Now()
-			id, err := c.Ask(stand.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(conn, sent), Plan: "network",
+			id, err := c.Send(stand.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(conn, sent), Plan: "network",
 				ID: fmt.Sprintf("h%d-%d", conn, sent), Patience: 1200 * time.Millisecond, Units: "1"})
 			if err != nil {
 				t.Error(err)
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -81,7 +81,7 @@
 	cmd.ExtraFiles = []*os.File{m.ln}
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1", "GW_CONFIG="+platform, "GW_OPERATOR=", "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=",
 		"NOTIFY_SOCKET="+m.socket, "WATCHDOG_USEC=100000", "LISTEN_FDS=1", "LISTEN_FDNAMES="+names)
-	p, err := stand.Start(cmd)
+	p, err := stand.StartProcess(cmd)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -92,16 +92,16 @@
 // A service manager hears when the daemon is ready, reloads, lives and ends; and as the socket is the manager's, no client is
 // refused while one process ends and the next one starts.
 func TestServiceManager(t *testing.T) {
-	site, err := stand.NewSite(stand.Clinic(), 2)
+	site, err := stand.NewSite(stand.SmallPlatform(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	places, err := stand.Places(1)
+	places, err := stand.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := site.Platform.Config(0, places, site.Discovery.Addr().String(), 1, site.List())
+	text, err := site.Platform.GatewayConfig(0, places, site.Discovery.Addr().String(), 1, site.ServerList())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 		defer c.Close()
 		must(t, c.Conn.SetDeadline(time.Now().Add(20*time.Second)))
 		must(t, c.Send("Q.ASK", "0000000000000001", id, "c=slot-lookup,t=network,d=1200,units=1,spread=1,first=0"))
-		if got, err := c.Read(); err != nil || got != "$"+stand.Value(id) {
+		if got, err := c.Read(); err != nil || got != "$"+stand.ReplyValue(id) {
 			t.Errorf("got %q, %v", got, err)
 		}
 	}
@@ -142,7 +142,7 @@
 	<-asked
 
 	odd := m.start(platform, "nobody")
-	must(t, odd.Log.Wait(t.Context(), `a socket "nobody" was passed in, and nothing here has that name`, 1))
+	must(t, odd.Log.WaitFor(t.Context(), `a socket "nobody" was passed in, and nothing here has that name`, 1))
 	if err := odd.Stop(); err == nil {
 		t.Error("a socket that nobody knows is no error")
 	}
--- a/internal/daemon/tail_test.go
+++ b/internal/daemon/tail_test.go
@@ -25,7 +25,7 @@
 	if !*tail {
 		t.Skip("a measurement; -tail runs it")
 	}
-	seeds.Play(t, []uint64{1}, measureTail)
+	seeds.Run(t, []uint64{1}, measureTail)
 }
 
 func measureTail(t *testing.T, seed uint64) {
@@ -45,7 +45,7 @@
 			var mu sync.Mutex
 			rnd := rand.New(rand.NewPCG(seed, 7))
 			for _, n := range r.site.Nodes[:scene.nodes] {
-				n.Stall(func(stand.Arrival) time.Duration {
+				n.SetExtraDelay(func(stand.Arrival) time.Duration {
 					mu.Lock()
 					defer mu.Unlock()
 					if rnd.IntN(scene.oneOf) == 0 {
@@ -71,22 +71,22 @@
 	all := 0
 	class := r.site.Platform.Classes[0]
 	class.Share = 1
-	crowd := stand.Crowd{Gateways: []string{r.place.Listen}, Classes: []stand.ClassMix{class}, Seed: seed, Each: func(e stand.Ended) {
+	crowd := stand.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: []stand.RequestClass{class}, Seed: seed, OnResult: func(e stand.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
-		if all++; e.Kind == stand.WasServed {
-			took = append(took, e.At.Sub(e.Sent))
+		if all++; e.Outcome == stand.OutcomeServed {
+			took = append(took, e.EndedAt.Sub(e.SentAt))
 		}
 	}}
 	for i := range 20 {
-		crowd.Customers = append(crowd.Customers, stand.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 9, Spread: 1})
+		crowd.Customers = append(crowd.Customers, stand.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 9, GatewayCount: 1})
 	}
 	crowd.Run(ctx)
 	slices.Sort(took)
 	at := func(q float64) int64 { return took[min(len(took)-1, int(q*float64(len(took))))].Milliseconds() }
 	came := 0
 	for _, n := range r.site.Nodes {
-		came += n.Counts().Came
+		came += n.Counts().Received
 	}
 	return fmt.Sprintf("%d of %d served, p50 %d ms, p99 %d ms, p99.9 %d ms, attempts a request %.3f", len(took), all, at(0.5), at(0.99), at(0.999),
 		float64(came)/float64(all))
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -72,7 +72,7 @@
 	core  *gateway.Core
 	clock hand
 	back  puppet
-	plan  *brittle.Plan
+	plan  *brittle.Injector
 	addr  string
 	far   net.Conn
 	ended map[string]bool
@@ -161,13 +161,13 @@
 	}
 }
 
-func newRun(t *testing.T, p protocol, plan *brittle.Plan, slow bool) *run {
+func newRun(t *testing.T, p protocol, plan *brittle.Injector, slow bool) *run {
 	return newRunOf(t, p, plan, slow, nil, "127.0.0.1:1")
 }
 
 // newRunOf is one whose node is at an address, reached by a back; nil: the puppet.
-func newRunOf(t *testing.T, p protocol, plan *brittle.Plan, slow bool, back gateway.Back, node string) *run {
-	set, err := settings.Parse(stand.Profile(30 * time.Second))
+func newRunOf(t *testing.T, p protocol, plan *brittle.Injector, slow bool, back gateway.Back, node string) *run {
+	set, err := settings.Parse(stand.MinimalSettings(30 * time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	r.addr = ln.Addr().String()
-	front := p.front(brittle.Listener{Listener: ln, Plan: plan})
+	front := p.front(brittle.Listener{Listener: ln, Injector: plan})
 	cfg.Fronts = []gateway.Front{front}
 	if r.core, err = gateway.NewCore(cfg, &r.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
@@ -244,7 +244,7 @@
 			r.t.Errorf("%s came twice", e.ID)
 		}
 		r.ended[e.ID] = false
-		if r.plan.Closed() {
+		if r.plan.FirstClosed() {
 			r.t.Errorf("%s is taken from a connection that is closed", e.ID)
 		}
 	case decide.ClientDisconnected:
@@ -351,7 +351,7 @@
 			t.Run(name+" "+strings.Join(script, " "), func(t *testing.T) {
 				t.Parallel()
 				for _, slow := range []bool{false, true} {
-					failEach(t, brittle.Accept, 12, func(t *testing.T, plan *brittle.Plan) { play(t, p, plan, script, slow) })
+					failEach(t, brittle.Accept, 12, func(t *testing.T, plan *brittle.Injector) { play(t, p, plan, script, slow) })
 				}
 			})
 		}
@@ -359,19 +359,19 @@
 }
 
 // failEach plays with nothing that fails, and with the nth operation of each kind failing, for all n that come about, up to most.
-func failEach(t *testing.T, last brittle.Op, most int, play func(t *testing.T, plan *brittle.Plan)) {
+func failEach(t *testing.T, last brittle.Op, most int, play func(t *testing.T, plan *brittle.Injector)) {
 	for op := brittle.None; op <= last && !t.Failed(); op++ {
 		for n := 1; n <= most; n++ {
-			plan := &brittle.Plan{Op: op, N: n}
+			plan := &brittle.Injector{Op: op, Nth: n}
 			t.Run(fmt.Sprintf("%v %d", op, n), func(t *testing.T) { play(t, plan) })
-			if op == brittle.None || !plan.Hit() {
+			if op == brittle.None || !plan.Triggered() {
 				break
 			}
 		}
 	}
 }
 
-func play(t *testing.T, p protocol, plan *brittle.Plan, script []string, slow bool) {
+func play(t *testing.T, p protocol, plan *brittle.Injector, script []string, slow bool) {
 	r := newRun(t, p, plan, slow)
 	b, commands := p.piece()
 	r.pump()
@@ -410,10 +410,10 @@
 	t := r.t
 	r.far.Close()
 	r.stop()
-	for end := time.Now().Add(endWithin); !r.core.Stopped() || r.plan.Open() > 0 || r.core.Figures().Requests > 0; r.pump() {
+	for end := time.Now().Add(endWithin); !r.core.Stopped() || r.plan.OpenConns() > 0 || r.core.Figures().Requests > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
-			t.Fatalf("it does not end: %+v, %d connections are not closed", r.core.Figures(), r.plan.Open())
+			t.Fatalf("it does not end: %+v, %d connections are not closed", r.core.Figures(), r.plan.OpenConns())
 		}
 	}
 	if f := r.core.Figures(); f.Held != 0 || f.Clients != 0 {
@@ -440,7 +440,7 @@
 			name = "HTTP/2"
 		}
 		p := protocols(t)[name]
-		plan := &brittle.Plan{Op: brittle.Op(op) % (brittle.Accept + 1), N: 1 + int(n%8)}
+		plan := &brittle.Injector{Op: brittle.Op(op) % (brittle.Accept + 1), Nth: 1 + int(n%8)}
 		r := newRun(t, p, plan, false)
 		b, _ := p.piece()
 		left := b
@@ -480,7 +480,7 @@
 // TestPieceBehindTheEndByHTTP2: a client gives no window, so that its answers pile up to the limit; then it sends a piece whose first request is
 // rejected, which ends the connection, and the next must not be taken in.
 func TestPieceBehindTheEndByHTTP2(t *testing.T) {
-	r := newRun(t, protocols(t)["HTTP/2"], &brittle.Plan{}, false)
+	r := newRun(t, protocols(t)["HTTP/2"], &brittle.Injector{}, false)
 	c := wire.NewClient(wire.DefaultLimits(), 0)
 	var b bytes.Buffer
 	b.Write(bytes.Clone(c.Out()))
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -11,7 +11,7 @@
 // SmallConfig is that of a gateway on the small platform, for tests inside and outside of this package.
 func SmallConfig(t *testing.T, aim time.Duration, servers []ServerEntry) Config {
 	t.Helper()
-	set, err := settings.Parse(stand.Profile(aim))
+	set, err := settings.Parse(stand.MinimalSettings(aim))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -107,19 +107,19 @@
 				}
 				t.Run(name+" "+first+", "+second, func(t *testing.T) {
 					t.Parallel()
-					failEach(t, brittle.Accept, 8, func(t *testing.T, plan *brittle.Plan) { playNode(t, side, plan, first, second) })
+					failEach(t, brittle.Accept, 8, func(t *testing.T, plan *brittle.Injector) { playNode(t, side, plan, first, second) })
 				})
 			}
 		}
 	}
 }
 
-func playNode(t *testing.T, side nodeSide, plan *brittle.Plan, script ...string) {
+func playNode(t *testing.T, side nodeSide, plan *brittle.Injector, script ...string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := brittle.Listener{Listener: ln, Plan: plan}
+	node := brittle.Listener{Listener: ln, Injector: plan}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -138,7 +138,7 @@
 			}()
 		}
 	}()
-	r := newRunOf(t, protocols(t)["RESP2"], &brittle.Plan{}, false, side.back, ln.Addr().String())
+	r := newRunOf(t, protocols(t)["RESP2"], &brittle.Injector{}, false, side.back, ln.Addr().String())
 	list := gateway.ServerList{Version: 2, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: ln.Addr().String(), Zone: "a", State: "up", Weight: 1}}}
 	b, _ := protocols(t)["RESP2"].piece()
 	r.far.Write(b)
@@ -150,10 +150,10 @@
 	list.Servers[0].State = "gone"
 	r.core.Fleet(decide.ListFull, list)
 	r.conclude()
-	for end := time.Now().Add(endWithin); r.core.Figures().Connections > 0 || plan.Open() > 0; r.pump() {
+	for end := time.Now().Add(endWithin); r.core.Figures().Connections > 0 || plan.OpenConns() > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
-			t.Fatalf("%d connections to the node are counted, %d open", r.core.Figures().Connections, plan.Open())
+			t.Fatalf("%d connections to the node are counted, %d open", r.core.Figures().Connections, plan.OpenConns())
 		}
 	}
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -34,7 +34,7 @@
 func newBackend(t *testing.T) *backend {
 	t.Helper()
 	b := &backend{got: make(chan exchange, 64)}
-	s, err := stand.NewScripted(func(conn net.Conn, args []string) { b.got <- exchange{conn, args} })
+	s, err := stand.NewScriptedNode(func(conn net.Conn, args []string) { b.got <- exchange{conn, args} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	return &registry{d, d.Calls}, d.Addr()
+	return &registry{d, d.Queries}, d.Addr()
 }
 
 func (r *registry) set(list gateway.ServerList) {
@@ -195,4 +195,4 @@
 	c.send("Q.DO", customer, id, "c=book,t=p,d=30000,k=77,units=1,spread=2,first=0", "BODY")
 }
 
-func served(value string) string { return stand.Served(value) }
+func served(value string) string { return stand.FormatReply(value) }
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -213,7 +213,7 @@
 	seen := map[string]bool{}
 	var servers []gateway.ServerEntry
 	for i := range 4 {
-		s, err := stand.NewScripted(func(conn net.Conn, args []string) {
+		s, err := stand.NewScriptedNode(func(conn net.Conn, args []string) {
 			if len(args) < 3 { // the connection's end, or a stranger: a program beside this one may look for who had the port before
 				return
 			}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.Parse(stand.Profile(time.Second))
+	set, err := settings.Parse(stand.MinimalSettings(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 
 func addresses(t *testing.T, n int) (all []string) {
 	t.Helper()
-	places, err := stand.Places(n)
+	places, err := stand.AllocateEndpoints(n)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/h2/back_test.go
+++ b/internal/h2/back_test.go
@@ -22,7 +22,9 @@
 	if change != nil {
 		change(&b)
 	}
-	return newRigOf(t, p, nodes, func(cfg *gateway.Config, _ *Listener) { cfg.Backs = map[string]gateway.Back{stand.H2Kind: NewBack(b)} })
+	return newRigOf(t, p, nodes, func(cfg *gateway.Config, _ *Listener) {
+		cfg.Backs = map[string]gateway.Back{stand.H2NodeKind: NewBack(b)}
+	})
 }
 
 // booking is a keyed request, which must not run twice.
@@ -35,7 +37,7 @@
 // once checks that a request took effect so often, by the nodes' own tally.
 func (r *rig) ran(id string, times int) {
 	r.t.Helper()
-	if n := r.site.Tally.Effects()[id]; n != times {
+	if n := r.site.Recorder.EffectCounts()[id]; n != times {
 		r.t.Errorf("%s took effect %d times, want %d", id, n, times)
 	}
 }
@@ -44,7 +46,7 @@
 // run stays in its group, where repeats are dropped, and the client is told the truth.
 func TestWhatMayHaveRun(t *testing.T) {
 	reset := func(code http2.ErrCode) func(*stand.H2Stream) {
-		return func(s *stand.H2Stream) { s.Conn.Frames(func(f *http2.Framer) { f.WriteRSTStream(s.ID, code) }) }
+		return func(s *stand.H2Stream) { s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteRSTStream(s.ID, code) }) }
 	}
 	for name, x := range map[string]struct {
 		do    func(*stand.H2Stream)
@@ -52,25 +54,25 @@
 	}{
 		"REFUSED_STREAM": {reset(http2.ErrCodeRefusedStream), true},
 		"GOAWAY with a lower one": {func(s *stand.H2Stream) {
-			s.Conn.Frames(func(f *http2.Framer) { f.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
+			s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
 		}, true},
-		"503 that promises it":  {func(s *stand.H2Stream) { s.Conn.Answer(s.ID, 503, "", "sloepick-ran", "never") }, true},
-		"429 that promises it":  {func(s *stand.H2Stream) { s.Conn.Answer(s.ID, 429, "", "sloepick-ran", "never") }, true},
-		"503":                   {func(s *stand.H2Stream) { s.Conn.Answer(s.ID, 503, "") }, false},
-		"500":                   {func(s *stand.H2Stream) { s.Conn.Answer(s.ID, 500, "x") }, false},
+		"503 that promises it":  {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 503, "", "sloepick-ran", "never") }, true},
+		"429 that promises it":  {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 429, "", "sloepick-ran", "never") }, true},
+		"503":                   {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 503, "") }, false},
+		"500":                   {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 500, "x") }, false},
 		"CANCEL":                {reset(http2.ErrCodeCancel), false},
 		"NO_ERROR":              {reset(http2.ErrCodeNo), false},
 		"the connection breaks": {func(s *stand.H2Stream) { s.Conn.Conn.Close() }, false},
 		"no answer at all":      {func(s *stand.H2Stream) { s.Conn.Conn.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }, false},
-		"a malformed answer":    {func(s *stand.H2Stream) { s.Conn.Answer(s.ID, 200, "x", "Upper", "case") }, false},
-		"a length that lies":    {func(s *stand.H2Stream) { s.Conn.Answer(s.ID, 200, "x", "content-length", "5") }, false},
-		"an answer too large":   {func(s *stand.H2Stream) { s.Conn.Answer(s.ID, 200, strings.Repeat("x", 64<<10+1)) }, false},
+		"a malformed answer":    {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "Upper", "case") }, false},
+		"a length that lies":    {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "content-length", "5") }, false},
+		"an answer too large":   {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 200, strings.Repeat("x", 64<<10+1)) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newBackRig(t, 2, nil)
 			came := make(chan string, 16)
 			for _, n := range r.site.Nodes { // the first that gets it is rude, once
-				n.Rude(func(s *stand.H2Stream) bool {
+				n.InterceptStreams(func(s *stand.H2Stream) bool {
 					came <- n.ID()
 					if len(came) > 1 {
 						return false
@@ -110,7 +112,7 @@
 func TestStreamsShareConnections(t *testing.T) {
 	r := newBackRig(t, 1, func(b *BackConfig) { b.Connections = 1 })
 	conns := make(chan *stand.H2NodeConn, 64)
-	r.site.Nodes[0].Rude(func(s *stand.H2Stream) bool {
+	r.site.Nodes[0].InterceptStreams(func(s *stand.H2Stream) bool {
 		conns <- s.Conn
 		return false
 	})
@@ -135,8 +137,8 @@
 			t.Errorf("got %+v", a)
 		}
 	}
-	one.Frames(func(f *http2.Framer) { f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0}) })
-	one.Frames(func(f *http2.Framer) { f.WritePing(false, [8]byte{}) })
+	one.WriteFrames(func(f *http2.Framer) { f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0}) })
+	one.WriteFrames(func(f *http2.Framer) { f.WritePing(false, [8]byte{}) })
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // until it was taken
 		if a := r.call(c, look(fmt.Sprintf("full-%d", time.Now().UnixNano()))); a.Status == 503 {
 			break
@@ -151,7 +153,7 @@
 func TestNodeGoesAway(t *testing.T) {
 	r := newBackRig(t, 1, nil)
 	conns := make(chan *stand.H2NodeConn, 64)
-	r.site.Nodes[0].Rude(func(s *stand.H2Stream) bool {
+	r.site.Nodes[0].InterceptStreams(func(s *stand.H2Stream) bool {
 		conns <- s.Conn
 		return false
 	})
@@ -159,7 +161,7 @@
 	c := r.dial(nil)
 	first := r.ask(c, look("first"))
 	old := <-conns
-	old.Frames(func(f *http2.Framer) { f.WriteGoAway(1, http2.ErrCodeNo, nil) })
+	old.WriteFrames(func(f *http2.Framer) { f.WriteGoAway(1, http2.ErrCodeNo, nil) })
 	var second uint32
 	for { // until one takes the new connection: the GOAWAY may still be on its way
 		second = r.ask(c, look(fmt.Sprintf("next-%d", time.Now().UnixNano())))
@@ -191,8 +193,8 @@
 		open[r.ask(c, q)] = true
 	}
 	r.arrived(4)
-	before := len(r.site.Tally.Arrivals())
-	r.site.Nodes[0].Rude(func(*stand.H2Stream) bool { return false })
+	before := len(r.site.Recorder.Arrivals())
+	r.site.Nodes[0].InterceptStreams(func(*stand.H2Stream) bool { return false })
 	if err := r.site.Drain(0); err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +212,7 @@
 		}
 		delete(open, a.Stream)
 	}
-	for _, a := range r.site.Tally.Arrivals()[before:] {
+	for _, a := range r.site.Recorder.Arrivals()[before:] {
 		if a.Node == r.site.Nodes[0].ID() {
 			t.Errorf("%s came to the node that drains", a.ID)
 		}
@@ -239,7 +241,7 @@
 		ln.Close()
 	}()
 	r := newBackRig(t, 1, func(b *BackConfig) { b.Ping = 50 * time.Millisecond })
-	list := r.site.List()
+	list := r.site.ServerList()
 	list.Version, list.Servers[0].Addr = 99, ln.Addr().String()
 	if err := r.site.Discovery.Set(99, list); err != nil {
 		t.Fatal(err)
@@ -282,13 +284,13 @@
 func TestNodeMovesUnderAttempts(t *testing.T) {
 	r := newBackRig(t, 2, nil)
 	came, over := make(chan struct{}, 16), make(chan string, 16)
-	r.site.Nodes[0].Rude(func(s *stand.H2Stream) bool {
+	r.site.Nodes[0].InterceptStreams(func(s *stand.H2Stream) bool {
 		came <- struct{}{}
-		<-s.Gone
+		<-s.Cancelled
 		over <- s.Arrival.ID
 		return true
 	})
-	list := r.site.List()
+	list := r.site.ServerList()
 	list.Servers = list.Servers[:1]
 	tell := func(version uint64) { // and waits until the gateway has it: it asks for what is newer
 		list.Version = version
@@ -297,7 +299,7 @@
 		}
 		for end := time.After(patience); ; {
 			select {
-			case q := <-r.site.Discovery.Calls:
+			case q := <-r.site.Discovery.Queries:
 				if strings.Contains(q, fmt.Sprintf("after=%d&", version)) {
 					return
 				}
@@ -340,11 +342,11 @@
 				continue // each side's reading of figures is played once
 			}
 			p := platform()
-			p.H2Nodes, p.SettledLater, p.Most = h2.nodes, true, 8
+			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = h2.nodes, true, 8
 			r := newRigOf(t, p, 1, func(cfg *gateway.Config, _ *Listener) {
-				cfg.Backs = map[string]gateway.Back{stand.H2Kind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+				cfg.Backs = map[string]gateway.Back{stand.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
 			})
-			r.site.Nodes[0].Use(func(stand.Arrival) string { return figures })
+			r.site.Nodes[0].SetUseReport(func(stand.Arrival) string { return figures })
 			c, served := &caller{r: r}, 0
 			c.dial()
 			for n := range guesses + 4 {
--- a/internal/h2/crossing_test.go
+++ b/internal/h2/crossing_test.go
@@ -26,7 +26,7 @@
 		t.Fatalf("got %+v", a)
 	}
 	away := r.read(c)
-	if !away.Away || away.Last != first {
+	if !away.GoAway || away.LastStream != first {
 		t.Fatalf("got %+v", away)
 	}
 	r.ask(c, look("two")) // the gateway has closed its side, the client has not seen it
@@ -37,7 +37,7 @@
 		t.Errorf("the connection was reset: %v", err)
 	}
 	c.Close()
-	if n := len(r.site.Tally.Arrivals()); n != 1 {
+	if n := len(r.site.Recorder.Arrivals()); n != 1 {
 		t.Errorf("%d requests came to the nodes", n)
 	}
 }
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	r.taken(c)
-	at := r.site.Tally.Arrivals()[0].Node
+	at := r.site.Recorder.Arrivals()[0].Node
 	for _, n := range r.site.Nodes {
 		if n.ID() == at {
 			go n.Close() // it waits for what it works on
@@ -79,7 +79,7 @@
 	if a := r.call(c, look("two")); a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
-	for _, a := range r.site.Tally.Arrivals()[1:] {
+	for _, a := range r.site.Recorder.Arrivals()[1:] {
 		if a.ID == "one" {
 			t.Errorf("it came to %s too", a.Node)
 		}
--- a/internal/h2/front_test.go
+++ b/internal/h2/front_test.go
@@ -33,7 +33,7 @@
 	r := newRig(t, platform(), nil)
 	c := r.dial(nil)
 	a := r.call(c, look("one"))
-	if a.Status != 200 || string(a.Body) != stand.Value("one") || a.Fields["content-length"] != strconv.Itoa(len(a.Body)) {
+	if a.Status != 200 || string(a.Body) != stand.ReplyValue("one") || a.Fields["content-length"] != strconv.Itoa(len(a.Body)) {
 		t.Errorf("got %+v", a)
 	}
 	for name, want := range map[string]string{"ratelimit": `"network";r=17;t=1900`, "ratelimit-policy": `"network";q=36;w=3600`, "sloepick-cost": "1"} {
@@ -46,7 +46,7 @@
 	if a := r.call(c, book); a.Status != 200 || a.Fields["sloepick-cost"] != "2" {
 		t.Errorf("got %+v", a)
 	}
-	got := r.site.Tally.Arrivals()
+	got := r.site.Recorder.Arrivals()
 	if len(got) != 2 || got[1].Key != "k1" || got[1].Units != 2 || got[1].Customer != customer || got[1].Class != "slot-book" {
 		t.Errorf("the nodes saw %+v", got)
 	}
@@ -78,12 +78,12 @@
 		"units, too many":    {func(q *stand.H2Request) { q.Units = "999" }, 400, "units are out of range"},
 		"set":                {func(q *stand.H2Request) { q.Set = "x;1" }, 400, "sloepick-set can't be used"},
 		"set, too many":      {func(q *stand.H2Request) { q.Set = "9;0" }, 400, "the set is out of range"},
-		"twice":              {func(q *stand.H2Request) { q.More = []string{"sloepick-id", "b"} }, 400, "sloepick-id comes twice"},
+		"twice":              {func(q *stand.H2Request) { q.ExtraFields = []string{"sloepick-id", "b"} }, 400, "sloepick-id comes twice"},
 		"path":               {func(q *stand.H2Request) { q.Path = "/v2/ask/slot-lookup" }, 404, "/v1/ask/CLASS"},
-		"method":             {func(q *stand.H2Request) { q.More = []string{":method", "GET"} }, 0, ""},
+		"method":             {func(q *stand.H2Request) { q.ExtraFields = []string{":method", "GET"} }, 0, ""},
 		"body":               {func(q *stand.H2Request) { q.Body = bytes.Repeat([]byte("x"), 64<<10+1) }, 413, "larger"},
 		"fields": {func(q *stand.H2Request) {
-			q.More = []string{"a", strings.Repeat("x", 7000), "b", strings.Repeat("x", 2000)}
+			q.ExtraFields = []string{"a", strings.Repeat("x", 7000), "b", strings.Repeat("x", 2000)}
 		}, 431, "larger"},
 	} {
 		q := look("id")
@@ -100,7 +100,7 @@
 			t.Errorf("%s: got %+v with %s", name, a, a.Body)
 		}
 	}
-	if got := r.site.Tally.Arrivals(); len(got) > 0 {
+	if got := r.site.Recorder.Arrivals(); len(got) > 0 {
 		t.Errorf("the nodes saw %+v", got)
 	}
 }
@@ -160,7 +160,7 @@
 		t.Errorf("got %+v", a)
 	}
 	let()
-	if got, err := old.Read(); err != nil || got != "$"+stand.Value("same") {
+	if got, err := old.Read(); err != nil || got != "$"+stand.ReplyValue("same") {
 		t.Errorf("got %q, %v", got, err)
 	}
 }
@@ -192,15 +192,15 @@
 	if a := r.read(c); a.Stream != first || a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
-	if got, err := old.Read(); err != nil || got != "$"+stand.Value("second") {
+	if got, err := old.Read(); err != nil || got != "$"+stand.ReplyValue("second") {
 		t.Errorf("got %q, %v", got, err)
 	}
 	repeat("third")
-	if got, err := old.Read(); err != nil || got != "$"+stand.Value("third") {
+	if got, err := old.Read(); err != nil || got != "$"+stand.ReplyValue("third") {
 		t.Errorf("got %q, %v", got, err)
 	}
 	ran := 0
-	for _, n := range r.site.Tally.Effects() {
+	for _, n := range r.site.Recorder.EffectCounts() {
 		ran += n
 	}
 	if ran != 1 {
@@ -218,12 +218,12 @@
 	open := r.ask(c, look("open"))
 	r.arrived(1)
 	r.stop()
-	if a := r.read(c); !a.Away || a.Code != http2.ErrCodeNo || a.Last != 1<<31-1 {
+	if a := r.read(c); !a.GoAway || a.Code != http2.ErrCodeNo || a.LastStream != 1<<31-1 {
 		t.Fatalf("got %+v", a)
 	}
 	crossed := r.ask(c, look("crossed"))
 	r.arrived(2)
-	if a := r.read(c); !a.Away || a.Last != crossed {
+	if a := r.read(c); !a.GoAway || a.LastStream != crossed {
 		t.Fatalf("got %+v", a)
 	}
 	let()
@@ -275,7 +275,7 @@
 	for i := 0; ; i++ {
 		q := look(fmt.Sprintf("rude-%d", i))
 		q.Customer = "0000000000000001"
-		id, err := rude.Ask(q)
+		id, err := rude.Send(q)
 		if err != nil || rude.Framer.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
 			break // it was sent away
 		}
@@ -313,10 +313,10 @@
 		}
 		q := look(fmt.Sprint("good-", i))
 		q.Customer = fmt.Sprintf("%016x", i+1)
-		if id, err := good.Ask(q); err == nil {
-			if a, err := good.Read(); err == nil && !a.Away && (a.Stream != id || a.Status != 200) {
+		if id, err := good.Send(q); err == nil {
+			if a, err := good.Read(); err == nil && !a.GoAway && (a.Stream != id || a.Status != 200) {
 				t.Fatalf("got %+v", a)
-			} else if err == nil && !a.Away {
+			} else if err == nil && !a.GoAway {
 				continue
 			}
 		}
--- a/internal/h2/lookup_test.go
+++ b/internal/h2/lookup_test.go
@@ -64,7 +64,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { ln.Close() })
-	answer := []byte(stand.Served("slot 4"))
+	answer := []byte(stand.FormatReply("slot 4"))
 	go func() {
 		for {
 			nc, err := ln.Accept()
--- a/internal/h2/mixed_test.go
+++ b/internal/h2/mixed_test.go
@@ -102,7 +102,7 @@
 func (c *caller) wait(id string, answered <-chan struct{}) {
 	c.r.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
-		if slices.ContainsFunc(c.r.site.Tally.Arrivals(), func(a stand.Arrival) bool { return a.ID == id }) {
+		if slices.ContainsFunc(c.r.site.Recorder.Arrivals(), func(a stand.Arrival) bool { return a.ID == id }) {
 			return
 		}
 		select {
@@ -121,10 +121,10 @@
 	p := platform()
 	p.H2Nodes = h2Nodes
 	r := newRig(t, p, func(cfg *gateway.Config, _ *Listener) {
-		cfg.Backs = map[string]gateway.Back{stand.H2Kind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+		cfg.Backs = map[string]gateway.Back{stand.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
 	})
 	for _, n := range r.site.Nodes {
-		n.Stall(func(a stand.Arrival) time.Duration {
+		n.SetExtraDelay(func(a stand.Arrival) time.Duration {
 			if strings.HasPrefix(a.ID, "gone") {
 				return 50 * time.Millisecond
 			}
@@ -167,7 +167,7 @@
 		ends = append(ends, fmt.Sprintf("%s %d", q.ID, c.call(q, byH2(i))))
 	}
 	units, seen := map[string]float64{}, map[string]bool{}
-	for _, a := range r.site.Tally.Arrivals() {
+	for _, a := range r.site.Recorder.Arrivals() {
 		if a.Units != asked[a.ID] {
 			t.Errorf("%s came with %v units, not %v", a.ID, a.Units, asked[a.ID])
 		}
@@ -176,7 +176,7 @@
 		}
 		seen[a.ID] = true
 	}
-	for id, n := range r.site.Tally.Effects() {
+	for id, n := range r.site.Recorder.EffectCounts() {
 		if n != 1 && keyed[id] { // on a machine that is late a look-up may be tried twice
 			t.Errorf("%s took effect %d times", id, n)
 		}
@@ -187,7 +187,7 @@
 // The same load by RESP2, by HTTP/2 and by both in turn: the same units let in for each customer, the same ending of each
 // request, and one answer each.
 func TestMixedProtocolsOneQuota(t *testing.T) {
-	seeds.Play(t, []uint64{1, 2}, func(t *testing.T, seed uint64) {
+	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) {
 		units, ends := playMix(t, seed, 0, func(int) bool { return false })
 		for name, mix := range map[string]func(int) bool{"HTTP/2": func(int) bool { return true }, "both": func(i int) bool { return i%2 == 0 }} {
 			u, e := playMix(t, seed, 0, mix)
--- a/internal/h2/rig_test.go
+++ b/internal/h2/rig_test.go
@@ -38,7 +38,7 @@
 
 // platform is the clinic's, with quotas that don't refill while a test runs, and patient clients.
 func platform() *stand.Platform {
-	p := stand.Clinic()
+	p := stand.SmallPlatform()
 	for i := range p.Plans {
 		p.Plans[i].Rate, p.Plans[i].Ceiling = 0.01, stand.Ceiling{}
 	}
@@ -62,11 +62,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.site.Close)
-	places, err := stand.Places(1)
+	places, err := stand.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := p.Config(0, places, r.site.Discovery.Addr().String(), 1, r.site.List())
+	text, err := p.GatewayConfig(0, places, r.site.Discovery.Addr().String(), 1, r.site.ServerList())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,14 +145,14 @@
 
 func (r *rig) ask(c *stand.H2Client, q stand.H2Request) uint32 {
 	r.t.Helper()
-	id, err := c.Ask(q)
+	id, err := c.Send(q)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return id
 }
 
-func (r *rig) read(c *stand.H2Client) *stand.H2Answer {
+func (r *rig) read(c *stand.H2Client) *stand.H2Response {
 	r.t.Helper()
 	a, err := c.Read()
 	if err != nil {
@@ -161,7 +161,7 @@
 	return a
 }
 
-func (r *rig) call(c *stand.H2Client, q stand.H2Request) *stand.H2Answer {
+func (r *rig) call(c *stand.H2Client, q stand.H2Request) *stand.H2Response {
 	r.t.Helper()
 	id := r.ask(c, q)
 	a := r.read(c)
@@ -175,7 +175,7 @@
 func (r *rig) hold() (let func()) {
 	gate := make(chan struct{})
 	for _, n := range r.site.Nodes {
-		n.Stall(func(stand.Arrival) time.Duration {
+		n.SetExtraDelay(func(stand.Arrival) time.Duration {
 			select {
 			case <-gate:
 			case <-time.After(patience):
@@ -189,9 +189,9 @@
 // arrived waits until so many requests have come to the nodes.
 func (r *rig) arrived(n int) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); len(r.site.Tally.Arrivals()) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); len(r.site.Recorder.Arrivals()) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("only %d requests came to the nodes", len(r.site.Tally.Arrivals()))
+			r.t.Fatalf("only %d requests came to the nodes", len(r.site.Recorder.Arrivals()))
 		}
 	}
 }
--- a/internal/h2/wire/wire_test.go
+++ b/internal/h2/wire/wire_test.go
@@ -86,7 +86,7 @@
 // Random clients, rude ones among them, and a front that answers, resets and ends in any order: nothing is broken, each
 // request that was handed on is answered or left exactly once, and nothing is sent for it afterwards.
 func TestRandomClients(t *testing.T) {
-	seeds.Play(t, []uint64{1, 2, 3}, func(t *testing.T, seed uint64) {
+	seeds.Run(t, []uint64{1, 2, 3}, func(t *testing.T, seed uint64) {
 		r, asked := seeds.Rand(seed), 0
 		for range seeds.Rounds(150) {
 			asked += randomClient(t, r)
--- a/internal/owner/check_test.go
+++ b/internal/owner/check_test.go
@@ -59,10 +59,10 @@
 // ownership goes from one to another.
 func TestLongWalks(t *testing.T) {
 	if testing.Short() { // as under the race detector, where a walk takes ten times as long and has nobody to race with
-		seeds.Play(t, []uint64{1, 2, 10, 11}, longWalk)
+		seeds.Run(t, []uint64{1, 2, 10, 11}, longWalk)
 		return
 	}
-	seeds.Play(t, []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14}, longWalk)
+	seeds.Run(t, []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14}, longWalk)
 }
 
 func longWalk(t *testing.T, seed uint64) {
--- a/internal/quiet/quiet_test.go
+++ b/internal/quiet/quiet_test.go
@@ -91,7 +91,7 @@
 // TestYearOfNights walks through a year in five zones, minute by minute: windows follow each other without overlap, what they say is what the
 // clock on the wall says at each minute, and what is left is never more than there is.
 func TestYearOfNights(t *testing.T) {
-	seeds.Play(t, []uint64{1}, func(t *testing.T, seed uint64) {
+	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) {
 		rnd := seeds.Rand(seed)
 		for _, where := range []string{"Asia/Seoul", "Asia/Muscat", "Europe/Berlin", "America/New_York", "Australia/Lord_Howe"} { // the last moves by half an hour
 			h := hours(t, where, "mon-thu 22:30-05:15", "fri 23:00-02:00", "sun 01:00-03:00", "sun 02:30-04:00")
--- a/internal/recovery/service_test.go
+++ b/internal/recovery/service_test.go
@@ -129,7 +129,7 @@
 
 // TestServiceNeverOvershoots: whatever happens in whatever order, phases only rise, and in the trickle no more is let in over any time
 // than the highest rate in it and one bucket.
-func TestServiceNeverOvershoots(t *testing.T) { seeds.Play(t, []uint64{1, 2, 3, 4, 5}, overshoots) }
+func TestServiceNeverOvershoots(t *testing.T) { seeds.Run(t, []uint64{1, 2, 3, 4, 5}, overshoots) }
 
 func overshoots(t *testing.T, seed uint64) {
 	const most = 300.0 // units a second before
--- a/internal/resp/rig_test.go
+++ b/internal/resp/rig_test.go
@@ -71,7 +71,7 @@
 func newBench(t *testing.T, aim time.Duration) *bench {
 	t.Helper()
 	leaks.Check(t)
-	set, err := settings.Parse(stand.Profile(aim))
+	set, err := settings.Parse(stand.MinimalSettings(aim))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -294,7 +294,7 @@
 
 // Whatever routes the proof accepts, in no schedule of outcomes is a rule broken or a bound passed.
 func TestWhatIsProvenKeepsTheRules(t *testing.T) {
-	seeds.Play(t, []uint64{1, 2}, func(t *testing.T, seed uint64) { provenKeepsTheRules(t, seeds.Rand(seed), seeds.Rounds(150)) })
+	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) { provenKeepsTheRules(t, seeds.Rand(seed), seeds.Rounds(150)) })
 }
 
 func provenKeepsTheRules(t *testing.T, r *rand.Rand, rounds int) {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -56,7 +56,7 @@
 
 // The index finds what trying all routes finds.
 func TestMatchIsWhatTryingAllFinds(t *testing.T) {
-	seeds.Play(t, []uint64{1}, func(t *testing.T, seed uint64) { matchIsWhatTryingAllFinds(t, seeds.Rand(seed)) })
+	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { matchIsWhatTryingAllFinds(t, seeds.Rand(seed)) })
 }
 
 func matchIsWhatTryingAllFinds(t *testing.T, r *rand.Rand) {
--- a/internal/route/times_test.go
+++ b/internal/route/times_test.go
@@ -31,7 +31,7 @@
 // Seeds of 20,000 answers by an exponential law. With the three long ones the quantile 0.999 was told by the rank
 // below: 0.999 x 20,000 is whole.
 func TestTimesAtRandom(t *testing.T) {
-	seeds.Play(t, []uint64{1796123194424894679, 1796123196420768847, 1796123200026887706, 1}, func(t *testing.T, seed uint64) {
+	seeds.Run(t, []uint64{1796123194424894679, 1796123196420768847, 1796123200026887706, 1}, func(t *testing.T, seed uint64) {
 		timesAtRandom(t, seeds.Rand(seed))
 	})
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 
 // TestSettingsThatCantBeServed: each is refused with the field's own name and its value.
 func TestSettingsThatCantBeServed(t *testing.T) {
-	good := string(stand.Profile(time.Second))
+	good := string(stand.MinimalSettings(time.Second))
 	if s, err := Parse([]byte(good)); err != nil || s.CheckServing() != nil {
 		t.Fatalf("the settings as they are: %v, %v", err, s.CheckServing())
 	}
--- a/internal/sloe/sloe_test.go
+++ b/internal/sloe/sloe_test.go
@@ -208,7 +208,7 @@
 
 // Sentences drawn from the grammar parse, and survive formatting.
 func TestDrawnSentencesParse(t *testing.T) {
-	seeds.Play(t, []uint64{1}, func(t *testing.T, seed uint64) { drawnSentencesParse(t, seeds.Rand(seed), seeds.Rounds(3000)) })
+	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { drawnSentencesParse(t, seeds.Rand(seed), seeds.Rounds(3000)) })
 }
 
 func drawnSentencesParse(t *testing.T, r *rand.Rand, rounds int) {
--- a/internal/stand/audit.go
+++ b/internal/stand/audit.go
@@ -8,49 +8,49 @@
 
 // Rules are the figures that an audit goes by.
 type Rules struct {
-	AnswerSlack  time.Duration // past a client's patience, and for what was on its way as an answer went out
-	DrainGrace   time.Duration
-	ColdFrom     float64
-	ColdFor      time.Duration
-	FallMultiple float64
-	FallWindow   time.Duration
-	Cores        int // of a node
-	Ceilings     map[string]Ceiling
-	// Late is for how long the machine kept all waiting between two times, which an answer may be later by; nil: never.
-	Late func(from, to time.Time) time.Duration
+	AnswerSlack    time.Duration // past a client's patience, and for what was on its way as an answer went out
+	DrainGrace     time.Duration
+	ColdCapacity   float64
+	ColdDuration   time.Duration
+	OverloadFactor float64
+	OverloadWindow time.Duration
+	Cores          int // of a node
+	Ceilings       map[string]Ceiling
+	// SchedulingDelay is for how long the machine kept all waiting between two times, which an answer may be later by; nil: never.
+	SchedulingDelay func(from, to time.Time) time.Duration
 }
 
 // slack is how much later something may come that began at a time.
 func (r *Rules) slack(from, to time.Time) time.Duration {
-	if r.Late == nil {
+	if r.SchedulingDelay == nil {
 		return r.AnswerSlack
 	}
-	return r.AnswerSlack + r.Late(from, to)
+	return r.AnswerSlack + r.SchedulingDelay(from, to)
 }
 
 // Ceiling is a plan's hard ceiling: a store of Depth units that fills at Rate a second and may go Slack below nothing.
 type Ceiling struct{ Rate, Depth, Slack float64 }
 
-// Verdict says whether a rule was kept.
-type Verdict struct {
-	Rule   string
-	Broken []string // the first few cases
-	Count  int      // of all cases
-	Held   int      // what was looked at
-	Worst  float64  // of the rule on cold nodes: the most work that one got, as a share of what may be
+// RuleResult says whether a rule was kept.
+type RuleResult struct {
+	Rule       string
+	Examples   []string // the first few cases
+	Violations int      // of all cases
+	Checked    int      // what was looked at
+	WorstLoad  float64  // of the rule on cold nodes: the most work that one got, as a share of what may be
 }
 
 const casesMost = 5 // cases that a verdict words
 
-func (v *Verdict) breach(format string, args ...any) {
-	v.Count++
-	if len(v.Broken) < casesMost {
-		v.Broken = append(v.Broken, fmt.Sprintf(format, args...))
+func (v *RuleResult) breach(format string, args ...any) {
+	v.Violations++
+	if len(v.Examples) < casesMost {
+		v.Examples = append(v.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
 // Units is what the nodes were sent for a customer, each request counted once.
-func (t *Tally) Units(customer string) (sum float64) {
+func (t *Recorder) Units(customer string) (sum float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	seen := map[string]bool{}
@@ -63,29 +63,29 @@
 	return sum
 }
 
-// Drain is when discovery told that a node drains.
-type Drain struct {
-	Node     string
-	Told     time.Time
-	Restored time.Time // zero: never
+// DrainPeriod is when discovery told that a node drains.
+type DrainPeriod struct {
+	Node        string
+	AnnouncedAt time.Time
+	RestartedAt time.Time // zero: never
 }
 
 // Audit holds what clients and nodes saw to the five rules.
-func Audit(rules Rules, ends []Ended, tally *Tally, drains []Drain) []Verdict {
+func Audit(rules Rules, ends []RequestResult, tally *Recorder, drains []DrainPeriod) []RuleResult {
 	tally.mu.Lock()
 	defer tally.mu.Unlock()
-	return []Verdict{answers(rules, ends, tally), effects(ends, tally), drained(rules, tally, drains),
+	return []RuleResult{answers(rules, ends, tally), effects(ends, tally), drained(rules, tally, drains),
 		cold(rules, tally), ceilings(rules, ends, tally)}
 }
 
-func answers(rules Rules, ends []Ended, tally *Tally) Verdict {
-	v := Verdict{Rule: "one answer in time, nothing after it", Held: len(ends)}
+func answers(rules Rules, ends []RequestResult, tally *Recorder) RuleResult {
+	v := RuleResult{Rule: "one answer in time, nothing after it", Checked: len(ends)}
 	over := map[string]time.Time{}
 	for _, e := range ends {
-		over[e.ID] = e.At
-		if e.Kind == WasLost {
+		over[e.ID] = e.EndedAt
+		if e.Outcome == OutcomeLost {
 			v.breach("%s got no answer: %s", e.ID, e.Detail)
-		} else if late := e.At.Sub(e.Sent) - e.Patience; late > rules.AnswerSlack && late > rules.slack(e.Sent, e.At) {
+		} else if late := e.EndedAt.Sub(e.SentAt) - e.Patience; late > rules.AnswerSlack && late > rules.slack(e.SentAt, e.EndedAt) {
 			v.breach("%s was answered %v late", e.ID, late)
 		}
 	}
@@ -97,34 +97,34 @@
 	return v
 }
 
-func effects(ends []Ended, tally *Tally) Verdict {
-	v := Verdict{Rule: "no effect twice, no refusal of what ran"}
+func effects(ends []RequestResult, tally *Recorder) RuleResult {
+	v := RuleResult{Rule: "no effect twice, no refusal of what ran"}
 	keyed := map[string]bool{}
 	for _, a := range tally.arrivals {
 		keyed[a.ID] = a.Key != ""
 	}
 	for id, n := range tally.effects {
 		if keyed[id] {
-			v.Held++
+			v.Checked++
 			if n > 1 {
 				v.breach("%s took effect %d times", id, n)
 			}
 		}
 	}
 	for _, e := range ends {
-		if keyed[e.ID] && e.Kind == WasRefused && tally.effects[e.ID] > 0 {
+		if keyed[e.ID] && e.Outcome == OutcomeRefused && tally.effects[e.ID] > 0 {
 			v.breach("%s was refused and took effect", e.ID)
 		}
 	}
 	return v
 }
 
-func drained(rules Rules, tally *Tally, drains []Drain) Verdict {
-	v := Verdict{Rule: "nothing new to a draining node", Held: len(drains)}
+func drained(rules Rules, tally *Recorder, drains []DrainPeriod) RuleResult {
+	v := RuleResult{Rule: "nothing new to a draining node", Checked: len(drains)}
 	for _, d := range drains {
 		for _, a := range tally.arrivals {
-			if a.Node == d.Node && a.At.After(d.Told.Add(rules.DrainGrace)) && (d.Restored.IsZero() || a.At.Before(d.Restored)) {
-				v.breach("%s came to %s %v after its drain was told", a.ID, a.Node, a.At.Sub(d.Told))
+			if a.Node == d.Node && a.At.After(d.AnnouncedAt.Add(rules.DrainGrace)) && (d.RestartedAt.IsZero() || a.At.Before(d.RestartedAt)) {
+				v.breach("%s came to %s %v after its drain was told", a.ID, a.Node, a.At.Sub(d.AnnouncedAt))
 			}
 		}
 	}
@@ -133,15 +133,15 @@
 
 // cold holds what came to a node that had just started to a budget: in any window no more work than the multiple of
 // what it could do in it, and one request more.
-func cold(rules Rules, tally *Tally) Verdict {
-	v := Verdict{Rule: "no cold node pushed over"}
-	cfg := NodeConfig{ColdFrom: rules.ColdFrom, ColdFor: rules.ColdFor}
+func cold(rules Rules, tally *Recorder) RuleResult {
+	v := RuleResult{Rule: "no cold node pushed over"}
+	cfg := NodeConfig{ColdCapacity: rules.ColdCapacity, ColdDuration: rules.ColdDuration}
 	for node, starts := range tally.started {
 		for _, start := range starts {
-			v.Held++
+			v.Checked++
 			var in []Arrival
 			for _, a := range tally.arrivals {
-				if since := a.At.Sub(start); a.Node == node && since >= 0 && since < rules.ColdFor {
+				if since := a.At.Sub(start); a.Node == node && since >= 0 && since < rules.ColdDuration {
 					in = append(in, a)
 				}
 			}
@@ -149,15 +149,15 @@
 			for i, first := range in {
 				sent, largest := time.Duration(0), time.Duration(0)
 				for _, a := range in[i:] {
-					if a.At.Sub(first.At) > rules.FallWindow {
+					if a.At.Sub(first.At) > rules.OverloadWindow {
 						break
 					}
 					sent, largest = sent+a.Work, max(largest, a.Work)
 				}
-				can := rules.FallMultiple * float64(rules.Cores) * cfg.speed(first.At.Sub(start)) * float64(rules.FallWindow)
-				v.Worst = max(v.Worst, float64(sent-largest)/can)
+				can := rules.OverloadFactor * float64(rules.Cores) * cfg.speed(first.At.Sub(start)) * float64(rules.OverloadWindow)
+				v.WorstLoad = max(v.WorstLoad, float64(sent-largest)/can)
 				if float64(sent-largest) > can {
-					v.breach("%s got %v of work in %v, %v after its start", node, sent, rules.FallWindow, first.At.Sub(start))
+					v.breach("%s got %v of work in %v, %v after its start", node, sent, rules.OverloadWindow, first.At.Sub(start))
 				}
 			}
 		}
@@ -165,8 +165,8 @@
 	return v
 }
 
-func ceilings(rules Rules, ends []Ended, tally *Tally) Verdict {
-	v := Verdict{Rule: "ceilings kept over all gateways"}
+func ceilings(rules Rules, ends []RequestResult, tally *Recorder) RuleResult {
+	v := RuleResult{Rule: "ceilings kept over all gateways"}
 	plans, seen := map[string]string{}, map[string]bool{}
 	for _, e := range ends {
 		plans[e.Customer] = e.Plan
@@ -195,6 +195,6 @@
 			v.breach("customer %s is %.1f units below its ceiling's store", a.Customer, -s.level)
 		}
 	}
-	v.Held = len(stores)
+	v.Checked = len(stores)
 	return v
 }
--- a/internal/stand/brittle/brittle.go
+++ b/internal/stand/brittle/brittle.go
@@ -17,7 +17,7 @@
 	None     Op = iota
 	Read        // fails with a reset
 	Write       // by the kernel at once or waiting: nothing is taken, and it fails with a reset
-	Look        // at what waits in the kernel
+	Control     // at what waits in the kernel
 	Deadline    // the setting of one
 	Close       // is done, and reports an error
 	Accept      // fails once, as when descriptors run out
@@ -28,10 +28,10 @@
 	return [...]string{"none", "read", "write", "look", "deadline", "close", "accept"}[o]
 }
 
-// Plan fails the nth operation of a kind, and counts. It may be shared by connections.
-type Plan struct {
-	Op Op
-	N  int // from 1
+// Injector fails the nth operation of a kind, and counts. It may be shared by connections.
+type Injector struct {
+	Op  Op
+	Nth int // from 1
 
 	mu    sync.Mutex
 	did   [ops]int
@@ -40,29 +40,29 @@
 }
 
 // fails counts an operation and reports whether it is the one.
-func (p *Plan) fails(o Op) bool {
+func (p *Injector) fails(o Op) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.did[o]++
-	return o == p.Op && p.did[o] == p.N
+	return o == p.Op && p.did[o] == p.Nth
 }
 
-// Hit reports that the operation came to be.
-func (p *Plan) Hit() bool {
+// Triggered reports that the operation came to be.
+func (p *Injector) Triggered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.did[p.Op] >= p.N
+	return p.did[p.Op] >= p.Nth
 }
 
-// Open is how many connections are not closed.
-func (p *Plan) Open() int {
+// OpenConns is how many connections are not closed.
+func (p *Injector) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Closed reports that the first one was closed.
-func (p *Plan) Closed() bool {
+// FirstClosed reports that the first one was closed.
+func (p *Injector) FirstClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.first != nil && p.first.closed
@@ -71,14 +71,14 @@
 // Conn is a connection under a plan.
 type Conn struct {
 	*net.TCPConn
-	plan *Plan
+	plan *Injector
 	once sync.Once
 
 	closed bool // under the plan's lock
 }
 
 // Wrap puts a connection under a plan.
-func (p *Plan) Wrap(c net.Conn) *Conn {
+func (p *Injector) Wrap(c net.Conn) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
@@ -144,7 +144,7 @@
 
 type rawConn struct {
 	syscall.RawConn
-	plan *Plan
+	plan *Injector
 }
 
 func (r rawConn) Write(f func(fd uintptr) bool) error {
@@ -155,7 +155,7 @@
 }
 
 func (r rawConn) Control(f func(fd uintptr)) error {
-	if r.plan.fails(Look) {
+	if r.plan.fails(Control) {
 		return net.ErrClosed
 	}
 	return r.RawConn.Control(f)
@@ -164,7 +164,7 @@
 // Listener accepts connections under a plan.
 type Listener struct {
 	net.Listener
-	Plan *Plan
+	Injector *Injector
 }
 
 // Accept implements net.Listener.
@@ -173,9 +173,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if l.Plan.fails(Accept) {
+	if l.Injector.fails(Accept) {
 		c.Close()
 		return nil, syscall.EMFILE
 	}
-	return l.Plan.Wrap(c), nil
+	return l.Injector.Wrap(c), nil
 }
--- a/internal/stand/crowd.go
+++ b/internal/stand/crowd.go
@@ -13,17 +13,17 @@
 
 // Customer is one clinic of a crowd.
 type Customer struct {
-	ID            string // 16 hex digits
-	Plan          string
-	Rate          float64 // requests a second
-	Spread, First int
-	Flood         float64 // its rate is this many times as high from FloodFrom to FloodTo; 0: never
-	FloodFrom     time.Duration
-	FloodTo       time.Duration
+	ID                         string // 16 hex digits
+	Plan                       string
+	Rate                       float64 // requests a second
+	GatewayCount, FirstGateway int
+	SurgeFactor                float64 // its rate is this many times as high from FloodFrom to FloodTo; 0: never
+	SurgeFrom                  time.Duration
+	SurgeTo                    time.Duration
 }
 
-// ClassMix is a class of requests as a crowd asks for it.
-type ClassMix struct {
+// RequestClass is a class of requests as a crowd asks for it.
+type RequestClass struct {
 	Name     string
 	Share    float64
 	Units    float64
@@ -32,34 +32,34 @@
 	Keyed    bool
 }
 
-// Kind is how a request ended for its client.
-type Kind int
+// Outcome is how a request ended for its client.
+type Outcome int
 
 // The ends. Lost is none at all, or one that is no answer to the request.
 const (
-	WasServed Kind = iota
-	WasRefused
-	WasFailed
-	WasLost
+	OutcomeServed Outcome = iota
+	OutcomeRefused
+	OutcomeFailed
+	OutcomeLost
 )
 
-// Ended is a request and its end, as the client saw them.
-type Ended struct {
+// RequestResult is a request and its end, as the client saw them.
+type RequestResult struct {
 	ID, Customer, Plan, Class string
 	Gateway                   int // of the crowd's list
-	Kind                      Kind
-	Sent, At                  time.Time
+	Outcome                   Outcome
+	SentAt, EndedAt           time.Time
 	Patience                  time.Duration
 	Detail                    string // of what was lost
 }
 
-// Crowd asks gateways for a time, by a seed.
-type Crowd struct {
+// LoadGenerator asks gateways for a time, by a seed.
+type LoadGenerator struct {
 	Gateways  []string
 	Customers []Customer
-	Classes   []ClassMix
+	Classes   []RequestClass
 	Seed      uint64
-	Each      func(Ended) // is told of every end, from many goroutines
+	OnResult  func(RequestResult) // is told of every end, from many goroutines
 
 	pools []pool
 	wg    sync.WaitGroup
@@ -93,7 +93,7 @@
 }
 
 // Run asks until the context ends and returns when every request has ended. Arrivals don't wait for answers.
-func (c *Crowd) Run(ctx context.Context) {
+func (c *LoadGenerator) Run(ctx context.Context) {
 	c.pools = make([]pool, len(c.Gateways))
 	for i := range c.pools {
 		c.pools[i].addr = c.Gateways[i]
@@ -111,11 +111,11 @@
 	}
 }
 
-func (c *Crowd) customer(ctx context.Context, who *Customer, r *rand.Rand, start time.Time) {
+func (c *LoadGenerator) customer(ctx context.Context, who *Customer, r *rand.Rand, start time.Time) {
 	for n := 0; ; n++ {
 		rate := who.Rate
-		if since := time.Since(start); who.Flood > 0 && since >= who.FloodFrom && since < who.FloodTo {
-			rate *= who.Flood
+		if since := time.Since(start); who.SurgeFactor > 0 && since >= who.SurgeFrom && since < who.SurgeTo {
+			rate *= who.SurgeFactor
 		}
 		t := time.NewTimer(time.Duration(r.ExpFloat64() / rate * float64(time.Second)))
 		select {
@@ -126,29 +126,29 @@
 		}
 		class := c.class(r)
 		patience := time.Duration((0.5 + r.Float64()/2) * float64(class.Patience))
-		e := Ended{ID: fmt.Sprintf("%s%08x", who.ID[8:], n), Customer: who.ID, Plan: who.Plan, Class: class.Name, Patience: patience}
-		gateway := (who.First + r.IntN(who.Spread)) % len(c.Gateways)
+		e := RequestResult{ID: fmt.Sprintf("%s%08x", who.ID[8:], n), Customer: who.ID, Plan: who.Plan, Class: class.Name, Patience: patience}
+		gateway := (who.FirstGateway + r.IntN(who.GatewayCount)) % len(c.Gateways)
 		e.Gateway = gateway
 		key := ""
 		if class.Keyed {
 			key = fmt.Sprintf(",k=%016x", r.Uint64())
 		}
 		list := fmt.Sprintf("c=%s,t=%s,d=%d%s,units=%g,spread=%d,first=%d", class.Name, who.Plan, patience.Milliseconds(), key,
-			class.Units, who.Spread, who.First)
+			class.Units, who.GatewayCount, who.FirstGateway)
 		words := []string{"Q.ASK", who.ID, e.ID, list}
 		if class.Keyed {
 			words = []string{"Q.DO", who.ID, e.ID, list, "a visit"}
 		}
 		c.wg.Go(func() {
-			e.Sent = time.Now()
+			e.SentAt = time.Now()
 			c.ask(&c.pools[gateway], words, &e)
-			e.At = time.Now()
-			c.Each(e)
+			e.EndedAt = time.Now()
+			c.OnResult(e)
 		})
 	}
 }
 
-func (c *Crowd) class(r *rand.Rand) *ClassMix {
+func (c *LoadGenerator) class(r *rand.Rand) *RequestClass {
 	x := r.Float64()
 	for i := range c.Classes {
 		if x -= c.Classes[i].Share; x < 0 {
@@ -162,14 +162,14 @@
 
 // ask sends one request. A connection that the gateway closed while the request was on its way is replaced once, as
 // the protocol has it.
-func (c *Crowd) ask(p *pool, words []string, e *Ended) {
+func (c *LoadGenerator) ask(p *pool, words []string, e *RequestResult) {
 	for {
 		conn, used, err := p.get()
 		if err != nil {
-			e.Kind, e.Detail = WasLost, err.Error()
+			e.Outcome, e.Detail = OutcomeLost, err.Error()
 			return
 		}
-		err = conn.Conn.SetDeadline(e.Sent.Add(e.Patience + clientSlack))
+		err = conn.Conn.SetDeadline(e.SentAt.Add(e.Patience + clientSlack))
 		got := ""
 		if err == nil {
 			err = conn.Send(words...)
@@ -182,7 +182,7 @@
 			if used && !isTimeout(err) {
 				continue
 			}
-			e.Kind, e.Detail = WasLost, err.Error()
+			e.Outcome, e.Detail = OutcomeLost, err.Error()
 			return
 		}
 		e.kind(got)
@@ -197,15 +197,15 @@
 }
 
 // kind reads an answer.
-func (e *Ended) kind(got string) {
+func (e *RequestResult) kind(got string) {
 	switch {
-	case got == "$"+Value(e.ID):
-		e.Kind = WasServed
+	case got == "$"+ReplyValue(e.ID):
+		e.Outcome = OutcomeServed
 	case got == "-BUSY" || strings.HasPrefix(got, "-BUSY "):
-		e.Kind = WasRefused
+		e.Outcome = OutcomeRefused
 	case strings.HasPrefix(got, "-"):
-		e.Kind, e.Detail = WasFailed, got
+		e.Outcome, e.Detail = OutcomeFailed, got
 	default:
-		e.Kind, e.Detail = WasLost, fmt.Sprintf("the answer %q is not this request's", got)
+		e.Outcome, e.Detail = OutcomeLost, fmt.Sprintf("the answer %q is not this request's", got)
 	}
 }
--- a/internal/stand/h2client.go
+++ b/internal/stand/h2client.go
@@ -18,28 +18,28 @@
 // told, and nothing is answered by itself but SETTINGS and PING, and DATA where Windows is set. It is not safe for concurrent
 // use.
 type H2Client struct {
-	Conn    net.Conn
-	Framer  *http2.Framer
-	Windows bool // give back what DATA takes of the windows
-	next    uint32
-	encoded bytes.Buffer
-	encoder *hpack.Encoder
-	decoder *hpack.Decoder
-	partly  map[uint32]*H2Answer
+	Conn             net.Conn
+	Framer           *http2.Framer
+	AutoWindowUpdate bool // give back what DATA takes of the windows
+	next             uint32
+	encoded          bytes.Buffer
+	encoder          *hpack.Encoder
+	decoder          *hpack.Decoder
+	partly           map[uint32]*H2Response
 }
 
 const h2FrameMost = 16384 // bytes of a frame that every peer takes (RFC 9113, 4.2)
 
-// H2Answer is what came on a stream, or for the whole connection where Stream is 0.
-type H2Answer struct {
-	Stream uint32
-	Status int
-	Fields map[string]string
-	Body   []byte
-	Reset  bool // by RST_STREAM, with Code
-	Away   bool // GOAWAY, with Code and Last
-	Code   http2.ErrCode
-	Last   uint32
+// H2Response is what came on a stream, or for the whole connection where Stream is 0.
+type H2Response struct {
+	Stream     uint32
+	Status     int
+	Fields     map[string]string
+	Body       []byte
+	Reset      bool // by RST_STREAM, with Code
+	GoAway     bool // GOAWAY, with Code and Last
+	Code       http2.ErrCode
+	LastStream uint32
 }
 
 // DialH2 connects to a gateway, by TLS where a configuration is given, and sends the preface.
@@ -53,7 +53,7 @@
 		by.NextProtos = []string{http2.NextProtoTLS}
 		conn = tls.Client(conn, by)
 	}
-	c := &H2Client{Conn: conn, Windows: true, next: 1, partly: map[uint32]*H2Answer{}}
+	c := &H2Client{Conn: conn, AutoWindowUpdate: true, next: 1, partly: map[uint32]*H2Response{}}
 	c.Framer = http2.NewFramer(conn, conn)
 	c.Framer.AllowIllegalWrites = true
 	c.encoder, c.decoder = hpack.NewEncoder(&c.encoded), hpack.NewDecoder(4096, nil)
@@ -80,18 +80,18 @@
 	Path, Customer, Plan, ID, Key, Units, Set string
 	Patience                                  time.Duration
 	Body                                      []byte
-	More                                      []string // names and values
+	ExtraFields                               []string // names and values
 }
 
-// Block is the request's header block.
-func (c *H2Client) Block(q H2Request) []byte {
+// HeaderBlock is the request's header block.
+func (c *H2Client) HeaderBlock(q H2Request) []byte {
 	c.encoded.Reset()
 	fields := []string{":method", "POST", ":scheme", "http", ":authority", "gateway", ":path", q.Path, "sloepick-customer", q.Customer,
 		"sloepick-plan", q.Plan, "sloepick-id", q.ID, "idempotency-key", q.Key, "sloepick-units", q.Units, "sloepick-set", q.Set}
 	if q.Patience > 0 {
 		fields = append(fields, "sloepick-patience", strconv.FormatInt(q.Patience.Milliseconds(), 10))
 	}
-	for i, all := 0, append(fields, q.More...); i+1 < len(all); i += 2 {
+	for i, all := 0, append(fields, q.ExtraFields...); i+1 < len(all); i += 2 {
 		if all[i+1] != "" {
 			c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it can't fail
 		}
@@ -99,11 +99,11 @@
 	return bytes.Clone(c.encoded.Bytes())
 }
 
-// Ask sends a whole request on a new stream and tells which.
-func (c *H2Client) Ask(q H2Request) (uint32, error) {
+// Send sends a whole request on a new stream and tells which.
+func (c *H2Client) Send(q H2Request) (uint32, error) {
 	id := c.next
 	c.next += 2
-	err := c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndHeaders: true, EndStream: len(q.Body) == 0, BlockFragment: c.Block(q)})
+	err := c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndHeaders: true, EndStream: len(q.Body) == 0, BlockFragment: c.HeaderBlock(q)})
 	for b := q.Body; err == nil && len(b) > 0; {
 		n := min(len(b), h2FrameMost)
 		err = c.Framer.WriteData(id, n == len(b), b[:n])
@@ -116,7 +116,7 @@
 }
 
 // Read returns the next whole answer, reset or GOAWAY.
-func (c *H2Client) Read() (*H2Answer, error) {
+func (c *H2Client) Read() (*H2Response, error) {
 	for {
 		f, err := c.Framer.ReadFrame()
 		if err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *H2Client) frame(f http2.Frame) (*H2Answer, error) {
+func (c *H2Client) frame(f http2.Frame) (*H2Response, error) {
 	id := f.Header().StreamID
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -141,16 +141,16 @@
 			return nil, c.Framer.WritePing(true, f.Data)
 		}
 	case *http2.GoAwayFrame:
-		return &H2Answer{Away: true, Code: f.ErrCode, Last: f.LastStreamID}, nil
+		return &H2Response{GoAway: true, Code: f.ErrCode, LastStream: f.LastStreamID}, nil
 	case *http2.RSTStreamFrame:
 		delete(c.partly, id)
-		return &H2Answer{Stream: id, Reset: true, Code: f.ErrCode}, nil
+		return &H2Response{Stream: id, Reset: true, Code: f.ErrCode}, nil
 	case *http2.HeadersFrame:
 		fields, err := c.decoder.DecodeFull(f.HeaderBlockFragment())
 		if err != nil {
 			return nil, fmt.Errorf("decoding an answer: %w", err)
 		}
-		a := &H2Answer{Stream: id, Fields: map[string]string{}}
+		a := &H2Response{Stream: id, Fields: map[string]string{}}
 		for _, h := range fields {
 			a.Fields[h.Name] = h.Value
 		}
@@ -167,13 +167,13 @@
 
 var errUnasked = errors.New("DATA on a stream without HEADERS")
 
-func (c *H2Client) data(f *http2.DataFrame) (*H2Answer, error) {
+func (c *H2Client) data(f *http2.DataFrame) (*H2Response, error) {
 	a := c.partly[f.StreamID]
 	if a == nil {
 		return nil, errUnasked
 	}
 	a.Body = append(a.Body, f.Data()...)
-	if c.Windows && f.Length > 0 {
+	if c.AutoWindowUpdate && f.Length > 0 {
 		if err := c.Framer.WriteWindowUpdate(0, f.Length); err != nil {
 			return nil, err
 		}
--- a/internal/stand/h2node.go
+++ b/internal/stand/h2node.go
@@ -15,11 +15,11 @@
 
 // H2Stream is a request on a connection of a node's, by HTTP/2, for whoever makes the node misbehave.
 type H2Stream struct {
-	ID      uint32
-	Arrival Arrival
-	Body    []byte
-	Conn    *H2NodeConn
-	Gone    <-chan struct{} // closed when the client gives the stream up
+	ID        uint32
+	Arrival   Arrival
+	Body      []byte
+	Conn      *H2NodeConn
+	Cancelled <-chan struct{} // closed when the client gives the stream up
 }
 
 // H2NodeConn is a connection of a node's, made of raw frames. Its methods are safe for concurrent use.
@@ -33,29 +33,29 @@
 	open    map[uint32]chan struct{} // closed when the client gives the stream up
 }
 
-// Rude hands each request that came whole to a function first: if it reports true the node does nothing more for it, and it is
+// InterceptStreams hands each request that came whole to a function first: if it reports true the node does nothing more for it, and it is
 // not tallied. It is for nodes that speak HTTP/2.
-func (n *Node) Rude(do func(*H2Stream) bool) {
+func (n *Node) InterceptStreams(do func(*H2Stream) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rude = do
 }
 
-// Tell counts a request as come and having taken effect, for what Rude takes over.
-func (s *H2Stream) Tell() {
-	s.Conn.n.cfg.Tally.arrived(s.Arrival)
-	s.Conn.n.cfg.Tally.effect(s.Arrival.ID)
+// RecordExecuted counts a request as come and having taken effect, for what Rude takes over.
+func (s *H2Stream) RecordExecuted() {
+	s.Conn.n.cfg.Recorder.arrived(s.Arrival)
+	s.Conn.n.cfg.Recorder.effect(s.Arrival.ID)
 }
 
-// Frames writes frames as the function has them.
-func (c *H2NodeConn) Frames(write func(*http2.Framer)) {
+// WriteFrames writes frames as the function has them.
+func (c *H2NodeConn) WriteFrames(write func(*http2.Framer)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	write(c.framer)
 }
 
-// Answer writes an answer's HEADERS, and its body as DATA.
-func (c *H2NodeConn) Answer(stream uint32, status int, body string, fields ...string) {
+// Respond writes an answer's HEADERS, and its body as DATA.
+func (c *H2NodeConn) Respond(stream uint32, status int, body string, fields ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.encoded.Reset()
@@ -83,11 +83,11 @@
 	c.framer.AllowIllegalWrites = true
 	c.encoder = hpack.NewEncoder(&c.encoded)
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	streams := n.cfg.Streams
+	streams := n.cfg.MaxStreams
 	if streams == 0 {
 		streams = h2Streams
 	}
-	c.Frames(func(f *http2.Framer) {
+	c.WriteFrames(func(f *http2.Framer) {
 		f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(streams)})
 	})
 	var wg sync.WaitGroup
@@ -100,7 +100,7 @@
 			return
 		}
 		if s := c.take(f, half); s != nil {
-			s.Gone = c.opened(s.ID)
+			s.Cancelled = c.opened(s.ID)
 			wg.Go(func() { c.serve(s) })
 		}
 	}
@@ -112,12 +112,12 @@
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
 		if !f.IsAck() {
-			c.Frames(func(w *http2.Framer) { w.WriteSettingsAck() })
+			c.WriteFrames(func(w *http2.Framer) { w.WriteSettingsAck() })
 		}
 	case *http2.PingFrame:
 		data := f.Data
 		if !f.IsAck() {
-			c.Frames(func(w *http2.Framer) { w.WritePing(true, data) })
+			c.WriteFrames(func(w *http2.Framer) { w.WritePing(true, data) })
 		}
 	case *http2.RSTStreamFrame:
 		delete(half, id)
@@ -135,7 +135,7 @@
 		}
 		s.Body = append(s.Body, f.Data()...)
 		if n := f.Length; n > 0 {
-			c.Frames(func(w *http2.Framer) { w.WriteWindowUpdate(0, n) })
+			c.WriteFrames(func(w *http2.Framer) { w.WriteWindowUpdate(0, n) })
 		}
 		if f.StreamEnded() {
 			delete(half, id)
@@ -162,7 +162,7 @@
 			a.Units, _ = strconv.ParseFloat(h.Value, 64) // 0 shows in the tally
 		}
 	}
-	a.Work = n.cfg.Work[a.Class]
+	a.Work = n.cfg.WorkByClass[a.Class]
 	return a
 }
 
@@ -175,22 +175,22 @@
 	}
 	result := givenUp
 	if s.Arrival.Work > 0 {
-		result = c.n.work(s.Arrival, s.Gone)
+		result = c.n.work(s.Arrival, s.Cancelled)
 	}
 	if !c.closed(s.ID) {
 		return
 	}
 	switch result {
 	case turnedAway:
-		c.Answer(s.ID, 503, "", "sloepick-ran", "never")
+		c.Respond(s.ID, 503, "", "sloepick-ran", "never")
 	case done:
 		if use := c.n.used(s.Arrival); use != "" {
-			c.Answer(s.ID, 200, Value(s.Arrival.ID), "sloepick-use", use)
+			c.Respond(s.ID, 200, ReplyValue(s.Arrival.ID), "sloepick-use", use)
 			return
 		}
-		c.Answer(s.ID, 200, Value(s.Arrival.ID))
+		c.Respond(s.ID, 200, ReplyValue(s.Arrival.ID))
 	default:
-		c.Answer(s.ID, 400, "")
+		c.Respond(s.ID, 400, "")
 	}
 }
 
--- a/internal/stand/links/links.go
+++ b/internal/stand/links/links.go
@@ -20,19 +20,19 @@
 
 // Fault is what becomes of what goes one way between two members. The zero value passes all at once.
 type Fault struct {
-	Loss, Dup  float64       // shares of the datagrams that are lost, and that come twice
-	Fast, Slow time.Duration // each is held for a time between these, so that some overtake others; a stream's bytes for Fast
+	Loss, Duplicate    float64       // shares of the datagrams that are lost, and that come twice
+	MinDelay, MaxDelay time.Duration // each is held for a time between these, so that some overtake others; a stream's bytes for Fast
 
-	Stall  bool // streams stay open and pass nothing, as they do where datagrams are all lost
-	Refuse bool // new streams are closed at once
-	CutAt  int  // a stream ends when so many bytes went this way; 0: it does not
+	Stall           bool // streams stay open and pass nothing, as they do where datagrams are all lost
+	Refuse          bool // new streams are closed at once
+	CloseAfterBytes int  // a stream ends when so many bytes went this way; 0: it does not
 }
 
-// Cut passes nothing; streams stand still until it is over.
-var Cut = Fault{Loss: 1}
+// Blackhole passes nothing; streams stand still until it is over.
+var Blackhole = Fault{Loss: 1}
 
 // Counts are of datagrams, and of the bytes that streams passed.
-type Counts struct{ Passed, Lost, Doubled, Full, Streamed int }
+type Counts struct{ Forwarded, Lost, Duplicated, Overflowed, StreamBytes int }
 
 // Mesh is a relay for each ordered pair of members. Its methods may be called from any goroutine.
 type Mesh struct {
@@ -93,8 +93,8 @@
 	return m, nil
 }
 
-// Seen are the addresses under which a member sees all, its own among them.
-func (m *Mesh) Seen(by int) (all []string) {
+// PeerAddrs are the addresses under which a member sees all, its own among them.
+func (m *Mesh) PeerAddrs(by int) (all []string) {
 	for j, a := range m.members {
 		if j != by {
 			a = m.ways[by][j].LocalAddr().(*net.UDPAddr).AddrPort()
@@ -133,16 +133,16 @@
 		return nil
 	}
 	times := 1
-	if m.rnd.Float64() < f.Dup {
-		times, m.counts.Doubled = 2, m.counts.Doubled+1
+	if m.rnd.Float64() < f.Duplicate {
+		times, m.counts.Duplicated = 2, m.counts.Duplicated+1
 	}
 	for range times {
 		if m.held >= heldMost || m.closed {
-			m.counts.Full++
+			m.counts.Overflowed++
 			continue
 		}
 		m.held++
-		late = append(late, f.Fast+time.Duration(m.rnd.Int64N(int64(max(0, f.Slow-f.Fast))+1)))
+		late = append(late, f.MinDelay+time.Duration(m.rnd.Int64N(int64(max(0, f.MaxDelay-f.MinDelay))+1)))
 	}
 	return late
 }
@@ -150,7 +150,7 @@
 func (m *Mesh) pass(from, to int, text []byte) {
 	m.mu.Lock()
 	m.held--
-	m.counts.Passed++
+	m.counts.Forwarded++
 	closed := m.closed
 	m.mu.Unlock()
 	if !closed {
@@ -161,7 +161,7 @@
 func (m *Mesh) streamed(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.counts.Streamed += n
+	m.counts.StreamBytes += n
 }
 
 // streams tells the faults of the streams that one member opens to another.
@@ -176,8 +176,8 @@
 	}
 }
 
-// Set has a fault on the way from each of some members to each of others; nil: of and to all.
-func (m *Mesh) Set(f Fault, from, to []int) {
+// SetFault has a fault on the way from each of some members to each of others; nil: of and to all.
+func (m *Mesh) SetFault(f Fault, from, to []int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, i := range m.or(from) {
@@ -189,8 +189,8 @@
 	m.change = make(chan struct{})
 }
 
-// Part cuts some members off from the others, both ways; what is between the members of a side stays as it was.
-func (m *Mesh) Part(side []int) {
+// Partition cuts some members off from the others, both ways; what is between the members of a side stays as it was.
+func (m *Mesh) Partition(side []int) {
 	var other []int
 	in := map[int]bool{}
 	for _, i := range side {
@@ -202,8 +202,8 @@
 		}
 	}
 	if len(side) > 0 && len(other) > 0 {
-		m.Set(Cut, side, other)
-		m.Set(Cut, other, side)
+		m.SetFault(Blackhole, side, other)
+		m.SetFault(Blackhole, other, side)
 	}
 }
 
--- a/internal/stand/links/links_test.go
+++ b/internal/stand/links/links_test.go
@@ -33,7 +33,7 @@
 	t.Cleanup(m.Close)
 	seen := make([][]netip.AddrPort, n)
 	for i := range n {
-		for _, a := range m.Seen(i) {
+		for _, a := range m.PeerAddrs(i) {
 			seen[i] = append(seen[i], netip.MustParseAddrPort(a))
 		}
 	}
@@ -50,8 +50,8 @@
 		}
 		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // one at a time: none is lost in the kernel
 			now := m.Counts()
-			change = Counts{Passed: now.Passed - before.Passed, Lost: now.Lost - before.Lost, Doubled: now.Doubled - before.Doubled}
-			if change.Passed+change.Lost-change.Doubled >= k || time.Now().After(end) {
+			change = Counts{Forwarded: now.Forwarded - before.Forwarded, Lost: now.Lost - before.Lost, Duplicated: now.Duplicated - before.Duplicated}
+			if change.Forwarded+change.Lost-change.Duplicated >= k || time.Now().After(end) {
 				break
 			}
 		}
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	say(t, m, c[0], seen[0][1], 1)
-	if got := m.Counts().Passed - before.Passed; got != 1 {
+	if got := m.Counts().Forwarded - before.Forwarded; got != 1 {
 		t.Errorf("%d passed, one of them a stranger's", got)
 	}
 }
@@ -92,23 +92,23 @@
 // TestFaultsAreOfOneWay: a cut one way leaves the other; a part cuts between the sides alone; doubles come twice; healed, all pass.
 func TestFaultsAreOfOneWay(t *testing.T) {
 	m, c, seen := ends(t, 4)
-	passes := func(i, j int) bool { return say(t, m, c[i], seen[i][j], 1).Passed > 0 }
-	m.Set(Cut, []int{0}, []int{1})
+	passes := func(i, j int) bool { return say(t, m, c[i], seen[i][j], 1).Forwarded > 0 }
+	m.SetFault(Blackhole, []int{0}, []int{1})
 	if passes(0, 1) || !passes(1, 0) || !passes(0, 2) {
 		t.Error("a cut from 0 to 1 is not of that way alone")
 	}
-	m.Set(Fault{}, nil, nil)
-	m.Part([]int{0, 1})
+	m.SetFault(Fault{}, nil, nil)
+	m.Partition([]int{0, 1})
 	if passes(0, 2) || passes(3, 1) || !passes(0, 1) || !passes(2, 3) {
 		t.Error("a part of 0 and 1 from the others does not cut just between them")
 	}
-	m.Set(Fault{Dup: 1}, nil, nil)
-	if got := say(t, m, c[0], seen[0][3], 1); got.Doubled != 1 {
+	m.SetFault(Fault{Duplicate: 1}, nil, nil)
+	if got := say(t, m, c[0], seen[0][3], 1); got.Duplicated != 1 {
 		t.Errorf("%+v, want a double", got)
 	}
 	take(t, c[3])
 	take(t, c[3])
-	m.Set(Fault{Loss: 0.5}, nil, nil)
+	m.SetFault(Fault{Loss: 0.5}, nil, nil)
 	lost := 0
 	for range 60 {
 		lost += say(t, m, c[0], seen[0][1], 1).Lost
@@ -144,7 +144,7 @@
 // TestStreamsHaveFaults: a stream passes all, stands still while its way does and goes on after it, breaks at the byte that it was
 // told, each way by itself, and none is taken where they are refused.
 func TestStreamsHaveFaults(t *testing.T) {
-	var ways Ways
+	var ways RelayFaults
 	r, err := NewRelay(echo(t), &ways)
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 	if got := says(c, "whole"); got != "whole" {
 		t.Errorf("%q came back", got)
 	}
-	for name, f := range map[string]Fault{"stalled": {Stall: true}, "cut": Cut} {
+	for name, f := range map[string]Fault{"stalled": {Stall: true}, "cut": Blackhole} {
 		ways.Set(f, Fault{})
 		c.Write([]byte("held"))
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -182,11 +182,11 @@
 			t.Errorf("%s and mended: %v", name, err)
 		}
 	}
-	ways.Set(Fault{}, Fault{CutAt: 3})
+	ways.Set(Fault{}, Fault{CloseAfterBytes: 3})
 	if got := says(dial(), "answer"); got != "ans" {
 		t.Errorf("cut at the third byte on the way back, %q came", got)
 	}
-	ways.Set(Fault{CutAt: 2}, Fault{})
+	ways.Set(Fault{CloseAfterBytes: 2}, Fault{})
 	if got := says(dial(), "question"); len(got) > 2 {
 		t.Errorf("cut at the second byte on the way there, %q came back", got)
 	}
--- a/internal/stand/links/stream.go
+++ b/internal/stand/links/stream.go
@@ -28,15 +28,15 @@
 	done   sync.WaitGroup
 }
 
-// Ways are the faults of a Relay that stands by itself. The zero value passes all at once.
-type Ways struct {
+// RelayFaults are the faults of a Relay that stands by itself. The zero value passes all at once.
+type RelayFaults struct {
 	mu          sync.Mutex
 	there, back Fault
 	changed     chan struct{}
 }
 
 // Set has a fault on what comes in from those who connect, and one on what goes back to them.
-func (w *Ways) Set(there, back Fault) {
+func (w *RelayFaults) Set(there, back Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.there, w.back = there, back
@@ -46,7 +46,7 @@
 	w.changed = make(chan struct{})
 }
 
-func (w *Ways) way(back bool) (Fault, <-chan struct{}) {
+func (w *RelayFaults) way(back bool) (Fault, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.changed == nil {
@@ -59,7 +59,9 @@
 }
 
 // NewRelay stands before an address, by these ways.
-func NewRelay(to string, ways *Ways) (*Relay, error) { return newRelay(to, ways.way, func(int) {}) }
+func NewRelay(to string, ways *RelayFaults) (*Relay, error) {
+	return newRelay(to, ways.way, func(int) {})
+}
 
 func newRelay(to string, way func(bool) (Fault, <-chan struct{}), saw func(int)) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,10 +132,10 @@
 				return
 			}
 			left := n
-			if f.CutAt > 0 {
-				left = min(n, max(0, f.CutAt-sent))
+			if f.CloseAfterBytes > 0 {
+				left = min(n, max(0, f.CloseAfterBytes-sent))
 			}
-			time.Sleep(f.Fast)
+			time.Sleep(f.MinDelay)
 			if _, err := to.Write(buf[:left]); err != nil || left < n {
 				return
 			}
@@ -177,8 +179,8 @@
 	delete(r.conns, c)
 }
 
-// Break ends all streams that are open now.
-func (r *Relay) Break() {
+// CloseStreams ends all streams that are open now.
+func (r *Relay) CloseStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -196,6 +198,6 @@
 		close(r.closed)
 		r.ln.Close()
 	}
-	r.Break()
+	r.CloseStreams()
 	r.done.Wait()
 }
--- a/internal/stand/node.go
+++ b/internal/stand/node.go
@@ -15,8 +15,8 @@
 
 // Cell is a group of nodes that drop each other's repeats of a keyed request for a time.
 type Cell struct {
-	ID     int
-	Window time.Duration
+	ID          int
+	DedupWindow time.Duration
 
 	mu   sync.Mutex
 	seen map[string]time.Time
@@ -29,7 +29,7 @@
 	if c.seen == nil {
 		c.seen = map[string]time.Time{}
 	}
-	if at, ok := c.seen[key]; ok && now.Sub(at) < c.Window {
+	if at, ok := c.seen[key]; ok && now.Sub(at) < c.DedupWindow {
 		return false
 	}
 	c.seen[key] = now
@@ -44,24 +44,26 @@
 	At                             time.Time
 }
 
-// Tally is the nodes' common record: what came to them, and what took effect how often.
-type Tally struct {
+// Recorder is the nodes' common record: what came to them, and what took effect how often.
+type Recorder struct {
 	mu       sync.Mutex
 	arrivals []Arrival
 	effects  map[string]int // by id
 	started  map[string][]time.Time
 }
 
-// NewTally makes an empty one.
-func NewTally() *Tally { return &Tally{effects: map[string]int{}, started: map[string][]time.Time{}} }
+// NewRecorder makes an empty one.
+func NewRecorder() *Recorder {
+	return &Recorder{effects: map[string]int{}, started: map[string][]time.Time{}}
+}
 
-func (t *Tally) arrived(a Arrival) {
+func (t *Recorder) arrived(a Arrival) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.arrivals = append(t.arrivals, a)
 }
 
-func (t *Tally) effect(id string) {
+func (t *Recorder) effect(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.effects[id]++
@@ -69,16 +71,16 @@
 
 // NodeConfig describes a working node.
 type NodeConfig struct {
-	ID       string
-	Cell     *Cell
-	Cores    int // requests worked on at once
-	Queue    int // requests that wait; over it a request is turned away
-	Work     map[string]time.Duration
-	ColdFrom float64 // share of its speed right after a restart
-	ColdFor  time.Duration
-	Tally    *Tally
-	H2       bool // it speaks HTTP/2 and nothing else
-	Streams  int  // open at once on a connection, by HTTP/2; 0: 100
+	ID           string
+	Cell         *Cell
+	Cores        int // requests worked on at once
+	QueueSize    int // requests that wait; over it a request is turned away
+	WorkByClass  map[string]time.Duration
+	ColdCapacity float64 // share of its speed right after a restart
+	ColdDuration time.Duration
+	Recorder     *Recorder
+	H2           bool // it speaks HTTP/2 and nothing else
+	MaxStreams   int  // open at once on a connection, by HTTP/2; 0: 100
 }
 
 // Node is a booking node that works: it takes its time, drops repeats of keys, turns away what is too much, and stops
@@ -94,14 +96,14 @@
 	draining bool
 	quick    bool
 	started  time.Time // zero: long ago
-	counts   Counts
+	counts   NodeCounts
 	stall    func(Arrival) time.Duration
 	rude     func(*H2Stream) bool
 	use      func(Arrival) string
 }
 
-// Counts are a node's own figures.
-type Counts struct{ Came, Ran, Away, Dropped int }
+// NodeCounts are a node's own figures.
+type NodeCounts struct{ Received, Executed, Rejected, Deduplicated int }
 
 // NewNode starts a node that has been warm for long.
 func NewNode(cfg NodeConfig) (*Node, error) {
@@ -124,15 +126,15 @@
 	return n.cfg.ID
 }
 
-// Rename gives it another id.
-func (n *Node) Rename(id string) {
+// SetID gives it another id.
+func (n *Node) SetID(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cfg.ID = id
 }
 
 // Counts are its figures since it was made.
-func (n *Node) Counts() Counts {
+func (n *Node) Counts() NodeCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
@@ -146,22 +148,22 @@
 	l.Close()
 }
 
-// Stall lets requests take longer by what the function tells of them. It is called from many goroutines.
-func (n *Node) Stall(by func(Arrival) time.Duration) {
+// SetExtraDelay lets requests take longer by what the function tells of them. It is called from many goroutines.
+func (n *Node) SetExtraDelay(by func(Arrival) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stall = by
 }
 
-// Quick lets it answer at once, whatever the work.
-func (n *Node) Quick() {
+// SkipWork lets it answer at once, whatever the work.
+func (n *Node) SkipWork() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.quick = true
 }
 
-// Use lets it tell figures on use with each value; "": none. It is called from many goroutines.
-func (n *Node) Use(figures func(Arrival) string) {
+// SetUseReport lets it tell figures on use with each value; "": none. It is called from many goroutines.
+func (n *Node) SetUseReport(figures func(Arrival) string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.use = figures
@@ -195,7 +197,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.l, n.draining, n.started = l, false, time.Now()
-	t := n.cfg.Tally
+	t := n.cfg.Recorder
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.started[n.cfg.ID] = append(t.started[n.cfg.ID], n.started)
@@ -204,10 +206,10 @@
 
 // speed is the share of its full speed that a node has some time after a start.
 func (c *NodeConfig) speed(since time.Duration) float64 {
-	if c.ColdFor <= 0 || since >= c.ColdFor {
+	if c.ColdDuration <= 0 || since >= c.ColdDuration {
 		return 1
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*float64(since)/float64(c.ColdFor)
+	return c.ColdCapacity + (1-c.ColdCapacity)*float64(since)/float64(c.ColdDuration)
 }
 
 // speak is how it serves a connection.
@@ -257,7 +259,7 @@
 	case turnedAway:
 		return "-BUSY\r\n"
 	case done:
-		return ServedUse(Value(a.ID), n.used(a))
+		return FormatReplyWithUse(ReplyValue(a.ID), n.used(a))
 	}
 	return ""
 }
@@ -273,7 +275,7 @@
 
 // work does what a request asks for.
 func (n *Node) work(a Arrival, gone <-chan struct{}) ended {
-	n.cfg.Tally.arrived(a)
+	n.cfg.Recorder.arrived(a)
 	if !n.enter() {
 		return turnedAway
 	}
@@ -295,11 +297,11 @@
 		took += stall(a)
 	}
 	if a.Key != "" && !n.cfg.Cell.first(a.Key, a.At) { // a repeat: the answer is known
-		n.count(func(c *Counts) { c.Dropped++ })
+		n.count(func(c *NodeCounts) { c.Deduplicated++ })
 		took = 0
 	} else {
-		n.cfg.Tally.effect(a.ID)
-		n.count(func(c *Counts) { c.Ran++ })
+		n.cfg.Recorder.effect(a.ID)
+		n.count(func(c *NodeCounts) { c.Executed++ })
 	}
 	t := time.NewTimer(took)
 	defer t.Stop()
@@ -311,10 +313,10 @@
 	return done
 }
 
-// Value is what a node answers to a request, so that a client can tell its own.
-func Value(id string) string { return "slots of " + id }
+// ReplyValue is what a node answers to a request, so that a client can tell its own.
+func ReplyValue(id string) string { return "slots of " + id }
 
-func (n *Node) count(f func(*Counts)) {
+func (n *Node) count(f func(*NodeCounts)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(&n.counts)
@@ -323,9 +325,9 @@
 func (n *Node) enter() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.counts.Came++
-	if n.draining || n.waiting >= n.cfg.Cores+n.cfg.Queue {
-		n.counts.Away++
+	n.counts.Received++
+	if n.draining || n.waiting >= n.cfg.Cores+n.cfg.QueueSize {
+		n.counts.Rejected++
 		return false
 	}
 	n.waiting++
@@ -359,7 +361,7 @@
 			a.Units = v
 		}
 	}
-	a.Work = n.cfg.Work[a.Class]
+	a.Work = n.cfg.WorkByClass[a.Class]
 	return a, a.Work > 0
 }
 
@@ -372,21 +374,21 @@
 }
 
 // Arrivals are the requests that came whole to a node, in their order.
-func (t *Tally) Arrivals() []Arrival {
+func (t *Recorder) Arrivals() []Arrival {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.arrivals)
 }
 
-// Started is when a node's process was started anew, each time.
-func (t *Tally) Started(node string) []time.Time {
+// StartTimes is when a node's process was started anew, each time.
+func (t *Recorder) StartTimes(node string) []time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.started[node])
 }
 
-// Effects are how often each request took effect, by its id.
-func (t *Tally) Effects() map[string]int {
+// EffectCounts are how often each request took effect, by its id.
+func (t *Recorder) EffectCounts() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.effects)
--- a/internal/stand/places_test.go
+++ b/internal/stand/places_test.go
@@ -17,7 +17,7 @@
 // side: "bind: address already in use".
 func TestPlacesOfOneProcessAreItsOwn(t *testing.T) {
 	if os.Getenv(childOfPlaces) != "" {
-		places, err := Places(100)
+		places, err := AllocateEndpoints(100)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/stand/platform.go
+++ b/internal/stand/platform.go
@@ -22,29 +22,29 @@
 
 // Platform is what gateways are told at their start: who they are and the settings of the site.
 type Platform struct {
-	Plans   []Plan
-	Classes []ClassMix
-	Rules   Rules
-	Window  time.Duration // for which a cell drops repeats
-	Zone    string
-	Sockets int
-	Memory  int // MB
-	H2Nodes int // so many of the nodes speak HTTP/2 and are of H2Kind
-	// SettledLater: a request's units are a guess, and nodes tell the true ones, Most at most.
-	SettledLater bool
-	Most         float64 // units that a request counts for at most; 0: as many as the classes' largest
-	Intake       float64 // messages a second that a gateway takes in; 0: 40
-	// Seen are the addresses under which a gateway sees the others and itself; nil: those at which they are.
-	Seen func(rank int) []string
+	Plans       []Plan
+	Classes     []RequestClass
+	Rules       Rules
+	DedupWindow time.Duration // for which a cell drops repeats
+	Zone        string
+	Sockets     int
+	MemoryMB    int // MB
+	H2Nodes     int // so many of the nodes speak HTTP/2 and are of H2Kind
+	// EstimatedUnits: a request's units are a guess, and nodes tell the true ones, Most at most.
+	EstimatedUnits bool
+	MaxUnits       float64 // units that a request counts for at most; 0: as many as the classes' largest
+	PeerIntake     float64 // messages a second that a gateway takes in; 0: 40
+	// PeerAddrs are the addresses under which a gateway sees the others and itself; nil: those at which they are.
+	PeerAddrs func(rank int) []string
 }
 
 const usualIntake = 40 // messages a second
 
-// H2Kind is the kind of nodes that speak HTTP/2, as discovery tells it.
-const H2Kind = "std-h2"
+// H2NodeKind is the kind of nodes that speak HTTP/2, as discovery tells it.
+const H2NodeKind = "std-h2"
 
-// Place is where one gateway of a platform listens.
-type Place struct{ Listen, Peer string }
+// Endpoint is where one gateway of a platform listens.
+type Endpoint struct{ Listen, Peer string }
 
 // Ports of places lie under those that systems hand out to outgoing connections (from 32768 on Linux, from 49152 by RFC 6335,
 // 6), so that none of these takes one between its being found and the gateway's start.
@@ -79,9 +79,9 @@
 	}
 }
 
-// Places finds free loopback ports for so many gateways, none of them twice in a process, and none that another process may be given
-// by Places. They are free as they are looked up; a start that finds one taken says so.
-func Places(n int) ([]Place, error) {
+// AllocateEndpoints finds free loopback ports for so many gateways, none of them twice in a process, and none that another process may be given
+// by AllocateEndpoints. They are free as they are looked up; a start that finds one taken says so.
+func AllocateEndpoints(n int) ([]Endpoint, error) {
 	given.Lock()
 	defer given.Unlock()
 	if given.ports == nil {
@@ -89,7 +89,7 @@
 		claimPart()
 	}
 	part := (portMost - portFrom + 1) / portParts
-	var all []Place
+	var all []Endpoint
 	for tries := 0; len(all) < n; tries++ {
 		if tries == portTries {
 			return nil, fmt.Errorf("looking for ports: %d of %d were found in %d tries", len(all), n, tries)
@@ -110,38 +110,38 @@
 		}
 		defer udp.Close()
 		given.ports[port] = true
-		all = append(all, Place{addr, addr})
+		all = append(all, Endpoint{addr, addr})
 	}
 	return all, nil
 }
 
-// Config is the configuration file of the gateway of that number.
-func (p *Platform) Config(rank int, places []Place, discovery string, seed uint64, known List) ([]byte, error) {
+// GatewayConfig is the configuration file of the gateway of that number.
+func (p *Platform) GatewayConfig(rank int, places []Endpoint, discovery string, seed uint64, known ServerList) ([]byte, error) {
 	var peers []string
 	for _, q := range places {
 		peers = append(peers, q.Peer)
 	}
-	if p.Seen != nil {
-		peers = p.Seen(rank)
+	if p.PeerAddrs != nil {
+		peers = p.PeerAddrs(rank)
 	}
 	return json.Marshal(map[string]any{
 		"name": fmt.Sprintf("n%d", rank), "listen": places[rank].Listen, "discovery": discovery,
 		"seed":   fmt.Sprintf("%016x", seed+uint64(rank)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": p.Memory, "sockets": p.Sockets},
+		"limits": map[string]any{"cores": 1.0, "memory_mb": p.MemoryMB, "sockets": p.Sockets},
 		"known":  known, "peer_listen": places[rank].Peer, "peers": peers, "settings": p.settings(rank, len(places)),
 	})
 }
 
 func (p *Platform) settings(rank, gateways int) map[string]any {
 	var classes, plans []map[string]any
-	units, intake := 1.0, p.Intake
+	units, intake := 1.0, p.PeerIntake
 	if intake == 0 {
 		intake = usualIntake
 	}
 	for _, c := range p.Classes {
 		k := map[string]any{"Name": c.Name, "Effect": "safe", "AimNs": c.Patience / 3, "GiveUpNs": c.Patience, "Importance": 1}
 		if c.Keyed {
-			k["Effect"], k["Group"], k["WindowNs"], k["Importance"] = "keyed", "cell", p.Window, 3
+			k["Effect"], k["Group"], k["WindowNs"], k["Importance"] = "keyed", "cell", p.DedupWindow, 3
 		}
 		classes = append(classes, k)
 		units = max(units, c.Units)
@@ -152,11 +152,11 @@
 	}
 	return map[string]any{
 		"Instances": gateways, "Rank": rank, "Zone": p.Zone, "Classes": classes, "TiersOfService": plans,
-		"Extra": map[string]any{"PeerIntake": intake, "UnitsTop": max(units, p.Most), "CostAfter": p.SettledLater},
+		"Extra": map[string]any{"PeerIntake": intake, "UnitsTop": max(units, p.MaxUnits), "CostAfter": p.EstimatedUnits},
 		"Limits": map[string]any{"SendCap": 5, "MayCancel": true, "ParallelTries": true, "Peers": true, "RetryAfter": true,
 			"MaxRetryAfterNs": time.Second, "ConnectTimeoutNs": 250 * time.Millisecond, "ConnIdleNs": 15 * time.Second, "OpenCap": 20000},
-		"Safety": map[string]any{"AnswerSlackNs": 50 * time.Millisecond, "DrainGraceNs": p.Rules.DrainGrace - socketSlack, "ColdFrom": p.Rules.ColdFrom,
-			"ColdNs": p.Rules.ColdFor, "FallMultiple": p.Rules.FallMultiple, "FallNs": p.Rules.FallWindow},
+		"Safety": map[string]any{"AnswerSlackNs": 50 * time.Millisecond, "DrainGraceNs": p.Rules.DrainGrace - socketSlack, "ColdFrom": p.Rules.ColdCapacity,
+			"ColdNs": p.Rules.ColdDuration, "FallMultiple": p.Rules.OverloadFactor, "FallNs": p.Rules.OverloadWindow},
 		"Prices": map[string]any{"CrossZone": 0.01, "Waste": 0.03, "Probe": 0.01, "Peer": 0.02, "LateFail": 0.05},
 	}
 }
--- a/internal/stand/process.go
+++ b/internal/stand/process.go
@@ -17,14 +17,14 @@
 	stopWithin  = 20 * time.Second
 )
 
-// Log keeps what a process writes. It is safe for concurrent use.
-type Log struct {
+// ProcessLog keeps what a process writes. It is safe for concurrent use.
+type ProcessLog struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
 	changed chan struct{}
 }
 
-func (l *Log) Write(b []byte) (int, error) {
+func (l *ProcessLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.changed != nil {
@@ -34,14 +34,14 @@
 	return l.text.Write(b)
 }
 
-func (l *Log) String() string {
+func (l *ProcessLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Wait waits until the text holds a piece for the nth time.
-func (l *Log) Wait(ctx context.Context, piece string, n int) error {
+// WaitFor waits until the text holds a piece for the nth time.
+func (l *ProcessLog) WaitFor(ctx context.Context, piece string, n int) error {
 	for {
 		l.mu.Lock()
 		if strings.Count(l.text.String(), piece) >= n {
@@ -63,15 +63,15 @@
 
 // Process is a gateway's process that this program started.
 type Process struct {
-	Log    *Log
+	Log    *ProcessLog
 	cmd    *exec.Cmd
 	ended  chan struct{}
 	result error
 }
 
-// Start starts a command, whose standard error is kept. An interrupt at the terminal does not reach it.
-func Start(cmd *exec.Cmd) (*Process, error) {
-	p := &Process{Log: &Log{}, cmd: cmd, ended: make(chan struct{})}
+// StartProcess starts a command, whose standard error is kept. An interrupt at the terminal does not reach it.
+func StartProcess(cmd *exec.Cmd) (*Process, error) {
+	p := &Process{Log: &ProcessLog{}, cmd: cmd, ended: make(chan struct{})}
 	cmd.Stderr = p.Log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
@@ -90,8 +90,8 @@
 // Signal sends it a signal.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Answers waits until the gateway has answered a PING.
-func (p *Process) Answers(ctx context.Context, addr string) error {
+// WaitReady waits until the gateway has answered a PING.
+func (p *Process) WaitReady(ctx context.Context, addr string) error {
 	for end := time.Now().Add(startWithin); time.Now().Before(end); {
 		if pong(addr, end) {
 			return nil
--- a/internal/stand/profile.go
+++ b/internal/stand/profile.go
@@ -17,7 +17,7 @@
 "Safety":{"ColdNs":5000000000,"FallNs":1000000000,"FallMultiple":4,"ColdFrom":0.2},
 "TiersOfService":[{"Name":"p","Refill":1000,"MostAtOnce":3000,"Pays":1}]}`
 
-// Profile is the settings of a small platform whose classes have an aim, from which gateways guess how long an answer takes.
-func Profile(aim time.Duration) json.RawMessage {
+// MinimalSettings is the settings of a small platform whose classes have an aim, from which gateways guess how long an answer takes.
+func MinimalSettings(aim time.Duration) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(profile, aim.Nanoseconds()))
 }
--- a/internal/stand/pulse.go
+++ b/internal/stand/pulse.go
@@ -12,9 +12,9 @@
 	latesMost = 1 << 16              // that are kept: the oldest go
 )
 
-// Pulse watches how late this machine wakes who waits. A verdict on times has to allow for that: on a busy machine an answer may be
+// SchedulingMonitor watches how late this machine wakes who waits. A verdict on times has to allow for that: on a busy machine an answer may be
 // late that no process held up.
-type Pulse struct {
+type SchedulingMonitor struct {
 	mu    sync.Mutex
 	lates []late
 	stop  chan struct{}
@@ -27,14 +27,14 @@
 	by  time.Duration
 }
 
-// NewPulse begins to watch.
-func NewPulse() *Pulse {
-	p := &Pulse{stop: make(chan struct{})}
+// NewSchedulingMonitor begins to watch.
+func NewSchedulingMonitor() *SchedulingMonitor {
+	p := &SchedulingMonitor{stop: make(chan struct{})}
 	p.done.Go(p.watch)
 	return p
 }
 
-func (p *Pulse) watch() {
+func (p *SchedulingMonitor) watch() {
 	t := time.NewTimer(beatEvery)
 	defer t.Stop()
 	for {
@@ -51,7 +51,7 @@
 	}
 }
 
-func (p *Pulse) note(l late) {
+func (p *SchedulingMonitor) note(l late) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.lates) >= latesMost {
@@ -60,8 +60,8 @@
 	p.lates = append(p.lates, l)
 }
 
-// Within is for how long, between two times, something that was to run did not.
-func (p *Pulse) Within(from, to time.Time) (sum time.Duration) {
+// DelayBetween is for how long, between two times, something that was to run did not.
+func (p *SchedulingMonitor) DelayBetween(from, to time.Time) (sum time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first, _ := slices.BinarySearchFunc(p.lates, from, func(l late, t time.Time) int { return l.due.Add(l.by).Compare(t) })
@@ -75,7 +75,7 @@
 }
 
 // Close ends it.
-func (p *Pulse) Close() {
+func (p *SchedulingMonitor) Close() {
 	close(p.stop)
 	p.done.Wait()
 }
--- a/internal/stand/seeds/seeds.go
+++ b/internal/stand/seeds/seeds.go
@@ -23,8 +23,8 @@
 	rounds = flag.Int("rounds", 0, "rounds of the random tests in their long form, by a fresh seed unless -seed names one; 0: the short form")
 )
 
-// Play runs a random test once for each seed: those of the test's list, or what the flags say.
-func Play(t *testing.T, list []uint64, test func(t *testing.T, seed uint64)) {
+// Run runs a random test once for each seed: those of the test's list, or what the flags say.
+func Run(t *testing.T, list []uint64, test func(t *testing.T, seed uint64)) {
 	t.Helper()
 	chosen, err := choose(list, *named, *rounds)
 	if err != nil {
--- a/internal/stand/site.go
+++ b/internal/stand/site.go
@@ -12,12 +12,12 @@
 	Platform  *Platform
 	Nodes     []*Node
 	Discovery *Discovery
-	Tally     *Tally
-	Drains    []Drain
+	Recorder  *Recorder
+	Drains    []DrainPeriod
 
 	version uint64
-	entries []Entry
-	pulse   *Pulse
+	entries []ServerEntry
+	pulse   *SchedulingMonitor
 	once    sync.Once
 }
 
@@ -28,7 +28,7 @@
 
 // NewSite starts so many nodes, in two cells, and discovery.
 func NewSite(p *Platform, nodes int) (s *Site, err error) {
-	s = &Site{Platform: p, Tally: NewTally(), version: 1, pulse: NewPulse()}
+	s = &Site{Platform: p, Recorder: NewRecorder(), version: 1, pulse: NewSchedulingMonitor()}
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -36,7 +36,7 @@
 	}()
 	var cells []*Cell
 	for i := range siteCells {
-		cells = append(cells, &Cell{ID: i, Window: p.Window})
+		cells = append(cells, &Cell{ID: i, DedupWindow: p.DedupWindow})
 	}
 	work := map[string]time.Duration{}
 	for _, c := range p.Classes {
@@ -44,30 +44,30 @@
 	}
 	for i := range nodes {
 		cell := cells[i%siteCells]
-		n, err := NewNode(NodeConfig{ID: fmt.Sprintf("node-%d", i), Cell: cell, Cores: p.Rules.Cores, Queue: siteQueue, Work: work,
-			ColdFrom: p.Rules.ColdFrom, ColdFor: p.Rules.ColdFor, Tally: s.Tally, H2: i < p.H2Nodes})
+		n, err := NewNode(NodeConfig{ID: fmt.Sprintf("node-%d", i), Cell: cell, Cores: p.Rules.Cores, QueueSize: siteQueue, WorkByClass: work,
+			ColdCapacity: p.Rules.ColdCapacity, ColdDuration: p.Rules.ColdDuration, Recorder: s.Recorder, H2: i < p.H2Nodes})
 		if err != nil {
 			return s, err
 		}
 		s.Nodes = append(s.Nodes, n)
 		kind := "std-2c"
 		if i < p.H2Nodes {
-			kind = H2Kind
+			kind = H2NodeKind
 		}
-		s.entries = append(s.entries, Entry{ID: n.ID(), Addr: n.Addr(), Zone: p.Zone, Kind: kind, Cell: cell.ID, State: "up", Weight: 1})
+		s.entries = append(s.entries, ServerEntry{ID: n.ID(), Addr: n.Addr(), Zone: p.Zone, Kind: kind, Cell: cell.ID, State: "up", Weight: 1})
 	}
-	s.Discovery, err = NewDiscovery(s.version, s.List())
+	s.Discovery, err = NewDiscovery(s.version, s.ServerList())
 	return s, err
 }
 
-// List is the list of nodes as discovery has it.
-func (s *Site) List() List {
-	return List{Version: s.version, Full: true, Servers: slices.Clone(s.entries)}
+// ServerList is the list of nodes as discovery has it.
+func (s *Site) ServerList() ServerList {
+	return ServerList{Version: s.version, Full: true, Servers: slices.Clone(s.entries)}
 }
 
 func (s *Site) tell() error {
 	s.version++
-	return s.Discovery.Set(s.version, s.List())
+	return s.Discovery.Set(s.version, s.ServerList())
 }
 
 // Drain tells that a node drains, and lets it turn away what is new.
@@ -76,7 +76,7 @@
 	if err := s.tell(); err != nil {
 		return err
 	}
-	s.Drains = append(s.Drains, Drain{Node: s.Nodes[i].ID(), Told: time.Now()})
+	s.Drains = append(s.Drains, DrainPeriod{Node: s.Nodes[i].ID(), AnnouncedAt: time.Now()})
 	s.Nodes[i].Drain()
 	return nil
 }
@@ -88,8 +88,8 @@
 		return err
 	}
 	for j := range s.Drains {
-		if d := &s.Drains[j]; d.Node == s.Nodes[i].ID() && d.Restored.IsZero() {
-			d.Restored = started
+		if d := &s.Drains[j]; d.Node == s.Nodes[i].ID() && d.RestartedAt.IsZero() {
+			d.RestartedAt = started
 		}
 	}
 	s.entries[i].State, s.entries[i].StartedMS = "up", started.UnixMilli()
@@ -99,15 +99,15 @@
 // Replace ends a node's process and starts another at its address, cold and under a new id, and tells it.
 func (s *Site) Replace(i int) error {
 	s.entries[i].ID += "b"
-	s.Nodes[i].Rename(s.entries[i].ID)
+	s.Nodes[i].SetID(s.entries[i].ID)
 	return s.Restart(i)
 }
 
 // Audit holds what clients and nodes saw to the five rules.
-func (s *Site) Audit(ends []Ended) []Verdict {
+func (s *Site) Audit(ends []RequestResult) []RuleResult {
 	rules := s.Platform.Rules
-	rules.Late = s.pulse.Within
-	return Audit(rules, ends, s.Tally, s.Drains)
+	rules.SchedulingDelay = s.pulse.DelayBetween
+	return Audit(rules, ends, s.Recorder, s.Drains)
 }
 
 // Close ends all. Closing it again does nothing.
@@ -121,19 +121,19 @@
 	}
 }
 
-// Clinic is a site of the size that a small machine plays without strain: two classes, four plans, one of them with a
+// SmallPlatform is a site of the size that a small machine plays without strain: two classes, four plans, one of them with a
 // ceiling, and the figures that gateways must keep.
-func Clinic() *Platform {
+func SmallPlatform() *Platform {
 	plus := Ceiling{Rate: 18, Depth: 30, Slack: 3}
 	return &Platform{
 		Plans: []Plan{{Name: "basic", Rate: 1.5, Burst: 8, Price: 0.55}, {Name: "standard", Rate: 3, Burst: 12, Price: 0.88},
 			{Name: "plus", Rate: 8, Burst: 16, Price: 1.3, Ceiling: plus}, {Name: "network", Rate: 20, Burst: 36, Price: 1.8}},
-		Classes: []ClassMix{{Name: "slot-lookup", Share: 0.62, Units: 1, Patience: 1200 * time.Millisecond, Work: 45 * time.Millisecond},
+		Classes: []RequestClass{{Name: "slot-lookup", Share: 0.62, Units: 1, Patience: 1200 * time.Millisecond, Work: 45 * time.Millisecond},
 			{Name: "slot-book", Share: 0.38, Units: 2, Patience: 6 * time.Second, Work: 100 * time.Millisecond, Keyed: true}},
 		// Each limit is 50 ms longer on sockets, and a busy machine wakes a process late.
-		Rules: Rules{AnswerSlack: 100 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdFrom: 0.17, ColdFor: 14 * time.Second,
-			FallMultiple: 4, FallWindow: 1500 * time.Millisecond, Cores: 2,
+		Rules: Rules{AnswerSlack: 100 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdCapacity: 0.17, ColdDuration: 14 * time.Second,
+			OverloadFactor: 4, OverloadWindow: 1500 * time.Millisecond, Cores: 2,
 			Ceilings: map[string]Ceiling{"plus": {Rate: plus.Rate, Depth: plus.Depth, Slack: plus.Slack + 0.15*plus.Rate}}},
-		Window: 12 * time.Second, Zone: "floor-3", Sockets: 1024, Memory: 192,
+		DedupWindow: 12 * time.Second, Zone: "floor-3", Sockets: 1024, MemoryMB: 192,
 	}
 }
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -84,12 +84,12 @@
 	l.wg.Wait()
 }
 
-// Scripted is a node that does nothing by itself: whoever made it is handed each command with its connection.
-type Scripted struct{ *listener }
+// ScriptedNode is a node that does nothing by itself: whoever made it is handed each command with its connection.
+type ScriptedNode struct{ *listener }
 
-// NewScripted starts a node. got is called from a goroutine of the connection's own, in the order of its commands,
+// NewScriptedNode starts a node. got is called from a goroutine of the connection's own, in the order of its commands,
 // and once with nil when the connection ends.
-func NewScripted(got func(conn net.Conn, args []string)) (*Scripted, error) {
+func NewScriptedNode(got func(conn net.Conn, args []string)) (*ScriptedNode, error) {
 	l, err := listen(func(conn net.Conn) {
 		rd := redcon.NewReader(conn)
 		for {
@@ -108,14 +108,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Scripted{l}, nil
+	return &ScriptedNode{l}, nil
 }
 
-// Served is a node's answer to a request that it served, without figures on use and load report.
-func Served(value string) string { return ServedUse(value, "") }
+// FormatReply is a node's answer to a request that it served, without figures on use and load report.
+func FormatReply(value string) string { return FormatReplyWithUse(value, "") }
 
-// ServedUse is one with figures on use; "": none.
-func ServedUse(value, figures string) string {
+// FormatReplyWithUse is one with figures on use; "": none.
+func FormatReplyWithUse(value, figures string) string {
 	use := "$-1\r\n"
 	if figures != "" {
 		use = fmt.Sprintf("$%d\r\n%s\r\n", len(figures), figures)
@@ -125,8 +125,8 @@
 
 const callsKept = 64 // queries that Discovery keeps for whoever reads them
 
-// Entry is a server in discovery's list.
-type Entry struct {
+// ServerEntry is a server in discovery's list.
+type ServerEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -137,16 +137,16 @@
 	StartedMS int64   `json:"started_ms"` // Unix time; 0 for long ago
 }
 
-// List is discovery's form of a list.
-type List struct {
-	Version uint64  `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
+// ServerList is discovery's form of a list.
+type ServerList struct {
+	Version uint64        `json:"version"`
+	Full    bool          `json:"full"`
+	Servers []ServerEntry `json:"servers"`
 }
 
 // Discovery serves a list of servers and the watches on it.
 type Discovery struct {
-	Calls chan string // the queries of the calls; left out where nobody takes them
+	Queries chan string // the queries of the calls; left out where nobody takes them
 
 	web     *httptest.Server
 	mu      sync.Mutex
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encoding the list: %w", err)
 	}
-	d := &Discovery{Calls: make(chan string, callsKept), version: version, body: body, changed: make(chan struct{}), closed: make(chan struct{})}
+	d := &Discovery{Queries: make(chan string, callsKept), version: version, body: body, changed: make(chan struct{}), closed: make(chan struct{})}
 	d.web = httptest.NewServer(d)
 	return d, nil
 }
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// Hush has it answer nobody until the function that it returns is called: calls that come meanwhile wait.
-func (d *Discovery) Hush() (speak func()) {
+// Pause has it answer nobody until the function that it returns is called: calls that come meanwhile wait.
+func (d *Discovery) Pause() (speak func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	hushed := make(chan struct{})
@@ -216,7 +216,7 @@
 // ServeHTTP answers a call at once or, if it is a watch, when there is news.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	select {
-	case d.Calls <- req.URL.RawQuery:
+	case d.Queries <- req.URL.RawQuery:
 	default:
 	}
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
@@ -246,7 +246,7 @@
 		case <-d.closed:
 			return
 		case <-over.C:
-			json.NewEncoder(w).Encode(List{Version: after, Servers: []Entry{}})
+			json.NewEncoder(w).Encode(ServerList{Version: after, Servers: []ServerEntry{}})
 			return
 		case <-req.Context().Done():
 			return
--- a/internal/stand/stand_test.go
+++ b/internal/stand/stand_test.go
@@ -11,11 +11,11 @@
 )
 
 // node starts a node of one core with room for one more request, whose work takes so long.
-func node(t *testing.T, work time.Duration) (*Node, *Tally) {
+func node(t *testing.T, work time.Duration) (*Node, *Recorder) {
 	t.Helper()
-	tally := NewTally()
-	n, err := NewNode(NodeConfig{ID: "n", Cell: &Cell{Window: time.Hour}, Cores: 1, Queue: 1, Work: map[string]time.Duration{"book": work},
-		ColdFrom: 0.5, ColdFor: time.Hour, Tally: tally})
+	tally := NewRecorder()
+	n, err := NewNode(NodeConfig{ID: "n", Cell: &Cell{DedupWindow: time.Hour}, Cores: 1, QueueSize: 1, WorkByClass: map[string]time.Duration{"book": work},
+		ColdCapacity: 0.5, ColdDuration: time.Hour, Recorder: tally})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,11 +43,11 @@
 func TestNodeDropsRepeatsAndTurnsAway(t *testing.T) {
 	n, tally := node(t, time.Millisecond)
 	for range 2 {
-		if got, err := ask(t, n.Addr(), "a", "c=book,k=1,units=2").read3(); got != Value("a") || err != nil {
+		if got, err := ask(t, n.Addr(), "a", "c=book,k=1,units=2").read3(); got != ReplyValue("a") || err != nil {
 			t.Fatalf("got %q, %v", got, err)
 		}
 	}
-	if tally.effects["a"] != 1 || n.Counts() != (Counts{Came: 2, Ran: 1, Dropped: 1}) {
+	if tally.effects["a"] != 1 || n.Counts() != (NodeCounts{Received: 2, Executed: 1, Deduplicated: 1}) {
 		t.Errorf("%d effects, %+v", tally.effects["a"], n.Counts())
 	}
 	n.Drain()
@@ -60,7 +60,7 @@
 	if _, err := n.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ask(t, n.Addr(), "c", "c=book,k=3").read3(); got != Value("c") {
+	if got, err := ask(t, n.Addr(), "c", "c=book,k=3").read3(); got != ReplyValue("c") {
 		t.Errorf("after a restart: %q, %v", got, err)
 	}
 }
@@ -78,7 +78,7 @@
 func TestNodeGivesUpWhatNobodyWaitsFor(t *testing.T) {
 	n, _ := node(t, time.Hour)
 	one, two := ask(t, n.Addr(), "a", "c=book,k=1"), ask(t, n.Addr(), "b", "c=book,k=2")
-	for n.Counts().Came < 2 {
+	for n.Counts().Received < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if got, _ := ask(t, n.Addr(), "c", "c=book,k=3").Read(); got != "-BUSY" {
@@ -101,27 +101,27 @@
 func TestAuditFindsEachBreach(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	rules := Clinic().Rules
+	rules := SmallPlatform().Rules
 	type day struct {
-		ends   []Ended
-		tally  *Tally
-		drains []Drain
+		ends   []RequestResult
+		tally  *Recorder
+		drains []DrainPeriod
 	}
 	for name, tc := range map[string]struct {
 		spoil func(*day)
 		rule  int // that breaks, or -1
 	}{
 		"a good day": {func(d *day) {}, -1},
-		"lost":       {func(d *day) { d.ends[0].Kind = WasLost }, 0},
-		"late":       {func(d *day) { d.ends[0].At = at(2000) }, 0},
+		"lost":       {func(d *day) { d.ends[0].Outcome = OutcomeLost }, 0},
+		"late":       {func(d *day) { d.ends[0].EndedAt = at(2000) }, 0},
 		"sent after the answer": {func(d *day) {
 			d.tally.arrivals = append(d.tally.arrivals, Arrival{Node: "n", ID: "a", Key: "k", At: at(500)})
 		}, 0},
 		"effect twice":      {func(d *day) { d.tally.effects["a"] = 2 }, 1},
-		"refused and ran":   {func(d *day) { d.ends[0].Kind = WasRefused }, 1},
-		"after the drain":   {func(d *day) { d.drains = []Drain{{Node: "n", Told: at(-1000)}} }, 2},
-		"drained, restored": {func(d *day) { d.drains = []Drain{{Node: "n", Told: at(-1000), Restored: at(-1)}} }, -1},
-		"in the grace":      {func(d *day) { d.drains = []Drain{{Node: "n", Told: at(-200)}} }, -1},
+		"refused and ran":   {func(d *day) { d.ends[0].Outcome = OutcomeRefused }, 1},
+		"after the drain":   {func(d *day) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000)}} }, 2},
+		"drained, restored": {func(d *day) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000), RestartedAt: at(-1)}} }, -1},
+		"in the grace":      {func(d *day) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-200)}} }, -1},
 		"pushed over": {func(d *day) {
 			d.tally.started["n"] = []time.Time{at(-1)}
 			d.tally.arrivals[0].Work = time.Second
@@ -140,14 +140,14 @@
 			}
 		}, -1},
 	} {
-		d := &day{ends: []Ended{{ID: "a", Customer: "c", Plan: "plus", Kind: WasServed, Sent: at(0), At: at(100), Patience: time.Second}},
-			tally: NewTally()}
+		d := &day{ends: []RequestResult{{ID: "a", Customer: "c", Plan: "plus", Outcome: OutcomeServed, SentAt: at(0), EndedAt: at(100), Patience: time.Second}},
+			tally: NewRecorder()}
 		d.tally.arrivals = []Arrival{{Node: "n", ID: "a", Key: "k", Customer: "c", Units: 1, Work: time.Millisecond, At: at(1)}}
 		d.tally.effects["a"] = 1
 		tc.spoil(d)
 		for i, v := range Audit(rules, d.ends, d.tally, d.drains) {
-			if (v.Count > 0) != (i == tc.rule) {
-				t.Errorf("%s: %q: %d against it: %v", name, v.Rule, v.Count, v.Broken)
+			if (v.Violations > 0) != (i == tc.rule) {
+				t.Errorf("%s: %q: %d against it: %v", name, v.Rule, v.Violations, v.Examples)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 	answers := []string{"", "-BUSY 5\r\n", "-ERR failed\r\n", "$1\r\nx\r\n", "cut"}
 	var mu sync.Mutex
 	n := 0
-	s, err := NewScripted(func(conn net.Conn, args []string) {
+	s, err := NewScriptedNode(func(conn net.Conn, args []string) {
 		if args == nil {
 			return
 		}
@@ -166,7 +166,7 @@
 		defer mu.Unlock()
 		a := answers[n%len(answers)]
 		if a == "" {
-			v := Value(args[2])
+			v := ReplyValue(args[2])
 			a = "$" + strconv.Itoa(len(v)) + "\r\n" + v + "\r\n"
 		}
 		n++
@@ -183,11 +183,11 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	var kinds [4]int
-	c := Crowd{Gateways: []string{s.Addr()}, Customers: []Customer{{ID: "0000000000000001", Plan: "p", Rate: 500, Spread: 1}},
-		Classes: []ClassMix{{Name: "look", Share: 1, Units: 1, Patience: 10 * time.Second}}, Seed: 1, Each: func(e Ended) {
+	c := LoadGenerator{Gateways: []string{s.Addr()}, Customers: []Customer{{ID: "0000000000000001", Plan: "p", Rate: 500, GatewayCount: 1}},
+		Classes: []RequestClass{{Name: "look", Share: 1, Units: 1, Patience: 10 * time.Second}}, Seed: 1, OnResult: func(e RequestResult) {
 			mu.Lock()
 			defer mu.Unlock()
-			if kinds[e.Kind]++; kinds[WasServed] > 3 && kinds[WasRefused] > 3 && kinds[WasFailed] > 3 && kinds[WasLost] > 3 {
+			if kinds[e.Outcome]++; kinds[OutcomeServed] > 3 && kinds[OutcomeRefused] > 3 && kinds[OutcomeFailed] > 3 && kinds[OutcomeLost] > 3 {
 				cancel()
 			}
 		}}
@@ -197,7 +197,7 @@
 // TestPulseTellsOfLateness: what was late in a time counts, what was before and after it does not; a late answer is excused by as much
 // as the machine was late, and no more.
 func TestPulseTellsOfLateness(t *testing.T) {
-	p := NewPulse()
+	p := NewSchedulingMonitor()
 	defer p.Close()
 	begin := time.Now().Add(time.Hour) // of beats that this machine can't have missed
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
@@ -205,15 +205,15 @@
 		p.note(late{at(ms), 200 * time.Millisecond})
 	}
 	for _, tc := range []struct{ from, to, want int }{{-100, -1, 0}, {-100, 10, 200}, {100, 150, 200}, {201, 999, 0}, {500, 1100, 200}, {-100, 3000, 600}} {
-		if got := p.Within(at(tc.from), at(tc.to)); got != time.Duration(tc.want)*time.Millisecond {
+		if got := p.DelayBetween(at(tc.from), at(tc.to)); got != time.Duration(tc.want)*time.Millisecond {
 			t.Errorf("%d to %d: %v, want %d ms", tc.from, tc.to, got, tc.want)
 		}
 	}
-	rules := Clinic().Rules
-	rules.Late = p.Within
+	rules := SmallPlatform().Rules
+	rules.SchedulingDelay = p.DelayBetween
 	for ms, want := range map[int]int{1250: 0, 1350: 1} {
-		ends := []Ended{{ID: "a", Kind: WasServed, Sent: at(500), At: at(500 + ms), Patience: time.Second}}
-		if got := Audit(rules, ends, NewTally(), nil)[0].Count; got != want {
+		ends := []RequestResult{{ID: "a", Outcome: OutcomeServed, SentAt: at(500), EndedAt: at(500 + ms), Patience: time.Second}}
+		if got := Audit(rules, ends, NewRecorder(), nil)[0].Violations; got != want {
 			t.Errorf("an answer %d ms past its client's patience, 200 of them the machine's: %d breaches, want %d", ms-1000, got, want)
 		}
 	}
--- a/internal/world/commons_test.go
+++ b/internal/world/commons_test.go
@@ -15,7 +15,7 @@
 func TestNewsInVirtualTime(t *testing.T) {
 	for _, n := range sizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			seeds.Play(t, []uint64{1}, func(t *testing.T, seed uint64) { playNews(t, seed, n) })
+			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { playNews(t, seed, n) })
 		})
 	}
 }
--- a/internal/world/fleet_test.go
+++ b/internal/world/fleet_test.go
@@ -144,7 +144,7 @@
 			list = []uint64{1, 2, 3}
 		}
 		t.Run(fmt.Sprintf("members=%d", n), func(t *testing.T) {
-			seeds.Play(t, list, func(t *testing.T, seed uint64) { playFleet(t, seed, n) })
+			seeds.Run(t, list, func(t *testing.T, seed uint64) { playFleet(t, seed, n) })
 		})
 	}
 }
--- a/internal/world/owners_test.go
+++ b/internal/world/owners_test.go
@@ -15,7 +15,7 @@
 func TestOwnersInVirtualTime(t *testing.T) {
 	for _, n := range sizes(20, 200) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			seeds.Play(t, []uint64{1}, func(t *testing.T, seed uint64) { playOwners(t, seed, n) })
+			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { playOwners(t, seed, n) })
 		})
 	}
 }
--- a/internal/world/quotas_test.go
+++ b/internal/world/quotas_test.go
@@ -66,7 +66,7 @@
 func TestQuotasOverManyGateways(t *testing.T) {
 	for _, n := range sizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			seeds.Play(t, []uint64{1}, func(t *testing.T, seed uint64) { quotasOverMany(t, seed, n) })
+			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { quotasOverMany(t, seed, n) })
 		})
 	}
 }
@@ -106,7 +106,7 @@
 func TestQuotasOverPowerLoss(t *testing.T) {
 	for _, n := range sizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			seeds.Play(t, []uint64{1}, func(t *testing.T, seed uint64) {
+			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) {
 				over, calm := map[bool]float64{}, map[bool]float64{}
 				for _, kept := range []bool{false, true} {
 					over[kept], calm[kept] = quotasOverPowerLoss(t, seed, n, kept)
