--- a/cmd/sloectl/demo.go
+++ b/cmd/sloectl/demo.go
@@ -20,7 +20,7 @@
 	"sloepick/deploy/example"
 	"sloepick/internal/commons"
 	"sloepick/internal/gossip"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // customers are clinics, of which the first on plus floods far beyond its quota for a third of the time.
 // In a fleet each comes in everywhere: who has which number is the fleet's to say.
-func (d *demonstration) customers(r *rand.Rand) (all []stand.Customer) {
+func (d *demonstration) customers(r *rand.Rand) (all []testbed.Customer) {
 	p, length := d.site.Platform, d.length
 	units := 0.0 // of a mean request
 	for _, c := range p.Classes {
@@ -45,7 +45,7 @@
 	}
 	for i, n := range []int{24, 10, 6, 3} {
 		for j := range n {
-			c := stand.Customer{ID: fmt.Sprintf("%016x", 0x10000*(i+1)+j), Plan: p.Plans[i].Name, GatewayCount: 2 + r.IntN(demoGateways-1),
+			c := testbed.Customer{ID: fmt.Sprintf("%016x", 0x10000*(i+1)+j), Plan: p.Plans[i].Name, GatewayCount: 2 + r.IntN(demoGateways-1),
 				FirstGateway: r.IntN(demoGateways), Rate: p.Plans[i].Rate / units * (0.3 + 0.3*r.Float64())}
 			if d.fleet > 0 {
 				c.GatewayCount, c.FirstGateway = d.fleet, 0
@@ -66,13 +66,13 @@
 	operator string
 	fleet    int // gateways that are a fleet; 0: as the platform's files number them
 	dir      string
-	site     *stand.Site
-	gateways []*stand.Process
-	places   []stand.Endpoint
-	members  []stand.Endpoint // of the fleet
+	site     *testbed.Site
+	gateways []*testbed.Process
+	places   []testbed.Endpoint
+	members  []testbed.Endpoint // of the fleet
 
 	mu   sync.Mutex
-	ends []stand.RequestResult
+	ends []testbed.RequestResult
 }
 
 func demo(args []string, out, errs io.Writer) int {
@@ -128,7 +128,7 @@
 	}
 	play, cancel := context.WithTimeout(ctx, d.length)
 	defer cancel()
-	crowd := &stand.LoadGenerator{Customers: d.customers(rand.New(rand.NewPCG(d.seed, 0))), Classes: d.site.Platform.Classes,
+	crowd := &testbed.LoadGenerator{Customers: d.customers(rand.New(rand.NewPCG(d.seed, 0))), Classes: d.site.Platform.Classes,
 		Seed: d.seed, OnResult: d.ended}
 	for _, p := range d.places {
 		crowd.Gateways = append(crowd.Gateways, p.Listen)
@@ -166,7 +166,7 @@
 	return code, nil
 }
 
-func (d *demonstration) ended(e stand.RequestResult) {
+func (d *demonstration) ended(e testbed.RequestResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ends = append(d.ends, e)
@@ -174,7 +174,7 @@
 
 // start brings up the site and the gateways, and waits until each gateway answers.
 func (d *demonstration) start(ctx context.Context) (err error) {
-	if d.site, err = stand.NewSite(stand.SmallPlatform(), demoNodes); err != nil {
+	if d.site, err = testbed.NewSite(testbed.SmallPlatform(), demoNodes); err != nil {
 		return err
 	}
 	if d.dir, err = os.MkdirTemp("", "sloectl-demo-"); err != nil {
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	if d.places, err = stand.AllocateEndpoints(2 * d.size()); err != nil { // of each the clients' address, and the fleet's
+	if d.places, err = testbed.AllocateEndpoints(2 * d.size()); err != nil { // of each the clients' address, and the fleet's
 		return err
 	}
 	d.places, d.members = d.places[:d.size()], d.places[d.size():]
@@ -264,7 +264,7 @@
 	}
 	cmd := exec.Command(self, "daemon", "-operator", operator)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", selfEnv+"=1")
-	g, err := stand.StartProcess(cmd)
+	g, err := testbed.StartProcess(cmd)
 	if err != nil {
 		return err
 	}
@@ -367,7 +367,7 @@
 	for _, e := range d.ends {
 		f := all[e.Plan]
 		f.counts[e.Outcome]++
-		if e.Outcome == stand.OutcomeServed {
+		if e.Outcome == testbed.OutcomeServed {
 			f.took = append(f.took, e.EndedAt.Sub(e.SentAt))
 		}
 	}
@@ -383,7 +383,7 @@
 		sum.took = append(sum.took, f.took...)
 	}
 	return fmt.Sprintf("%3.0f s  asked %d  served %d  refused %d  failed %d  p50 %d ms  p99 %d ms\n", since.Seconds(), sum.asked(),
-		sum.counts[stand.OutcomeServed], sum.counts[stand.OutcomeRefused], sum.counts[stand.OutcomeFailed],
+		sum.counts[testbed.OutcomeServed], sum.counts[testbed.OutcomeRefused], sum.counts[testbed.OutcomeFailed],
 		sum.quantile(0.5).Milliseconds(), sum.quantile(0.99).Milliseconds())
 }
 
@@ -393,8 +393,8 @@
 	all := d.figures()
 	for _, p := range d.site.Platform.Plans {
 		f := all[p.Name]
-		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d %8d %8d\n", p.Name, f.asked(), f.counts[stand.OutcomeServed], f.counts[stand.OutcomeRefused],
-			f.counts[stand.OutcomeFailed], f.quantile(0.5).Milliseconds(), f.quantile(0.99).Milliseconds())
+		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d %8d %8d\n", p.Name, f.asked(), f.counts[testbed.OutcomeServed], f.counts[testbed.OutcomeRefused],
+			f.counts[testbed.OutcomeFailed], f.quantile(0.5).Milliseconds(), f.quantile(0.99).Milliseconds())
 	}
 	fmt.Fprintf(&b, "%-10s %7s %7s %8s %7s\n", "node", "came", "ran", "away", "repeat")
 	for _, n := range d.site.Nodes {
--- a/cmd/sloectl/main_test.go
+++ b/cmd/sloectl/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // TestMain lets the test's own binary stand for the program, as the demonstration starts itself as gateways.
@@ -120,8 +120,8 @@
 // The proof runs with the platform's file, and explain tells which route a request gets and why no other.
 func TestRoutesWithAPlatform(t *testing.T) {
 	dir := t.TempDir()
-	places := []stand.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
-	text, err := stand.SmallPlatform().GatewayConfig(0, places, "127.0.0.1:3", 1, stand.ServerList{})
+	places := []testbed.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
+	text, err := testbed.SmallPlatform().GatewayConfig(0, places, "127.0.0.1:3", 1, testbed.ServerList{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,12 +204,12 @@
 
 // A rule that broke is told and is the verdict.
 func TestDemoTellsWhatBroke(t *testing.T) {
-	site, err := stand.NewSite(stand.SmallPlatform(), 1)
+	site, err := testbed.NewSite(testbed.SmallPlatform(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer site.Close()
-	d := &demonstration{site: site, ends: []stand.RequestResult{{ID: "a", Plan: "plus", Outcome: stand.OutcomeLost, Detail: "gone"}}}
+	d := &demonstration{site: site, ends: []testbed.RequestResult{{ID: "a", Plan: "plus", Outcome: testbed.OutcomeLost, Detail: "gone"}}}
 	var out bytes.Buffer
 	if d.verdict(&out) || !strings.Contains(out.String(), "BROKEN  one answer in time") || !strings.Contains(out.String(), "a got no answer: gone") {
 		t.Errorf("got %s", out.String())
--- a/internal/blocks/blocks_test.go
+++ b/internal/blocks/blocks_test.go
@@ -13,7 +13,7 @@
 	"sloepick/deploy/example"
 	"sloepick/internal/gateway"
 	"sloepick/internal/sloe"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 	"sloepick/internal/tuning"
 )
 
@@ -77,8 +77,8 @@
 // clinic is the demonstration's platform.
 func clinic(t *testing.T) *gateway.Config {
 	t.Helper()
-	places := []stand.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
-	text, err := stand.SmallPlatform().GatewayConfig(0, places, "127.0.0.1:3", 1, stand.ServerList{})
+	places := []testbed.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
+	text, err := testbed.SmallPlatform().GatewayConfig(0, places, "127.0.0.1:3", 1, testbed.ServerList{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
+	"sloepick/internal/testbed/seeds"
 )
 
 // TestColdServersUnderManyGateways plays twenty processes, none of which hears another, while servers start anew one after the
@@ -20,28 +20,28 @@
 func coldServers(t *testing.T, seed uint64) {
 	const n, nodes = 20, 4
 	const load = 0.6 // of what all servers can do when they are warm
-	platform := stand.SmallPlatform()
+	platform := testbed.SmallPlatform()
 	platform.Rules.OverloadFactor = 1.1 // little more than a cold server can do: without slow start its even share pushes it over
 	platform.Rules.ColdDuration = 10 * time.Second
-	r := procs.New(t, procs.Config{Platform: platform, Nodes: nodes, Gateways: n, Seed: seed, Command: program})
-	r.Mesh.SetFault(links.Blackhole, nil, nil)
+	r := e2e.New(t, e2e.Config{Platform: platform, Nodes: nodes, Gateways: n, Seed: seed, Command: program})
+	r.Mesh.SetFault(faultnet.Blackhole, nil, nil)
 	r.Start(0, r.AllGateways()...)
 	rules := platform.Rules
 	platform.Rules.OverloadFactor *= 2 // of the general audit, which has no room for chance: this test counts by the rule's own terms
 	mean := meanWork(platform)
 	asked := load * nodes * float64(platform.Rules.Cores) / mean.Seconds()
-	var crowd []stand.Customer
+	var crowd []testbed.Customer
 	const customers = 60 // so many that none floods: quotas are not what is tested
 	for i := range customers {
-		crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16+i), Plan: "network", Rate: asked / customers, GatewayCount: n})
+		crowd = append(crowd, testbed.Customer{ID: fmt.Sprintf("%016x", 16+i), Plan: "network", Rate: asked / customers, GatewayCount: n})
 	}
 	p := r.RunLoad(crowd, seed, r.Script(
-		procs.Event{At: 4 * time.Second, Name: "two servers start anew", Do: func() {
+		e2e.Event{At: 4 * time.Second, Name: "two servers start anew", Do: func() {
 			r.Must(r.Site.Restart(0))
 			r.Must(r.Site.Restart(1))
 		}},
-		procs.Event{At: 10 * time.Second, Name: "a third one starts anew", Do: func() { r.Must(r.Site.Restart(2)) }},
-		procs.Event{At: 16 * time.Second, Name: "the end", Do: func() {}}))
+		e2e.Event{At: 10 * time.Second, Name: "a third one starts anew", Do: func() { r.Must(r.Site.Restart(2)) }},
+		e2e.Event{At: 16 * time.Second, Name: "the end", Do: func() {}}))
 	share, sent := p.ServedShare(2*time.Second, 4*time.Second, nil)
 	t.Logf("served before the first start: %.2f of %d", share, sent)
 	if share < 0.5 {
@@ -60,7 +60,7 @@
 	}
 }
 
-func meanWork(p *stand.Platform) time.Duration {
+func meanWork(p *testbed.Platform) time.Duration {
 	mean := 0.0
 	for _, c := range p.Classes {
 		mean += c.Share * float64(c.Work)
@@ -70,17 +70,17 @@
 
 // worstWindow is the most work that a server got in a window while it was cold, as a share of what may be: N requests of mean work, N being
 // what it can take in the window, and 2 sqrt(N) + 2 for chance.
-func worstWindow(tally *stand.Recorder, rules stand.Rules, node string, mean time.Duration) (worst float64) {
+func worstWindow(tally *testbed.Recorder, rules testbed.Rules, node string, mean time.Duration) (worst float64) {
 	started := tally.StartTimes(node)
 	if len(started) == 0 {
 		return 0
 	}
 	start := started[0]
-	in := slices.DeleteFunc(tally.Arrivals(), func(a stand.Arrival) bool {
+	in := slices.DeleteFunc(tally.Arrivals(), func(a testbed.Arrival) bool {
 		since := a.At.Sub(start)
 		return a.Node != node || since < 0 || since >= rules.ColdDuration
 	})
-	slices.SortFunc(in, func(a, b stand.Arrival) int { return a.At.Compare(b.At) })
+	slices.SortFunc(in, func(a, b testbed.Arrival) int { return a.At.Compare(b.At) })
 	for i, first := range in {
 		sent := time.Duration(0)
 		for _, a := range in[i:] {
--- a/internal/daemon/commons_test.go
+++ b/internal/daemon/commons_test.go
@@ -7,9 +7,9 @@
 
 	"sloepick/internal/commons"
 	"sloepick/internal/gossip"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
 )
 
 const askEvery = 200 * time.Millisecond
@@ -20,9 +20,9 @@
 func TestNewsIsNeverYoungerThanTold(t *testing.T) {
 	t.Parallel() // it waits more than it works
 	const n = 6
-	usual := links.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
-	r := newFleet(t, stand.SmallPlatform(), n, 1, "commons {\n every = 200ms\n}\nregion floor-3 {\n clock = \"Asia/Seoul\"\n quiet = [\"daily 00:00-24:00\"]\n}\n")
-	pulse := stand.NewSchedulingMonitor()
+	usual := faultnet.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
+	r := newFleet(t, testbed.SmallPlatform(), n, 1, "commons {\n every = 200ms\n}\nregion floor-3 {\n clock = \"Asia/Seoul\"\n quiet = [\"daily 00:00-24:00\"]\n}\n")
+	pulse := testbed.NewSchedulingMonitor()
 	t.Cleanup(pulse.Close)
 	r.Mesh.SetFault(usual, nil, nil)
 	r.Start(0, r.AllGateways()...)
@@ -85,7 +85,7 @@
 		t.Errorf("one was cut off for %v, and nobody's news is older than %v", cut, most)
 	}
 	r.Mesh.SetFault(usual, nil, nil)
-	r.Mesh.SetFault(links.Blackhole, []int{2}, []int{0, 1, 3, 4, 5})
+	r.Mesh.SetFault(faultnet.Blackhole, []int{2}, []int{0, 1, 3, 4, 5})
 	watch("one hears and is not heard", cut, false)
 	r.Mesh.SetFault(usual, nil, nil)
 	thaw := r.Suspend(3)
@@ -104,7 +104,7 @@
 }
 
 // counts holds that nothing waited long or was dropped between a member's goroutines.
-func counts(t *testing.T, r *procs.Harness) {
+func counts(t *testing.T, r *e2e.Harness) {
 	t.Helper()
 	var all gossip.NewsCounts
 	for i := range r.Processes {
--- a/internal/daemon/cost_test.go
+++ b/internal/daemon/cost_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sloepick/deploy/example"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 var cost = flag.Bool("cost", false, "measure what the operators' file costs")
@@ -37,9 +37,9 @@
 			memory := r.proc("status", "VmRSS:")
 			before, n := r.ticks(), atomic.Int64{}
 			ctx, cancel := context.WithTimeout(r.ctx, 6*time.Second)
-			crowd := stand.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: 1, OnResult: func(stand.RequestResult) { n.Add(1) }}
+			crowd := testbed.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: 1, OnResult: func(testbed.RequestResult) { n.Add(1) }}
 			for i := range 40 {
-				crowd.Customers = append(crowd.Customers, stand.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 20, GatewayCount: 1})
+				crowd.Customers = append(crowd.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 20, GatewayCount: 1})
 			}
 			crowd.Run(ctx)
 			cancel()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,10 +17,10 @@
 
 	"sloepick/internal/gossip"
 	"sloepick/internal/recovery"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
+	"sloepick/internal/testbed/seeds"
 )
 
 // TestMain lets the test's own binary stand for the program, so that tests can start, reload and stop real processes.
@@ -36,8 +36,8 @@
 
 // off sets the clocks as the rig has them: the wall clock is off, and each loss of power begins another boot.
 func off() {
-	by, err := time.ParseDuration(os.Getenv(procs.ClockEnv))
-	boot := os.Getenv(procs.BootEnv)
+	by, err := time.ParseDuration(os.Getenv(e2e.ClockEnv))
+	boot := os.Getenv(e2e.BootEnv)
 	if err != nil || boot == "" {
 		return // of no rig
 	}
@@ -51,13 +51,13 @@
 
 // linked has a member's word go by the links that its rig set up.
 func linked(c *gossip.Config) error {
-	text := os.Getenv(procs.RoutesEnv)
+	text := os.Getenv(e2e.RoutesEnv)
 	if text == "" {
 		return nil
 	}
-	routes, err := links.ParseRoutes(text)
+	routes, err := faultnet.ParseRoutes(text)
 	if err == nil {
-		c.Transport, err = links.NewTransport(c.Address, routes)
+		c.Transport, err = faultnet.NewTransport(c.Address, routes)
 	}
 	return err
 }
@@ -66,11 +66,11 @@
 type rig struct {
 	t        *testing.T
 	ctx      context.Context
-	site     *stand.Site
-	place    stand.Endpoint
+	site     *testbed.Site
+	place    testbed.Endpoint
 	platform string // the platform's file
 	operator string // the operators' file, or ""
-	gateway  *stand.Process
+	gateway  *testbed.Process
 }
 
 func newRig(t *testing.T, operator string) *rig {
@@ -81,20 +81,20 @@
 // newRigOf is a rig with so many nodes.
 func newRigOf(t *testing.T, operator string, nodes int) *rig {
 	t.Helper()
-	return newRigAt(t, operator, stand.SmallPlatform(), nodes)
+	return newRigAt(t, operator, testbed.SmallPlatform(), nodes)
 }
 
 // newRigAt is one of a platform.
-func newRigAt(t *testing.T, operator string, platform *stand.Platform, nodes int) *rig {
+func newRigAt(t *testing.T, operator string, platform *testbed.Platform, nodes int) *rig {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
-	site, err := stand.NewSite(platform, nodes)
+	site, err := testbed.NewSite(platform, nodes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	places, err := stand.AllocateEndpoints(1)
+	places, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 	}
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1", "GW_CONFIG="+r.platform, "GW_OPERATOR="+r.operator, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=")
-	if r.gateway, err = stand.StartProcess(cmd); err != nil {
+	if r.gateway, err = testbed.StartProcess(cmd); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.gateway.Kill)
@@ -152,9 +152,9 @@
 	}
 }
 
-func (r *rig) dial() *stand.Client {
+func (r *rig) dial() *testbed.Client {
 	r.t.Helper()
-	c, err := stand.Dial(r.place.Listen)
+	c, err := testbed.Dial(r.place.Listen)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 	return c
 }
 
-func (r *rig) ping(c *stand.Client) {
+func (r *rig) ping(c *testbed.Client) {
 	r.t.Helper()
 	if err := c.Send("PING"); err != nil {
 		r.t.Fatal(err)
@@ -306,14 +306,14 @@
 	ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
 	defer cancel()
 	var mu sync.Mutex
-	var ends []stand.RequestResult
-	crowd := stand.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: seed, OnResult: func(e stand.RequestResult) {
+	var ends []testbed.RequestResult
+	crowd := testbed.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: seed, OnResult: func(e testbed.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		ends = append(ends, e)
 	}}
 	for i := range 10 {
-		crowd.Customers = append(crowd.Customers, stand.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "plus", Rate: 3, GatewayCount: 1})
+		crowd.Customers = append(crowd.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "plus", Rate: 3, GatewayCount: 1})
 	}
 	done := make(chan struct{})
 	go func() {
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -14,9 +14,9 @@
 
 	"sloepick/internal/duty"
 	"sloepick/internal/owner"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
 )
 
 // outside is an outside system that takes steps of duties, keeps the highest number and records all that it took.
@@ -85,21 +85,21 @@
 	t.Parallel() // it waits more than it works
 	const n = 5
 	out := newOutside(t)
-	var ways [n]links.RelayFaults
-	var relays [n]*links.Relay
+	var ways [n]faultnet.RelayFaults
+	var relays [n]*faultnet.Relay
 	for i := range n {
 		var err error
-		relays[i], err = links.NewRelay(strings.TrimPrefix(out.URL, "http://"), &ways[i])
+		relays[i], err = faultnet.NewRelay(strings.TrimPrefix(out.URL, "http://"), &ways[i])
 		must(t, err)
 		t.Cleanup(relays[i].Close)
 	}
-	r := newFleetWith(t, stand.SmallPlatform(), n, 1, func(i int) string {
+	r := newFleetWith(t, testbed.SmallPlatform(), n, 1, func(i int) string {
 		return fmt.Sprintf(dutiesOfThree, relays[i].Addr())
 	})
 	r.Start(0, r.AllGateways()...)
 	agreed(t, r, time.Minute, r.AllGateways()...)
 	a := out.next(t)
-	ways[a].Set(links.Fault{Stall: true}, links.Fault{})
+	ways[a].Set(faultnet.Fault{Stall: true}, faultnet.Fault{})
 	time.Sleep(300 * time.Millisecond) // a step of it is on its way
 	thawA := r.Suspend(a)
 	died := time.Now()
@@ -113,11 +113,11 @@
 	died = time.Now()
 	c := out.next(t, a, b)
 	t.Logf("g%d stands still; g%d owns %v later", b, c, time.Since(died).Round(time.Millisecond))
-	ways[a].Set(links.Fault{}, links.Fault{})
+	ways[a].Set(faultnet.Fault{}, faultnet.Fault{})
 	for end := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
 		out.mu.Lock()
 		late := out.fence.Turned
-		arrived := slices.ContainsFunc(out.turned, func(s duty.Step) bool { return strings.HasPrefix(s.Who, procs.GatewayName(a)+".") })
+		arrived := slices.ContainsFunc(out.turned, func(s duty.Step) bool { return strings.HasPrefix(s.Who, e2e.GatewayName(a)+".") })
 		out.mu.Unlock()
 		if arrived {
 			t.Logf("the late step arrived and was turned away: %v", late)
@@ -134,7 +134,7 @@
 	r.Mesh.Partition([]int{d})
 	e := out.next(t, d)
 	t.Logf("g%d is cut off; g%d owns", d, e)
-	r.Mesh.SetFault(links.Fault{}, nil, nil)
+	r.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 	back := r.PowerLoss()
 	_, before := out.owners()
 	r.Start(0, r.AllGateways()...)
@@ -175,7 +175,7 @@
 const dutiesOfThree = "duties {\n voters = 3\n lease = 2s\n report {\n url = \"http://%s/\"\n every = 100ms\n }\n}\n"
 
 // voters are the gateways that vote, as one of those that are there tells it, by number.
-func voters(t *testing.T, r *procs.Harness, but ...int) (who []int) {
+func voters(t *testing.T, r *e2e.Harness, but ...int) (who []int) {
 	t.Helper()
 	for _, i := range r.AllGateways() {
 		rep := report(r, i)
@@ -194,7 +194,7 @@
 }
 
 // renewed waits until those who stand still vote no more, and returns how long that took.
-func renewed(t *testing.T, r *procs.Harness, still ...int) time.Duration {
+func renewed(t *testing.T, r *e2e.Harness, still ...int) time.Duration {
 	t.Helper()
 	for from := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		now := voters(t, r, still...)
@@ -219,7 +219,7 @@
 				t.Parallel() // it waits more than it works
 				const n = 5
 				out := newOutside(t)
-				r := newFleetHolding(t, stand.SmallPlatform(), n, uint64(k), 15*time.Second, func(int) string {
+				r := newFleetHolding(t, testbed.SmallPlatform(), n, uint64(k), 15*time.Second, func(int) string {
 					return fmt.Sprintf(dutiesOfThree, strings.TrimPrefix(out.URL, "http://"))
 				})
 				r.Start(0, r.AllGateways()...)
@@ -259,7 +259,7 @@
 		o.mu.Lock()
 		steps := 0
 		for _, s := range o.taken[before:] {
-			if !slices.ContainsFunc(not, func(i int) bool { return strings.HasPrefix(s.Who, procs.GatewayName(i)+".") }) {
+			if !slices.ContainsFunc(not, func(i int) bool { return strings.HasPrefix(s.Who, e2e.GatewayName(i)+".") }) {
 				steps++
 			}
 		}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -15,10 +15,10 @@
 
 	"sloepick/internal/fleet"
 	"sloepick/internal/gossip"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
+	"sloepick/internal/testbed/seeds"
 )
 
 var fleetSize = flag.Int("fleet", 5, "gateways of TestFleetUnderKills")
@@ -32,44 +32,44 @@
 
 // newFleet builds a fleet that is not started yet. more stands in the operators' file of each behind its block fleet, with its disk's name
 // for DISK.
-func newFleet(t *testing.T, platform *stand.Platform, n int, seed uint64, more string) *procs.Harness {
+func newFleet(t *testing.T, platform *testbed.Platform, n int, seed uint64, more string) *e2e.Harness {
 	t.Helper()
-	return newFleetWith(t, platform, n, seed, func(i int) string { return strings.ReplaceAll(more, "DISK", procs.GatewayName(i)) })
+	return newFleetWith(t, platform, n, seed, func(i int) string { return strings.ReplaceAll(more, "DISK", e2e.GatewayName(i)) })
 }
 
 // newFleetWith builds one whose members have each their own more.
-func newFleetWith(t *testing.T, platform *stand.Platform, n int, seed uint64, more func(i int) string) *procs.Harness {
+func newFleetWith(t *testing.T, platform *testbed.Platform, n int, seed uint64, more func(i int) string) *e2e.Harness {
 	t.Helper()
 	return newFleetHolding(t, platform, n, seed, 3*time.Minute, more)
 }
 
 // newFleetHolding builds one that keeps the places of those who are gone for so long.
-func newFleetHolding(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string) *procs.Harness {
+func newFleetHolding(t *testing.T, platform *testbed.Platform, n int, seed uint64, hold time.Duration, more func(i int) string) *e2e.Harness {
 	t.Helper()
 	return newFleetOf(t, platform, n, seed, hold, more, program)
 }
 
 // newFleetFrom builds one whose gateways are started by the given command.
-func newFleetFrom(t *testing.T, platform *stand.Platform, n int, seed uint64, more func(i int) string, program func() *exec.Cmd) *procs.Harness {
+func newFleetFrom(t *testing.T, platform *testbed.Platform, n int, seed uint64, more func(i int) string, program func() *exec.Cmd) *e2e.Harness {
 	t.Helper()
 	return newFleetOf(t, platform, n, seed, 3*time.Minute, more, program)
 }
 
-func newFleetOf(t *testing.T, platform *stand.Platform, n int, seed uint64, hold time.Duration, more func(i int) string, program func() *exec.Cmd) *procs.Harness {
+func newFleetOf(t *testing.T, platform *testbed.Platform, n int, seed uint64, hold time.Duration, more func(i int) string, program func() *exec.Cmd) *e2e.Harness {
 	t.Helper()
-	r := procs.New(t, procs.Config{Platform: platform, Gateways: n, Seed: seed, Command: program, OperatorFile: func(r *procs.Harness, i int) string {
+	r := e2e.New(t, e2e.Config{Platform: platform, Gateways: n, Seed: seed, Command: program, OperatorFile: func(r *e2e.Harness, i int) string {
 		return fmt.Sprintf("fleet {\n address = %q\n places = %d\n expect = %d\n hold = %ds\n seeds = [%q, %q]\n keys = \"keys\"\n state = \"%s/state\"\n status = %q\n}\n%s",
-			r.MemberAddrs[i], n, n, int(hold.Seconds()), r.MemberAddrs[0], r.MemberAddrs[1], procs.GatewayName(i), procs.GatewayName(i)+".sock", more(i))
+			r.MemberAddrs[i], n, n, int(hold.Seconds()), r.MemberAddrs[0], r.MemberAddrs[1], e2e.GatewayName(i), e2e.GatewayName(i)+".sock", more(i))
 	}})
 	r.WriteFile(r.FilePath("keys"), base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))+"\n")
 	return r
 }
 
 // report asks a gateway how it sees the fleet; nil: it does not say.
-func report(r *procs.Harness, i int) *gossip.Report {
+func report(r *e2e.Harness, i int) *gossip.Report {
 	ctx, cancel := context.WithTimeout(r.Ctx, time.Second)
 	defer cancel()
-	rep, err := gossip.ReadStatus(ctx, r.FilePath(procs.GatewayName(i)+".sock"))
+	rep, err := gossip.ReadStatus(ctx, r.FilePath(e2e.GatewayName(i)+".sock"))
 	if err != nil {
 		return nil
 	}
@@ -77,7 +77,7 @@
 }
 
 // agreed waits until those gateways have a place, and the same table.
-func agreed(t *testing.T, r *procs.Harness, within time.Duration, which ...int) time.Duration {
+func agreed(t *testing.T, r *e2e.Harness, within time.Duration, which ...int) time.Duration {
 	t.Helper()
 	for from := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		var first []fleet.Holder
@@ -116,10 +116,10 @@
 }
 
 // uses reads from the logs of all processes so far which place each had when.
-func uses(r *procs.Harness) (all []use) {
+func uses(r *e2e.Harness) (all []use) {
 	for i, lives := range r.History {
 		for _, life := range lives {
-			last := use{place: -1, who: procs.GatewayName(i)}
+			last := use{place: -1, who: e2e.GatewayName(i)}
 			end := func(at time.Time) {
 				if last.to = at; last.place >= 0 {
 					all = append(all, last)
@@ -152,7 +152,7 @@
 }
 
 // ownPlaces holds that no place was used by two at a time. While one stands still it does not use what it has.
-func ownPlaces(t *testing.T, r *procs.Harness, still ...string) {
+func ownPlaces(t *testing.T, r *e2e.Harness, still ...string) {
 	t.Helper()
 	all := uses(r)
 	for i, a := range all {
@@ -168,10 +168,10 @@
 }
 
 // floodsAndCalm are two customers of each plan, one at so many times its quota and one at half of it.
-func floodsAndCalm(platform *stand.Platform, n int, times float64) (all []stand.Customer) {
+func floodsAndCalm(platform *testbed.Platform, n int, times float64) (all []testbed.Customer) {
 	for i, plan := range platform.Plans {
 		for k, share := range []float64{times, 0.5} {
-			all = append(all, stand.Customer{ID: fmt.Sprintf("%016x", 2*i+k+1), Plan: plan.Name, Rate: share * plan.Rate / unitsEach, GatewayCount: n})
+			all = append(all, testbed.Customer{ID: fmt.Sprintf("%016x", 2*i+k+1), Plan: plan.Name, Rate: share * plan.Rate / unitsEach, GatewayCount: n})
 		}
 	}
 	return all
@@ -188,7 +188,7 @@
 
 func fleetUnderKills(t *testing.T, seed uint64) {
 	n := *fleetSize
-	platform := stand.SmallPlatform()
+	platform := testbed.SmallPlatform()
 	r := newFleet(t, platform, n, seed, "")
 	r.Start(0, r.AllGateways()...)
 	t.Logf("%d processes have their places %v after the last start", n, agreed(t, r, time.Minute, r.AllGateways()...))
@@ -213,7 +213,7 @@
 }
 
 // disturb does something to a gateway.
-func disturb(r *procs.Harness, how string, i int) {
+func disturb(r *e2e.Harness, how string, i int) {
 	switch how {
 	case "kill":
 		back := r.MarkDown(i)
@@ -253,12 +253,12 @@
 // them knows it, and is one of all again when they are mended.
 func TestMembersTalkByLinks(t *testing.T) {
 	t.Parallel() // it waits more than it works
-	r := newFleet(t, stand.SmallPlatform(), 3, 1, "")
+	r := newFleet(t, testbed.SmallPlatform(), 3, 1, "")
 	r.Start(0, r.AllGateways()...)
 	agreed(t, r, time.Minute, r.AllGateways()...)
 	r.Mesh.Partition([]int{2})
 	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: true", 2)) // as it was at its start
-	r.Mesh.SetFault(links.Fault{}, nil, nil)
+	r.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: false", 2))
 	agreed(t, r, time.Minute, r.AllGateways()...)
 	if c := r.Mesh.Counts(); c.Forwarded == 0 || c.Lost == 0 {
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"sloepick/internal/allowance"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
+	"sloepick/internal/testbed/seeds"
 )
 
 // TestGatewaysCutOffFromEachOther plays clinics, one of each plan at five times its quota and others well within theirs, at six
@@ -22,26 +22,26 @@
 	const n, calm = 6, 3
 	const seenFrom = 8 // units a second: at five times that each gateway knows a flood by its own requests
 	const cut, healed, over = 5 * time.Second, 10 * time.Second, 13 * time.Second
-	platform := stand.SmallPlatform()
+	platform := testbed.SmallPlatform()
 	platform.PeerIntake = 10 // too little for everyone to tell everyone: customers have homes
-	r := procs.New(t, procs.Config{Platform: platform, Gateways: n, Seed: seed, Command: program})
+	r := e2e.New(t, e2e.Config{Platform: platform, Gateways: n, Seed: seed, Command: program})
 	r.Start(0, r.AllGateways()...)
-	var crowd []stand.Customer
+	var crowd []testbed.Customer
 	for i, plan := range platform.Plans {
-		crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16*i+1), Plan: plan.Name, Rate: 5 * plan.Rate / 1.38, GatewayCount: n})
+		crowd = append(crowd, testbed.Customer{ID: fmt.Sprintf("%016x", 16*i+1), Plan: plan.Name, Rate: 5 * plan.Rate / 1.38, GatewayCount: n})
 		for k := range calm {
-			crowd = append(crowd, stand.Customer{ID: fmt.Sprintf("%016x", 16*i+2+k), Plan: plan.Name, Rate: 0.4 * plan.Rate / 1.38, GatewayCount: n})
+			crowd = append(crowd, testbed.Customer{ID: fmt.Sprintf("%016x", 16*i+2+k), Plan: plan.Name, Rate: 0.4 * plan.Rate / 1.38, GatewayCount: n})
 		}
 	}
-	usual := links.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
+	usual := faultnet.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
 	p := r.RunLoad(crowd, seed, r.Script(
-		procs.Event{At: 0, Name: "some messages are lost, late or doubled", Do: func() { r.Mesh.SetFault(usual, nil, nil) }},
-		procs.Event{At: cut, Name: "all are cut off from each other", Do: func() { r.Mesh.SetFault(links.Blackhole, nil, nil) }},
-		procs.Event{At: healed, Name: "half hears the others and is not heard", Do: func() {
+		e2e.Event{At: 0, Name: "some messages are lost, late or doubled", Do: func() { r.Mesh.SetFault(usual, nil, nil) }},
+		e2e.Event{At: cut, Name: "all are cut off from each other", Do: func() { r.Mesh.SetFault(faultnet.Blackhole, nil, nil) }},
+		e2e.Event{At: healed, Name: "half hears the others and is not heard", Do: func() {
 			r.Mesh.SetFault(usual, nil, nil)
-			r.Mesh.SetFault(links.Blackhole, []int{0, 1, 2}, []int{3, 4, 5})
+			r.Mesh.SetFault(faultnet.Blackhole, []int{0, 1, 2}, []int{3, 4, 5})
 		}},
-		procs.Event{At: over, Name: "the end", Do: func() {}}))
+		e2e.Event{At: over, Name: "the end", Do: func() {}}))
 	t.Logf("messages %+v", r.Mesh.Counts())
 	began, took := p.StartedAt, p.Elapsed
 	before, during := map[string][2]int{}, map[string][2]int{} // of plans: asked and served by those within their quotas
@@ -57,7 +57,7 @@
 		}
 		x := in[e.Plan]
 		x[0]++
-		if e.Outcome == stand.OutcomeServed {
+		if e.Outcome == testbed.OutcomeServed {
 			x[1]++
 		}
 		in[e.Plan] = x
@@ -82,7 +82,7 @@
 }
 
 // share is what nodes were sent of a customer in a time, in units of what its rate gives then.
-func share(r *procs.Harness, customer string, rate float64, began time.Time, from, to time.Duration) (units float64) {
+func share(r *e2e.Harness, customer string, rate float64, began time.Time, from, to time.Duration) (units float64) {
 	seen := map[string]bool{}
 	for _, a := range r.Site.Recorder.Arrivals() {
 		if at := a.At.Sub(began); a.Customer == customer && at >= from && at < to && !seen[a.ID] {
@@ -93,7 +93,7 @@
 	return units / rate / (to - from).Seconds()
 }
 
-func indexOf(p *stand.Platform, plan string) int {
+func indexOf(p *testbed.Platform, plan string) int {
 	for i := range p.Plans {
 		if p.Plans[i].Name == plan {
 			return i
--- a/internal/daemon/mixedbuilds_test.go
+++ b/internal/daemon/mixedbuilds_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
 )
 
 var otherBuild = flag.String("other-build", "", "a test binary of this package, built from another commit, for TestMixedBuilds")
@@ -32,11 +32,11 @@
 		isOther[i] = i%2 == 1
 	}
 	more := keeps + fmt.Sprintf(dutiesOfThree, strings.TrimPrefix(out.URL, "http://")) + "commons {\n}\n"
-	platform := stand.SmallPlatform()
+	platform := testbed.SmallPlatform()
 	b := &blackout{t: t, platform: platform}
 	r := newFleetFrom(t, platform, n, 1, func(i int) string {
 		current = i
-		return strings.ReplaceAll(more, "DISK", procs.GatewayName(i))
+		return strings.ReplaceAll(more, "DISK", e2e.GatewayName(i))
 	}, func() *exec.Cmd {
 		binary := os.Args[0]
 		if isOther[current] {
@@ -61,10 +61,10 @@
 			agreed(t, r, time.Minute, b.AllGateways()...)
 		}
 		t.Logf("the work goes on after %v", out.goesOn(t))
-		b.Mesh.SetFault(links.Blackhole, []int{4}, []int{5})
-		b.Mesh.SetFault(links.Blackhole, []int{5}, []int{4})
+		b.Mesh.SetFault(faultnet.Blackhole, []int{4}, []int{5})
+		b.Mesh.SetFault(faultnet.Blackhole, []int{5}, []int{4})
 		time.Sleep(4 * time.Second)
-		b.Mesh.SetFault(links.Fault{}, nil, nil)
+		b.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 		agreed(t, r, time.Minute, b.AllGateways()...)
 		for range 2 {
 			b.lose(0, func() {
@@ -76,7 +76,7 @@
 			for i := range n {
 				must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: full", 1))
 				if log := b.Processes[i].Log.String(); strings.Contains(log, "disk absent") || strings.Contains(log, "set aside") || strings.Contains(log, "not a whole image") {
-					t.Errorf("%s (other build: %v) does not use the other build's state:\n%s", procs.GatewayName(i), isOther[i], log)
+					t.Errorf("%s (other build: %v) does not use the other build's state:\n%s", e2e.GatewayName(i), isOther[i], log)
 				}
 			}
 			t.Logf("the work goes on after %v", out.goesOn(t))
--- a/internal/daemon/power_test.go
+++ b/internal/daemon/power_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
-	"sloepick/internal/stand/procs"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/e2e"
+	"sloepick/internal/testbed/faultnet"
+	"sloepick/internal/testbed/seeds"
 )
 
 // keeps is the block power with all as it is by default.
@@ -22,7 +22,7 @@
 // slack is what a customer may get beyond rate x time + burst over losses of power, as docs/operate/power.md has it: what sharing over
 // gateways errs by in peace, and at each loss 5 % of a burst and what leaks in two snapshots' time; and half of the part of a burst that
 // members have whose disk proves nothing.
-func slack(plan *stand.Plan, took time.Duration, losses, unproven float64) float64 {
+func slack(plan *testbed.Plan, took time.Duration, losses, unproven float64) float64 {
 	return 0.1*plan.Rate*took.Seconds() + losses*(0.05*plan.Burst+2*every.Seconds()*plan.Rate) + unproven*plan.Burst/2
 }
 
@@ -30,15 +30,15 @@
 
 // blackout is a rig whose power is lost under a crowd at five times its quota.
 type blackout struct {
-	*procs.Harness
+	*e2e.Harness
 	t        *testing.T
-	platform *stand.Platform
+	platform *testbed.Platform
 	losses   float64
 	unproven float64 // members of which nothing is proven, of all, summed over the losses
 }
 
 func newBlackout(t *testing.T, n int, seed uint64, block string) *blackout {
-	platform := stand.SmallPlatform()
+	platform := testbed.SmallPlatform()
 	b := &blackout{Harness: newFleet(t, platform, n, seed, block), t: t, platform: platform}
 	b.Start(0, b.AllGateways()...)
 	agreed(t, b.Harness, time.Minute, b.AllGateways()...)
@@ -74,7 +74,7 @@
 func (b *blackout) said(i int, piece string) {
 	b.t.Helper()
 	if !strings.Contains(b.Processes[i].Log.String(), piece) {
-		b.t.Errorf("%s does not say %q:\n%s", procs.GatewayName(i), piece, b.Processes[i].Log)
+		b.t.Errorf("%s does not say %q:\n%s", e2e.GatewayName(i), piece, b.Processes[i].Log)
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 // judge holds each customer to its quota and the slack, and places to one user each.
-func (b *blackout) judge(p *procs.LoadResult) {
+func (b *blackout) judge(p *e2e.LoadResult) {
 	b.t.Helper()
 	ownPlaces(b.t, b.Harness)
 	for _, c := range p.Customers {
@@ -157,11 +157,11 @@
 			b.lose(0, nothing)
 		}},
 		{"over links that lose a third, and a way that is cut", func() {
-			b.Mesh.SetFault(links.Fault{Loss: 0.3, MaxDelay: 20 * time.Millisecond}, nil, nil)
-			b.Mesh.SetFault(links.Blackhole, []int{1}, []int{4})
+			b.Mesh.SetFault(faultnet.Fault{Loss: 0.3, MaxDelay: 20 * time.Millisecond}, nil, nil)
+			b.Mesh.SetFault(faultnet.Blackhole, []int{1}, []int{4})
 			b.lose(0, nothing)
 			agreed(t, b.Harness, time.Minute, b.AllGateways()...)
-			b.Mesh.SetFault(links.Fault{}, nil, nil)
+			b.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 		}},
 		{"but one, which stands still", func() {
 			b.losses++
@@ -255,7 +255,7 @@
 	b.judge(p)
 	for i := range n {
 		if warm := b.platform.Rules.ColdDuration * 9 / 10; time.Since(lost) < warm && strings.Contains(b.Processes[i].Log.String(), "power: full") {
-			t.Errorf("%s is in full service while the nodes are cold", procs.GatewayName(i))
+			t.Errorf("%s is in full service while the nodes are cold", e2e.GatewayName(i))
 		}
 	}
 	if share, asked := p.ServedShare(p.Elapsed-3*time.Second, p.Elapsed, nil); share == 0 {
@@ -278,7 +278,7 @@
 			must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: full", 1))
 		}
 		time.Sleep(2 * time.Second)
-		b.Mesh.SetFault(links.Fault{}, nil, nil)
+		b.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 		agreed(t, b.Harness, time.Minute, b.AllGateways()...)
 		time.Sleep(time.Second)
 	}))
@@ -292,7 +292,7 @@
 	b.PowerLoss()
 	b.Start(0, 0)
 	must(t, b.Processes[0].Log.WaitFor(b.Ctx, "cut off: true; 1 of 3", 1))
-	file := b.FilePath(procs.GatewayName(0) + ".sloe")
+	file := b.FilePath(e2e.GatewayName(0) + ".sloe")
 	text, err := os.ReadFile(file)
 	must(t, err)
 	b.WriteFile(file, strings.Replace(string(text), "expect = 3", "expect = 1", 1))
@@ -304,7 +304,7 @@
 		}
 	}
 	second := program()
-	second.Env = append(second.Env, "GW_CONFIG="+b.FilePath(procs.GatewayName(0)+".json"), "GW_OPERATOR="+b.FilePath("second.sloe"), "GW_NAME="+procs.GatewayName(0))
+	second.Env = append(second.Env, "GW_CONFIG="+b.FilePath(e2e.GatewayName(0)+".json"), "GW_OPERATOR="+b.FilePath("second.sloe"), "GW_NAME="+e2e.GatewayName(0))
 	b.WriteFile(b.FilePath("second.sloe"), "power {\n keep = \"g0/power\"\n}\n")
 	if out, err := second.CombinedOutput(); err == nil || !strings.Contains(string(out), "another process keeps its state under") {
 		t.Errorf("two processes on one disk: %v\n%s", err, out)
@@ -332,7 +332,7 @@
 		time.Sleep(2 * time.Second)
 		old := b.CopyDisk(0)
 		for k := range *blackouts {
-			b.Mesh.SetFault(links.Fault{Loss: 0.3 * rnd.Float64(), Duplicate: 0.1, MaxDelay: time.Duration(rnd.IntN(30)) * time.Millisecond}, nil, nil)
+			b.Mesh.SetFault(faultnet.Fault{Loss: 0.3 * rnd.Float64(), Duplicate: 0.1, MaxDelay: time.Duration(rnd.IntN(30)) * time.Millisecond}, nil, nil)
 			from, before, name := time.Now(), b.units(), ""
 			b.lose(time.Duration(rnd.IntN(200))*time.Millisecond, func() {
 				for i := range n {
@@ -382,7 +382,7 @@
 	const window = 500 * time.Millisecond
 	b := newBlackout(t, n, 1, block)
 	var lost, up time.Duration
-	var sent links.Counts
+	var sent faultnet.Counts
 	p := b.RunLoad(floodsAndCalm(b.platform, n, 5), 1, func() {
 		began := time.Now()
 		time.Sleep(6 * time.Second)
@@ -399,7 +399,7 @@
 	worth := func(from, to time.Duration) float64 { // by plan's price, a second
 		sum := 0.0
 		for i := range p.Results {
-			if e := &p.Results[i]; e.Outcome == stand.OutcomeServed && e.EndedAt.Sub(p.StartedAt) >= from && e.EndedAt.Sub(p.StartedAt) < to {
+			if e := &p.Results[i]; e.Outcome == testbed.OutcomeServed && e.EndedAt.Sub(p.StartedAt) >= from && e.EndedAt.Sub(p.StartedAt) < to {
 				sum += b.platform.Plans[indexOf(b.platform, e.Plan)].Price
 			}
 		}
@@ -416,6 +416,6 @@
 }
 
 // flooding is the customer of a plan that asks for far more than its quota.
-func flooding(platform *stand.Platform, plan string) string {
+func flooding(platform *testbed.Platform, plan string) string {
 	return fmt.Sprintf("%016x", 2*indexOf(platform, plan)+1)
 }
--- a/internal/daemon/protocols_test.go
+++ b/internal/daemon/protocols_test.go
@@ -22,7 +22,7 @@
 
 	"golang.org/x/net/http2"
 
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 var (
@@ -56,7 +56,7 @@
 }
 
 func costOf(t *testing.T, streams int, secure bool) string {
-	places, err := stand.AllocateEndpoints(1)
+	places, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,11 +112,11 @@
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
 	}
-	places, err := stand.AllocateEndpoints(1)
+	places, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := stand.SmallPlatform()
+	p := testbed.SmallPlatform()
 	p.Sockets = 4096
 	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\ngateway {\n clients {\n first-command = 1m\n write = 1m\n }\n}\n", places[0].Listen), p, 2)
 	rss := func() int {
@@ -126,9 +126,9 @@
 		}
 		return n
 	}
-	dial := func(n int) (all []*stand.H2Client) {
+	dial := func(n int) (all []*testbed.H2Client) {
 		for range n {
-			c, err := stand.DialH2(places[0].Listen, nil)
+			c, err := testbed.DialH2(places[0].Listen, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -146,7 +146,7 @@
 	idle := rss()
 	for i := range 10000 {
 		c := conns[i/100]
-		block := c.HeaderBlock(stand.H2Request{Path: "/v1/do/slot-book", Customer: costCustomer(0, i), Plan: "network", ID: fmt.Sprint("m", i),
+		block := c.HeaderBlock(testbed.H2Request{Path: "/v1/do/slot-book", Customer: costCustomer(0, i), Plan: "network", ID: fmt.Sprint("m", i),
 			Key: fmt.Sprint("k", i), Patience: time.Second, Units: "1"})
 		if err := c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*(i%100)), EndHeaders: true, BlockFragment: block}); err != nil {
 			t.Fatal(err)
@@ -159,7 +159,7 @@
 }
 
 // synced waits until the gateway has taken all that was sent.
-func synced(t *testing.T, c *stand.H2Client) {
+func synced(t *testing.T, c *testbed.H2Client) {
 	t.Helper()
 	if err := c.Framer.WritePing(false, [8]byte{7}); err != nil {
 		t.Fatal(err)
@@ -181,17 +181,17 @@
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
 	}
-	places, err := stand.AllocateEndpoints(1)
+	places, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := stand.SmallPlatform()
+	p := testbed.SmallPlatform()
 	p.H2Nodes = 4
-	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\nback %s {\n}\n", places[0].Listen, stand.H2NodeKind), p, 4)
+	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\nback %s {\n}\n", places[0].Listen, testbed.H2NodeKind), p, 4)
 	large := strings.Repeat("x", 64<<10)
 	for _, n := range r.site.Nodes {
 		n.SkipWork()
-		n.InterceptStreams(func(s *stand.H2Stream) bool {
+		n.InterceptStreams(func(s *testbed.H2Stream) bool {
 			if !strings.HasPrefix(s.Arrival.ID, "large") {
 				return false
 			}
@@ -201,7 +201,7 @@
 	}
 	for round := range costRounds {
 		for _, beside := range []bool{false, true} {
-			c, err := stand.DialH2(places[0].Listen, nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
+			c, err := testbed.DialH2(places[0].Listen, nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -210,7 +210,7 @@
 			}
 			var took []time.Duration
 			for i := range 2000 {
-				q := stand.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(round, i), Plan: "network", Patience: 1200 * time.Millisecond, Units: "1"}
+				q := testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(round, i), Plan: "network", Patience: 1200 * time.Millisecond, Units: "1"}
 				if beside {
 					q.ID = fmt.Sprintf("large-%d-%d", round, i)
 					if _, err := c.Send(q); err != nil {
@@ -264,7 +264,7 @@
 func costCustomer(conn, i int) string { return fmt.Sprintf("%016x", 1+conn*100000+i) }
 
 func respLookups(t *testing.T, addr string, conn, n int) (took []time.Duration) {
-	c, err := stand.Dial(addr)
+	c, err := testbed.Dial(addr)
 	if err != nil {
 		t.Error(err)
 		return nil
@@ -291,7 +291,7 @@
 }
 
 func h2Lookups(t *testing.T, addr string, by *tls.Config, conn, open, n int) (took []time.Duration) {
-	c, err := stand.DialH2(addr, by, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
+	c, err := testbed.DialH2(addr, by, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
 	if err != nil {
 		t.Error(err)
 		return nil
@@ -301,7 +301,7 @@
 	for done := 0; done < n; done++ {
 		for ; sent < n && len(starts) < open; sent++ {
 			start := time.Now()
-			id, err := c.Send(stand.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(conn, sent), Plan: "network",
+			id, err := c.Send(testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(conn, sent), Plan: "network",
 				ID: fmt.Sprintf("h%d-%d", conn, sent), Patience: 1200 * time.Millisecond, Units: "1"})
 			if err != nil {
 				t.Error(err)
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // manager is a stand-in for the service manager: it takes notices, and holds a socket that it passes on to one process after
@@ -75,13 +75,13 @@
 }
 
 // start starts the daemon as the manager does; a shell learns the process's id for LISTEN_PID.
-func (m *manager) start(platform, names string) *stand.Process {
+func (m *manager) start(platform, names string) *testbed.Process {
 	m.t.Helper()
 	cmd := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0"`, os.Args[0])
 	cmd.ExtraFiles = []*os.File{m.ln}
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1", "GW_CONFIG="+platform, "GW_OPERATOR=", "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=",
 		"NOTIFY_SOCKET="+m.socket, "WATCHDOG_USEC=100000", "LISTEN_FDS=1", "LISTEN_FDNAMES="+names)
-	p, err := stand.StartProcess(cmd)
+	p, err := testbed.StartProcess(cmd)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -92,12 +92,12 @@
 // A service manager hears when the daemon is ready, reloads, lives and ends; and as the socket is the manager's, no client is
 // refused while one process ends and the next one starts.
 func TestServiceManager(t *testing.T) {
-	site, err := stand.NewSite(stand.SmallPlatform(), 2)
+	site, err := testbed.NewSite(testbed.SmallPlatform(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	places, err := stand.AllocateEndpoints(1)
+	places, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,12 +113,12 @@
 	m.want("READY=1")
 	ask := func(id string) {
 		t.Helper()
-		c, err := stand.Dial(m.addr)
+		c, err := testbed.Dial(m.addr)
 		must(t, err)
 		defer c.Close()
 		must(t, c.Conn.SetDeadline(time.Now().Add(20*time.Second)))
 		must(t, c.Send("Q.ASK", "0000000000000001", id, "c=slot-lookup,t=network,d=1200,units=1,spread=1,first=0"))
-		if got, err := c.Read(); err != nil || got != "$"+stand.ReplyValue(id) {
+		if got, err := c.Read(); err != nil || got != "$"+testbed.ReplyValue(id) {
 			t.Errorf("got %q, %v", got, err)
 		}
 	}
--- a/internal/daemon/tail_test.go
+++ b/internal/daemon/tail_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/seeds"
 )
 
 var (
@@ -45,7 +45,7 @@
 			var mu sync.Mutex
 			rnd := rand.New(rand.NewPCG(seed, 7))
 			for _, n := range r.site.Nodes[:scene.nodes] {
-				n.SetExtraDelay(func(stand.Arrival) time.Duration {
+				n.SetExtraDelay(func(testbed.Arrival) time.Duration {
 					mu.Lock()
 					defer mu.Unlock()
 					if rnd.IntN(scene.oneOf) == 0 {
@@ -71,15 +71,15 @@
 	all := 0
 	class := r.site.Platform.Classes[0]
 	class.Share = 1
-	crowd := stand.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: []stand.RequestClass{class}, Seed: seed, OnResult: func(e stand.RequestResult) {
+	crowd := testbed.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: []testbed.RequestClass{class}, Seed: seed, OnResult: func(e testbed.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
-		if all++; e.Outcome == stand.OutcomeServed {
+		if all++; e.Outcome == testbed.OutcomeServed {
 			took = append(took, e.EndedAt.Sub(e.SentAt))
 		}
 	}}
 	for i := range 20 {
-		crowd.Customers = append(crowd.Customers, stand.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 9, GatewayCount: 1})
+		crowd.Customers = append(crowd.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 9, GatewayCount: 1})
 	}
 	crowd.Run(ctx)
 	slices.Sort(took)
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sloepick/decide"
-	"sloepick/internal/stand/leaks"
+	"sloepick/internal/testbed/leaks"
 )
 
 // The tests here force one order of two events that can cross in the core, whatever the protocol. docs/design/crossings.md lists
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"sloepick/decide"
-	"sloepick/internal/stand/leaks"
+	"sloepick/internal/testbed/leaks"
 )
 
 // A watch that is silent is given up and made again, and the next call goes on from the version last told.
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -25,8 +25,8 @@
 	"sloepick/internal/h2/wire"
 	"sloepick/internal/resp"
 	"sloepick/internal/settings"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/brittle"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/faultconn"
 	"sloepick/internal/tuning"
 )
 
@@ -72,7 +72,7 @@
 	core  *gateway.Core
 	clock hand
 	back  puppet
-	plan  *brittle.Injector
+	plan  *faultconn.Injector
 	addr  string
 	far   net.Conn
 	ended map[string]bool
@@ -161,13 +161,13 @@
 	}
 }
 
-func newRun(t *testing.T, p protocol, plan *brittle.Injector, slow bool) *run {
+func newRun(t *testing.T, p protocol, plan *faultconn.Injector, slow bool) *run {
 	return newRunOf(t, p, plan, slow, nil, "127.0.0.1:1")
 }
 
 // newRunOf is one whose node is at an address, reached by a back; nil: the puppet.
-func newRunOf(t *testing.T, p protocol, plan *brittle.Injector, slow bool, back gateway.Back, node string) *run {
-	set, err := settings.Parse(stand.MinimalSettings(30 * time.Second))
+func newRunOf(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, back gateway.Back, node string) *run {
+	set, err := settings.Parse(testbed.MinimalSettings(30 * time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	r.addr = ln.Addr().String()
-	front := p.front(brittle.Listener{Listener: ln, Injector: plan})
+	front := p.front(faultconn.Listener{Listener: ln, Injector: plan})
 	cfg.Fronts = []gateway.Front{front}
 	if r.core, err = gateway.NewCore(cfg, &r.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
@@ -351,7 +351,7 @@
 			t.Run(name+" "+strings.Join(script, " "), func(t *testing.T) {
 				t.Parallel()
 				for _, slow := range []bool{false, true} {
-					failEach(t, brittle.Accept, 12, func(t *testing.T, plan *brittle.Injector) { play(t, p, plan, script, slow) })
+					failEach(t, faultconn.Accept, 12, func(t *testing.T, plan *faultconn.Injector) { play(t, p, plan, script, slow) })
 				}
 			})
 		}
@@ -359,25 +359,25 @@
 }
 
 // failEach plays with nothing that fails, and with the nth operation of each kind failing, for all n that come about, up to most.
-func failEach(t *testing.T, last brittle.Op, most int, play func(t *testing.T, plan *brittle.Injector)) {
-	for op := brittle.None; op <= last && !t.Failed(); op++ {
+func failEach(t *testing.T, last faultconn.Op, most int, play func(t *testing.T, plan *faultconn.Injector)) {
+	for op := faultconn.None; op <= last && !t.Failed(); op++ {
 		for n := 1; n <= most; n++ {
-			plan := &brittle.Injector{Op: op, Nth: n}
+			plan := &faultconn.Injector{Op: op, Nth: n}
 			t.Run(fmt.Sprintf("%v %d", op, n), func(t *testing.T) { play(t, plan) })
-			if op == brittle.None || !plan.Triggered() {
+			if op == faultconn.None || !plan.Triggered() {
 				break
 			}
 		}
 	}
 }
 
-func play(t *testing.T, p protocol, plan *brittle.Injector, script []string, slow bool) {
+func play(t *testing.T, p protocol, plan *faultconn.Injector, script []string, slow bool) {
 	r := newRun(t, p, plan, slow)
 	b, commands := p.piece()
 	r.pump()
 	r.far.Write(b)
 	r.settled()
-	for end := time.Now().Add(endWithin); plan.Op == brittle.None && r.core.Figures().Requests < openMost && time.Now().Before(end); {
+	for end := time.Now().Add(endWithin); plan.Op == faultconn.None && r.core.Figures().Requests < openMost && time.Now().Before(end); {
 		r.pump() // a late machine may not have read the piece: a connection without a request gives way to newcomers
 	}
 	for _, s := range script {
@@ -386,7 +386,7 @@
 	}
 	acts["answer"](r)
 	r.pump()
-	if plan.Op == brittle.None && !slow && !slices.Contains(script, "reset") && !slices.Contains(script, "half-close") {
+	if plan.Op == faultconn.None && !slow && !slices.Contains(script, "reset") && !slices.Contains(script, "half-close") {
 		var n int
 		for end := time.Now().Add(endWithin); n != commands && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			r.pump()
@@ -430,9 +430,9 @@
 // TestConnectionsEndOnce does. Without -fuzz its seeds are played.
 func FuzzConnections(f *testing.F) {
 	for name := range protocols(f) {
-		f.Add(name == "HTTP/2", byte(brittle.Write), byte(1), []byte{0, 200, 2, 5})
-		f.Add(name == "HTTP/2", byte(brittle.None), byte(0), []byte{1, 3, 6, 0, 90, 2, 3, 7, 7})
-		f.Add(name == "HTTP/2", byte(brittle.Deadline), byte(2), []byte{0, 250, 4, 2, 6, 6, 5})
+		f.Add(name == "HTTP/2", byte(faultconn.Write), byte(1), []byte{0, 200, 2, 5})
+		f.Add(name == "HTTP/2", byte(faultconn.None), byte(0), []byte{1, 3, 6, 0, 90, 2, 3, 7, 7})
+		f.Add(name == "HTTP/2", byte(faultconn.Deadline), byte(2), []byte{0, 250, 4, 2, 6, 6, 5})
 	}
 	f.Fuzz(func(t *testing.T, byH2 bool, op, n byte, script []byte) {
 		name := "RESP2"
@@ -440,7 +440,7 @@
 			name = "HTTP/2"
 		}
 		p := protocols(t)[name]
-		plan := &brittle.Injector{Op: brittle.Op(op) % (brittle.Accept + 1), Nth: 1 + int(n%8)}
+		plan := &faultconn.Injector{Op: faultconn.Op(op) % (faultconn.Accept + 1), Nth: 1 + int(n%8)}
 		r := newRun(t, p, plan, false)
 		b, _ := p.piece()
 		left := b
@@ -480,7 +480,7 @@
 // TestPieceBehindTheEndByHTTP2: a client gives no window, so that its answers pile up to the limit; then it sends a piece whose first request is
 // rejected, which ends the connection, and the next must not be taken in.
 func TestPieceBehindTheEndByHTTP2(t *testing.T) {
-	r := newRun(t, protocols(t)["HTTP/2"], &brittle.Injector{}, false)
+	r := newRun(t, protocols(t)["HTTP/2"], &faultconn.Injector{}, false)
 	c := wire.NewClient(wire.DefaultLimits(), 0)
 	var b bytes.Buffer
 	b.Write(bytes.Clone(c.Out()))
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"sloepick/internal/settings"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // SmallConfig is that of a gateway on the small platform, for tests inside and outside of this package.
 func SmallConfig(t *testing.T, aim time.Duration, servers []ServerEntry) Config {
 	t.Helper()
-	set, err := settings.Parse(stand.MinimalSettings(aim))
+	set, err := settings.Parse(testbed.MinimalSettings(aim))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand/leaks"
+	"sloepick/internal/testbed/leaks"
 )
 
 // TestAcceptQueueAtTheEnd: connections that the kernel has accepted, and that wait in the listener's queue when it finishes, are
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -15,7 +15,7 @@
 	"sloepick/internal/h2"
 	"sloepick/internal/h2/wire"
 	"sloepick/internal/resp"
-	"sloepick/internal/stand/brittle"
+	"sloepick/internal/testbed/faultconn"
 )
 
 // nodeSide is a node's protocol: it answers what it reads until something fails.
@@ -107,19 +107,19 @@
 				}
 				t.Run(name+" "+first+", "+second, func(t *testing.T) {
 					t.Parallel()
-					failEach(t, brittle.Accept, 8, func(t *testing.T, plan *brittle.Injector) { playNode(t, side, plan, first, second) })
+					failEach(t, faultconn.Accept, 8, func(t *testing.T, plan *faultconn.Injector) { playNode(t, side, plan, first, second) })
 				})
 			}
 		}
 	}
 }
 
-func playNode(t *testing.T, side nodeSide, plan *brittle.Injector, script ...string) {
+func playNode(t *testing.T, side nodeSide, plan *faultconn.Injector, script ...string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	node := brittle.Listener{Listener: ln, Injector: plan}
+	node := faultconn.Listener{Listener: ln, Injector: plan}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -132,13 +132,13 @@
 			}
 			go func() {
 				if side.serve(c) != nil {
-					c.(*brittle.Conn).SetLinger(0)
+					c.(*faultconn.Conn).SetLinger(0)
 				}
 				c.Close()
 			}()
 		}
 	}()
-	r := newRunOf(t, protocols(t)["RESP2"], &brittle.Injector{}, false, side.back, ln.Addr().String())
+	r := newRunOf(t, protocols(t)["RESP2"], &faultconn.Injector{}, false, side.back, ln.Addr().String())
 	list := gateway.ServerList{Version: 2, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: ln.Addr().String(), Zone: "a", State: "up", Weight: 1}}}
 	b, _ := protocols(t)["RESP2"].piece()
 	r.far.Write(b)
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -12,7 +12,7 @@
 
 	"sloepick/internal/gateway"
 	"sloepick/internal/resp"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 const (
@@ -34,7 +34,7 @@
 func newBackend(t *testing.T) *backend {
 	t.Helper()
 	b := &backend{got: make(chan exchange, 64)}
-	s, err := stand.NewScriptedNode(func(conn net.Conn, args []string) { b.got <- exchange{conn, args} })
+	s, err := testbed.NewScriptedNode(func(conn net.Conn, args []string) { b.got <- exchange{conn, args} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,14 +76,14 @@
 
 // registry is discovery under a test's control.
 type registry struct {
-	*stand.Discovery
+	*testbed.Discovery
 	calls chan string
 }
 
 // newRegistry starts discovery with a list and tells its address.
 func newRegistry(t *testing.T, list gateway.ServerList) (*registry, netip.AddrPort) {
 	t.Helper()
-	d, err := stand.NewDiscovery(list.Version, list)
+	d, err := testbed.NewDiscovery(list.Version, list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,14 +136,14 @@
 
 // caller is a client's connection.
 type caller struct {
-	*stand.Client
+	*testbed.Client
 	t    *testing.T
 	conn net.Conn
 }
 
 func (r *rig) dial(t *testing.T) *caller {
 	t.Helper()
-	c, err := stand.Dial(r.addr)
+	c, err := testbed.Dial(r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,4 +195,4 @@
 	c.send("Q.DO", customer, id, "c=book,t=p,d=30000,k=77,units=1,spread=2,first=0", "BODY")
 }
 
-func served(value string) string { return stand.FormatReply(value) }
+func served(value string) string { return testbed.FormatReply(value) }
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -12,7 +12,7 @@
 	"sloepick/decide"
 	"sloepick/internal/gateway"
 	"sloepick/internal/route"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 	"sloepick/internal/tuning"
 )
 
@@ -213,7 +213,7 @@
 	seen := map[string]bool{}
 	var servers []gateway.ServerEntry
 	for i := range 4 {
-		s, err := stand.NewScriptedNode(func(conn net.Conn, args []string) {
+		s, err := testbed.NewScriptedNode(func(conn net.Conn, args []string) {
 			if len(args) < 3 { // the connection's end, or a stranger: a program beside this one may look for who had the port before
 				return
 			}
@@ -236,7 +236,7 @@
 	answered := 0
 	for n := range 8 {
 		wg.Go(func() {
-			c, err := stand.Dial(r.addr)
+			c, err := testbed.Dial(r.addr)
 			if err != nil {
 				t.Error(err)
 				return
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"sloepick/decide"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // Only messages of at most 256 bytes from a known gateway are taken.
@@ -87,7 +87,7 @@
 func TestLoadConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	load := func(text string) (Config, error) {
-		text = strings.Replace(text, "SETTINGS", string(stand.MinimalSettings(5)), 1)
+		text = strings.Replace(text, "SETTINGS", string(testbed.MinimalSettings(5)), 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -135,7 +135,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.9:1"}
 	write := func(text string) {
-		text = strings.Replace(text, "SETTINGS", string(stand.MinimalSettings(5)), 1)
+		text = strings.Replace(text, "SETTINGS", string(testbed.MinimalSettings(5)), 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/writer_test.go
+++ b/internal/gateway/writer_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand/leaks"
+	"sloepick/internal/testbed/leaks"
 )
 
 // deadlineConn is a connection that tells the last write deadline it was given.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -14,7 +14,7 @@
 	"sloepick/internal/fleet"
 	"sloepick/internal/gateway"
 	"sloepick/internal/settings"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 const patience = 30 * time.Second // for what must come
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.Parse(stand.MinimalSettings(time.Second))
+	set, err := settings.Parse(testbed.MinimalSettings(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 
 func addresses(t *testing.T, n int) (all []string) {
 	t.Helper()
-	places, err := stand.AllocateEndpoints(n)
+	places, err := testbed.AllocateEndpoints(n)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/h2/back_test.go
+++ b/internal/h2/back_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/net/http2"
 
 	"sloepick/internal/gateway"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // newBackRig is a rig all of whose nodes speak HTTP/2.
@@ -23,12 +23,12 @@
 		change(&b)
 	}
 	return newRigOf(t, p, nodes, func(cfg *gateway.Config, _ *Listener) {
-		cfg.Backs = map[string]gateway.Back{stand.H2NodeKind: NewBack(b)}
+		cfg.Backs = map[string]gateway.Back{testbed.H2NodeKind: NewBack(b)}
 	})
 }
 
 // booking is a keyed request, which must not run twice.
-func booking(id string) stand.H2Request {
+func booking(id string) testbed.H2Request {
 	q := look(id)
 	q.Path, q.Key = "/v1/do/slot-book", `"`+id+`"`
 	return q
@@ -45,34 +45,34 @@
 // What an attempt by HTTP/2 ends with decides whether it may go out again: what never ran goes to the other node, what may have
 // run stays in its group, where repeats are dropped, and the client is told the truth.
 func TestWhatMayHaveRun(t *testing.T) {
-	reset := func(code http2.ErrCode) func(*stand.H2Stream) {
-		return func(s *stand.H2Stream) { s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteRSTStream(s.ID, code) }) }
+	reset := func(code http2.ErrCode) func(*testbed.H2Stream) {
+		return func(s *testbed.H2Stream) { s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteRSTStream(s.ID, code) }) }
 	}
 	for name, x := range map[string]struct {
-		do    func(*stand.H2Stream)
+		do    func(*testbed.H2Stream)
 		again bool // it goes to the other group
 	}{
 		"REFUSED_STREAM": {reset(http2.ErrCodeRefusedStream), true},
-		"GOAWAY with a lower one": {func(s *stand.H2Stream) {
+		"GOAWAY with a lower one": {func(s *testbed.H2Stream) {
 			s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
 		}, true},
-		"503 that promises it":  {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 503, "", "sloepick-ran", "never") }, true},
-		"429 that promises it":  {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 429, "", "sloepick-ran", "never") }, true},
-		"503":                   {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 503, "") }, false},
-		"500":                   {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 500, "x") }, false},
+		"503 that promises it":  {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 503, "", "sloepick-ran", "never") }, true},
+		"429 that promises it":  {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 429, "", "sloepick-ran", "never") }, true},
+		"503":                   {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 503, "") }, false},
+		"500":                   {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 500, "x") }, false},
 		"CANCEL":                {reset(http2.ErrCodeCancel), false},
 		"NO_ERROR":              {reset(http2.ErrCodeNo), false},
-		"the connection breaks": {func(s *stand.H2Stream) { s.Conn.Conn.Close() }, false},
-		"no answer at all":      {func(s *stand.H2Stream) { s.Conn.Conn.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }, false},
-		"a malformed answer":    {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "Upper", "case") }, false},
-		"a length that lies":    {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "content-length", "5") }, false},
-		"an answer too large":   {func(s *stand.H2Stream) { s.Conn.Respond(s.ID, 200, strings.Repeat("x", 64<<10+1)) }, false},
+		"the connection breaks": {func(s *testbed.H2Stream) { s.Conn.Conn.Close() }, false},
+		"no answer at all":      {func(s *testbed.H2Stream) { s.Conn.Conn.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }, false},
+		"a malformed answer":    {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "Upper", "case") }, false},
+		"a length that lies":    {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "content-length", "5") }, false},
+		"an answer too large":   {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, strings.Repeat("x", 64<<10+1)) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newBackRig(t, 2, nil)
 			came := make(chan string, 16)
 			for _, n := range r.site.Nodes { // the first that gets it is rude, once
-				n.InterceptStreams(func(s *stand.H2Stream) bool {
+				n.InterceptStreams(func(s *testbed.H2Stream) bool {
 					came <- n.ID()
 					if len(came) > 1 {
 						return false
@@ -111,8 +111,8 @@
 // Many attempts share a connection, up to what the node allows, which may be lowered; giving one up leaves the others.
 func TestStreamsShareConnections(t *testing.T) {
 	r := newBackRig(t, 1, func(b *BackConfig) { b.Connections = 1 })
-	conns := make(chan *stand.H2NodeConn, 64)
-	r.site.Nodes[0].InterceptStreams(func(s *stand.H2Stream) bool {
+	conns := make(chan *testbed.H2NodeConn, 64)
+	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		conns <- s.Conn
 		return false
 	})
@@ -152,8 +152,8 @@
 // A node's GOAWAY: what is open on the connection is answered, what comes next takes a new one, and nothing is lost.
 func TestNodeGoesAway(t *testing.T) {
 	r := newBackRig(t, 1, nil)
-	conns := make(chan *stand.H2NodeConn, 64)
-	r.site.Nodes[0].InterceptStreams(func(s *stand.H2Stream) bool {
+	conns := make(chan *testbed.H2NodeConn, 64)
+	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		conns <- s.Conn
 		return false
 	})
@@ -194,7 +194,7 @@
 	}
 	r.arrived(4)
 	before := len(r.site.Recorder.Arrivals())
-	r.site.Nodes[0].InterceptStreams(func(*stand.H2Stream) bool { return false })
+	r.site.Nodes[0].InterceptStreams(func(*testbed.H2Stream) bool { return false })
 	if err := r.site.Drain(0); err != nil {
 		t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 func TestNodeMovesUnderAttempts(t *testing.T) {
 	r := newBackRig(t, 2, nil)
 	came, over := make(chan struct{}, 16), make(chan string, 16)
-	r.site.Nodes[0].InterceptStreams(func(s *stand.H2Stream) bool {
+	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		came <- struct{}{}
 		<-s.Cancelled
 		over <- s.Arrival.ID
@@ -344,9 +344,9 @@
 			p := platform()
 			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = h2.nodes, true, 8
 			r := newRigOf(t, p, 1, func(cfg *gateway.Config, _ *Listener) {
-				cfg.Backs = map[string]gateway.Back{stand.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+				cfg.Backs = map[string]gateway.Back{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
 			})
-			r.site.Nodes[0].SetUseReport(func(stand.Arrival) string { return figures })
+			r.site.Nodes[0].SetUseReport(func(testbed.Arrival) string { return figures })
 			c, served := &caller{r: r}, 0
 			c.dial()
 			for n := range guesses + 4 {
--- a/internal/h2/crossing_test.go
+++ b/internal/h2/crossing_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/net/http2"
 
 	"sloepick/internal/gateway"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // TestIdleCloseCrossesARequestByHTTP2: a client's next request crosses the end of its connection, which had been idle for too long. It
@@ -43,7 +43,7 @@
 }
 
 // resetBy is the error that the kernel has for a connection whose end was read.
-func resetBy(t *testing.T, c *stand.H2Client) syscall.Errno {
+func resetBy(t *testing.T, c *testbed.H2Client) syscall.Errno {
 	t.Helper()
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/h2/floods_test.go
+++ b/internal/h2/floods_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/http2"
 
 	"sloepick/internal/gateway"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // Each flood on sockets: its client is sent away with the right code, and the usual one is served before and after.
@@ -18,7 +18,7 @@
 	block := func(f *http2.Framer, id uint32, ends bool) {
 		q := look(fmt.Sprint("flood-", id))
 		q.Customer = "0000000000000009"
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndStream: ends, EndHeaders: true, BlockFragment: stand.NewH2Encoder().HeaderBlock(q)})
+		f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndStream: ends, EndHeaders: true, BlockFragment: testbed.NewH2Encoder().HeaderBlock(q)})
 	}
 	for name, x := range map[string]struct {
 		flood func(f *http2.Framer, i int)
--- a/internal/h2/front_test.go
+++ b/internal/h2/front_test.go
@@ -25,7 +25,7 @@
 	"golang.org/x/net/http2"
 
 	"sloepick/internal/gateway"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // A request's values come to the node as by RESP2, and its answer carries the value, the bucket's room and the cost.
@@ -33,7 +33,7 @@
 	r := newRig(t, platform(), nil)
 	c := r.dial(nil)
 	a := r.call(c, look("one"))
-	if a.Status != 200 || string(a.Body) != stand.ReplyValue("one") || a.Fields["content-length"] != strconv.Itoa(len(a.Body)) {
+	if a.Status != 200 || string(a.Body) != testbed.ReplyValue("one") || a.Fields["content-length"] != strconv.Itoa(len(a.Body)) {
 		t.Errorf("got %+v", a)
 	}
 	for name, want := range map[string]string{"ratelimit": `"network";r=17;t=1900`, "ratelimit-policy": `"network";q=36;w=3600`, "sloepick-cost": "1"} {
@@ -57,32 +57,32 @@
 	r := newRig(t, platform(), nil)
 	c := r.dial(nil)
 	for name, x := range map[string]struct {
-		change func(*stand.H2Request)
+		change func(*testbed.H2Request)
 		status int
 		detail string
 	}{
-		"no customer":        {func(q *stand.H2Request) { q.Customer = "" }, 400, "sloepick-customer is missing"},
-		"no id":              {func(q *stand.H2Request) { q.ID = "" }, 400, "sloepick-id is missing"},
-		"no plan":            {func(q *stand.H2Request) { q.Plan = "" }, 400, "sloepick-plan is missing"},
-		"no patience":        {func(q *stand.H2Request) { q.Patience = 0 }, 400, "sloepick-patience is missing"},
-		"customer":           {func(q *stand.H2Request) { q.Customer = "x" }, 400, "16 hex digits"},
-		"plan with a list":   {func(q *stand.H2Request) { q.Plan = "network,units=9" }, 400, "a comma"},
-		"key with a list":    {func(q *stand.H2Request) { q.Key = "a,k=b" }, 400, "a comma"},
-		"class":              {func(q *stand.H2Request) { q.Path = "/v1/ask/none" }, 400, "unknown class or plan"},
-		"class with space":   {func(q *stand.H2Request) { q.Path = "/v1/ask/slot lookup" }, 400, "a comma, a space"},
-		"other command":      {func(q *stand.H2Request) { q.Path = "/v1/ask/slot-book" }, 400, "the other of /v1/ask/ and /v1/do/"},
-		"keyed, no key":      {func(q *stand.H2Request) { q.Path = "/v1/do/slot-book" }, 400, "idempotency-key is missing"},
-		"key with quotes":    {func(q *stand.H2Request) { q.Key = `"a"b"` }, 400, "idempotency-key can't be used"},
-		"patience, too long": {func(q *stand.H2Request) { q.Patience = time.Minute }, 400, "sloepick-patience is out of range"},
-		"units":              {func(q *stand.H2Request) { q.Units = "1e3" }, 400, "sloepick-units can't be used"},
-		"units, too many":    {func(q *stand.H2Request) { q.Units = "999" }, 400, "units are out of range"},
-		"set":                {func(q *stand.H2Request) { q.Set = "x;1" }, 400, "sloepick-set can't be used"},
-		"set, too many":      {func(q *stand.H2Request) { q.Set = "9;0" }, 400, "the set is out of range"},
-		"twice":              {func(q *stand.H2Request) { q.ExtraFields = []string{"sloepick-id", "b"} }, 400, "sloepick-id comes twice"},
-		"path":               {func(q *stand.H2Request) { q.Path = "/v2/ask/slot-lookup" }, 404, "/v1/ask/CLASS"},
-		"method":             {func(q *stand.H2Request) { q.ExtraFields = []string{":method", "GET"} }, 0, ""},
-		"body":               {func(q *stand.H2Request) { q.Body = bytes.Repeat([]byte("x"), 64<<10+1) }, 413, "larger"},
-		"fields": {func(q *stand.H2Request) {
+		"no customer":        {func(q *testbed.H2Request) { q.Customer = "" }, 400, "sloepick-customer is missing"},
+		"no id":              {func(q *testbed.H2Request) { q.ID = "" }, 400, "sloepick-id is missing"},
+		"no plan":            {func(q *testbed.H2Request) { q.Plan = "" }, 400, "sloepick-plan is missing"},
+		"no patience":        {func(q *testbed.H2Request) { q.Patience = 0 }, 400, "sloepick-patience is missing"},
+		"customer":           {func(q *testbed.H2Request) { q.Customer = "x" }, 400, "16 hex digits"},
+		"plan with a list":   {func(q *testbed.H2Request) { q.Plan = "network,units=9" }, 400, "a comma"},
+		"key with a list":    {func(q *testbed.H2Request) { q.Key = "a,k=b" }, 400, "a comma"},
+		"class":              {func(q *testbed.H2Request) { q.Path = "/v1/ask/none" }, 400, "unknown class or plan"},
+		"class with space":   {func(q *testbed.H2Request) { q.Path = "/v1/ask/slot lookup" }, 400, "a comma, a space"},
+		"other command":      {func(q *testbed.H2Request) { q.Path = "/v1/ask/slot-book" }, 400, "the other of /v1/ask/ and /v1/do/"},
+		"keyed, no key":      {func(q *testbed.H2Request) { q.Path = "/v1/do/slot-book" }, 400, "idempotency-key is missing"},
+		"key with quotes":    {func(q *testbed.H2Request) { q.Key = `"a"b"` }, 400, "idempotency-key can't be used"},
+		"patience, too long": {func(q *testbed.H2Request) { q.Patience = time.Minute }, 400, "sloepick-patience is out of range"},
+		"units":              {func(q *testbed.H2Request) { q.Units = "1e3" }, 400, "sloepick-units can't be used"},
+		"units, too many":    {func(q *testbed.H2Request) { q.Units = "999" }, 400, "units are out of range"},
+		"set":                {func(q *testbed.H2Request) { q.Set = "x;1" }, 400, "sloepick-set can't be used"},
+		"set, too many":      {func(q *testbed.H2Request) { q.Set = "9;0" }, 400, "the set is out of range"},
+		"twice":              {func(q *testbed.H2Request) { q.ExtraFields = []string{"sloepick-id", "b"} }, 400, "sloepick-id comes twice"},
+		"path":               {func(q *testbed.H2Request) { q.Path = "/v2/ask/slot-lookup" }, 404, "/v1/ask/CLASS"},
+		"method":             {func(q *testbed.H2Request) { q.ExtraFields = []string{":method", "GET"} }, 0, ""},
+		"body":               {func(q *testbed.H2Request) { q.Body = bytes.Repeat([]byte("x"), 64<<10+1) }, 413, "larger"},
+		"fields": {func(q *testbed.H2Request) {
 			q.ExtraFields = []string{"a", strings.Repeat("x", 7000), "b", strings.Repeat("x", 2000)}
 		}, 431, "larger"},
 	} {
@@ -146,7 +146,7 @@
 func TestOneIDByBothProtocols(t *testing.T) {
 	r := newRig(t, platform(), nil)
 	let := r.hold()
-	old, err := stand.Dial(r.resp)
+	old, err := testbed.Dial(r.resp)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 		t.Errorf("got %+v", a)
 	}
 	let()
-	if got, err := old.Read(); err != nil || got != "$"+stand.ReplyValue("same") {
+	if got, err := old.Read(); err != nil || got != "$"+testbed.ReplyValue("same") {
 		t.Errorf("got %q, %v", got, err)
 	}
 }
@@ -176,7 +176,7 @@
 	q.Path, q.Key = "/v1/do/slot-book", `"same"`
 	first := r.ask(c, q)
 	r.arrived(1)
-	old, err := stand.Dial(r.resp)
+	old, err := testbed.Dial(r.resp)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,11 +192,11 @@
 	if a := r.read(c); a.Stream != first || a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
-	if got, err := old.Read(); err != nil || got != "$"+stand.ReplyValue("second") {
+	if got, err := old.Read(); err != nil || got != "$"+testbed.ReplyValue("second") {
 		t.Errorf("got %q, %v", got, err)
 	}
 	repeat("third")
-	if got, err := old.Read(); err != nil || got != "$"+stand.ReplyValue("third") {
+	if got, err := old.Read(); err != nil || got != "$"+testbed.ReplyValue("third") {
 		t.Errorf("got %q, %v", got, err)
 	}
 	ran := 0
@@ -401,7 +401,7 @@
 		t.Errorf("a certificate without a name: got %+v", got)
 	}
 	for name, by := range map[string]*tls.Config{"none": {RootCAs: roots, ServerName: "127.0.0.1"}, "another authority's": shows(newAuthority(t), customer)} {
-		c, err := stand.DialH2(r.front.Addr().String(), by)
+		c, err := testbed.DialH2(r.front.Addr().String(), by)
 		if err != nil {
 			continue // turned away while it wrote
 		}
--- a/internal/h2/lookup_test.go
+++ b/internal/h2/lookup_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/net/http2"
 
 	"sloepick/internal/gateway"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // BenchmarkLookup tells what the whole gateway allocates for a small look-up, front to back and return, one at a time by each
@@ -24,7 +24,7 @@
 			r := newRigOf(b, platform(), 1, func(cfg *gateway.Config, _ *Listener) {
 				cfg.Known.Servers[0].Addr = node
 				cfg.Tuning.Nodes.Rest = 0 // one connection carries all, so that none is made while it counts
-				d, err := stand.NewDiscovery(cfg.Known.Version, cfg.Known)
+				d, err := testbed.NewDiscovery(cfg.Known.Version, cfg.Known)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -64,7 +64,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { ln.Close() })
-	answer := []byte(stand.FormatReply("slot 4"))
+	answer := []byte(testbed.FormatReply("slot 4"))
 	go func() {
 		for {
 			nc, err := ln.Accept()
--- a/internal/h2/mixed_test.go
+++ b/internal/h2/mixed_test.go
@@ -11,28 +11,28 @@
 	"golang.org/x/net/http2"
 
 	"sloepick/internal/gateway"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/seeds"
 )
 
 // caller sends requests by either protocol, one at a time.
 type caller struct {
 	r   *rig
-	h2  *stand.H2Client
-	old *stand.Client
+	h2  *testbed.H2Client
+	old *testbed.Client
 }
 
 func (c *caller) dial() {
 	c.h2 = c.r.dial(nil)
 	var err error
-	if c.old, err = stand.Dial(c.r.resp); err != nil {
+	if c.old, err = testbed.Dial(c.r.resp); err != nil {
 		c.r.t.Fatal(err)
 	}
 	c.r.t.Cleanup(c.old.Close)
 }
 
 // words are a request as RESP2 has it.
-func words(q stand.H2Request) []string {
+func words(q testbed.H2Request) []string {
 	name, class, list := "Q.ASK", strings.TrimPrefix(q.Path, "/v1/ask/"), ""
 	if q.Key != "" {
 		name, class, list = "Q.DO", strings.TrimPrefix(q.Path, "/v1/do/"), ",k="+q.Key
@@ -41,7 +41,7 @@
 }
 
 // call asks and tells the status of the answer, as HTTP has it.
-func (c *caller) call(q stand.H2Request, byH2 bool) int {
+func (c *caller) call(q testbed.H2Request, byH2 bool) int {
 	c.r.t.Helper()
 	if byH2 {
 		status := c.r.call(c.h2, q).Status
@@ -65,7 +65,7 @@
 }
 
 // leave asks on a connection of its own and goes away once the request has come to a node, or was answered.
-func (c *caller) leave(q stand.H2Request, byH2 bool) {
+func (c *caller) leave(q testbed.H2Request, byH2 bool) {
 	c.r.t.Helper()
 	answered := make(chan struct{})
 	if byH2 {
@@ -83,7 +83,7 @@
 		}
 		return
 	}
-	old, err := stand.Dial(c.r.resp)
+	old, err := testbed.Dial(c.r.resp)
 	if err != nil {
 		c.r.t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 func (c *caller) wait(id string, answered <-chan struct{}) {
 	c.r.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
-		if slices.ContainsFunc(c.r.site.Recorder.Arrivals(), func(a stand.Arrival) bool { return a.ID == id }) {
+		if slices.ContainsFunc(c.r.site.Recorder.Arrivals(), func(a testbed.Arrival) bool { return a.ID == id }) {
 			return
 		}
 		select {
@@ -121,10 +121,10 @@
 	p := platform()
 	p.H2Nodes = h2Nodes
 	r := newRig(t, p, func(cfg *gateway.Config, _ *Listener) {
-		cfg.Backs = map[string]gateway.Back{stand.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+		cfg.Backs = map[string]gateway.Back{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
 	})
 	for _, n := range r.site.Nodes {
-		n.SetExtraDelay(func(a stand.Arrival) time.Duration {
+		n.SetExtraDelay(func(a testbed.Arrival) time.Duration {
 			if strings.HasPrefix(a.ID, "gone") {
 				return 50 * time.Millisecond
 			}
@@ -149,7 +149,7 @@
 			c.dial()
 		}
 		n := 1 + rnd.IntN(2)
-		q := stand.H2Request{Path: "/v1/ask/slot-lookup", Customer: fmt.Sprintf("%016x", 1+rnd.IntN(12)), Plan: p.Plans[rnd.IntN(len(p.Plans))].Name,
+		q := testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: fmt.Sprintf("%016x", 1+rnd.IntN(12)), Plan: p.Plans[rnd.IntN(len(p.Plans))].Name,
 			ID: fmt.Sprintf("r-%d", i), Patience: patience, Units: strconv.Itoa(n)}
 		if rnd.IntN(2) == 0 {
 			q.Path, q.Key = "/v1/do/slot-book", fmt.Sprintf("k%d", i)
--- a/internal/h2/rig_test.go
+++ b/internal/h2/rig_test.go
@@ -15,7 +15,7 @@
 
 	"sloepick/internal/gateway"
 	"sloepick/internal/resp"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 	"sloepick/internal/tuning"
 )
 
@@ -27,7 +27,7 @@
 // rig is a gateway in this process, with RESP2's listener and one of HTTP/2, and a site of nodes.
 type rig struct {
 	t     testing.TB
-	site  *stand.Site
+	site  *testbed.Site
 	resp  string
 	front *Front
 	cfg   gateway.Config
@@ -37,10 +37,10 @@
 }
 
 // platform is the clinic's, with quotas that don't refill while a test runs, and patient clients.
-func platform() *stand.Platform {
-	p := stand.SmallPlatform()
+func platform() *testbed.Platform {
+	p := testbed.SmallPlatform()
 	for i := range p.Plans {
-		p.Plans[i].Rate, p.Plans[i].Ceiling = 0.01, stand.Ceiling{}
+		p.Plans[i].Rate, p.Plans[i].Ceiling = 0.01, testbed.Ceiling{}
 	}
 	for i := range p.Classes {
 		p.Classes[i].Patience, p.Classes[i].Work = patience, time.Millisecond
@@ -49,20 +49,20 @@
 	return p
 }
 
-func newRig(t *testing.T, p *stand.Platform, change func(*gateway.Config, *Listener)) *rig {
+func newRig(t *testing.T, p *testbed.Platform, change func(*gateway.Config, *Listener)) *rig {
 	t.Helper()
 	return newRigOf(t, p, 2, change)
 }
 
-func newRigOf(t testing.TB, p *stand.Platform, nodes int, change func(*gateway.Config, *Listener)) *rig {
+func newRigOf(t testing.TB, p *testbed.Platform, nodes int, change func(*gateway.Config, *Listener)) *rig {
 	t.Helper()
 	r := &rig{t: t, done: make(chan error, 1)}
 	var err error
-	if r.site, err = stand.NewSite(p, nodes); err != nil {
+	if r.site, err = testbed.NewSite(p, nodes); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.site.Close)
-	places, err := stand.AllocateEndpoints(1)
+	places, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 	r.stop = cancel
 	go func() { r.done <- gateway.Run(ctx, r.cfg, nil, slog.New(slog.DiscardHandler)) }()
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		c, err := stand.Dial(r.resp)
+		c, err := testbed.Dial(r.resp)
 		if err == nil {
 			c.Close()
 			return
@@ -126,9 +126,9 @@
 	}
 }
 
-func (r *rig) dial(by *tls.Config, settings ...http2.Setting) *stand.H2Client {
+func (r *rig) dial(by *tls.Config, settings ...http2.Setting) *testbed.H2Client {
 	r.t.Helper()
-	c, err := stand.DialH2(r.front.Addr().String(), by, settings...)
+	c, err := testbed.DialH2(r.front.Addr().String(), by, settings...)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -139,11 +139,11 @@
 	return c
 }
 
-func look(id string) stand.H2Request {
-	return stand.H2Request{Path: "/v1/ask/slot-lookup", Customer: customer, Plan: "network", ID: id, Patience: patience, Units: "1"}
+func look(id string) testbed.H2Request {
+	return testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: customer, Plan: "network", ID: id, Patience: patience, Units: "1"}
 }
 
-func (r *rig) ask(c *stand.H2Client, q stand.H2Request) uint32 {
+func (r *rig) ask(c *testbed.H2Client, q testbed.H2Request) uint32 {
 	r.t.Helper()
 	id, err := c.Send(q)
 	if err != nil {
@@ -152,7 +152,7 @@
 	return id
 }
 
-func (r *rig) read(c *stand.H2Client) *stand.H2Response {
+func (r *rig) read(c *testbed.H2Client) *testbed.H2Response {
 	r.t.Helper()
 	a, err := c.Read()
 	if err != nil {
@@ -161,7 +161,7 @@
 	return a
 }
 
-func (r *rig) call(c *stand.H2Client, q stand.H2Request) *stand.H2Response {
+func (r *rig) call(c *testbed.H2Client, q testbed.H2Request) *testbed.H2Response {
 	r.t.Helper()
 	id := r.ask(c, q)
 	a := r.read(c)
@@ -175,7 +175,7 @@
 func (r *rig) hold() (let func()) {
 	gate := make(chan struct{})
 	for _, n := range r.site.Nodes {
-		n.SetExtraDelay(func(stand.Arrival) time.Duration {
+		n.SetExtraDelay(func(testbed.Arrival) time.Duration {
 			select {
 			case <-gate:
 			case <-time.After(patience):
@@ -197,7 +197,7 @@
 }
 
 // taken waits until the gateway has taken what was sent on a connection on which no answer is due.
-func (r *rig) taken(c *stand.H2Client) {
+func (r *rig) taken(c *testbed.H2Client) {
 	r.t.Helper()
 	if err := c.Framer.WritePing(false, [8]byte{1}); err != nil {
 		r.t.Fatal(err)
--- a/internal/h2/wire/wire_test.go
+++ b/internal/h2/wire/wire_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 // holds checks what must be true of a connection at all times.
--- a/internal/owner/check_test.go
+++ b/internal/owner/check_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 var (
--- a/internal/quiet/quiet_test.go
+++ b/internal/quiet/quiet_test.go
@@ -6,7 +6,7 @@
 	"time"
 	_ "time/tzdata" // the machine may have none
 
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 func zone(t *testing.T, name string) *time.Location {
--- a/internal/recovery/service_test.go
+++ b/internal/recovery/service_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 func service(work float64) *Service {
--- a/internal/resp/back_test.go
+++ b/internal/resp/back_test.go
@@ -13,7 +13,7 @@
 
 	"sloepick/decide"
 	"sloepick/internal/gateway"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 	"sloepick/internal/tuning"
 )
 
@@ -56,7 +56,7 @@
 	b := newBench(t, long)
 	try, _, _ := b.attempted("id")
 	far := b.bring(try)
-	write(t, far, stand.FormatReply("v"))
+	write(t, far, testbed.FormatReply("v"))
 	b.ended()
 	n := b.node()
 	if _, any := n.Idle(); !any {
@@ -80,7 +80,7 @@
 	far := b.bring(first)
 	b.bring(second)
 	b.retune(func(t *tuning.Tuning) { t.Nodes.Connections = 1 })
-	write(t, far, stand.FormatReply("v"))
+	write(t, far, testbed.FormatReply("v"))
 	b.ended()
 	text(t, far)
 	if n := b.Figures().Connections; n != 1 {
@@ -94,7 +94,7 @@
 	b := newBench(t, long)
 	try, c, client := b.attempted("id")
 	far := b.bring(try)
-	write(t, far, stand.FormatReply("v")+stand.FormatReply("w"))
+	write(t, far, testbed.FormatReply("v")+testbed.FormatReply("w"))
 	if o := b.ended(); o != decide.OK {
 		t.Errorf("outcome %v", o)
 	}
@@ -114,10 +114,10 @@
 	b := newBench(t, long)
 	try, c, client := b.attempted("id")
 	far := b.bring(try)
-	write(t, far, stand.FormatReply("first"))
+	write(t, far, testbed.FormatReply("first"))
 	b.ended()
 	out := b.node().idle[0]
-	write(t, far, stand.FormatReply("first"))
+	write(t, far, testbed.FormatReply("first"))
 	for end := time.Now().Add(patience); out.out.Quiet(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the copy was read, or never came")
@@ -138,7 +138,7 @@
 func TestConnectionRests(t *testing.T) {
 	b := newBench(t, long)
 	try, _, _ := b.attempted("id")
-	write(t, b.bring(try), stand.FormatReply("v"))
+	write(t, b.bring(try), testbed.FormatReply("v"))
 	b.ended()
 	c := b.node().idle[0]
 	if b.later(b.tune.Nodes.Rest - 1); b.node().rested() != nil {
@@ -215,7 +215,7 @@
 // the news of the last byte is late, and no longer.
 func TestAnswerBeforeTheRequestIsWhole(t *testing.T) {
 	b, out, far := large(t)
-	write(t, far, stand.FormatReply("early"))
+	write(t, far, testbed.FormatReply("early"))
 	b.until("the early answer", func() bool { return out.early != nil })
 	if b.later(b.tune.Nodes.Answer - 1); len(b.ends) > 0 {
 		t.Fatalf("ended as %v before its time", b.ends[0])
--- a/internal/resp/crossing_test.go
+++ b/internal/resp/crossing_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloepick/decide"
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 	"sloepick/internal/tuning"
 )
 
@@ -138,7 +138,7 @@
 					t.Fatal("the reader does not read ahead")
 				}
 			}
-			write(t, b.bring(b.held.tries[0]), stand.FormatReply("v"))
+			write(t, b.bring(b.held.tries[0]), testbed.FormatReply("v"))
 			want := "$1\r\nv\r\n" + strings.Repeat("+PONG\r\n", behind)
 			got := make(chan string, 1)
 			go func() {
@@ -166,7 +166,7 @@
 	b.until("the reader's end", func() bool { return c.read })
 	write(t, far, asked("two"))
 	unread(t, c)
-	write(t, b.bring(try), stand.FormatReply("v"))
+	write(t, b.bring(try), testbed.FormatReply("v"))
 	ended := make(chan string, 1)
 	go func() {
 		all, err := io.ReadAll(far)
@@ -211,7 +211,7 @@
 	c.Drain()
 	b.until("the reader's end", func() bool { return c.read })
 	b.clock.now.Add(1)
-	write(t, b.bring(try), stand.FormatReply("v"))
+	write(t, b.bring(try), testbed.FormatReply("v"))
 	b.until("the half close", func() bool { return c.half })
 	if got := text(t, far); got != "$1\r\nv\r\n" {
 		t.Errorf("the client got %q", got)
--- a/internal/resp/rig_test.go
+++ b/internal/resp/rig_test.go
@@ -13,8 +13,8 @@
 	"sloepick/decide"
 	"sloepick/internal/gateway"
 	"sloepick/internal/settings"
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/leaks"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/leaks"
 	"sloepick/internal/tuning"
 )
 
@@ -71,7 +71,7 @@
 func newBench(t *testing.T, aim time.Duration) *bench {
 	t.Helper()
 	leaks.Check(t)
-	set, err := settings.Parse(stand.MinimalSettings(aim))
+	set, err := settings.Parse(testbed.MinimalSettings(aim))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sloepick/decide"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 // event is something that happens in the world at a time.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloepick/decide"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 // slow finds a request's route by trying all, the most specific first.
--- a/internal/route/times_test.go
+++ b/internal/route/times_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 // promised fails the test unless what is told is the exact quantile or over it by a twentieth at most.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand"
+	"sloepick/internal/testbed"
 )
 
 // TestSettingsThatCantBeServed: each is refused with the field's own name and its value.
 func TestSettingsThatCantBeServed(t *testing.T) {
-	good := string(stand.MinimalSettings(time.Second))
+	good := string(testbed.MinimalSettings(time.Second))
 	if s, err := Parse([]byte(good)); err != nil || s.CheckServing() != nil {
 		t.Fatalf("the settings as they are: %v, %v", err, s.CheckServing())
 	}
--- a/internal/sloe/sloe_test.go
+++ b/internal/sloe/sloe_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/exp/ebnf"
 
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 func parse(text string) (*File, Diags) { return Parse(&Source{Name: "f.sloe", Text: []byte(text)}) }
--- a/internal/stand/procs/procs.go
+++ b/internal/testbed/e2e/procs.go
@@ -1,7 +1,7 @@
 // Package procs builds tests of several real processes of the program: a site, gateways with a disk each, broken links between them,
 // a crowd of clients, and a verdict. What is done to processes and disks is one call each, so that a test of a new failure is a
 // script of a few lines.
-package procs
+package e2e
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/stand"
-	"sloepick/internal/stand/links"
+	"sloepick/internal/testbed"
+	"sloepick/internal/testbed/faultnet"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Config is what is built.
 type Config struct {
-	Platform *stand.Platform
+	Platform *testbed.Platform
 	Nodes    int // 0: 8
 	Gateways int
 	Seed     uint64 // of links
@@ -50,11 +50,11 @@
 
 // Harness is a site with gateways as real processes.
 type Harness struct {
-	Site         *stand.Site
-	Endpoints    []stand.Endpoint // where gateways take clients
-	MemberAddrs  []string         // where they take the fleet's word
-	Mesh         *links.Mesh      // between members, or between peers without a fleet
-	Processes    []*stand.Process
+	Site         *testbed.Site
+	Endpoints    []testbed.Endpoint // where gateways take clients
+	MemberAddrs  []string           // where they take the fleet's word
+	Mesh         *faultnet.Mesh     // between members, or between peers without a fleet
+	Processes    []*testbed.Process
 	History      [][]Incarnation // of each gateway: its processes so far
 	Ctx          context.Context
 	ClockOffsets []time.Duration // by which a gateway's wall clock is off, from its next start on
@@ -71,7 +71,7 @@
 
 // Incarnation is a gateway's process, from its start to its end, which is zero while it lives.
 type Incarnation struct {
-	*stand.Process
+	*testbed.Process
 	StartedAt, EndedAt time.Time
 }
 
@@ -87,8 +87,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	t.Cleanup(cancel)
 	n := cfg.Gateways
-	r := &Harness{t: t, cfg: cfg, Ctx: ctx, dir: t.TempDir(), Processes: make([]*stand.Process, n), ClockOffsets: make([]time.Duration, n), downs: make([][]down, n), History: make([][]Incarnation, n), boots: 1}
-	places, err := stand.AllocateEndpoints(2 * n)
+	r := &Harness{t: t, cfg: cfg, Ctx: ctx, dir: t.TempDir(), Processes: make([]*testbed.Process, n), ClockOffsets: make([]time.Duration, n), downs: make([][]down, n), History: make([][]Incarnation, n), boots: 1}
+	places, err := testbed.AllocateEndpoints(2 * n)
 	r.Must(err)
 	r.Endpoints = places[:n]
 	var peers []string
@@ -101,13 +101,13 @@
 	if cfg.OperatorFile != nil {
 		peers = r.MemberAddrs
 	}
-	r.Mesh, err = links.NewMesh(cfg.Seed, peers)
+	r.Mesh, err = faultnet.NewMesh(cfg.Seed, peers)
 	r.Must(err)
 	t.Cleanup(r.Mesh.Close)
 	if cfg.OperatorFile == nil {
 		cfg.Platform.PeerAddrs = r.Mesh.PeerAddrs
 	}
-	r.Site, err = stand.NewSite(cfg.Platform, cfg.Nodes)
+	r.Site, err = testbed.NewSite(cfg.Platform, cfg.Nodes)
 	r.Must(err)
 	t.Cleanup(r.Site.Close)
 	return r
@@ -154,7 +154,7 @@
 	cmd := r.cfg.Command()
 	cmd.Env = append(cmd.Env, "GW_CONFIG="+platform, "GW_OPERATOR="+operator, "GW_NAME="+GatewayName(i), "GW_LISTEN=", "GW_DISCOVERY=",
 		RoutesEnv+"="+r.Mesh.Routes(i).String(), ClockEnv+"="+r.ClockOffsets[i].String(), fmt.Sprintf("%s=boot-%d", BootEnv, r.boots))
-	if r.Processes[i], err = stand.StartProcess(cmd); err != nil {
+	if r.Processes[i], err = testbed.StartProcess(cmd); err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(r.Processes[i].Kill)
@@ -282,7 +282,7 @@
 }
 
 // excused reports that a request without an answer was asked of a gateway that was away.
-func (r *Harness) excused(e stand.RequestResult) bool {
+func (r *Harness) excused(e testbed.RequestResult) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.ContainsFunc(r.downs[e.Gateway], func(d down) bool { return e.SentAt.Before(d.to) && e.EndedAt.After(d.from) })
@@ -313,14 +313,14 @@
 
 // RunLoad has customers ask all gateways while a script goes on, and holds what was seen to the five rules: an answer that is lost or
 // late is excused where its gateway was away.
-func (r *Harness) RunLoad(customers []stand.Customer, seed uint64, script func()) *LoadResult {
+func (r *Harness) RunLoad(customers []testbed.Customer, seed uint64, script func()) *LoadResult {
 	r.t.Helper()
 	p := &LoadResult{Customers: customers, rig: r, before: map[string]float64{}}
 	for _, c := range customers {
 		p.before[c.ID] = r.Site.Recorder.Units(c.ID)
 	}
 	var mu sync.Mutex
-	crowd := stand.LoadGenerator{Customers: customers, Classes: r.Site.Platform.Classes, Seed: seed, OnResult: func(e stand.RequestResult) {
+	crowd := testbed.LoadGenerator{Customers: customers, Classes: r.Site.Platform.Classes, Seed: seed, OnResult: func(e testbed.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		p.Results = append(p.Results, e)
@@ -346,8 +346,8 @@
 
 // LoadResult is what was seen of a crowd.
 type LoadResult struct {
-	Customers []stand.Customer
-	Results   []stand.RequestResult
+	Customers []testbed.Customer
+	Results   []testbed.RequestResult
 	StartedAt time.Time
 	Elapsed   time.Duration
 
@@ -359,11 +359,11 @@
 	r := p.rig
 	r.t.Helper()
 	lost, served := 0, 0
-	kept := slices.DeleteFunc(slices.Clone(p.Results), func(e stand.RequestResult) bool {
-		if e.Outcome == stand.OutcomeServed {
+	kept := slices.DeleteFunc(slices.Clone(p.Results), func(e testbed.RequestResult) bool {
+		if e.Outcome == testbed.OutcomeServed {
 			served++
 		}
-		excused := (e.Outcome == stand.OutcomeLost || e.EndedAt.Sub(e.SentAt) > e.Patience) && r.excused(e)
+		excused := (e.Outcome == testbed.OutcomeLost || e.EndedAt.Sub(e.SentAt) > e.Patience) && r.excused(e)
 		if excused {
 			lost++
 		}
@@ -381,26 +381,26 @@
 }
 
 // Plan is a customer's.
-func (p *LoadResult) Plan(c *stand.Customer) *stand.Plan {
+func (p *LoadResult) Plan(c *testbed.Customer) *testbed.Plan {
 	plans := p.rig.Site.Platform.Plans
-	return &plans[slices.IndexFunc(plans, func(plan stand.Plan) bool { return plan.Name == c.Plan })]
+	return &plans[slices.IndexFunc(plans, func(plan testbed.Plan) bool { return plan.Name == c.Plan })]
 }
 
 // QuotaUsage is rate x time + burst of a customer, and Got what nodes were sent of it.
-func (p *LoadResult) QuotaUsage(c *stand.Customer) (quota, got float64) {
+func (p *LoadResult) QuotaUsage(c *testbed.Customer) (quota, got float64) {
 	plan := p.Plan(c)
 	return plan.Rate*p.Elapsed.Seconds() + plan.Burst, p.rig.Site.Recorder.Units(c.ID) - p.before[c.ID]
 }
 
 // ServedShare is the share of the requests sent within a time, since the beginning, that were served; a filter leaves others out.
-func (p *LoadResult) ServedShare(from, to time.Duration, of func(e *stand.RequestResult) bool) (share float64, asked int) {
+func (p *LoadResult) ServedShare(from, to time.Duration, of func(e *testbed.RequestResult) bool) (share float64, asked int) {
 	served := 0
 	for i := range p.Results {
 		e := &p.Results[i]
 		if at := e.SentAt.Sub(p.StartedAt); at < from || at >= to || of != nil && !of(e) {
 			continue
 		}
-		if asked++; e.Outcome == stand.OutcomeServed {
+		if asked++; e.Outcome == testbed.OutcomeServed {
 			served++
 		}
 	}
--- a/internal/stand/brittle/brittle.go
+++ b/internal/testbed/faultconn/brittle.go
@@ -1,6 +1,6 @@
 // Package brittle is connections of which the nth read, write, look, deadline, close or accept fails, as the kernel's own do: for
 // tests that fail each of them in turn.
-package brittle
+package faultconn
 
 import (
 	"net"
--- a/internal/stand/links/links.go
+++ b/internal/testbed/faultnet/links.go
@@ -1,7 +1,7 @@
 // Package links puts faults between real processes. A Mesh relays the datagrams and streams between any two members, each way by
 // itself, and loses, doubles, holds, stalls, breaks or parts them as it is told; a Relay does so for the streams to any one address.
 // What it draws comes from a seed; what it did is counted.
-package links
+package faultnet
 
 import (
 	"errors"
--- a/internal/stand/links/transport.go
+++ b/internal/testbed/faultnet/transport.go
@@ -1,4 +1,4 @@
-package links
+package faultnet
 
 import (
 	"encoding/json"
--- a/internal/stand/node.go
+++ b/internal/testbed/node.go
@@ -1,4 +1,4 @@
-package stand
+package testbed
 
 import (
 	"fmt"
--- a/internal/stand/stand.go
+++ b/internal/testbed/stand.go
@@ -1,7 +1,7 @@
 // Package stand holds stand-ins for what a gateway meets: booking nodes, discovery and clients. They listen on
 // free loopback ports, know the published protocols and nothing of the gateway's insides, and serve the project's
 // own tests, measurements and demonstration.
-package stand
+package testbed
 
 import (
 	"bufio"
--- a/internal/world/commons_test.go
+++ b/internal/world/commons_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloepick/internal/commons"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 // TestNewsInVirtualTime plays 20 and 300 members, 2,000 with -large, under 5 % of loss, delays of up to 40 ms, a cut of 4 s in two halves, and
--- a/internal/world/fleet_test.go
+++ b/internal/world/fleet_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloepick/internal/fleet"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 var large = flag.Bool("large", false, "play fleets of 600 and 2,000 members too")
--- a/internal/world/owners_test.go
+++ b/internal/world/owners_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloepick/internal/owner"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 // TestOwnersInVirtualTime plays 20 and 200 members, 2,000 with -large, with ten duties: owners are killed and come back fifty times under 5 % of
--- a/internal/world/quotas_test.go
+++ b/internal/world/quotas_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloepick/decide"
-	"sloepick/internal/stand/seeds"
+	"sloepick/internal/testbed/seeds"
 )
 
 func quotaConfig() decide.Config {
