--- a/cmd/sloectl/demo.go
+++ b/cmd/sloectl/demo.go
@@ -231,7 +231,7 @@
 	defer cancel()
 	for i := 0; i < d.fleet; {
 		r, err := gossip.ReadStatus(ctx, d.socket(i))
-		if err == nil && r.Standing.Place >= 0 {
+		if err == nil && r.Standing.Slot >= 0 {
 			i++
 			continue
 		}
--- a/cmd/sloectl/fleet.go
+++ b/cmd/sloectl/fleet.go
@@ -45,13 +45,13 @@
 	for _, d := range r.Duties {
 		who, left := "not known here", "-"
 		if d.Owner != "" {
-			who, left = d.Owner, d.Left.Round(time.Second/10).String()
+			who, left = d.Owner, d.LeaseLeft.Round(time.Second/10).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", d.Duty, who, left, d.Number)
 	}
 	w.Flush()
 	fmt.Fprintf(out, "\nvotes, in epoch %d:", r.Voters.Epoch)
-	for _, p := range r.Voters.Seats {
+	for _, p := range r.Voters.Voters {
 		name := "nobody"
 		if p < len(r.Standing.Holders) && r.Standing.Holders[p].Name != "" {
 			name = r.Standing.Holders[p].Name
@@ -77,13 +77,13 @@
 	}
 	for _, row := range r.Rows {
 		place, term := "-", "-"
-		if row.Claim.Place >= 0 {
-			place, term = fmt.Sprint(row.Claim.Place), fmt.Sprint(row.Claim.Term)
-			if row.Claim.Place >= len(r.Standing.Holders) || r.Standing.Holders[row.Claim.Place].Name != row.Name {
+		if row.Claim.Slot >= 0 {
+			place, term = fmt.Sprint(row.Claim.Slot), fmt.Sprint(row.Claim.Term)
+			if row.Claim.Slot >= len(r.Standing.Holders) || r.Standing.Holders[row.Claim.Slot].Name != row.Name {
 				place += " (not held)"
 			}
 		}
-		state, told, conf := row.State.String(), (r.Now-row.Heard).Round(time.Second/10).String()+" ago", fmt.Sprintf("%016x", row.Generation)
+		state, told, conf := row.State.String(), (r.Now-row.LastContact).Round(time.Second/10).String()+" ago", fmt.Sprintf("%016x", row.Generation)
 		if row.Self {
 			state, told = state+", this one", "-"
 		} else if row.State != fleet.Alive {
@@ -98,14 +98,14 @@
 		} else if row.Self {
 			dropped = fmt.Sprint(r.Lost)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", row.Name, state, place, term, row.Life, conf, told, cmp.Or(news[row.Name], "-"), dropped, row.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", row.Name, state, place, term, row.Incarnation, conf, told, cmp.Or(news[row.Name], "-"), dropped, row.Addr)
 	}
 	w.Flush()
-	stands := fmt.Sprintf("%s is in place %d", r.Name, r.Standing.Place)
-	if r.Standing.Place < 0 {
+	stands := fmt.Sprintf("%s is in place %d", r.Name, r.Standing.Slot)
+	if r.Standing.Slot < 0 {
 		stands = r.Name + " has no place and lets nothing in"
 	}
-	if r.Standing.Alone {
+	if r.Standing.Isolated {
 		stands += ", cut off: it keeps to its even part"
 	}
 	if r.Phase != "" {
--- a/internal/blocks/duties.go
+++ b/internal/blocks/duties.go
@@ -66,9 +66,9 @@
 	if !s.Present() {
 		return nil
 	}
-	o := owner.Default()
-	o.Voters, o.Lease = s.Count("voters"), s.Duration("lease")
-	o.Renew, o.Answer, o.Step = o.Lease/renewPart, o.Lease/answerPart, o.Lease/stepPart
+	o := owner.DefaultConfig()
+	o.InitialVoters, o.Lease = s.Count("voters"), s.Duration("lease")
+	o.RenewInterval, o.AnswerTimeout, o.CandidateDelay = o.Lease/renewPart, o.Lease/answerPart, o.Lease/stepPart
 	d := &Duties{Owner: o}
 	if r := s.One("report"); r.Present() {
 		d.Report = &Report{r.Word("url"), r.Duration("every")}
--- a/internal/blocks/regions.go
+++ b/internal/blocks/regions.go
@@ -28,8 +28,8 @@
 }
 
 // hoursOf reads a region's calendar, and what is wrong with it.
-func hoursOf(s *operator.Section) (h *quiet.Hours, out []operator.Problem) {
-	h = &quiet.Hours{Never: map[quiet.Date]bool{}, Also: map[quiet.Date][]quiet.Span{}}
+func hoursOf(s *operator.Section) (h *quiet.Calendar, out []operator.Problem) {
+	h = &quiet.Calendar{Excluded: map[quiet.Date]bool{}, Extra: map[quiet.Date][]quiet.Span{}}
 	var err error
 	if h.Zone, err = time.LoadLocation(s.Word("clock")); err != nil || s.Word("clock") == "Local" {
 		out = append(out, operator.Problem{Key: "clock", Msg: "there is no such time zone; want a name such as \"Asia/Seoul\""})
@@ -47,25 +47,25 @@
 	}
 	each("quiet", func(text string) error {
 		span, err := quiet.ParseSpan(text)
-		h.Week = append(h.Week, span)
+		h.Weekly = append(h.Weekly, span)
 		return err
 	})
 	each("none", func(text string) error {
-		day, err := quiet.ParseDay(text)
-		h.Never[day] = true
+		day, err := quiet.ParseDate(text)
+		h.Excluded[day] = true
 		return err
 	})
 	each("also", func(text string) error {
-		day, span, err := quiet.ParseExtra(text)
-		h.Also[day] = append(h.Also[day], span)
+		day, span, err := quiet.ParseDatedSpan(text)
+		h.Extra[day] = append(h.Extra[day], span)
 		return err
 	})
 	return h, out
 }
 
 // Regions are the calendars of the regions that have one, by their names.
-func Regions(c *operator.Config) map[string]*quiet.Hours {
-	all := map[string]*quiet.Hours{}
+func Regions(c *operator.Config) map[string]*quiet.Calendar {
+	all := map[string]*quiet.Calendar{}
 	for _, s := range c.All("region") {
 		all[s.Label], _ = hoursOf(s)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -158,7 +158,7 @@
 	}
 	r.member, r.cfg.Member = member, member
 	set := &r.cfg.Settings.Decide
-	set.Rank, set.Gateways, set.Limits.PeerMessages = 0, f.Table.Places, true
+	set.Rank, set.Gateways, set.Limits.PeerMessages = 0, f.Table.Slots, true
 	go func() {
 		select {
 		case m := <-member.Yielded():
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -18,7 +18,7 @@
 	}
 	f.Owner = d.Owner
 	if d.Report != nil {
-		f.Owner.Duties = append(f.Owner.Duties, duty.ReportName)
+		f.Owner.Duties = append(f.Owner.Duties, duty.DutyName)
 	}
 	if len(f.Owner.Duties) == 0 {
 		return errors.New("the block duties has no duty")
@@ -32,11 +32,11 @@
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
-	report := &duty.Report{URL: d.Report.URL, Every: d.Report.Every, Within: d.Owner.Lease / 3, Holder: r.member, Log: r.log,
+	report := &duty.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
 		Body: func() any { return r.member.Report() }, Client: &http.Client{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	done.Go(func() { report.Serve(ctx) })
+	done.Go(func() { report.Run(ctx) })
 	return func() {
 		stop()
 		done.Wait()
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -24,21 +24,21 @@
 	*httptest.Server
 	mu     sync.Mutex
 	fence  owner.Fence
-	taken  []duty.Step
-	turned []duty.Step
+	taken  []duty.Payload
+	turned []duty.Payload
 }
 
 func newOutside(t *testing.T) *outside {
 	o := &outside{}
 	o.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		var s duty.Step
+		var s duty.Payload
 		if err := json.NewDecoder(req.Body).Decode(&s); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if above, ok := o.fence.Take(s.Duty, owner.Mark{Number: s.Number, Who: s.Who}); !ok {
+		if above, ok := o.fence.Admit(s.Duty, owner.Ownership{Number: s.Number, Owner: s.Owner}); !ok {
 			o.turned = append(o.turned, s)
 			w.WriteHeader(http.StatusConflict)
 			fmt.Fprintf(w, `{"Above": %d}`, above.Number)
@@ -55,7 +55,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, s := range o.taken {
-		if name, _, _ := strings.Cut(s.Who, "."); len(names) == 0 || names[len(names)-1] != name {
+		if name, _, _ := strings.Cut(s.Owner, "."); len(names) == 0 || names[len(names)-1] != name {
 			names = append(names, name)
 		}
 	}
@@ -116,8 +116,8 @@
 	ways[a].Set(faultnet.Fault{}, faultnet.Fault{})
 	for end := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
 		out.mu.Lock()
-		late := out.fence.Turned
-		arrived := slices.ContainsFunc(out.turned, func(s duty.Step) bool { return strings.HasPrefix(s.Who, e2e.GatewayName(a)+".") })
+		late := out.fence.Rejected
+		arrived := slices.ContainsFunc(out.turned, func(s duty.Payload) bool { return strings.HasPrefix(s.Owner, e2e.GatewayName(a)+".") })
 		out.mu.Unlock()
 		if arrived {
 			t.Logf("the late step arrived and was turned away: %v", late)
@@ -148,7 +148,7 @@
 		}
 	}
 	out.audit(t)
-	if rep := report(r, 0); rep == nil || len(rep.Duties) != 1 || rep.Duties[0].Duty != duty.ReportName {
+	if rep := report(r, 0); rep == nil || len(rep.Duties) != 1 || rep.Duties[0].Duty != duty.DutyName {
 		t.Errorf("the status tells %+v", rep)
 	}
 }
@@ -157,18 +157,18 @@
 func (o *outside) audit(t *testing.T) {
 	t.Helper()
 	names, steps := o.owners()
-	t.Logf("%d steps taken, of %v; turned away %v", steps, names, o.fence.Turned)
+	t.Logf("%d steps taken, of %v; turned away %v", steps, names, o.fence.Rejected)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	last := map[string]duty.Step{}
+	last := map[string]duty.Payload{}
 	for i, s := range o.taken {
-		if i > 0 && (s.Number < o.taken[i-1].Number || s.Number == o.taken[i-1].Number && s.Who != o.taken[i-1].Who) {
-			t.Errorf("a step of %s under %d was taken after one of %s under %d", s.Who, s.Number, o.taken[i-1].Who, o.taken[i-1].Number)
+		if i > 0 && (s.Number < o.taken[i-1].Number || s.Number == o.taken[i-1].Number && s.Owner != o.taken[i-1].Owner) {
+			t.Errorf("a step of %s under %d was taken after one of %s under %d", s.Owner, s.Number, o.taken[i-1].Owner, o.taken[i-1].Number)
 		}
-		if o, ok := last[s.Who]; ok && s.Step <= o.Step {
-			t.Errorf("step %d of %s was taken after step %d", s.Step, s.Who, o.Step)
+		if o, ok := last[s.Owner]; ok && s.Sequence <= o.Sequence {
+			t.Errorf("step %d of %s was taken after step %d", s.Sequence, s.Owner, o.Sequence)
 		}
-		last[s.Who] = s
+		last[s.Owner] = s
 	}
 }
 
@@ -182,7 +182,7 @@
 		if slices.Contains(but, i) || rep == nil {
 			continue
 		}
-		for _, p := range rep.Voters.Seats {
+		for _, p := range rep.Voters.Voters {
 			var n int
 			if _, err := fmt.Sscanf(rep.Standing.Holders[p].Name, "g%d", &n); err == nil {
 				who = append(who, n)
@@ -259,7 +259,7 @@
 		o.mu.Lock()
 		steps := 0
 		for _, s := range o.taken[before:] {
-			if !slices.ContainsFunc(not, func(i int) bool { return strings.HasPrefix(s.Who, e2e.GatewayName(i)+".") }) {
+			if !slices.ContainsFunc(not, func(i int) bool { return strings.HasPrefix(s.Owner, e2e.GatewayName(i)+".") }) {
 				steps++
 			}
 		}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -87,7 +87,7 @@
 			switch {
 			case rep == nil:
 				why = fmt.Sprintf("g%d says nothing", i)
-			case rep.Standing.Place < 0 || rep.Standing.Alone:
+			case rep.Standing.Slot < 0 || rep.Standing.Isolated:
 				why = fmt.Sprintf("g%d stands at %+v", i, rep.Standing)
 			case first != nil && !slices.Equal(first, rep.Standing.Holders):
 				why = fmt.Sprintf("g%d sees %v, others %v", i, rep.Standing.Holders, first)
--- a/internal/duty/report.go
+++ b/internal/duty/report.go
@@ -17,47 +17,47 @@
 	"sloepick/internal/owner"
 )
 
-// Holder tells whether this member may act for a duty, and takes that a receiver knows a higher number.
-type Holder interface {
-	May(duty string) (owner.Mark, bool)
-	Above(duty string, number uint64) error
+// Election tells whether this member may act for a duty, and takes that a receiver knows a higher number.
+type Election interface {
+	MayAct(duty string) (owner.Ownership, bool)
+	ReportRejection(duty string, number uint64) error
 }
 
-// ReportName is the duty of telling an outside system how the fleet stands.
-const ReportName = "report"
+// DutyName is the duty of telling an outside system how the fleet stands.
+const DutyName = "report"
 
 const answerMost = 4 << 10 // bytes of a receiver's answer that are read
 
-// Step is a step of a duty as a receiver outside the fleet gets it: as JSON, by POST. It must take a step only if it has taken none of a
+// Payload is a step of a duty as a receiver outside the fleet gets it: as JSON, by POST. It must take a step only if it has taken none of a
 // higher number, nor one of the same number by another; else it answers 409 with the number that stands above, as {"Above": 7}.
-type Step struct {
-	Duty   string
-	Number uint64
-	Who    string // name and life of the owner
-	Step   uint64 // counts this owner's steps
-	At     time.Time
-	Body   any
+type Payload struct {
+	Duty     string
+	Number   uint64
+	Owner    string `json:"Who"`  // name and life of the owner
+	Sequence uint64 `json:"Step"` // counts this owner's steps
+	At       time.Time
+	Body     any
 }
 
-// Report tells an outside system how the fleet stands, as long as this member owns that duty.
-type Report struct {
-	URL    string
-	Every  time.Duration
-	Within time.Duration // of one step; well under the lease
-	Body   func() any
-	Holder Holder
-	Log    *slog.Logger
-	Client *http.Client
+// Reporter tells an outside system how the fleet stands, as long as this member owns that duty.
+type Reporter struct {
+	URL      string
+	Interval time.Duration
+	Timeout  time.Duration // of one step; well under the lease
+	Body     func() any
+	Election Election
+	Log      *slog.Logger
+	Client   *http.Client
 
-	Done, Unknown, Turned, Failed atomic.Uint64 // steps, for operators
+	Accepted, Unknown, Rejected, Failed atomic.Uint64 // steps, for operators
 }
 
-// Serve makes a step as often as was said, until the context ends.
-func (r *Report) Serve(ctx context.Context) {
-	t := time.NewTicker(r.Every)
+// Run makes a step as often as was said, until the context ends.
+func (r *Reporter) Run(ctx context.Context) {
+	t := time.NewTicker(r.Interval)
 	defer t.Stop()
 	for n := uint64(1); ; {
-		if mark, ok := r.Holder.May(ReportName); ok {
+		if mark, ok := r.Election.MayAct(DutyName); ok {
 			r.step(ctx, mark, n)
 			n++
 		}
@@ -72,26 +72,26 @@
 var errTurned = errors.New("turned away")
 
 // step makes one step. Its outcome is known only if the lease held all along.
-func (r *Report) step(ctx context.Context, mark owner.Mark, n uint64) {
-	err := r.post(ctx, Step{Duty: ReportName, Number: mark.Number, Who: mark.Who, Step: n, At: time.Now(), Body: r.Body()})
-	after, still := r.Holder.May(ReportName)
+func (r *Reporter) step(ctx context.Context, mark owner.Ownership, n uint64) {
+	err := r.post(ctx, Payload{Duty: DutyName, Number: mark.Number, Owner: mark.Owner, Sequence: n, At: time.Now(), Body: r.Body()})
+	after, still := r.Election.MayAct(DutyName)
 	switch {
 	case errors.Is(err, errTurned):
-		r.Turned.Add(1)
-		r.Log.Warn("duty: a step was turned away", "duty", ReportName, "number", mark.Number, "err", err)
+		r.Rejected.Add(1)
+		r.Log.Warn("duty: a step was turned away", "duty", DutyName, "number", mark.Number, "err", err)
 	case !still || after != mark:
 		r.Unknown.Add(1)
-		r.Log.Warn("duty: the lease ran out during a step: its outcome is unknown", "duty", ReportName, "number", mark.Number, "err", err)
+		r.Log.Warn("duty: the lease ran out during a step: its outcome is unknown", "duty", DutyName, "number", mark.Number, "err", err)
 	case err != nil:
 		r.Failed.Add(1)
-		r.Log.Warn("duty: a step failed", "duty", ReportName, "number", mark.Number, "err", err)
+		r.Log.Warn("duty: a step failed", "duty", DutyName, "number", mark.Number, "err", err)
 	default:
-		r.Done.Add(1)
+		r.Accepted.Add(1)
 	}
 }
 
-func (r *Report) post(ctx context.Context, s Step) error {
-	ctx, cancel := context.WithTimeout(ctx, r.Within)
+func (r *Reporter) post(ctx context.Context, s Payload) error {
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -102,7 +102,7 @@
 		return fmt.Errorf("a step's address: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if _, ok := r.Holder.May(s.Duty); !ok { // encoding may have taken its time
+	if _, ok := r.Election.MayAct(s.Duty); !ok { // encoding may have taken its time
 		return errors.New("the lease ran out before the step")
 	}
 	resp, err := r.Client.Do(req)
@@ -114,7 +114,7 @@
 	b, err = io.ReadAll(io.LimitReader(resp.Body, answerMost))
 	if resp.StatusCode == http.StatusConflict {
 		if json.Unmarshal(b, &answer) == nil && answer.Above > 0 {
-			err = r.Holder.Above(s.Duty, answer.Above)
+			err = r.Election.ReportRejection(s.Duty, answer.Above)
 		}
 		return errors.Join(fmt.Errorf("%w below %d", errTurned, answer.Above), err)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,26 +19,26 @@
 
 // Config is what a member is told at its start.
 type Config struct {
-	Self   Member // its claim is of no place
-	Places int    // numbered from 0
-	Expect int    // members that the fleet is meant to have: a majority is of at least these
-	Last   Claim  // that it used before, by its own disk; None: none
+	Self            Member // its claim is of no place
+	Slots           int    // numbered from 0
+	ExpectedMembers int    // members that the fleet is meant to have: a majority is of at least these
+	LastClaim       Claim  // that it used before, by its own disk; None: none
 
-	Settle  time.Duration // before a claim, with no new member or claim heard: those who start together know each other by then
-	Patient time.Duration // neither waits longer than this, in a fleet that is never quiet and has some hundred members
-	Prove   time.Duration // ... and so long before it is used
-	Return  time.Duration // a member whose disk tells its place takes it up alone after this, where none of the others can have a majority
-	Silence time.Duration // with nothing heard from any member for so long, it is cut off
-	Gap     time.Duration // between two events: a longer one means that the process or its machine stood still
-	Lease   time.Duration // a place is kept for so long without a majority, if others may have one
-	Hold    time.Duration // a place is kept for one that is lost or left for so long; more than Lease and the time to notice a loss
-	Forget  time.Duration // a lost member counts in majorities for so long
+	ClaimDelay           time.Duration // before a claim, with no new member or claim heard: those who start together know each other by then
+	MaxClaimDelay        time.Duration // neither waits longer than this, in a fleet that is never quiet and has some hundred members
+	ConfirmDelay         time.Duration // ... and so long before it is used
+	IsolatedRestoreDelay time.Duration // a member whose disk tells its place takes it up alone after this, where none of the others can have a majority
+	SilenceTimeout       time.Duration // with nothing heard from any member for so long, it is cut off
+	PauseThreshold       time.Duration // between two events: a longer one means that the process or its machine stood still
+	Lease                time.Duration // a place is kept for so long without a majority, if others may have one
+	ReservationPeriod    time.Duration // a place is kept for one that is lost or left for so long; more than Lease and the time to notice a loss
+	ForgetAfter          time.Duration // a lost member counts in majorities for so long
 }
 
-// Default are times for a local network: an engine that finds a loss within 10 s.
-func Default() Config {
-	return Config{Expect: 1, Last: None, Settle: time.Second, Patient: 30 * time.Second, Return: 15 * time.Second, Prove: 2 * time.Second, Silence: 3 * time.Second, Gap: 2 * time.Second,
-		Lease: 2 * time.Minute, Hold: 3 * time.Minute, Forget: 10 * time.Minute}
+// DefaultConfig are times for a local network: an engine that finds a loss within 10 s.
+func DefaultConfig() Config {
+	return Config{ExpectedMembers: 1, LastClaim: NoClaim, ClaimDelay: time.Second, MaxClaimDelay: 30 * time.Second, IsolatedRestoreDelay: 15 * time.Second, ConfirmDelay: 2 * time.Second, SilenceTimeout: 3 * time.Second, PauseThreshold: 2 * time.Second,
+		Lease: 2 * time.Minute, ReservationPeriod: 3 * time.Minute, ForgetAfter: 10 * time.Minute}
 }
 
 // Validate reports the first value that can't be used.
@@ -46,31 +46,31 @@
 	switch {
 	case c.Self.Name == "":
 		return fmt.Errorf("fleet: the member has no name")
-	case c.Places < 1:
-		return fmt.Errorf("fleet: %d places, want 1 or more", c.Places)
-	case c.Hold <= c.Lease:
-		return fmt.Errorf("fleet: a lost place is held for %v, which is not more than the lease of %v", c.Hold, c.Lease)
+	case c.Slots < 1:
+		return fmt.Errorf("fleet: %d places, want 1 or more", c.Slots)
+	case c.ReservationPeriod <= c.Lease:
+		return fmt.Errorf("fleet: a lost place is held for %v, which is not more than the lease of %v", c.ReservationPeriod, c.Lease)
 	}
 	return nil
 }
 
 // Claim is what a member claims of a place.
 type Claim struct {
-	Place int // below 0: none
-	Term  uint64
+	Slot int `json:"Place"` // below 0: none
+	Term uint64
 }
 
-// None is no claim.
-var None = Claim{Place: -1}
+// NoClaim is no claim.
+var NoClaim = Claim{Slot: -1}
 
 // Member is what a member tells of itself.
 type Member struct {
-	Name       string
-	Life       uint64 // of two processes of one name the higher is the later
-	Addr       string // of the engine
-	Generation uint64 // of its configuration
-	Version    int    // of what it speaks
-	Claim      Claim
+	Name        string
+	Incarnation uint64 `json:"Life"` // of two processes of one name the higher is the later
+	Addr        string // of the engine
+	Generation  uint64 // of its configuration
+	Version     int    // of what it speaks
+	Claim       Claim
 }
 
 // State is how a member stands.
@@ -90,42 +90,42 @@
 
 // The events.
 type (
-	// Seen tells that a member is there, and what it says of itself.
-	Seen struct{ Member Member }
-	// Gone tells that a life of a member is lost, or left.
-	Gone struct {
-		Name string
-		Life uint64
-		Left bool
-	}
-	// Told is what another member knows and the engine does not tell: who is lost, and how far terms are.
-	Told struct{ Past }
-	// Heard tells that any other member was heard.
-	Heard struct{}
-	// Synced is the answer to Sync. OK: a member answered with its whole state, which was told before.
-	Synced struct{ OK bool }
+	// MemberAlive tells that a member is there, and what it says of itself.
+	MemberAlive struct{ Member Member }
+	// MemberGone tells that a life of a member is lost, or left.
+	MemberGone struct {
+		Name        string
+		Incarnation uint64
+		Left        bool
+	}
+	// RemoteState is what another member knows and the engine does not tell: who is lost, and how far terms are.
+	RemoteState struct{ SharedState }
+	// MemberContact tells that any other member was heard.
+	MemberContact struct{}
+	// SyncDone is the answer to Sync. OK: a member answered with its whole state, which was told before.
+	SyncDone struct{ OK bool }
 	// Tick tells that time has passed; one must come well within Config.Gap.
 	Tick struct{}
-	// Jumped tells that the wall clock jumped, as it does over a machine's sleep.
-	Jumped struct{}
-	// Retune tells the generation of the configuration that counts from now on, and the members that it expects; 0: as before.
-	Retune struct {
-		Generation uint64
-		Expect     int
+	// ClockJump tells that the wall clock jumped, as it does over a machine's sleep.
+	ClockJump struct{}
+	// ConfigChange tells the generation of the configuration that counts from now on, and the members that it expects; 0: as before.
+	ConfigChange struct {
+		Generation      uint64
+		ExpectedMembers int
 	}
 	// Leave tells that the member ends. Its place is kept for it.
 	Leave struct{}
 )
 
-func (Seen) event()   {}
-func (Told) event()   {}
-func (Gone) event()   {}
-func (Heard) event()  {}
-func (Synced) event() {}
-func (Tick) event()   {}
-func (Jumped) event() {}
-func (Retune) event() {}
-func (Leave) event()  {}
+func (MemberAlive) event()   {}
+func (RemoteState) event()   {}
+func (MemberGone) event()    {}
+func (MemberContact) event() {}
+func (SyncDone) event()      {}
+func (Tick) event()          {}
+func (ClockJump) event()     {}
+func (ConfigChange) event()  {}
+func (Leave) event()         {}
 
 // Action is what is to be done.
 type Action interface{ action() }
@@ -135,62 +135,62 @@
 	// Announce is what all members are to be told of this one.
 	Announce struct{ Self Member }
 	// Sync asks for an exchange of the whole state with a few members, and with the seeds too unless Few; Synced is owed.
-	Sync struct{ Few bool }
-	// Stand tells how this member stands, whenever that changes.
-	Stand struct{ Standing }
-	// Yield ends this member: a later process has its name.
-	Yield struct{ To Member }
-	// Note is for the log.
-	Note struct{ Text string }
+	Sync struct{ SkipSeeds bool }
+	// AssignmentChange tells how this member stands, whenever that changes.
+	AssignmentChange struct{ Assignment }
+	// Superseded ends this member: a later process has its name.
+	Superseded struct{ By Member }
+	// LogMessage is for the log.
+	LogMessage struct{ Text string }
 )
 
-func (Announce) action() {}
-func (Sync) action()     {}
-func (Stand) action()    {}
-func (Yield) action()    {}
-func (Note) action()     {}
+func (Announce) action()         {}
+func (Sync) action()             {}
+func (AssignmentChange) action() {}
+func (Superseded) action()       {}
+func (LogMessage) action()       {}
 
-// Past is what a member passes on to another with its whole state: without it one that joins a part of a fleet would take it for
+// SharedState is what a member passes on to another with its whole state: without it one that joins a part of a fleet would take it for
 // the whole, and a place for a fresh one.
-type Past struct {
-	Absent []Absent
+type SharedState struct {
+	Absent []AbsentMember
 	Terms  []uint64 // by place
 }
 
-// Absent is a member that was lost, or left, so long ago.
-type Absent struct {
+// AbsentMember is a member that was lost, or left, so long ago.
+type AbsentMember struct {
 	Member Member
 	State  State
 	Ago    time.Duration
 }
 
-// Past is what this member passes on.
-func (t *Table) Past() Past {
-	p := Past{Terms: slices.Clone(t.terms)}
+// SharedState is what this member passes on.
+func (t *Table) SharedState() SharedState {
+	p := SharedState{Terms: slices.Clone(t.terms)}
 	for _, r := range t.absent {
-		p.Absent = append(p.Absent, Absent{r.Member, r.state, t.now - r.since})
+		p.Absent = append(p.Absent, AbsentMember{r.Member, r.state, t.now - r.since})
 	}
-	slices.SortFunc(p.Absent, func(a, b Absent) int { return cmp.Compare(a.Member.Name, b.Member.Name) })
+	slices.SortFunc(p.Absent, func(a, b AbsentMember) int { return cmp.Compare(a.Member.Name, b.Member.Name) })
 	return p
 }
 
-// Standing is what a gateway may do.
-type Standing struct {
-	Place   int      // below 0: it may let nothing in
-	Term    uint64   // of the place
-	Alone   bool     // cut off: it keeps to its even part
-	Holders []Holder // by place
+// Assignment is what a gateway may do.
+type Assignment struct {
+	Slot     int      `json:"Place"` // below 0: it may let nothing in
+	Term     uint64   // of the place
+	Isolated bool     `json:"Alone"` // cut off: it keeps to its even part
+	Holders  []Holder // by place
 }
 
 // Holder is whose a place is.
 type Holder struct {
-	Name  string // "": it is vacant
-	Life  uint64
-	State State // Lost and Left: it is kept
+	Name        string // "": it is vacant
+	Incarnation uint64 `json:"Life"`
+	State       State  // Lost and Left: it is kept
 }
 
-func (s *Standing) equal(o *Standing) bool {
-	return s.Place == o.Place && s.Term == o.Term && s.Alone == o.Alone && slices.Equal(s.Holders, o.Holders)
+func (s *Assignment) equal(o *Assignment) bool {
+	return s.Slot == o.Slot && s.Term == o.Term && s.Isolated == o.Isolated && slices.Equal(s.Holders, o.Holders)
 }
 
 const (
@@ -239,7 +239,7 @@
 	yielded  bool
 	full     bool  // there was no free place when it looked last
 	last     Claim // that was used
-	told     Standing
+	told     Assignment
 	held     []Holder // of all places; shared with what was told, so never written
 	changed  bool     // since held was found
 }
@@ -249,16 +249,16 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*record{}, absent: map[string]*record{}, doubted: map[string]*record{}, terms: make([]uint64, cfg.Places), last: cfg.Last}
-	t.self.Claim = None
-	t.held = make([]Holder, cfg.Places)
-	t.told = Standing{Place: -1, Holders: t.held}
+	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*record{}, absent: map[string]*record{}, doubted: map[string]*record{}, terms: make([]uint64, cfg.Slots), last: cfg.LastClaim}
+	t.self.Claim = NoClaim
+	t.held = make([]Holder, cfg.Slots)
+	t.told = Assignment{Slot: -1, Holders: t.held}
 	return t, nil
 }
 
 func (t *Table) do(a Action) { t.out = append(t.out, a) }
 
-func (t *Table) note(format string, args ...any) { t.do(Note{fmt.Sprintf(format, args...)}) }
+func (t *Table) note(format string, args ...any) { t.do(LogMessage{fmt.Sprintf(format, args...)}) }
 
 // Handle takes an event at a time and returns what is to be done, in order.
 func (t *Table) Handle(now time.Duration, e Event) []Action {
@@ -267,12 +267,12 @@
 	t.now = max(now, t.now)
 	if !t.begun {
 		t.begun, t.started, t.heard, t.majority = true, t.now, t.now, t.now
-		if t.keep(t.cfg.Last); !t.kept {
+		if t.keep(t.cfg.LastClaim); !t.kept {
 			t.do(Announce{t.self})
 		}
 		t.ask()
 	}
-	woke := t.now-before > t.cfg.Gap && before > 0
+	woke := t.now-before > t.cfg.PauseThreshold && before > 0
 	if woke {
 		t.wake(fmt.Sprintf("nothing happened here for %v", t.now-before))
 	}
@@ -288,20 +288,20 @@
 // a thousand members that join cost one look at the table.
 func (t *Table) take(e Event) (now bool) {
 	switch e := e.(type) {
-	case Seen:
+	case MemberAlive:
 		t.seen(e.Member)
-		return e.Member.Claim.Place >= 0 && e.Member.Claim.Place == t.self.Claim.Place
-	case Gone:
+		return e.Member.Claim.Slot >= 0 && e.Member.Claim.Slot == t.self.Claim.Slot
+	case MemberGone:
 		t.gone(e)
 		return false
-	case Told:
-		t.past(e.Past)
+	case RemoteState:
+		t.past(e.SharedState)
 		return false
-	case Heard:
+	case MemberContact:
 		t.heard = t.now
 		return false
-	case Synced:
-		t.asked, t.askBy, t.fewBy = false, t.now+t.cfg.Silence, t.now+t.cfg.Settle
+	case SyncDone:
+		t.asked, t.askBy, t.fewBy = false, t.now+t.cfg.SilenceTimeout, t.now+t.cfg.ClaimDelay
 		if t.stale { // what was asked before a standstill says nothing of now
 			t.stale = false
 			t.ask()
@@ -312,13 +312,13 @@
 			t.heard = t.now
 		}
 		if !t.synced {
-			t.synced, t.waited, t.settleBy = true, t.now, t.now+t.cfg.Settle
+			t.synced, t.waited, t.settleBy = true, t.now, t.now+t.cfg.ClaimDelay
 		}
-	case Jumped:
+	case ClockJump:
 		t.wake("the clock jumped")
-	case Retune:
-		if e.Expect > 0 {
-			t.cfg.Expect = e.Expect
+	case ConfigChange:
+		if e.ExpectedMembers > 0 {
+			t.cfg.ExpectedMembers = e.ExpectedMembers
 		}
 		if t.self.Generation != e.Generation {
 			t.self.Generation = e.Generation
@@ -331,14 +331,14 @@
 }
 
 // past takes what another member knew of who is lost. What this one knows itself counts more.
-func (t *Table) past(p Past) {
+func (t *Table) past(p SharedState) {
 	for place, term := range p.Terms {
 		t.learn(Claim{place, term})
 	}
 	for _, a := range p.Absent {
 		switch {
-		case a.Ago >= t.cfg.Forget || a.State == Alive:
-		case a.Member.Name == t.self.Name && a.Ago < t.cfg.Hold:
+		case a.Ago >= t.cfg.ForgetAfter || a.State == Alive:
+		case a.Member.Name == t.self.Name && a.Ago < t.cfg.ReservationPeriod:
 			t.keep(a.Member.Claim)
 		default:
 			t.hearsay(a)
@@ -364,13 +364,13 @@
 
 // hearsay takes that another member takes one for gone. It is no proof, but when it comes to who is cut off it counts for a while:
 // of many that go at once the engine's own word comes late.
-func (t *Table) hearsay(a Absent) {
+func (t *Table) hearsay(a AbsentMember) {
 	r := t.members[a.Member.Name]
 	switch {
 	case r == nil:
 		r = &record{Member: a.Member, state: a.State, since: t.now - a.Ago, at: t.now - a.Ago}
 		t.members[a.Member.Name], t.absent[a.Member.Name], t.changed = r, r, true
-	case r.state == Alive && r.Life == a.Member.Life && a.State == Lost:
+	case r.state == Alive && r.Incarnation == a.Member.Incarnation && a.State == Lost:
 		r.doubt = t.now
 		t.doubted[a.Member.Name] = r
 	}
@@ -378,21 +378,21 @@
 
 func (t *Table) seen(m Member) {
 	if m.Name == t.self.Name {
-		if m.Life < t.self.Life { // a former life's word: its claim tells what is kept for this one
+		if m.Incarnation < t.self.Incarnation { // a former life's word: its claim tells what is kept for this one
 			t.keep(m.Claim)
-		} else if m.Life > t.self.Life {
+		} else if m.Incarnation > t.self.Incarnation {
 			t.yielded, t.placed = true, false
-			t.claim(None)
+			t.claim(NoClaim)
 			t.stand()
-			t.do(Yield{m})
+			t.do(Superseded{m})
 		}
 		return
 	}
 	r := t.members[m.Name]
-	if r != nil && r.state == Alive && m.Life < r.Life {
+	if r != nil && r.state == Alive && m.Incarnation < r.Incarnation {
 		return // a former life of it
 	}
-	if r == nil || r.state != Alive || r.Claim != m.Claim || r.Life != m.Life {
+	if r == nil || r.state != Alive || r.Claim != m.Claim || r.Incarnation != m.Incarnation {
 		t.changed = true
 		t.unsettle()
 	}
@@ -411,24 +411,24 @@
 
 // unsettle puts a claim off, as the table is still changing.
 func (t *Table) unsettle() {
-	t.settleBy = max(t.settleBy, min(t.now+t.cfg.Settle, t.waited+t.patience()))
+	t.settleBy = max(t.settleBy, min(t.now+t.cfg.ClaimDelay, t.waited+t.patience()))
 }
 
 // patience is how long a member waits for a quiet table: longer among many, as what each says takes longer to reach all.
 func (t *Table) patience() time.Duration {
-	return t.cfg.Patient * time.Duration(max(1, (1+len(t.members))/patientFor))
+	return t.cfg.MaxClaimDelay * time.Duration(max(1, (1+len(t.members))/patientFor))
 }
 
 // learn keeps the highest term of a place, whoever tells it.
 func (t *Table) learn(c Claim) {
-	if c.Place >= 0 && c.Place < len(t.terms) && c.Term > t.terms[c.Place] {
-		t.terms[c.Place], t.changed = c.Term, true
+	if c.Slot >= 0 && c.Slot < len(t.terms) && c.Term > t.terms[c.Slot] {
+		t.terms[c.Slot], t.changed = c.Term, true
 	}
 }
 
-func (t *Table) gone(e Gone) {
+func (t *Table) gone(e MemberGone) {
 	r := t.members[e.Name]
-	if r == nil || r.Life != e.Life || r.state == Left || r.state == Lost && !e.Left {
+	if r == nil || r.Incarnation != e.Incarnation || r.state == Left || r.state == Lost && !e.Left {
 		return
 	}
 	r.state, r.since, t.absent[e.Name], t.changed = Lost, t.now, r, true
@@ -442,8 +442,8 @@
 	alive := 1 + len(t.members) - len(t.absent)
 	known := alive
 	for name, r := range t.absent {
-		t.changed = t.changed || t.now-r.since >= t.cfg.Hold && r.Claim.Place >= 0
-		if t.now-r.since >= t.cfg.Forget {
+		t.changed = t.changed || t.now-r.since >= t.cfg.ReservationPeriod && r.Claim.Slot >= 0
+		if t.now-r.since >= t.cfg.ForgetAfter {
 			delete(t.members, name)
 			delete(t.absent, name)
 		} else if r.state == Lost {
@@ -452,14 +452,14 @@
 	}
 	lost := known - alive
 	for name, r := range t.doubted {
-		if r.state != Alive || t.now-r.doubt >= doubtFor*t.cfg.Silence {
+		if r.state != Alive || t.now-r.doubt >= doubtFor*t.cfg.SilenceTimeout {
 			delete(t.doubted, name)
 		} else {
 			alive--
 		}
 	}
-	known = max(known, t.cfg.Expect)
-	silent := known > 1 && t.now-t.heard >= t.cfg.Silence
+	known = max(known, t.cfg.ExpectedMembers)
+	silent := known > 1 && t.now-t.heard >= t.cfg.SilenceTimeout
 	was := t.alone
 	t.alone = 2*alive <= known || silent
 	if t.alone != was {
@@ -470,7 +470,7 @@
 		t.ask()
 	case t.now >= t.fewBy && t.synced && !t.placed && !t.alone && !t.leaving:
 		// Of many that join at once the engine passes on what each says too slowly; whole states, from one to one, double what all know.
-		t.sync(Sync{Few: true})
+		t.sync(Sync{SkipSeeds: true})
 	}
 	// Where the others can't have a majority either, nobody is given this place.
 	others := known - alive
@@ -498,23 +498,23 @@
 	c, holders := t.self.Claim, t.holders()
 	switch {
 	case t.leaving:
-	case c.Place >= 0 && holders[c.Place].Name != t.self.Name:
-		t.note("place %d is held by %q in a later term", c.Place, holders[c.Place].Name)
+	case c.Slot >= 0 && holders[c.Slot].Name != t.self.Name:
+		t.note("place %d is held by %q in a later term", c.Slot, holders[c.Slot].Name)
 		t.lose()
-	case c.Place >= 0 && t.now-t.majority >= t.cfg.Lease:
-		t.note("place %d is given up: the lease ran out without a majority", c.Place)
+	case c.Slot >= 0 && t.now-t.majority >= t.cfg.Lease:
+		t.note("place %d is given up: the lease ran out without a majority", c.Slot)
 		t.lose()
 	case t.placed || !t.synced || t.waking:
 	case t.alone:
-		if t.kept && c.Place >= 0 && t.others && t.now-t.started >= t.cfg.Return {
-			t.note("place %d is taken up alone: no others can have a majority", c.Place)
+		if t.kept && c.Slot >= 0 && t.others && t.now-t.started >= t.cfg.IsolatedRestoreDelay {
+			t.note("place %d is taken up alone: no others can have a majority", c.Slot)
 			t.placed, t.last = true, c
 		}
-	case c.Place >= 0 && (t.kept || t.now >= t.settleBy):
+	case c.Slot >= 0 && (t.kept || t.now >= t.settleBy):
 		t.placed, t.last = true, c
-	case c.Place < 0 && t.now >= t.settleBy:
+	case c.Slot < 0 && t.now >= t.settleBy:
 		if p, ok := t.choose(holders); ok {
-			t.waited, t.settleBy = t.now, t.now+t.cfg.Prove
+			t.waited, t.settleBy = t.now, t.now+t.cfg.ConfirmDelay
 			t.claim(Claim{p, t.terms[p] + 1})
 		}
 	}
@@ -523,7 +523,7 @@
 // keep takes the claim of this member's former life as its own. It may be used at once: whoever claims the place meanwhile waits,
 // and is heard by then.
 func (t *Table) keep(c Claim) {
-	if c.Place < 0 || c.Place >= t.cfg.Places || t.self.Claim.Place >= 0 || t.leaving {
+	if c.Slot < 0 || c.Slot >= t.cfg.Slots || t.self.Claim.Slot >= 0 || t.leaving {
 		return
 	}
 	t.kept, t.last = true, c
@@ -531,8 +531,8 @@
 }
 
 func (t *Table) lose() {
-	t.placed, t.kept, t.waited, t.settleBy = false, false, t.now, t.now+t.cfg.Settle
-	t.claim(None)
+	t.placed, t.kept, t.waited, t.settleBy = false, false, t.now, t.now+t.cfg.ClaimDelay
+	t.claim(NoClaim)
 }
 
 // holders are the winners of all places.
@@ -541,19 +541,19 @@
 		return t.held
 	}
 	t.changed = false
-	holders := make([]Holder, t.cfg.Places)
+	holders := make([]Holder, t.cfg.Slots)
 	better := func(m *Member, s State) {
-		p := m.Claim.Place
+		p := m.Claim.Slot
 		if p < 0 || p >= len(holders) || m.Claim.Term < t.terms[p] {
 			return
 		}
 		if h := &holders[p]; h.Name == "" || m.Name < h.Name {
-			*h = Holder{m.Name, m.Life, s}
+			*h = Holder{m.Name, m.Incarnation, s}
 		}
 	}
 	better(&t.self, Alive)
 	for _, r := range t.members {
-		if r.state == Alive || t.now-r.since < t.cfg.Hold {
+		if r.state == Alive || t.now-r.since < t.cfg.ReservationPeriod {
 			better(&r.Member, r.state)
 		}
 	}
@@ -570,12 +570,12 @@
 			free = append(free, p)
 		}
 	}
-	if slices.Contains(free, t.last.Place) {
-		return t.last.Place, true
+	if slices.Contains(free, t.last.Slot) {
+		return t.last.Slot, true
 	}
 	at, waiting := 0, 1 // how many sort before this one of those that wait for a place; how many wait
 	for _, r := range t.members {
-		if c := r.Claim; r.state == Alive && (c.Place < 0 || c.Place >= len(holders) || holders[c.Place].Name != r.Name) {
+		if c := r.Claim; r.state == Alive && (c.Slot < 0 || c.Slot >= len(holders) || holders[c.Slot].Name != r.Name) {
 			waiting++
 			if r.Name < t.self.Name {
 				at++
@@ -584,9 +584,9 @@
 	}
 	slices.SortStableFunc(free, func(a, b int) int { return cmp.Compare(t.terms[a], t.terms[b]) })
 	if at >= len(free) {
-		t.settleBy = t.now + t.cfg.Prove
+		t.settleBy = t.now + t.cfg.ConfirmDelay
 		if !t.full {
-			t.note("there is no free place: %d places, waiting members: %d", t.cfg.Places, waiting)
+			t.note("there is no free place: %d places, waiting members: %d", t.cfg.Slots, waiting)
 		}
 		t.full = true
 		return 0, false
@@ -597,37 +597,37 @@
 
 // stand tells how this member stands, if that has changed.
 func (t *Table) stand() {
-	s := Standing{Place: -1, Alone: t.alone, Holders: t.holders()}
+	s := Assignment{Slot: -1, Isolated: t.alone, Holders: t.holders()}
 	if t.placed && !t.waking {
-		s.Place, s.Term = t.self.Claim.Place, t.self.Claim.Term
+		s.Slot, s.Term = t.self.Claim.Slot, t.self.Claim.Term
 	}
 	if !s.equal(&t.told) {
 		t.told = s
-		t.do(Stand{s})
+		t.do(AssignmentChange{s})
 	}
 }
 
-// Row is what is known of one member.
-type Row struct {
+// MemberStatus is what is known of one member.
+type MemberStatus struct {
 	Member
-	State State
-	Since time.Duration // of the state
-	Heard time.Duration // when it was last told of
-	Self  bool
+	State       State
+	Since       time.Duration // of the state
+	LastContact time.Duration `json:"Heard"` // when it was last told of
+	Self        bool
 }
 
-// Rows are all members, by name.
-func (t *Table) Rows() (all []Row) {
-	all = append(all, Row{Member: t.self, Heard: t.now, Self: true})
+// Members are all members, by name.
+func (t *Table) Members() (all []MemberStatus) {
+	all = append(all, MemberStatus{Member: t.self, LastContact: t.now, Self: true})
 	for _, r := range t.members {
-		all = append(all, Row{Member: r.Member, State: r.state, Since: r.since, Heard: r.at})
+		all = append(all, MemberStatus{Member: r.Member, State: r.state, Since: r.since, LastContact: r.at})
 	}
-	slices.SortFunc(all, func(a, b Row) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// StateOf is how a member stands; false: it is not known.
-func (t *Table) StateOf(name string) (s State, known bool) {
+// MemberState is how a member stands; false: it is not known.
+func (t *Table) MemberState(name string) (s State, known bool) {
 	r := t.members[name]
 	if r == nil {
 		return Alive, name == t.self.Name
@@ -635,5 +635,5 @@
 	return r.state, true
 }
 
-// Standing is how this member stands.
-func (t *Table) Standing() Standing { return t.told }
+// Assignment is how this member stands.
+func (t *Table) Assignment() Assignment { return t.told }
--- a/internal/fleet/script_test.go
+++ b/internal/fleet/script_test.go
@@ -41,8 +41,8 @@
 // play returns a script with what came out of its events in place of what should.
 func play(t *testing.T, text string) string {
 	t.Helper()
-	cfg := Default()
-	cfg.Places, cfg.Gap, cfg.Self = 3, time.Hour, Member{Name: "m", Life: 10, Claim: None}
+	cfg := DefaultConfig()
+	cfg.Slots, cfg.PauseThreshold, cfg.Self = 3, time.Hour, Member{Name: "m", Incarnation: 10, Claim: NoClaim}
 	var table *Table
 	var b strings.Builder
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
@@ -80,21 +80,21 @@
 		n, _ := strconv.Atoi(value)
 		switch name {
 		case "places":
-			cfg.Places = n
+			cfg.Slots = n
 		case "expect":
-			cfg.Expect = n
+			cfg.ExpectedMembers = n
 		case "last":
-			cfg.Last = parseClaim(t, value)
+			cfg.LastClaim = parseClaim(t, value)
 		case "gap":
-			cfg.Gap = d
+			cfg.PauseThreshold = d
 		case "lease":
 			cfg.Lease = d
 		case "hold":
-			cfg.Hold = d
+			cfg.ReservationPeriod = d
 		case "forget":
-			cfg.Forget = d
+			cfg.ForgetAfter = d
 		case "return":
-			cfg.Return = d
+			cfg.IsolatedRestoreDelay = d
 		default:
 			t.Fatalf("unknown setting %q", w)
 		}
@@ -104,10 +104,10 @@
 // parseClaim reads "2/7": place 2, term 7; "-": none.
 func parseClaim(t *testing.T, s string) Claim {
 	if s == "-" {
-		return None
+		return NoClaim
 	}
 	var c Claim
-	if _, err := fmt.Sscanf(s, "%d/%d", &c.Place, &c.Term); err != nil {
+	if _, err := fmt.Sscanf(s, "%d/%d", &c.Slot, &c.Term); err != nil {
 		t.Fatalf("claim %q: %v", s, err)
 	}
 	return c
@@ -121,7 +121,7 @@
 		if err != nil {
 			t.Fatalf("member %q: %v", w, err)
 		}
-		return Member{Name: name, Life: n, Claim: parseClaim(t, claim)}
+		return Member{Name: name, Incarnation: n, Claim: parseClaim(t, claim)}
 	}
 	switch words[0] {
 	case "tick":
@@ -131,20 +131,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return Retune{Generation: 1, Expect: n}
+		return ConfigChange{Generation: 1, ExpectedMembers: n}
 	case "heard":
-		return Heard{}
+		return MemberContact{}
 	case "synced":
-		return Synced{OK: words[1] == "yes"}
+		return SyncDone{OK: words[1] == "yes"}
 	case "jumped":
-		return Jumped{}
+		return ClockJump{}
 	case "leave":
 		return Leave{}
 	case "seen":
-		return Seen{member(words[1], words[2])}
+		return MemberAlive{member(words[1], words[2])}
 	case "lost", "left":
 		m := member(words[1], "-")
-		return Gone{m.Name, m.Life, words[0] == "left"}
+		return MemberGone{m.Name, m.Incarnation, words[0] == "left"}
 	case "told": // "told lost a.3 0/1 5s": another member says so
 		state := Lost
 		if words[1] == "left" {
@@ -154,9 +154,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return Told{Past{Absent: []Absent{{member(words[2], words[3]), state, ago}}}}
+		return RemoteState{SharedState{Absent: []AbsentMember{{member(words[2], words[3]), state, ago}}}}
 	case "terms":
-		var p Past
+		var p SharedState
 		for _, w := range words[1:] {
 			n, err := strconv.ParseUint(w, 10, 64)
 			if err != nil {
@@ -164,7 +164,7 @@
 			}
 			p.Terms = append(p.Terms, n)
 		}
-		return Told{p}
+		return RemoteState{p}
 	}
 	t.Fatalf("unknown event %q", words)
 	return nil
@@ -172,24 +172,24 @@
 
 func show(a Action) string {
 	claim := func(c Claim) string {
-		if c.Place < 0 {
+		if c.Slot < 0 {
 			return "-"
 		}
-		return fmt.Sprintf("%d/%d", c.Place, c.Term)
+		return fmt.Sprintf("%d/%d", c.Slot, c.Term)
 	}
 	switch a := a.(type) {
 	case Announce:
 		return fmt.Sprintf("announce %s", claim(a.Self.Claim))
 	case Sync:
-		if a.Few {
+		if a.SkipSeeds {
 			return "sync few"
 		}
 		return "sync"
-	case Yield:
-		return fmt.Sprintf("yield to life %d", a.To.Life)
-	case Note:
+	case Superseded:
+		return fmt.Sprintf("yield to life %d", a.By.Incarnation)
+	case LogMessage:
 		return "note " + a.Text
-	case Stand:
+	case AssignmentChange:
 		var names []string
 		for _, h := range a.Holders {
 			switch {
@@ -201,7 +201,7 @@
 				names = append(names, h.Name+":"+h.State.String())
 			}
 		}
-		return fmt.Sprintf("stand %s alone=%v [%s]", claim(Claim{a.Place, a.Term}), a.Alone, strings.Join(names, " "))
+		return fmt.Sprintf("stand %s alone=%v [%s]", claim(Claim{a.Slot, a.Term}), a.Isolated, strings.Join(names, " "))
 	}
 	return fmt.Sprintf("%T", a)
 }
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -27,22 +27,22 @@
 }
 
 // Stand lets the loop take how the gateway stands in its fleet. Standings are counted.
-func (d *Door) Stand(s fleet.Standing, n uint64) {
+func (d *Door) Stand(s fleet.Assignment, n uint64) {
 	d.Post(func() { d.l.stand(s, n) })
 }
 
 // Message lets the loop take a message of the gateway in that place.
 func (d *Door) Message(from int, text string) { d.l.peerMessage(from, text) }
 
-func (l *loop) stand(s fleet.Standing, n uint64) {
+func (l *loop) stand(s fleet.Assignment, n uint64) {
 	was := l.place
-	l.place.n, l.place.number = n, s.Place
-	if s.Place < 0 {
+	l.place.n, l.place.number = n, s.Slot
+	if s.Slot < 0 {
 		return // what is open goes on by the number that it had
 	}
 	l.place.term, l.place.had = s.Term, true
-	e := decide.MembershipUpdate{Rank: s.Place, Isolated: s.Alone, Peers: make([]decide.PeerStatus, len(s.Holders)),
-		RankReassigned: was.had && (s.Place != l.rank || s.Term != was.term)}
+	e := decide.MembershipUpdate{Rank: s.Slot, Isolated: s.Isolated, Peers: make([]decide.PeerStatus, len(s.Holders)),
+		RankReassigned: was.had && (s.Slot != l.rank || s.Term != was.term)}
 	for i, h := range s.Holders {
 		switch {
 		case h.Name == "" || h.State == fleet.Left:
@@ -51,7 +51,7 @@
 			e.Peers[i] = decide.PeerUnreachable
 		}
 	}
-	l.rank = s.Place
+	l.rank = s.Slot
 	l.feed(e)
 	if l.power != nil {
 		alive := 0
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -37,7 +37,7 @@
 // NodeMeta implements memberlist.Delegate.
 func (d delegate) NodeMeta(limit int) []byte {
 	m := d.e.self.Load()
-	b, err := json.Marshal(meta{m.Version, m.Name, m.Life, m.Generation, m.Claim.Place, m.Claim.Term, strings.Repeat("-", int(m.Life%padMost)), d.e.leaving.Load()})
+	b, err := json.Marshal(meta{m.Version, m.Name, m.Incarnation, m.Generation, m.Claim.Slot, m.Claim.Term, strings.Repeat("-", int(m.Incarnation%padMost)), d.e.leaving.Load()})
 	if err != nil || len(b) > limit {
 		return nil // a name is checked to be short
 	}
@@ -57,7 +57,7 @@
 	}
 	place := int(head &^ (dutyFlag | newsFlag))
 	s := e.standing.Load()
-	if place >= len(s.Holders) || s.Holders[place].Life != life || place == s.Place {
+	if place >= len(s.Holders) || s.Holders[place].Incarnation != life || place == s.Slot {
 		return // of one that has no place here, or not that one
 	}
 	if head&newsFlag != 0 {
@@ -82,7 +82,7 @@
 
 // LocalState implements memberlist.Delegate.
 func (d delegate) LocalState(bool) []byte {
-	s := state{Past: d.e.past.Load(), From: d.e.cfg.Name, Lost: d.e.lost.Load()}
+	s := state{SharedState: d.e.past.Load(), From: d.e.cfg.Name, Lost: d.e.lost.Load()}
 	if m := d.e.memory.Load(); m != nil {
 		var err error
 		if s.Word, err = cbor.Marshal(m.Word()); err != nil {
@@ -98,7 +98,7 @@
 
 // state is what goes with an exchange of whole states, as JSON. Members of a version without Word pass over it.
 type state struct {
-	*fleet.Past
+	*fleet.SharedState
 	From string `json:",omitempty"` // who tells it ...
 	Lost uint64 `json:",omitempty"` // ... and how many of its messages found its queue full
 	Word []byte `json:",omitempty"` // recovery.Word, in CBOR
@@ -106,7 +106,7 @@
 
 // MergeRemoteState implements memberlist.Delegate.
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
-	s := state{Past: &fleet.Past{}}
+	s := state{SharedState: &fleet.SharedState{}}
 	if len(b) == 0 || json.Unmarshal(b, &s) != nil {
 		return // of another version: nothing is learned from it
 	}
@@ -124,7 +124,7 @@
 		d.e.drops[s.From] = s.Lost
 	}
 	d.e.mu.Unlock()
-	d.e.events <- fleet.Told{Past: *s.Past}
+	d.e.events <- fleet.RemoteState{SharedState: *s.SharedState}
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -136,13 +136,13 @@
 func (d delegate) seen(n *memberlist.Node) {
 	if m, leaving, ok := d.member(n); leaving {
 		d.e.news.left(m)
-		d.e.events <- fleet.Gone{Name: m.Name, Life: m.Life, Left: true}
+		d.e.events <- fleet.MemberGone{Name: m.Name, Incarnation: m.Incarnation, Left: true}
 	} else if ok {
 		c := *n
 		d.e.mu.Lock()
 		d.e.nodes[n.Name] = &c
 		d.e.mu.Unlock()
-		d.e.events <- fleet.Seen{Member: m}
+		d.e.events <- fleet.MemberAlive{Member: m}
 	}
 }
 
@@ -152,7 +152,7 @@
 		d.e.mu.Lock()
 		delete(d.e.nodes, n.Name)
 		d.e.mu.Unlock()
-		d.e.events <- fleet.Gone{Name: m.Name, Life: m.Life, Left: leaving}
+		d.e.events <- fleet.MemberGone{Name: m.Name, Incarnation: m.Incarnation, Left: leaving}
 	}
 }
 
@@ -163,12 +163,12 @@
 	if err != nil || name == "" || no == d.e.life && name == d.e.cfg.Name {
 		return m, false, false
 	}
-	m = fleet.Member{Name: name, Life: no, Addr: n.Address(), Claim: fleet.None}
-	t := meta{Place: fleet.None.Place}
+	m = fleet.Member{Name: name, Incarnation: no, Addr: n.Address(), Claim: fleet.NoClaim}
+	t := meta{Place: fleet.NoClaim.Slot}
 	if json.Unmarshal(n.Meta, &t) == nil {
 		m.Generation, m.Version = t.Generation, t.Version
 		if t.Place >= 0 {
-			m.Claim = fleet.Claim{Place: t.Place, Term: t.Term}
+			m.Claim = fleet.Claim{Slot: t.Place, Term: t.Term}
 		}
 	}
 	return m, t.Leaving, true
@@ -187,7 +187,7 @@
 func (e *Engine) heard() {
 	if len(e.events) < eventsMost/2 {
 		select {
-		case e.events <- fleet.Heard{}:
+		case e.events <- fleet.MemberContact{}:
 		default:
 		}
 	}
--- a/internal/gossip/duties.go
+++ b/internal/gossip/duties.go
@@ -22,7 +22,7 @@
 	e     *Engine
 	table *owner.Table
 	in    chan owner.Event
-	last  fleet.Standing
+	last  fleet.Assignment
 	owned atomic.Pointer[map[string]lease]
 }
 
@@ -35,7 +35,7 @@
 }
 
 func newDuties(e *Engine, cfg owner.Config) (*duties, error) {
-	cfg.Self, cfg.Life = e.cfg.Name, e.life
+	cfg.Self, cfg.Incarnation = e.cfg.Name, e.life
 	if len(cfg.Self) > dutyNameMost {
 		return nil, fmt.Errorf("the member's name has %d bytes, more than the %d that its messages on duties have room for", len(cfg.Self), dutyNameMost)
 	}
@@ -64,18 +64,18 @@
 	for queue := []owner.Event{ev}; len(queue) > 0; queue = queue[1:] {
 		for _, a := range d.table.Handle(time.Since(d.e.start), queue[0]) {
 			switch a := a.(type) {
-			case owner.Tell:
-				if a.To == d.last.Place {
-					queue = append(queue, owner.Heard{From: a.To, Msg: a.Msg})
+			case owner.Send:
+				if a.To == d.last.Slot {
+					queue = append(queue, owner.Received{From: a.To, Message: a.Message})
 				} else {
 					d.tell(a)
 				}
-			case owner.Own:
+			case owner.Acquired:
 				d.e.log.Info("duty: owned", "duty", a.Duty, "number", a.Number)
 			case owner.Lost:
 				d.e.log.Info("duty: lost", "duty", a.Duty)
-			case owner.Elected:
-				d.e.log.Info("duties: voters", "epoch", a.Epoch, "places", a.Seats, "next", a.Next)
+			case owner.ElectorateChange:
+				d.e.log.Info("duties: voters", "epoch", a.Epoch, "places", a.Voters, "next", a.NextVoters)
 				d.e.saved.Voters = a.Electorate
 				d.e.keep()
 			}
@@ -89,15 +89,15 @@
 	owned := map[string]lease{}
 	now := time.Now()
 	for _, name := range d.e.cfg.Owner.Duties {
-		if until, number := d.table.Until(name); until > 0 {
+		if until, number := d.table.LeaseEnd(name); until > 0 {
 			owned[name] = lease{number, until, now.Round(0), now.Sub(d.e.start)}
 		}
 	}
 	d.owned.Store(&owned)
 }
 
-func (d *duties) tell(a owner.Tell) {
-	b, err := cbor.Marshal(a.Msg)
+func (d *duties) tell(a owner.Send) {
+	b, err := cbor.Marshal(a.Message)
 	if err == nil {
 		err = d.e.tellPlace(a.To, dutyFlag, string(b))
 	}
@@ -108,11 +108,11 @@
 
 // message takes a message of the member in a place.
 func (d *duties) message(from int, b []byte) {
-	var m owner.Msg
+	var m owner.Message
 	if d == nil || cbor.Unmarshal(b, &m) != nil {
 		return
 	}
-	d.post(owner.Heard{From: from, Msg: m})
+	d.post(owner.Received{From: from, Message: m})
 }
 
 func (d *duties) post(ev owner.Event) {
@@ -122,11 +122,11 @@
 	}
 }
 
-func (d *duties) stand(s fleet.Standing) {
+func (d *duties) stand(s fleet.Assignment) {
 	if d == nil {
 		return
 	}
-	e := owner.Stand{Place: s.Place, Anew: d.last.Holders != nil && (s.Place != d.last.Place || s.Term != d.last.Term), Alone: s.Alone, Expect: d.e.cfg.Table.Expect}
+	e := owner.FleetUpdate{Slot: s.Slot, SlotChanged: d.last.Holders != nil && (s.Slot != d.last.Slot || s.Term != d.last.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Table.ExpectedMembers}
 	for _, h := range s.Holders {
 		e.Holders = append(e.Holders, owner.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
 	}
@@ -134,28 +134,28 @@
 	d.handle(e)
 }
 
-func (d *duties) rows() []owner.Row { return d.table.Rows(time.Since(d.e.start)) }
+func (d *duties) rows() []owner.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
 
-// May reports whether this member may act for a duty at this moment, and under which number. It is to be asked before and after each
+// MayAct reports whether this member may act for a duty at this moment, and under which number. It is to be asked before and after each
 // step that can't be taken back: no after it means that the outcome is unknown. It may be called from any goroutine.
-func (e *Engine) May(duty string) (owner.Mark, bool) {
+func (e *Engine) MayAct(duty string) (owner.Ownership, bool) {
 	if e.duties == nil {
-		return owner.Mark{}, false
+		return owner.Ownership{}, false
 	}
 	l, ok := (*e.duties.owned.Load())[duty]
 	now := time.Now()
 	mono := now.Sub(e.start)
 	if slept := now.Round(0).Sub(l.wall) - (mono - l.at); !ok || mono >= l.until || max(slept, -slept) > jumpMost {
-		return owner.Mark{}, false
+		return owner.Ownership{}, false
 	}
-	return owner.Mark{Number: l.number, Who: e.duties.table.Who()}, true
+	return owner.Ownership{Number: l.number, Owner: e.duties.table.Identity()}, true
 }
 
-// Above tells that a receiver turned this member away below a number.
-func (e *Engine) Above(duty string, number uint64) error {
+// ReportRejection tells that a receiver turned this member away below a number.
+func (e *Engine) ReportRejection(duty string, number uint64) error {
 	if e.duties == nil {
 		return fmt.Errorf("there is no duty %q here", duty)
 	}
-	e.duties.post(owner.Above{Duty: duty, Number: number})
+	e.duties.post(owner.Rejected{Duty: duty, Number: number})
 	return nil
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -64,7 +64,7 @@
 	Owner        owner.Config         // work on behalf of the fleet; no duties: there is none
 	News         *commons.Config      // what members know of each other; nil: nothing beyond who is there
 	Zone         string               // of this member, its region
-	Regions      map[string]*quiet.Hours
+	Regions      map[string]*quiet.Calendar
 
 	version int // that it tells; 0: metaVersion
 }
@@ -78,9 +78,9 @@
 	list   *memberlist.Memberlist
 	table  *fleet.Table
 	saved  saved
-	known  []string     // the last known members, as they were kept ...
-	before fleet.Past   // ... with their claims
-	status net.Listener // nil: none
+	known  []string          // the last known members, as they were kept ...
+	before fleet.SharedState // ... with their claims
+	status net.Listener      // nil: none
 
 	duties   *duties // nil: none
 	news     *news   // nil: none
@@ -90,15 +90,15 @@
 	unkept   chan struct{} // something is to be kept
 	toKeep   atomic.Pointer[saved]
 	self     atomic.Pointer[fleet.Member]
-	standing atomic.Pointer[fleet.Standing]
-	past     atomic.Pointer[fleet.Past] // that is passed on
+	standing atomic.Pointer[fleet.Assignment]
+	past     atomic.Pointer[fleet.SharedState] // that is passed on
 	report   atomic.Pointer[Report]
 	until    atomic.Int64  // of the standing, by the monotonic clock
 	stood    atomic.Uint64 // counts the standings
 	lost     atomic.Uint64
 	syncing  atomic.Bool
 	leaving  atomic.Bool
-	regions  atomic.Pointer[map[string]*quiet.Hours] // with a calendar, by name
+	regions  atomic.Pointer[map[string]*quiet.Calendar] // with a calendar, by name
 	yielded  chan fleet.Member
 	start    time.Time
 	memory   atomic.Pointer[Memory] // nil: none
@@ -117,12 +117,12 @@
 // Report is a member's view of its fleet, for operators.
 type Report struct {
 	Name     string
-	Standing fleet.Standing
-	Rows     []fleet.Row
+	Standing fleet.Assignment
+	Rows     []fleet.MemberStatus
 	Now      time.Duration // on the clock of the rows
 	Phase    string        // how far service has returned; "": all is let in
 	Lost     uint64        // messages to others that found the queue full
-	Duties   []owner.Row
+	Duties   []owner.DutyStatus
 	Voters   owner.Electorate  // who votes on duties, as far as this member knows
 	News     []NewsRow         // what is known of members, in the order of their names; none where it is off
 	Heard    NewsCounts        // and how it came
@@ -144,16 +144,16 @@
 	}
 	e.known, e.before = e.saved.Members, e.heldBefore()
 	e.life = max(uint64(time.Now().UnixMilli()), e.saved.Life+1) // later than the last, however the clock was set since
-	e.cfg.Table.Self = fleet.Member{Name: cfg.Name, Life: e.life, Generation: cfg.Generation, Version: cmp.Or(cfg.version, metaVersion), Claim: fleet.None}
-	e.cfg.Table.Last = e.saved.Claim
+	e.cfg.Table.Self = fleet.Member{Name: cfg.Name, Incarnation: e.life, Generation: cfg.Generation, Version: cmp.Or(cfg.version, metaVersion), Claim: fleet.NoClaim}
+	e.cfg.Table.LastClaim = e.saved.Claim
 	var err error
 	if e.table, err = fleet.New(e.cfg.Table); err != nil {
 		return nil, err
 	}
 	e.self.Store(&e.cfg.Table.Self)
-	s := e.table.Standing()
+	s := e.table.Assignment()
 	e.standing.Store(&s)
-	e.past.Store(&fleet.Past{})
+	e.past.Store(&fleet.SharedState{})
 	if len(cfg.Owner.Duties) > 0 {
 		if e.duties, err = newDuties(e, cfg.Owner); err != nil {
 			return nil, err
@@ -278,14 +278,14 @@
 	defer ticker.Stop()
 	wall := time.Now()
 	ticked := wall
-	e.handle(fleet.Told{Past: e.before})
+	e.handle(fleet.RemoteState{SharedState: e.before})
 	e.handle(fleet.Tick{})
 	for {
 		select {
 		case ev := <-e.events:
 			e.handle(ev)
 		case ev := <-e.duties.inbox():
-			if time.Since(ticked) > e.cfg.Table.Gap { // it stood still: the table has to notice before it votes
+			if time.Since(ticked) > e.cfg.Table.PauseThreshold { // it stood still: the table has to notice before it votes
 				e.handle(fleet.Tick{})
 				ticked = time.Now()
 			}
@@ -294,12 +294,12 @@
 			now := time.Now()
 			ticked = now
 			if jump := now.Round(0).Sub(wall.Round(0)) - now.Sub(wall); max(jump, -jump) > jumpMost {
-				e.handle(fleet.Jumped{})
-				e.duties.handle(owner.Woke{})
+				e.handle(fleet.ClockJump{})
+				e.duties.handle(owner.Resumed{})
 			}
 			wall = now
 			e.handle(fleet.Tick{})
-			e.duties.handle(owner.Tick{Wall: uint64(max(0, now.UnixMilli()))})
+			e.duties.handle(owner.Tick{WallMillis: uint64(max(0, now.UnixMilli()))})
 			e.tell()
 		case <-ctx.Done():
 			e.handle(fleet.Leave{})
@@ -313,7 +313,7 @@
 	at := time.Now()
 	now := at.Sub(e.start)
 	e.until.Store(int64(now + validFor))
-	r := &Report{Name: e.cfg.Name, Standing: e.table.Standing(), Rows: e.table.Rows(), Now: now, Wall: at.UnixMilli(), Lost: e.lost.Load()}
+	r := &Report{Name: e.cfg.Name, Standing: e.table.Assignment(), Rows: e.table.Members(), Now: now, Wall: at.UnixMilli(), Lost: e.lost.Load()}
 	e.news.report(r)
 	if m := e.memory.Load(); m != nil {
 		r.Phase = m.Phase()
@@ -325,13 +325,13 @@
 		r.Duties, r.Voters = e.duties.rows(), e.duties.table.Electorate()
 	}
 	e.report.Store(r)
-	past := e.table.Past()
+	past := e.table.SharedState()
 	e.past.Store(&past)
 }
 
 func (e *Engine) handle(ev fleet.Event) {
-	if r, ok := ev.(fleet.Retune); ok && r.Expect > 0 {
-		e.cfg.Table.Expect = r.Expect
+	if r, ok := ev.(fleet.ConfigChange); ok && r.ExpectedMembers > 0 {
+		e.cfg.Table.ExpectedMembers = r.ExpectedMembers
 	}
 	for _, a := range e.table.Handle(time.Since(e.start), ev) {
 		switch a := a.(type) {
@@ -340,30 +340,30 @@
 			e.speak()
 		case fleet.Sync:
 			if e.syncing.CompareAndSwap(false, true) {
-				go e.sync(a.Few)
+				go e.sync(a.SkipSeeds)
 			}
-		case fleet.Stand:
-			e.stand(a.Standing)
-		case fleet.Yield:
+		case fleet.AssignmentChange:
+			e.stand(a.Assignment)
+		case fleet.Superseded:
 			select {
-			case e.yielded <- a.To:
+			case e.yielded <- a.By:
 			default:
 			}
-		case fleet.Note:
+		case fleet.LogMessage:
 			e.log.Info("fleet: " + a.Text)
 		}
 	}
 }
 
 // stand hands the standing to the gateway.
-func (e *Engine) stand(s fleet.Standing) {
+func (e *Engine) stand(s fleet.Assignment) {
 	e.standing.Store(&s)
-	e.log.Info("fleet: standing", "place", s.Place, "term", s.Term, "alone", s.Alone)
+	e.log.Info("fleet: standing", "place", s.Slot, "term", s.Term, "alone", s.Isolated)
 	e.door.Stand(s, e.stood.Add(1))
 	e.duties.stand(s)
 	e.tell()
-	if s.Place >= 0 {
-		e.saved.Claim = fleet.Claim{Place: s.Place, Term: s.Term}
+	if s.Slot >= 0 {
+		e.saved.Claim = fleet.Claim{Slot: s.Slot, Term: s.Term}
 	}
 	e.keep()
 }
@@ -423,5 +423,5 @@
 	}
 	wg.Wait()
 	e.syncing.Store(false)
-	e.events <- fleet.Synced{OK: answered.Load() > 0}
+	e.events <- fleet.SyncDone{OK: answered.Load() > 0}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -36,8 +36,8 @@
 // start starts a member of a fleet of three places whose times are short.
 func start(t *testing.T, name, addr string, change func(*Config)) *member {
 	t.Helper()
-	cfg := Config{Name: name, Address: addr, Table: fleet.Default()}
-	cfg.Table.Places, cfg.Table.Settle, cfg.Table.Prove = 3, 300*time.Millisecond, 500*time.Millisecond
+	cfg := Config{Name: name, Address: addr, Table: fleet.DefaultConfig()}
+	cfg.Table.Slots, cfg.Table.ClaimDelay, cfg.Table.ConfirmDelay = 3, 300*time.Millisecond, 500*time.Millisecond
 	if change != nil {
 		change(&cfg)
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Decide.Gateways = cfg.Table.Places
+	set.Decide.Gateways = cfg.Table.Slots
 	core, err := gateway.NewCore(gateway.Config{Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Member: e}, wall{time.Now()}, e, log)
 	if err != nil {
 		t.Fatal(err)
@@ -103,10 +103,10 @@
 	return nil
 }
 
-func placed(r *Report) bool { return r.Standing.Place >= 0 }
+func placed(r *Report) bool { return r.Standing.Slot >= 0 }
 
 // alive counts the members that are there, and finds one by its name.
-func alive(r *Report, name string) (n int, row *fleet.Row) {
+func alive(r *Report, name string) (n int, row *fleet.MemberStatus) {
 	for i := range r.Rows {
 		if r.Rows[i].State == fleet.Alive {
 			n++
@@ -169,24 +169,24 @@
 		return n == 2 && placed(r)
 	}
 	ra, rb := a.until("two members", two), b.until("two members", two)
-	if ra.Standing.Place == rb.Standing.Place {
-		t.Errorf("both are in place %d", ra.Standing.Place)
+	if ra.Standing.Slot == rb.Standing.Slot {
+		t.Errorf("both are in place %d", ra.Standing.Slot)
 	}
 	if n, _ := alive(stranger.until("a view", func(*Report) bool { return true }), ""); n != 1 {
 		t.Errorf("one with another key sees %d members", n)
 	}
-	if err := a.Tell(rb.Standing.Place, "xhello"); err != nil {
+	if err := a.Tell(rb.Standing.Slot, "xhello"); err != nil {
 		t.Error(err)
 	}
 	for m := range b.peers {
 		if m.Text == "xhello" {
-			if m.From != ra.Standing.Place {
-				t.Errorf("a message of place %d is taken for one of %d", ra.Standing.Place, m.From)
+			if m.From != ra.Standing.Slot {
+				t.Errorf("a message of place %d is taken for one of %d", ra.Standing.Slot, m.From)
 			}
 			break
 		}
 	}
-	for _, place := range []int{-1, 3, 3 - ra.Standing.Place - rb.Standing.Place} {
+	for _, place := range []int{-1, 3, 3 - ra.Standing.Slot - rb.Standing.Slot} {
 		if a.Tell(place, "x") == nil {
 			t.Errorf("a message to place %d was taken", place)
 		}
@@ -222,7 +222,7 @@
 	seeds := func(c *Config) { c.Seeds = at[:1] }
 	start(t, "a", at[0], seeds).until("a place", placed)
 	first := start(t, "b", at[1], seeds)
-	had := first.until("a place", placed).Standing.Place
+	had := first.until("a place", placed).Standing.Slot
 	second := start(t, "b", at[2], seeds)
 	select {
 	case m := <-first.Yielded():
@@ -232,11 +232,11 @@
 	case <-time.After(patience):
 		t.Fatal("the first was not told")
 	}
-	if first.Valid(first.stood.Load()) && first.standing.Load().Place >= 0 {
+	if first.Valid(first.stood.Load()) && first.standing.Load().Slot >= 0 {
 		t.Error("the first goes on")
 	}
-	if r := second.until("a place", placed); r.Standing.Place != had {
-		t.Errorf("the second is in place %d, the first was in %d", r.Standing.Place, had)
+	if r := second.until("a place", placed); r.Standing.Slot != had {
+		t.Errorf("the second is in place %d, the first was in %d", r.Standing.Slot, had)
 	}
 }
 
@@ -261,14 +261,14 @@
 	}
 	again := start(t, "b", at[1], keep)
 	r := again.until("its place", placed)
-	if r.Standing.Place != was.Standing.Place || again.life < 9e12 {
-		t.Errorf("back in place %d of %d, life %d", r.Standing.Place, was.Standing.Place, again.life)
+	if r.Standing.Slot != was.Standing.Slot || again.life < 9e12 {
+		t.Errorf("back in place %d of %d, life %d", r.Standing.Slot, was.Standing.Slot, again.life)
 	}
 	again.stop()
 	if err := os.WriteFile(file, []byte(`{"life"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Config{Name: "b", Address: at[1], StateFile: file, Table: fleet.Default()}, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := New(Config{Name: "b", Address: at[1], StateFile: file, Table: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("a broken file passes")
 	}
 }
@@ -296,10 +296,10 @@
 	a := start(t, "a", at[0], func(c *Config) { c.StatusSocket = socket })
 	a.until("a place", placed)
 	r, err := ReadStatus(context.Background(), socket)
-	if err != nil || r.Name != "a" || r.Standing.Place != 0 || len(r.Rows) != 1 || !r.Rows[0].Self {
+	if err != nil || r.Name != "a" || r.Standing.Slot != 0 || len(r.Rows) != 1 || !r.Rows[0].Self {
 		t.Errorf("got %+v, %v", r, err)
 	}
-	if _, err := New(Config{Name: "b", Address: at[1], StatusSocket: socket, Table: fleet.Default()}, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := New(Config{Name: "b", Address: at[1], StatusSocket: socket, Table: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("another process took the socket")
 	}
 	a.stop()
@@ -313,17 +313,17 @@
 func TestVersionsMixed(t *testing.T) {
 	addrs := addresses(t, 2)
 	a := start(t, "a", addrs[0], func(c *Config) { c.Seeds = addrs })
-	first := a.until("a place for the first", placed).Standing.Place
+	first := a.until("a place for the first", placed).Standing.Slot
 	b := start(t, "b", addrs[1], func(c *Config) { c.Seeds, c.version = addrs, metaVersion+1 })
-	second := b.until("a place for the second", placed).Standing.Place
+	second := b.until("a place for the second", placed).Standing.Slot
 	shown := func(name string, version int) func(r *Report) bool {
 		return func(r *Report) bool {
 			_, row := alive(r, name)
 			return row != nil && row.Version == version && placed(r)
 		}
 	}
-	if r := a.until("the first shows the second", shown("b", metaVersion+1)); r.Standing.Place != first || first == second {
-		t.Errorf("the first has place %d, had %d, the second %d", r.Standing.Place, first, second)
+	if r := a.until("the first shows the second", shown("b", metaVersion+1)); r.Standing.Slot != first || first == second {
+		t.Errorf("the first has place %d, had %d, the second %d", r.Standing.Slot, first, second)
 	}
 	b.until("the second shows the first", shown("a", metaVersion))
 }
--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -57,6 +57,6 @@
 			}
 		}
 	}
-	e.events <- fleet.Retune{Generation: generation, Expect: expect}
+	e.events <- fleet.ConfigChange{Generation: generation, ExpectedMembers: expect}
 	return nil
 }
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -133,7 +133,7 @@
 
 func (n *news) hear(m newsIn) {
 	if m.text == nil {
-		n.table.Forget(n.now(), m.left.Name, m.left.Life)
+		n.table.Forget(n.now(), m.left.Name, m.left.Incarnation)
 		return
 	}
 	for _, back := range n.table.Hear(n.now(), m.text) {
@@ -159,11 +159,11 @@
 	s := n.e.standing.Load()
 	var there []int
 	for place, h := range s.Holders {
-		if h.Name != "" && h.State == fleet.Alive && place != s.Place {
+		if h.Name != "" && h.State == fleet.Alive && place != s.Slot {
 			there = append(there, place)
 		}
 	}
-	if s.Place < 0 || len(there) == 0 {
+	if s.Slot < 0 || len(there) == 0 {
 		return // nobody takes messages of who has no place
 	}
 	rand.Shuffle(len(there), func(i, j int) { there[i], there[j] = there[j], there[i] })
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hours := map[string]*quiet.Hours{"hall-a": {Zone: time.UTC, Week: []quiet.Span{span}}}
+	hours := map[string]*quiet.Calendar{"hall-a": {Zone: time.UTC, Weekly: []quiet.Span{span}}}
 	row := func(name string, ahead time.Duration) NewsRow {
 		return NewsRow{Name: name, Age: time.Second, Wall: at.Add(ahead - time.Second/2).UnixMilli()}
 	}
@@ -48,17 +48,17 @@
 // TestCalendarChanges: another calendar holds from the next look on, and a window that is over gives way to the next one.
 func TestCalendarChanges(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
-	calendarOf := func(text string) map[string]*quiet.Hours {
+	calendarOf := func(text string) map[string]*quiet.Calendar {
 		span, err := quiet.ParseSpan(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return map[string]*quiet.Hours{"hall-a": {Zone: time.UTC, Week: []quiet.Span{span}}}
+		return map[string]*quiet.Calendar{"hall-a": {Zone: time.UTC, Weekly: []quiet.Span{span}}}
 	}
 	var days calendar
 	one, clock := calendarOf("daily 13:00-14:00"), Clock{OK: true}
 	for _, tc := range []struct {
-		hours map[string]*quiet.Hours
+		hours map[string]*quiet.Calendar
 		after time.Duration
 		from  int // hour
 		day   int
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -36,10 +36,10 @@
 
 // heldBefore is what the disk tells of others. They count as having left: whether they come back is not known, and until then they are
 // no part of a majority.
-func (e *Engine) heldBefore() (p fleet.Past) {
+func (e *Engine) heldBefore() (p fleet.SharedState) {
 	ago := max(0, time.Since(time.UnixMilli(e.saved.At)))
 	for _, h := range e.saved.Held {
-		p.Absent = append(p.Absent, fleet.Absent{Member: fleet.Member{Name: h.Name, Life: h.Life, Claim: h.Claim}, State: fleet.Left, Ago: ago})
+		p.Absent = append(p.Absent, fleet.AbsentMember{Member: fleet.Member{Name: h.Name, Incarnation: h.Life, Claim: h.Claim}, State: fleet.Left, Ago: ago})
 	}
 	return p
 }
@@ -47,7 +47,7 @@
 // load reads what was kept. What is torn or another member's is set aside with a line in the log: this member's place is then told by
 // the others, who keep it for its name. A file that can't be read now, and may be later, is an error.
 func (e *Engine) load() error {
-	none := saved{Claim: fleet.None}
+	none := saved{Claim: fleet.NoClaim}
 	e.saved = none
 	if e.cfg.StateFile == "" {
 		return nil
@@ -87,9 +87,9 @@
 	e.mu.Unlock()
 	slices.Sort(e.saved.Members)
 	e.saved.At, e.saved.Held = time.Now().UnixMilli(), nil
-	for _, r := range e.table.Rows() {
-		if !r.Self && r.State != fleet.Left && r.Claim.Place >= 0 {
-			e.saved.Held = append(e.saved.Held, held{r.Name, r.Life, r.Claim})
+	for _, r := range e.table.Members() {
+		if !r.Self && r.State != fleet.Left && r.Claim.Slot >= 0 {
+			e.saved.Held = append(e.saved.Held, held{r.Name, r.Incarnation, r.Claim})
 		}
 	}
 	next := e.saved
--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -18,17 +18,17 @@
 // tellPlace sends a text to whoever is in a place. flag is set in the sender's place, and tells what the text is.
 func (e *Engine) tellPlace(place int, flag uint16, text string) error {
 	s := e.standing.Load()
-	if place < 0 || place >= len(s.Holders) || s.Place < 0 || len(text) > mostOf(flag) {
+	if place < 0 || place >= len(s.Holders) || s.Slot < 0 || len(text) > mostOf(flag) {
 		return fmt.Errorf("a message of %d bytes to place %d can't be sent", len(text), place)
 	}
 	h := &s.Holders[place]
 	if h.Name == "" || h.State != fleet.Alive {
 		return fmt.Errorf("nobody is in place %d", place)
 	}
-	b := binary.BigEndian.AppendUint16(make([]byte, 0, headLen+len(text)), uint16(s.Place)|flag)
+	b := binary.BigEndian.AppendUint16(make([]byte, 0, headLen+len(text)), uint16(s.Slot)|flag)
 	b = append(binary.BigEndian.AppendUint64(b, e.life), text...)
 	select {
-	case e.tells <- tell{lifeOf(h.Name, h.Life), b}:
+	case e.tells <- tell{lifeOf(h.Name, h.Incarnation), b}:
 		return nil
 	default:
 		e.lost.Add(1)
--- a/internal/owner/bid.go
+++ b/internal/owner/bid.go
@@ -10,12 +10,12 @@
 
 // This file is a member's part as one that owns duties, or would.
 
-func (t *Table) heard(from int, m Msg) {
+func (t *Table) heard(from int, m Message) {
 	switch m.Kind {
-	case Ask:
+	case Request:
 		t.ask(from, m)
 		return
-	case Free:
+	case Release:
 		t.free(m)
 		return
 	case Grant, Deny:
@@ -29,8 +29,8 @@
 	}
 	if m.Kind == Deny {
 		b.above = max(b.above, m.Number)
-		if m.Who != "" && m.Who != t.who {
-			b.rival, b.rivalFor = m.Who, t.now+m.Left
+		if m.Owner != "" && m.Owner != t.who {
+			b.rival, b.rivalFor = m.Owner, t.now+m.LeaseLeft
 		}
 		return
 	}
@@ -46,10 +46,10 @@
 	}
 	// It counts from when it asked: a voter's lease began later.
 	if until := b.asked + t.cfg.holds(); until > t.now {
-		b.until, b.asking, b.next = until, false, b.asked+t.cfg.Renew
+		b.until, b.asking, b.next = until, false, b.asked+t.cfg.RenewInterval
 		if !b.owns {
 			b.owns = true
-			t.do(Own{m.Duty, b.number})
+			t.do(Acquired{m.Duty, b.number})
 		}
 	}
 }
@@ -60,11 +60,11 @@
 		if b.owns && t.now >= b.until {
 			t.end(d, b)
 		}
-		if b.asking && t.now >= b.asked+t.cfg.Answer {
+		if b.asking && t.now >= b.asked+t.cfg.AnswerTimeout {
 			b.asking = false
 			if !b.owns {
 				t.letGo(d, b) // it fell short
-				b.next = t.now + t.cfg.Answer + b.turn
+				b.next = t.now + t.cfg.AnswerTimeout + b.turn
 			}
 		}
 		switch {
@@ -82,16 +82,16 @@
 func (t *Table) question(d string, b *bid) {
 	t.rounds++
 	b.round, b.asked, b.asking, b.grants = t.rounds, t.now, true, nil
-	b.epoch, b.seats = t.reg.Epoch, t.reg.Seats
+	b.epoch, b.seats = t.reg.Epoch, t.reg.Voters
 	for _, p := range b.seats {
-		t.do(Tell{p, Msg{Kind: Ask, Duty: d, Number: b.number, Who: t.who, Round: b.round, Epoch: b.epoch}})
+		t.do(Send{p, Message{Kind: Request, Duty: d, Number: b.number, Owner: t.who, Round: b.round, Epoch: b.epoch}})
 	}
 }
 
 // letGo has those that granted the number grant another one at once.
 func (t *Table) letGo(d string, b *bid) {
 	for _, p := range b.granted {
-		t.do(Tell{p, Msg{Kind: Free, Duty: d, Number: b.number, Who: t.who}})
+		t.do(Send{p, Message{Kind: Release, Duty: d, Number: b.number, Owner: t.who}})
 	}
 	b.granted = nil
 }
@@ -115,18 +115,18 @@
 // order finds who proposes itself for which duty, and how much later than the first: a few of each duty's order, as the others would only ask
 // in vain. When these are gone the members that are alive are others.
 func (t *Table) order() {
-	t.turn = slices.Index(Order(votersDuty, t.alive), t.cfg.Self)
+	t.turn = slices.Index(CandidateOrder(votersDuty, t.alive), t.cfg.Self)
 	for _, d := range t.cfg.Duties {
-		n := slices.Index(Order(d, t.alive), t.cfg.Self)
-		t.bids[d].candidate, t.bids[d].turn = n >= 0 && n < candidates, t.cfg.Step*time.Duration(n)
+		n := slices.Index(CandidateOrder(d, t.alive), t.cfg.Self)
+		t.bids[d].candidate, t.bids[d].turn = n >= 0 && n < candidates, t.cfg.CandidateDelay*time.Duration(n)
 	}
 }
 
 const candidates = 3 // of a duty
 
-// Order is in which order members propose themselves for a duty: by rendezvous hashing, so that duties are spread over all and the death of a
+// CandidateOrder is in which order members propose themselves for a duty: by rendezvous hashing, so that duties are spread over all and the death of a
 // member moves its own alone.
-func Order(duty string, members []string) []string {
+func CandidateOrder(duty string, members []string) []string {
 	score := map[string]uint64{}
 	for _, m := range members {
 		h := fnv.New64a()
--- a/internal/owner/check_test.go
+++ b/internal/owner/check_test.go
@@ -51,7 +51,7 @@
 
 func withVoters(n int) Config {
 	cfg := small()
-	cfg.Voters = n
+	cfg.InitialVoters = n
 	return cfg
 }
 
@@ -142,7 +142,7 @@
 		w := settled(t, n, 0, budget{}, 0)
 		first := slices.IndexFunc(w.members, func(m *member) bool { return m.t.bids["d"].owns })
 		w.step = unit / 20
-		slow, fast := 0.9, 0.9*(1+w.cfg.Drift)
+		slow, fast := 0.9, 0.9*(1+w.cfg.ClockDrift)
 		own, clocks := w.members[first], []time.Duration{}
 		for i := range w.members {
 			clocks = append(clocks, w.clock(i))
@@ -167,22 +167,22 @@
 				for len(net) > 0 {
 					a := net[0]
 					net = net[1:]
-					tell, ok := a.(Tell)
+					tell, ok := a.(Send)
 					next = next || !ok
 					if ok && tell.To != first {
-						if tell.Msg.Kind == Grant || tell.Msg.Kind == Deny {
-							net = append(net, w.members[i].t.Handle(at(i), Heard{From: tell.To, Msg: tell.Msg})...)
+						if tell.Message.Kind == Grant || tell.Message.Kind == Deny {
+							net = append(net, w.members[i].t.Handle(at(i), Received{From: tell.To, Message: tell.Message})...)
 							continue
 						}
-						for _, back := range w.members[tell.To].t.Handle(at(tell.To), Heard{From: i, Msg: tell.Msg}) {
-							if b, ok := back.(Tell); ok {
-								net = append(net, Tell{tell.To, b.Msg})
+						for _, back := range w.members[tell.To].t.Handle(at(tell.To), Received{From: i, Message: tell.Message}) {
+							if b, ok := back.(Send); ok {
+								net = append(net, Send{tell.To, b.Message})
 							}
 						}
 					}
 				}
 			}
-			if _, ok := own.t.May(at(first), "d"); ok && next {
+			if _, ok := own.t.MayAct(at(first), "d"); ok && next {
 				t.Fatalf("%d members: two own %v after the first was cut off", n, w.now-began)
 			}
 		}
@@ -199,10 +199,10 @@
 	first := map[string]int{}
 	for d := range 400 {
 		duty := fmt.Sprint("duty", d)
-		o := Order(duty, members)
+		o := CandidateOrder(duty, members)
 		first[o[0]]++
 		rest := slices.DeleteFunc(slices.Clone(members), func(m string) bool { return m == "m7" })
-		if now := Order(duty, rest); o[0] != "m7" && now[0] != o[0] || o[0] == "m7" && now[0] != o[1] {
+		if now := CandidateOrder(duty, rest); o[0] != "m7" && now[0] != o[0] || o[0] == "m7" && now[0] != o[1] {
 			t.Errorf("%s: %s was first and is %s without m7", duty, o[0], now[0])
 		}
 	}
@@ -224,29 +224,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table.Handle(0, Stand{Place: 3, Holders: []Holder{{}, {}, {}, {"m", true}}}) // no voter itself
+	table.Handle(0, FleetUpdate{Slot: 3, Holders: []Holder{{}, {}, {}, {"m", true}}}) // no voter itself
 	answer := func(at time.Duration, asked []Action) {
 		for _, a := range asked {
-			if a, ok := a.(Tell); ok && a.Msg.Kind == Ask {
-				table.Handle(at, Heard{From: a.To, Msg: Msg{Kind: Grant, Duty: "d", Number: a.Msg.Number, Who: a.Msg.Who, Round: a.Msg.Round}})
+			if a, ok := a.(Send); ok && a.Message.Kind == Request {
+				table.Handle(at, Received{From: a.To, Message: Message{Kind: Grant, Duty: "d", Number: a.Message.Number, Owner: a.Message.Owner, Round: a.Message.Round}})
 			}
 		}
 	}
 	answer(0, table.Handle(0, Tick{}))
-	if _, ok := table.May(0, "d"); !ok {
+	if _, ok := table.MayAct(0, "d"); !ok {
 		t.Fatal("it does not own")
 	}
-	first := table.Handle(cfg.Renew, Tick{})
-	second := table.Handle(cfg.Renew+cfg.Answer, Tick{})
-	if len(first) != cfg.Voters || len(second) != cfg.Voters {
+	first := table.Handle(cfg.RenewInterval, Tick{})
+	second := table.Handle(cfg.RenewInterval+cfg.AnswerTimeout, Tick{})
+	if len(first) != cfg.InitialVoters || len(second) != cfg.InitialVoters {
 		t.Fatalf("it asked %d and %d voters", len(first), len(second))
 	}
-	answer(cfg.Renew+cfg.Answer, first)
-	if _, ok := table.May(cfg.holds(), "d"); ok {
+	answer(cfg.RenewInterval+cfg.AnswerTimeout, first)
+	if _, ok := table.MayAct(cfg.holds(), "d"); ok {
 		t.Error("it owns on by answers to a former question")
 	}
-	answer(cfg.Renew+cfg.Answer, second)
-	if _, ok := table.May(cfg.holds(), "d"); !ok {
+	answer(cfg.RenewInterval+cfg.AnswerTimeout, second)
+	if _, ok := table.MayAct(cfg.holds(), "d"); !ok {
 		t.Error("it does not own on by answers to the last question")
 	}
 }
@@ -255,14 +255,14 @@
 func TestFence(t *testing.T) {
 	var f Fence
 	for i, tc := range []struct {
-		m    Mark
+		m    Ownership
 		took bool
-	}{{Mark{5, "a"}, true}, {Mark{5, "a"}, true}, {Mark{5, "b"}, false}, {Mark{4, "c"}, false}, {Mark{9, "b"}, true}, {Mark{5, "a"}, false}, {Mark{9, "b"}, true}} {
-		if _, ok := f.Take("d", tc.m); ok != tc.took {
+	}{{Ownership{5, "a"}, true}, {Ownership{5, "a"}, true}, {Ownership{5, "b"}, false}, {Ownership{4, "c"}, false}, {Ownership{9, "b"}, true}, {Ownership{5, "a"}, false}, {Ownership{9, "b"}, true}} {
+		if _, ok := f.Admit("d", tc.m); ok != tc.took {
 			t.Errorf("action %d of %v: taken %v", i, tc.m, ok)
 		}
 	}
-	if _, ok := f.Take("other", Mark{1, "c"}); !ok || f.Turned["a"] != 1 || f.Turned["b"] != 1 || f.Turned["c"] != 1 {
-		t.Errorf("%v, turned away %v", ok, f.Turned)
+	if _, ok := f.Admit("other", Ownership{1, "c"}); !ok || f.Rejected["a"] != 1 || f.Rejected["b"] != 1 || f.Rejected["c"] != 1 {
+		t.Errorf("%v, turned away %v", ok, f.Rejected)
 	}
 }
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -2,24 +2,24 @@
 
 // Fence is what a receiver keeps of each duty: the highest number that it took, and whose. The zero value has taken none.
 type Fence struct {
-	taken  map[string]Mark
-	Turned map[string]uint64 // actions that were turned away, by who sent them
+	taken    map[string]Ownership
+	Rejected map[string]uint64 // actions that were turned away, by who sent them
 }
 
-// Mark is an ownership.
-type Mark struct {
+// Ownership is an ownership.
+type Ownership struct {
 	Number uint64
-	Who    string
+	Owner  string
 }
 
-// Take reports whether an action of an owner may be carried out: none of a higher number was. If not, it tells what stands above.
-func (f *Fence) Take(duty string, m Mark) (above Mark, ok bool) {
+// Admit reports whether an action of an owner may be carried out: none of a higher number was. If not, it tells what stands above.
+func (f *Fence) Admit(duty string, m Ownership) (above Ownership, ok bool) {
 	if f.taken == nil {
-		f.taken, f.Turned = map[string]Mark{}, map[string]uint64{}
+		f.taken, f.Rejected = map[string]Ownership{}, map[string]uint64{}
 	}
-	if old := f.taken[duty]; m.Number < old.Number || m.Number == old.Number && old.Who != "" && m.Who != old.Who {
-		if _, known := f.Turned[m.Who]; known || len(f.Turned) < turnedMost {
-			f.Turned[m.Who]++
+	if old := f.taken[duty]; m.Number < old.Number || m.Number == old.Number && old.Owner != "" && m.Owner != old.Owner {
+		if _, known := f.Rejected[m.Owner]; known || len(f.Rejected) < turnedMost {
+			f.Rejected[m.Owner]++
 		}
 		return old, false
 	}
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -16,7 +16,7 @@
 
 // small are the figures of the model: clocks differ by a fifth at most.
 func small() Config {
-	return Config{Voters: 3, Duties: []string{"d"}, Lease: 6 * unit, Drift: 0.2, Renew: 2 * unit, Answer: 2 * unit, Step: unit}
+	return Config{InitialVoters: 3, Duties: []string{"d"}, Lease: 6 * unit, ClockDrift: 0.2, RenewInterval: 2 * unit, AnswerTimeout: 2 * unit, CandidateDelay: unit}
 }
 
 // rates are how fast members' clocks run: the fastest and the slowest differ by less than the drift.
@@ -25,7 +25,7 @@
 // flight is a message on its way.
 type flight struct {
 	from, to int
-	msg      Msg
+	msg      Message
 }
 
 // model is members, what is on its way between them, and what was seen of them.
@@ -95,7 +95,7 @@
 func (w *model) start(i int, floor map[string]uint64, last Electorate) {
 	cfg := w.cfg
 	w.lives++
-	cfg.Self, cfg.Life = name(i), w.lives
+	cfg.Self, cfg.Incarnation = name(i), w.lives
 	t, err := New(cfg, 0, floor, last)
 	if err != nil {
 		panic(err)
@@ -106,7 +106,7 @@
 
 // stand tells a member how it stands.
 func (w *model) stand(i, place int) {
-	s := Stand{Place: place, Anew: w.now > w.members[i].from, Expect: len(w.members)}
+	s := FleetUpdate{Slot: place, SlotChanged: w.now > w.members[i].from, ExpectedMembers: len(w.members)}
 	for k, v := range w.members[i].views {
 		h := Holder{Name: name(k), Alive: v == there}
 		if v == vacant {
@@ -114,7 +114,7 @@
 		}
 		s.Holders = append(s.Holders, h)
 	}
-	s.Anew = s.Anew && w.members[i].t.place != place
+	s.SlotChanged = s.SlotChanged && w.members[i].t.place != place
 	w.tell(i, s)
 }
 
@@ -152,16 +152,16 @@
 func (w *model) tell(i int, e Event) {
 	for _, a := range w.members[i].t.Handle(w.clock(i), e) {
 		switch a := a.(type) {
-		case Tell:
-			w.net = append(w.net, flight{i, a.To, a.Msg})
-		case Own:
+		case Send:
+			w.net = append(w.net, flight{i, a.To, a.Message})
+		case Acquired:
 			if a.Number <= w.last {
 				w.bad = fmt.Sprintf("%s owns under %d, and %d was used", name(i), a.Number, w.last)
 			}
 			w.last = max(w.last, a.Number)
 			w.act(i)
-		case Elected:
-			if old, seats := w.elected[a.Epoch], fmt.Sprint(a.Seats); old == "" {
+		case ElectorateChange:
+			if old, seats := w.elected[a.Epoch], fmt.Sprint(a.Voters); old == "" {
 				w.elected[a.Epoch] = seats
 			} else if old != seats {
 				w.bad = fmt.Sprintf("in epoch %d vote %s and %s", a.Epoch, old, seats)
@@ -173,8 +173,8 @@
 
 // act has an owner send an action to a receiver, which keeps the highest number.
 func (w *model) act(i int) {
-	if n, ok := w.members[i].t.May(w.clock(i), "d"); ok {
-		if above, ok := w.fence.Take("d", Mark{n, w.members[i].t.Who()}); !ok {
+	if n, ok := w.members[i].t.MayAct(w.clock(i), "d"); ok {
+		if above, ok := w.fence.Admit("d", Ownership{n, w.members[i].t.Identity()}); !ok {
 			w.bad = fmt.Sprintf("the owner %s under %d is turned away below %v", name(i), n, above)
 		}
 	}
@@ -184,7 +184,7 @@
 func (w *model) look() {
 	var who []string
 	for i, m := range w.members {
-		if n, ok := m.t.May(w.clock(i), "d"); ok {
+		if n, ok := m.t.MayAct(w.clock(i), "d"); ok {
 			who = append(who, fmt.Sprint(name(i), " under ", n))
 		}
 	}
@@ -203,7 +203,7 @@
 			if w.unset {
 				wall = 0
 			}
-			w.tell(i, Tick{Wall: wall})
+			w.tell(i, Tick{WallMillis: wall})
 		}
 	}
 }
@@ -224,15 +224,15 @@
 		take := func(w *model) {
 			f := w.net[k]
 			w.net = slices.Delete(slices.Clone(w.net), k, k+1)
-			w.tell(f.to, Heard{From: f.from, Msg: f.msg})
+			w.tell(f.to, Received{From: f.from, Message: f.msg})
 		}
-		what := fmt.Sprintf("%s hears %c %d of %s from %s", name(f.to), f.msg.Kind, f.msg.Number, f.msg.Who, name(f.from))
+		what := fmt.Sprintf("%s hears %c %d of %s from %s", name(f.to), f.msg.Kind, f.msg.Number, f.msg.Owner, name(f.from))
 		all = append(all, move{what, take})
 		if w.budget[doubles] > 0 {
 			all = append(all, move{what + ", and it will come again", func(w *model) {
 				w.budget[doubles]--
 				f := w.net[k]
-				w.tell(f.to, Heard{From: f.from, Msg: f.msg})
+				w.tell(f.to, Received{From: f.from, Message: f.msg})
 			}})
 		}
 	}
@@ -257,7 +257,10 @@
 			all = append(all, move{name(i) + " stands still", func(w *model) { w.budget[standstills]--; w.members[i].frozen = true }})
 		}
 		if w.budget[crashes] > 0 {
-			all = append(all, move{name(i) + " starts anew with what it knew", func(w *model) { w.budget[crashes]--; w.start(i, w.members[i].t.Floor(), w.members[i].t.Electorate()) }})
+			all = append(all, move{name(i) + " starts anew with what it knew", func(w *model) {
+				w.budget[crashes]--
+				w.start(i, w.members[i].t.HighestNumbers(), w.members[i].t.Electorate())
+			}})
 		}
 		if w.budget[amnesia] > 0 {
 			all = append(all, move{name(i) + " starts anew and knows no number", func(w *model) { w.budget[amnesia]--; w.start(i, nil, w.members[i].t.Electorate()) }})
@@ -270,7 +273,7 @@
 	c := *w
 	c.elected = maps.Clone(w.elected)
 	c.net = slices.Clone(w.net)
-	c.fence.taken, c.fence.Turned = maps.Clone(w.fence.taken), maps.Clone(w.fence.Turned)
+	c.fence.taken, c.fence.Rejected = maps.Clone(w.fence.taken), maps.Clone(w.fence.Rejected)
 	c.members = nil
 	for _, m := range w.members {
 		n, t := *m, *m.t
@@ -343,7 +346,7 @@
 			}
 			put(int64(bits))
 		}
-		for _, list := range [][]int{r.Seats, r.Next, r.bid.seats, r.bid.vacant} {
+		for _, list := range [][]int{r.Voters, r.NextVoters, r.bid.seats, r.bid.vacant} {
 			bits := 0
 			for _, p := range list {
 				bits |= 1 << p
@@ -357,7 +360,7 @@
 	var net []string
 	for _, f := range w.net {
 		m := &f.msg
-		net = append(net, fmt.Sprint(f.from, f.to, m.Kind, m.Number, m.Who, m.Round, m.Left, m.Epoch, m.Ballot, m.Seats, m.Next, m.Vacant))
+		net = append(net, fmt.Sprint(f.from, f.to, m.Kind, m.Number, m.Owner, m.Round, m.LeaseLeft, m.Epoch, m.Ballot, m.Voters, m.NextVoters, m.VacantSlots))
 	}
 	slices.Sort(net)
 	return string(b) + strings.Join(net, ";")
@@ -408,7 +411,7 @@
 func settled(t *testing.T, n, turn int, b budget, since int) *model {
 	t.Helper()
 	cfg := small()
-	cfg.Voters = n
+	cfg.InitialVoters = n
 	w := newModel(cfg, n, turn, b)
 	owned := func() bool {
 		return slices.ContainsFunc(w.members, func(m *member) bool { return m.t.bids["d"].owns })
@@ -420,7 +423,7 @@
 		w.pass()
 		for k := 0; k < len(w.net); k++ {
 			f := w.net[k]
-			w.tell(f.to, Heard{From: f.from, Msg: f.msg})
+			w.tell(f.to, Received{From: f.from, Message: f.msg})
 		}
 		w.net = nil
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -18,20 +18,20 @@
 
 // Config is what a member goes by. All members have the same but for Self and Life.
 type Config struct {
-	Self   string // its name
-	Life   uint64 // of its process: what a former one was granted is not this one's
-	Duties []string
-	Voters int // at first those in the places below this
-	Lease  time.Duration
-	Drift  float64       // by which clocks run faster or slower than another, as a share
-	Renew  time.Duration // an owner asks again so often; well under Lease
-	Answer time.Duration // a question is waited for so long
-	Step   time.Duration // the next one in a duty's order proposes so much later
+	Self           string // its name
+	Incarnation    uint64 // of its process: what a former one was granted is not this one's
+	Duties         []string
+	InitialVoters  int // at first those in the places below this
+	Lease          time.Duration
+	ClockDrift     float64       // by which clocks run faster or slower than another, as a share
+	RenewInterval  time.Duration // an owner asks again so often; well under Lease
+	AnswerTimeout  time.Duration // a question is waited for so long
+	CandidateDelay time.Duration // the next one in a duty's order proposes so much later
 }
 
-// Default are times for a local network.
-func Default() Config {
-	return Config{Voters: 5, Lease: 6 * time.Second, Drift: 0.1, Renew: 1500 * time.Millisecond, Answer: 500 * time.Millisecond, Step: time.Second}
+// DefaultConfig are times for a local network.
+func DefaultConfig() Config {
+	return Config{InitialVoters: 5, Lease: 6 * time.Second, ClockDrift: 0.1, RenewInterval: 1500 * time.Millisecond, AnswerTimeout: 500 * time.Millisecond, CandidateDelay: time.Second}
 }
 
 // Validate reports the first value that can't be used.
@@ -41,12 +41,12 @@
 		return fmt.Errorf("owner: the member has no name")
 	case len(c.Duties) > dutiesMost:
 		return fmt.Errorf("owner: %d duties, of which messages have room for %d", len(c.Duties), dutiesMost)
-	case c.Voters < 1:
-		return fmt.Errorf("owner: %d voters, want 1 or more", c.Voters)
-	case c.Drift < 0 || c.Drift >= 0.5:
-		return fmt.Errorf("owner: clocks that differ by a share of %v", c.Drift)
-	case c.Renew <= 0 || c.Answer <= 0 || c.Renew+c.Answer >= c.holds():
-		return fmt.Errorf("owner: a lease of %v can't be renewed each %v with answers within %v", c.Lease, c.Renew, c.Answer)
+	case c.InitialVoters < 1:
+		return fmt.Errorf("owner: %d voters, want 1 or more", c.InitialVoters)
+	case c.ClockDrift < 0 || c.ClockDrift >= 0.5:
+		return fmt.Errorf("owner: clocks that differ by a share of %v", c.ClockDrift)
+	case c.RenewInterval <= 0 || c.AnswerTimeout <= 0 || c.RenewInterval+c.AnswerTimeout >= c.holds():
+		return fmt.Errorf("owner: a lease of %v can't be renewed each %v with answers within %v", c.Lease, c.RenewInterval, c.AnswerTimeout)
 	}
 	return nil
 }
@@ -54,45 +54,47 @@
 const dutiesMost = 10 // an electorate with their numbers is one message
 
 // holds is for how long an owner has a lease, from when it asked.
-func (c *Config) holds() time.Duration { return time.Duration(float64(c.Lease) * (1 - c.Drift)) }
+func (c *Config) holds() time.Duration { return time.Duration(float64(c.Lease) * (1 - c.ClockDrift)) }
 
 // abstains is for how long a voter that may have forgotten what it granted grants nothing.
-func (c *Config) abstains() time.Duration { return time.Duration(float64(c.Lease) * (1 + c.Drift)) }
+func (c *Config) abstains() time.Duration {
+	return time.Duration(float64(c.Lease) * (1 + c.ClockDrift))
+}
 
 // Kind is what a message is.
 type Kind byte
 
 // The kinds.
 const (
-	Ask   Kind = 'a' // for a lease, or for its renewal
-	Grant Kind = 'g'
-	Deny  Kind = 'd' // with what the voter knows
-	Free  Kind = 'f' // lets go of what was granted
+	Request Kind = 'a' // for a lease, or for its renewal
+	Grant   Kind = 'g'
+	Deny    Kind = 'd' // with what the voter knows
+	Release Kind = 'f' // lets go of what was granted
 
 	// On who votes.
-	Read     Kind = 'r' // asks what holds
-	State    Kind = 's' // tells it, and what was accepted to hold next
-	Prepare  Kind = 'p' // asks for a promise to take no lower ballot
-	Promise  Kind = 'q' // with the ballot that is promised, and what was accepted
-	Accept   Kind = 'c' // asks to take the next epoch's seats
-	Accepted Kind = 'y' // with what was granted so far, if it votes
+	ReadElectorate  Kind = 'r' // asks what holds
+	ElectorateState Kind = 's' // tells it, and what was accepted to hold next
+	Prepare         Kind = 'p' // asks for a promise to take no lower ballot
+	Promise         Kind = 'q' // with the ballot that is promised, and what was accepted
+	Accept          Kind = 'c' // asks to take the next epoch's seats
+	Accepted        Kind = 'y' // with what was granted so far, if it votes
 )
 
-// Msg is what members say to each other.
-type Msg struct {
-	Kind   Kind          `cbor:"1,keyasint"`
-	Duty   string        `cbor:"2,keyasint,omitempty"`
-	Number uint64        `cbor:"3,keyasint,omitempty"` // of the ownership that is asked for; of a Deny: the highest that the voter granted; of a Promise or Accepted: the ballot
-	Who    string        `cbor:"4,keyasint,omitempty"` // that asks, by name and life; of a Deny: the holder, "" if there is none
-	Round  uint64        `cbor:"5,keyasint,omitempty"` // names the question, so that a late answer to a former one is told
-	Left   time.Duration `cbor:"6,keyasint,omitempty"` // of a Deny: of the holder's lease
-
-	Epoch   uint64    `cbor:"7,keyasint,omitempty"`  // of the electorate that the sender knows
-	Seats   []int     `cbor:"8,keyasint,omitempty"`  // of a State: who votes in it
-	Granted []Granted `cbor:"9,keyasint,omitempty"`  // of a State and Accepted: the highest numbers
-	Ballot  uint64    `cbor:"10,keyasint,omitempty"` // that is proposed, or was accepted
-	Next    []int     `cbor:"11,keyasint,omitempty"` // the next epoch's seats
-	Vacant  []int     `cbor:"12,keyasint,omitempty"` // seats that the fleet has given up
+// Message is what members say to each other.
+type Message struct {
+	Kind      Kind          `cbor:"1,keyasint"`
+	Duty      string        `cbor:"2,keyasint,omitempty"`
+	Number    uint64        `cbor:"3,keyasint,omitempty"` // of the ownership that is asked for; of a Deny: the highest that the voter granted; of a Promise or Accepted: the ballot
+	Owner     string        `cbor:"4,keyasint,omitempty"` // that asks, by name and life; of a Deny: the holder, "" if there is none
+	Round     uint64        `cbor:"5,keyasint,omitempty"` // names the question, so that a late answer to a former one is told
+	LeaseLeft time.Duration `cbor:"6,keyasint,omitempty"` // of a Deny: of the holder's lease
+
+	Epoch       uint64        `cbor:"7,keyasint,omitempty"`  // of the electorate that the sender knows
+	Voters      []int         `cbor:"8,keyasint,omitempty"`  // of a State: who votes in it
+	Granted     []GrantRecord `cbor:"9,keyasint,omitempty"`  // of a State and Accepted: the highest numbers
+	Ballot      uint64        `cbor:"10,keyasint,omitempty"` // that is proposed, or was accepted
+	NextVoters  []int         `cbor:"11,keyasint,omitempty"` // the next epoch's seats
+	VacantSlots []int         `cbor:"12,keyasint,omitempty"` // seats that the fleet has given up
 }
 
 // Event is what a Table is told.
@@ -100,39 +102,39 @@
 
 // The events.
 type (
-	// Heard is a message of the member in that place.
-	Heard struct {
-		From int
-		Msg  Msg
+	// Received is a message of the member in that place.
+	Received struct {
+		From    int
+		Message Message
 	}
 	// Tick tells that time has passed. Wall is what the wall clock shows, in milliseconds since 1970: a floor for numbers.
-	Tick struct{ Wall uint64 }
-	// Stand tells this member's place in the fleet (below 0: none), and whose the places are.
+	Tick struct{ WallMillis uint64 }
+	// FleetUpdate tells this member's place in the fleet (below 0: none), and whose the places are.
 	// Anew: the place is not the one that it had.
-	Stand struct {
-		Place   int
-		Anew    bool
-		Alone   bool // cut off from the fleet's majority
-		Expect  int  // members that the fleet is meant to have
-		Holders []Holder
+	FleetUpdate struct {
+		Slot            int
+		SlotChanged     bool
+		Isolated        bool // cut off from the fleet's majority
+		ExpectedMembers int  // members that the fleet is meant to have
+		Holders         []Holder
 	}
-	// Woke tells that the process stood still.
-	Woke struct{}
-	// Yield lets go of a duty, so that the next one takes it.
-	Yield struct{ Duty string }
-	// Above tells that a receiver turned this member away, as it has seen a number that is higher.
-	Above struct {
+	// Resumed tells that the process stood still.
+	Resumed struct{}
+	// Resign lets go of a duty, so that the next one takes it.
+	Resign struct{ Duty string }
+	// Rejected tells that a receiver turned this member away, as it has seen a number that is higher.
+	Rejected struct {
 		Duty   string
 		Number uint64
 	}
 )
 
-func (Heard) event() {}
-func (Tick) event()  {}
-func (Stand) event() {}
-func (Woke) event()  {}
-func (Yield) event() {}
-func (Above) event() {}
+func (Received) event()    {}
+func (Tick) event()        {}
+func (FleetUpdate) event() {}
+func (Resumed) event()     {}
+func (Resign) event()      {}
+func (Rejected) event()    {}
 
 // Holder is whose a place is.
 type Holder struct {
@@ -145,26 +147,26 @@
 
 // The actions.
 type (
-	// Tell is a message to the member in a place. One to its own place comes back as Heard.
-	Tell struct {
-		To  int
-		Msg Msg
+	// Send is a message to the member in a place. One to its own place comes back as Heard.
+	Send struct {
+		To      int
+		Message Message
 	}
-	// Own tells that this member owns a duty under a number. For how long tells Table.May.
-	Own struct {
+	// Acquired tells that this member owns a duty under a number. For how long tells Table.May.
+	Acquired struct {
 		Duty   string
 		Number uint64
 	}
 	// Lost tells that it owns it no more.
 	Lost struct{ Duty string }
-	// Elected tells that others vote from now on, or will if this is decided: it is to be kept.
-	Elected struct{ Electorate }
+	// ElectorateChange tells that others vote from now on, or will if this is decided: it is to be kept.
+	ElectorateChange struct{ Electorate }
 )
 
-func (Tell) action()    {}
-func (Own) action()     {}
-func (Lost) action()    {}
-func (Elected) action() {}
+func (Send) action()             {}
+func (Acquired) action()         {}
+func (Lost) action()             {}
+func (ElectorateChange) action() {}
 
 // vote is what a voter knows of a duty.
 type vote struct {
@@ -230,12 +232,12 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	t := &Table{cfg: cfg, now: now, who: fmt.Sprintf("%s.%d", cfg.Self, cfg.Life), place: -1, abstain: now + cfg.abstains(), votes: map[string]*vote{}, bids: map[string]*bid{}}
+	t := &Table{cfg: cfg, now: now, who: fmt.Sprintf("%s.%d", cfg.Self, cfg.Incarnation), place: -1, abstain: now + cfg.abstains(), votes: map[string]*vote{}, bids: map[string]*bid{}}
 	t.reg = register{Electorate: last, promised: last.Ballot, taken: map[int]bool{}, from: map[int]bool{}}
 	if last.Epoch == 0 {
-		t.reg.Seats = nil
-		for p := range cfg.Voters {
-			t.reg.Seats = append(t.reg.Seats, p)
+		t.reg.Voters = nil
+		for p := range cfg.InitialVoters {
+			t.reg.Voters = append(t.reg.Voters, p)
 		}
 	}
 	for _, d := range cfg.Duties {
@@ -251,26 +253,26 @@
 	t.out = nil
 	t.now = max(t.now, now)
 	switch e := e.(type) {
-	case Heard:
-		t.heard(e.From, e.Msg)
+	case Received:
+		t.heard(e.From, e.Message)
 	case Tick:
-		t.wall = e.Wall
+		t.wall = e.WallMillis
 		t.tickVoters()
 		t.tick()
-	case Stand:
+	case FleetUpdate:
 		t.stand(e)
-	case Woke:
+	case Resumed:
 		t.readAnew()
 		for _, d := range t.cfg.Duties { // its leases may be over, and its questions are
 			b := t.bids[d]
 			b.asking = false
 			t.end(d, b)
 		}
-	case Yield:
+	case Resign:
 		if b := t.bids[e.Duty]; b != nil {
 			t.yield(e.Duty, b)
 		}
-	case Above:
+	case Rejected:
 		if b := t.bids[e.Duty]; b != nil {
 			b.above = max(b.above, e.Number)
 			t.yield(e.Duty, b)
@@ -280,9 +282,9 @@
 	return t.out
 }
 
-// May reports whether this member may act for a duty at a time on its clock, and under which number. It is to be asked before and
+// MayAct reports whether this member may act for a duty at a time on its clock, and under which number. It is to be asked before and
 // after each step that can't be taken back: after it, no means that the outcome is unknown.
-func (t *Table) May(now time.Duration, duty string) (number uint64, ok bool) {
+func (t *Table) MayAct(now time.Duration, duty string) (number uint64, ok bool) {
 	b := t.bids[duty]
 	if b == nil || !b.owns || now >= b.until {
 		return 0, false
@@ -290,45 +292,45 @@
 	return b.number, true
 }
 
-// Row is what this member knows of a duty.
-type Row struct {
-	Duty   string
-	Owner  string        // by name and life; "": not known
-	Number uint64        // the highest that it knows of
-	Left   time.Duration // of the owner's lease, as far as is known here
+// DutyStatus is what this member knows of a duty.
+type DutyStatus struct {
+	Duty      string
+	Owner     string        // by name and life; "": not known
+	Number    uint64        // the highest that it knows of
+	LeaseLeft time.Duration `json:"Left"` // of the owner's lease, as far as is known here
 }
 
-// Rows are all duties, in the order of the configuration.
-func (t *Table) Rows(now time.Duration) (all []Row) {
-	floor := t.Floor()
+// Duties are all duties, in the order of the configuration.
+func (t *Table) Duties(now time.Duration) (all []DutyStatus) {
+	floor := t.HighestNumbers()
 	for _, d := range t.cfg.Duties {
-		r, b, v := Row{Duty: d, Number: floor[d]}, t.bids[d], t.votes[d]
+		r, b, v := DutyStatus{Duty: d, Number: floor[d]}, t.bids[d], t.votes[d]
 		switch {
 		case b.owns && now < b.until:
-			r.Owner, r.Number, r.Left = t.who, b.number, b.until-now
+			r.Owner, r.Number, r.LeaseLeft = t.who, b.number, b.until-now
 		case v.holder != "" && v.holder != t.who && now < v.until:
-			r.Owner, r.Left = v.holder, v.until-now
+			r.Owner, r.LeaseLeft = v.holder, v.until-now
 		case now < b.rivalFor:
-			r.Owner, r.Left = b.rival, b.rivalFor-now
+			r.Owner, r.LeaseLeft = b.rival, b.rivalFor-now
 		}
 		all = append(all, r)
 	}
 	return all
 }
 
-// Until is the end of this member's lease on a duty, by its clock, and the number; 0: it has none.
-func (t *Table) Until(duty string) (until time.Duration, number uint64) {
+// LeaseEnd is the end of this member's lease on a duty, by its clock, and the number; 0: it has none.
+func (t *Table) LeaseEnd(duty string) (until time.Duration, number uint64) {
 	if b := t.bids[duty]; b != nil && b.owns {
 		return b.until, b.number
 	}
 	return 0, 0
 }
 
-// Who is this member as others are told: its name and its life.
-func (t *Table) Who() string { return t.who }
+// Identity is this member as others are told: its name and its life.
+func (t *Table) Identity() string { return t.who }
 
-// Floor are the highest numbers that this member knows of: what a disk may keep.
-func (t *Table) Floor() map[string]uint64 {
+// HighestNumbers are the highest numbers that this member knows of: what a disk may keep.
+func (t *Table) HighestNumbers() map[string]uint64 {
 	all := map[string]uint64{}
 	for d, v := range t.votes {
 		all[d] = max(v.number, t.bids[d].above, t.bids[d].number)
@@ -336,14 +338,14 @@
 	return all
 }
 
-func (t *Table) stand(e Stand) {
-	if e.Place != t.place && (e.Anew || t.place >= 0) { // a voter's place may have been another's, who granted
+func (t *Table) stand(e FleetUpdate) {
+	if e.Slot != t.place && (e.SlotChanged || t.place >= 0) { // a voter's place may have been another's, who granted
 		t.abstainAnew()
 	}
-	if e.Place != t.place || e.Anew {
+	if e.Slot != t.place || e.SlotChanged {
 		t.readAnew()
 	}
-	t.place, t.alone, t.expect = e.Place, e.Alone, e.Expect
+	t.place, t.alone, t.expect = e.Slot, e.Isolated, e.ExpectedMembers
 	var alive []string
 	for p, h := range e.Holders {
 		if p == len(t.holders) {
--- a/internal/owner/voters.go
+++ b/internal/owner/voters.go
@@ -12,12 +12,12 @@
 
 // Electorate is which places vote.
 type Electorate struct {
-	Epoch   uint64    // rises by one with each change
-	Seats   []int     // places
-	Granted []Granted // the highest numbers of the epochs before, for voters that are new
+	Epoch   uint64        // rises by one with each change
+	Voters  []int         `json:"Seats"` // places
+	Granted []GrantRecord // the highest numbers of the epochs before, for voters that are new
 
-	Ballot uint64 // under which the next epoch's seats were taken here; 0: they were not
-	Next   []int  // those seats
+	Ballot     uint64 // under which the next epoch's seats were taken here; 0: they were not
+	NextVoters []int  `json:"Next"` // those seats
 }
 
 // register is what a member knows of the electorate, and what it does about it.
@@ -46,7 +46,7 @@
 	best    uint64 // the ballot under which others took those seats
 	vacant  []int  // seats that the fleet has given up
 	answers map[int]bool
-	granted []Granted
+	granted []GrantRecord
 	cursor  int // the place that is told next
 }
 
@@ -59,11 +59,11 @@
 // Electorate is which places vote, as far as this member knows: what a disk may keep.
 func (t *Table) Electorate() Electorate {
 	e := t.reg.Electorate
-	e.Seats, e.Granted, e.Next = slices.Clone(e.Seats), slices.Clone(e.Granted), slices.Clone(e.Next)
+	e.Voters, e.Granted, e.NextVoters = slices.Clone(e.Voters), slices.Clone(e.Granted), slices.Clone(e.NextVoters)
 	return e
 }
 
-func (t *Table) seats(place int) bool { return slices.Contains(t.reg.Seats, place) }
+func (t *Table) seats(place int) bool { return slices.Contains(t.reg.Voters, place) }
 
 // most reports that so many members are a majority of the fleet.
 func (t *Table) most(n int) bool {
@@ -79,16 +79,16 @@
 // state tells what holds, and what may hold next.
 func (t *Table) state(to int, round uint64) {
 	r := &t.reg
-	t.do(Tell{to, Msg{Kind: State, Round: round, Epoch: r.Epoch, Seats: r.Seats, Granted: r.Granted, Ballot: r.Ballot, Next: r.Next}})
+	t.do(Send{to, Message{Kind: ElectorateState, Round: round, Epoch: r.Epoch, Voters: r.Voters, Granted: r.Granted, Ballot: r.Ballot, NextVoters: r.NextVoters}})
 }
 
 // sameEpoch reports that a message is of the epoch that is known here. Else the one that is behind is told.
-func (t *Table) sameEpoch(from int, m Msg) bool {
+func (t *Table) sameEpoch(from int, m Message) bool {
 	switch {
 	case m.Epoch < t.reg.Epoch:
 		t.state(from, 0)
 	case m.Epoch > t.reg.Epoch:
-		t.do(Tell{from, Msg{Kind: Read}})
+		t.do(Send{from, Message{Kind: ReadElectorate}})
 	}
 	return m.Epoch == t.reg.Epoch
 }
@@ -96,7 +96,7 @@
 // adopt takes a later electorate.
 func (t *Table) adopt(e Electorate) {
 	r := &t.reg
-	if e.Epoch <= r.Epoch || len(e.Seats) == 0 {
+	if e.Epoch <= r.Epoch || len(e.Voters) == 0 {
 		return
 	}
 	stays := t.seats(t.place) && e.Epoch == r.Epoch+1
@@ -113,7 +113,7 @@
 			b.asking, b.next = false, t.now
 		}
 	}
-	t.do(Elected{t.Electorate()})
+	t.do(ElectorateChange{t.Electorate()})
 }
 
 // abstainAnew forgets the leases that this voter granted, and has it grant nothing until they are over.
@@ -131,14 +131,14 @@
 }
 
 // aboutVoters takes a message on the electorate.
-func (t *Table) aboutVoters(from int, m Msg) {
+func (t *Table) aboutVoters(from int, m Message) {
 	r := &t.reg
 	switch m.Kind {
-	case Read:
+	case ReadElectorate:
 		r.taken[from] = true
 		t.state(from, m.Round)
-	case State:
-		t.adopt(Electorate{Epoch: m.Epoch, Seats: m.Seats, Granted: m.Granted})
+	case ElectorateState:
+		t.adopt(Electorate{Epoch: m.Epoch, Voters: m.Voters, Granted: m.Granted})
 		if m.Epoch == r.Epoch && m.Ballot > r.Ballot && m.Ballot >= r.promised {
 			t.accept(m)
 		}
@@ -154,28 +154,28 @@
 			r.promised = m.Ballot
 			t.letGoOn(from)
 		}
-		t.do(Tell{from, Msg{Kind: Promise, Epoch: r.Epoch, Number: r.promised, Ballot: r.Ballot, Next: r.Next}})
+		t.do(Send{from, Message{Kind: Promise, Epoch: r.Epoch, Number: r.promised, Ballot: r.Ballot, NextVoters: r.NextVoters}})
 	case Accept:
-		if !t.sameEpoch(from, m) || t.now < t.abstain || m.Ballot < r.promised || !t.agreesVacant(m.Vacant) {
+		if !t.sameEpoch(from, m) || t.now < t.abstain || m.Ballot < r.promised || !t.agreesVacant(m.VacantSlots) {
 			return
 		}
 		t.accept(m)
 		t.letGoOn(from)
-		a := Msg{Kind: Accepted, Epoch: r.Epoch, Number: m.Ballot}
+		a := Message{Kind: Accepted, Epoch: r.Epoch, Number: m.Ballot}
 		if t.seats(t.place) {
 			a.Granted = t.granted()
 		}
-		t.do(Tell{from, a})
+		t.do(Send{from, a})
 	case Promise, Accepted:
 		t.answered(from, m)
 	}
 }
 
 // accept takes seats for the next epoch.
-func (t *Table) accept(m Msg) {
+func (t *Table) accept(m Message) {
 	r := &t.reg
-	r.promised, r.Ballot, r.Next, r.since = m.Ballot, m.Ballot, m.Next, t.now
-	t.do(Elected{t.Electorate()})
+	r.promised, r.Ballot, r.NextVoters, r.since = m.Ballot, m.Ballot, m.NextVoters, t.now
+	t.do(ElectorateChange{t.Electorate()})
 }
 
 // agreesVacant reports that those seats are nobody's here either.
@@ -186,7 +186,7 @@
 }
 
 // answered takes an answer to this member's own proposal.
-func (t *Table) answered(from int, m Msg) {
+func (t *Table) answered(from int, m Message) {
 	r := &t.reg
 	b := &r.bid
 	if b.ballot == 0 || m.Epoch != r.Epoch || b.accepts != (m.Kind == Accepted) || t.now >= b.began+t.cfg.Lease { // others may have forgotten it by then
@@ -202,7 +202,7 @@
 	b.answers[from] = true
 	if m.Kind == Promise {
 		if m.Ballot > b.best {
-			b.best, b.seats = m.Ballot, m.Next
+			b.best, b.seats = m.Ballot, m.NextVoters
 		}
 		if t.most(len(b.answers)) {
 			b.accepts, b.answers, b.cursor = true, map[int]bool{}, 0
@@ -213,7 +213,7 @@
 		b.granted = highest(b.granted, m.Granted)
 	}
 	left, took := 0, 0 // of the voters, who still may grant
-	for _, p := range r.Seats {
+	for _, p := range r.Voters {
 		if !slices.Contains(b.vacant, p) {
 			left++
 			if b.answers[p] {
@@ -222,15 +222,15 @@
 		}
 	}
 	if t.most(len(b.answers)) && 2*took > left {
-		t.adopt(Electorate{Epoch: r.Epoch + 1, Seats: b.seats, Granted: highest(b.granted, r.Granted)})
+		t.adopt(Electorate{Epoch: r.Epoch + 1, Voters: b.seats, Granted: highest(b.granted, r.Granted)})
 		r.spread = spreads * len(t.holders)
 	}
 }
 
 // highest are the higher of each two.
-func highest(a, b []Granted) (all []Granted) {
+func highest(a, b []GrantRecord) (all []GrantRecord) {
 	for i := range max(len(a), len(b)) {
-		var x Granted
+		var x GrantRecord
 		if i < len(a) {
 			x = a[i]
 		}
@@ -258,7 +258,7 @@
 		return
 	}
 	if !r.read && t.seats(t.place) {
-		t.askAll(&r.bid.cursor, r.from, Msg{Kind: Read, Round: r.round})
+		t.askAll(&r.bid.cursor, r.from, Message{Kind: ReadElectorate, Round: r.round})
 		return
 	}
 	for n := min(tellsMost, r.spread); n > 0; n-- {
@@ -269,7 +269,7 @@
 	}
 	b := &r.bid
 	if b.ballot != 0 && t.now >= b.began+t.cfg.Lease {
-		r.bid, r.at = proposal{}, t.now+t.cfg.Answer
+		r.bid, r.at = proposal{}, t.now+t.cfg.AnswerTimeout
 	}
 	if b.ballot == 0 {
 		t.propose()
@@ -277,20 +277,20 @@
 	switch {
 	case b.ballot == 0:
 	case b.accepts:
-		t.askAll(&b.cursor, b.answers, Msg{Kind: Accept, Epoch: r.Epoch, Ballot: b.ballot, Next: b.seats, Vacant: b.vacant})
+		t.askAll(&b.cursor, b.answers, Message{Kind: Accept, Epoch: r.Epoch, Ballot: b.ballot, NextVoters: b.seats, VacantSlots: b.vacant})
 	default:
-		t.askAll(&b.cursor, b.answers, Msg{Kind: Prepare, Epoch: r.Epoch, Ballot: b.ballot})
+		t.askAll(&b.cursor, b.answers, Message{Kind: Prepare, Epoch: r.Epoch, Ballot: b.ballot})
 	}
 }
 
 // askAll asks those that are there and have not answered, some of them at a time.
-func (t *Table) askAll(cursor *int, answered map[int]bool, m Msg) {
+func (t *Table) askAll(cursor *int, answered map[int]bool, m Message) {
 	asked := 0
 	for range t.holders {
 		p := *cursor % len(t.holders)
 		*cursor = p + 1
 		if t.holders[p].Alive && !answered[p] {
-			t.do(Tell{p, m})
+			t.do(Send{p, m})
 			if asked++; asked == tellsMost {
 				return
 			}
@@ -303,18 +303,18 @@
 	r := &t.reg
 	turn := t.turn
 	if turn < 0 || turn >= candidates {
-		if turn = slices.Index(r.Seats, t.place); turn < 0 {
+		if turn = slices.Index(r.Voters, t.place); turn < 0 {
 			return
 		}
 		turn += candidates
 	}
-	wait := t.cfg.Step * time.Duration(turn)
+	wait := t.cfg.CandidateDelay * time.Duration(turn)
 	if t.now < r.at+wait || t.now < t.abstain {
 		return
 	}
 	var vacant []int
 	gone := -1
-	for i, p := range r.Seats {
+	for i, p := range r.Voters {
 		if p >= len(t.holders) {
 			continue
 		}
@@ -326,15 +326,15 @@
 			gone = i
 		}
 	}
-	seats := r.Next
+	seats := r.NextVoters
 	if r.Ballot == 0 {
 		fresh := slices.IndexFunc(t.holders, func(h holder) bool { return h.Alive && !t.seats(h.place) })
 		if gone < 0 || fresh < 0 {
 			return
 		}
-		seats = slices.Clone(r.Seats)
+		seats = slices.Clone(r.Voters)
 		seats[gone] = fresh
-	} else if t.now < r.since+2*t.cfg.Answer+wait {
+	} else if t.now < r.since+2*t.cfg.AnswerTimeout+wait {
 		return
 	}
 	ballot := (r.promised/ballotPlace+1)*ballotPlace + uint64(t.place)
--- a/internal/owner/voters_test.go
+++ b/internal/owner/voters_test.go
@@ -34,7 +34,7 @@
 
 func (c *crew) start(i int, last Electorate) *Table {
 	cfg := small()
-	cfg.Self, cfg.Life = name(i), uint64(c.now)
+	cfg.Self, cfg.Incarnation = name(i), uint64(c.now)
 	table, err := New(cfg, c.now, nil, last)
 	if err != nil {
 		c.t.Fatal(err)
@@ -43,7 +43,7 @@
 }
 
 func (c *crew) stand(i int) {
-	c.do(i, c.tables[i].Handle(c.now, Stand{Place: i, Expect: len(c.tables), Holders: slices.Clone(c.holders)}))
+	c.do(i, c.tables[i].Handle(c.now, FleetUpdate{Slot: i, ExpectedMembers: len(c.tables), Holders: slices.Clone(c.holders)}))
 }
 
 // tell changes what all that are there know of a place.
@@ -59,15 +59,15 @@
 func (c *crew) do(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Tell:
+		case Send:
 			if !c.down[a.To] && !c.down[i] {
-				c.do(a.To, c.tables[a.To].Handle(c.now, Heard{i, a.Msg}))
+				c.do(a.To, c.tables[a.To].Handle(c.now, Received{i, a.Message}))
 			}
-		case Elected:
-			if old := c.voters[a.Epoch]; old != nil && !slices.Equal(old, a.Seats) {
-				c.t.Errorf("in epoch %d vote %v and %v", a.Epoch, old, a.Seats)
+		case ElectorateChange:
+			if old := c.voters[a.Epoch]; old != nil && !slices.Equal(old, a.Voters) {
+				c.t.Errorf("in epoch %d vote %v and %v", a.Epoch, old, a.Voters)
 			}
-			c.voters[a.Epoch] = a.Seats
+			c.voters[a.Epoch] = a.Voters
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		c.now += unit / 5
 		for i := range c.tables {
 			if !c.down[i] {
-				c.do(i, c.tables[i].Handle(c.now, Tick{Wall: uint64(c.now / time.Millisecond)}))
+				c.do(i, c.tables[i].Handle(c.now, Tick{WallMillis: uint64(c.now / time.Millisecond)}))
 			}
 		}
 		if done() {
@@ -95,7 +95,7 @@
 func (c *crew) owned() bool {
 	return slices.ContainsFunc(c.tables, func(t *Table) bool {
 		i := slices.Index(c.tables, t)
-		_, ok := t.May(c.now, "d")
+		_, ok := t.MayAct(c.now, "d")
 		return ok && !c.down[i]
 	})
 }
@@ -114,15 +114,15 @@
 func TestVotersDieOneAfterTheOther(t *testing.T) {
 	c := newCrew(t, 7)
 	c.until("an owner", c.owned)
-	most := c.tables[0].cfg.Lease + 6*c.tables[0].cfg.Step + c.tables[0].cfg.abstains() + 2*unit
+	most := c.tables[0].cfg.Lease + 6*c.tables[0].cfg.CandidateDelay + c.tables[0].cfg.abstains() + 2*unit
 	for range 3 {
-		dead := c.tables[6].reg.Seats[0]
+		dead := c.tables[6].reg.Voters[0]
 		c.die(dead)
-		took := c.until("others vote", func() bool { return !slices.Contains(c.tables[6].reg.Seats, dead) })
+		took := c.until("others vote", func() bool { return !slices.Contains(c.tables[6].reg.Voters, dead) })
 		took += c.until("an owner", func() bool {
-			return c.owned() && c.now >= c.tables[c.tables[6].reg.Seats[0]].abstain
+			return c.owned() && c.now >= c.tables[c.tables[6].reg.Voters[0]].abstain
 		})
-		t.Logf("m%d died: %v vote, and one owns, %v later", dead, c.tables[6].reg.Seats, took)
+		t.Logf("m%d died: %v vote, and one owns, %v later", dead, c.tables[6].reg.Voters, took)
 		if took > most {
 			t.Errorf("it took %v, want %v at most", took, most)
 		}
@@ -139,14 +139,14 @@
 		c.until("time passes", func() bool { return true })
 	}
 	if c.tables[1].reg.Epoch > 0 {
-		t.Fatalf("%v vote without a majority of the former voters", c.tables[1].reg.Seats)
+		t.Fatalf("%v vote without a majority of the former voters", c.tables[1].reg.Voters)
 	}
 	c.tell(0, Holder{})
 	c.tell(2, Holder{})
 	took := c.until("an owner", func() bool { return c.owned() && c.tables[1].reg.Epoch == 2 })
-	t.Logf("given up; the work goes on %v later, voters are %v", took, c.tables[1].reg.Seats)
-	if slices.Contains(c.tables[1].reg.Seats, 0) || slices.Contains(c.tables[1].reg.Seats, 2) {
-		t.Errorf("%v vote", c.tables[1].reg.Seats)
+	t.Logf("given up; the work goes on %v later, voters are %v", took, c.tables[1].reg.Voters)
+	if slices.Contains(c.tables[1].reg.Voters, 0) || slices.Contains(c.tables[1].reg.Voters, 2) {
+		t.Errorf("%v vote", c.tables[1].reg.Voters)
 	}
 	for _, i := range []int{0, 2} {
 		c.down[i] = false
@@ -158,11 +158,11 @@
 
 // TestVotersRules are the rules of a change that walks of the model meet too seldom, one message each. Member 3 is the one that is asked.
 func TestVotersRules(t *testing.T) {
-	accept := Msg{Kind: Accept, Ballot: 5, Next: []int{1, 3, 4}}
-	kinds := func(c *crew, from int, m Msg) (all []Kind) {
-		for _, a := range c.tables[3].Handle(c.now, Heard{from, m}) {
-			if a, ok := a.(Tell); ok {
-				all = append(all, a.Msg.Kind)
+	accept := Message{Kind: Accept, Ballot: 5, NextVoters: []int{1, 3, 4}}
+	kinds := func(c *crew, from int, m Message) (all []Kind) {
+		for _, a := range c.tables[3].Handle(c.now, Received{from, m}) {
+			if a, ok := a.(Send); ok {
+				all = append(all, a.Message.Kind)
 			}
 		}
 		return all
@@ -176,7 +176,7 @@
 	t.Run("seats are not taken for vacant that have a holder here", func(t *testing.T) {
 		c := ready(t)
 		m := accept
-		m.Vacant = []int{2}
+		m.VacantSlots = []int{2}
 		if got := kinds(c, 1, m); len(got) != 0 {
 			t.Errorf("answered %c", got)
 		}
@@ -190,9 +190,9 @@
 		c := ready(t)
 		c.down[2] = true
 		c.tell(2, Holder{})
-		kinds(c, 2, Msg{Kind: Read, Round: 1})
+		kinds(c, 2, Message{Kind: ReadElectorate, Round: 1})
 		m := accept
-		m.Vacant = []int{2}
+		m.VacantSlots = []int{2}
 		if got := kinds(c, 1, m); len(got) != 0 {
 			t.Errorf("answered %c", got)
 		}
@@ -203,7 +203,7 @@
 		c.down = map[int]bool{0: true, 2: true, 3: true, 4: true}
 		c.stand(1)
 		c.until("it abstains no more", func() bool { return c.now >= c.tables[1].abstain })
-		ask := Heard{4, Msg{Kind: Ask, Duty: "d", Number: 1 << 40, Who: "m4.1", Round: 9}}
+		ask := Received{4, Message{Kind: Request, Duty: "d", Number: 1 << 40, Owner: "m4.1", Round: 9}}
 		if got := c.tables[1].Handle(c.now, ask); len(got) != 0 {
 			t.Errorf("alone it says %+v", got)
 		}
@@ -212,10 +212,10 @@
 	})
 	t.Run("a new voter knows the numbers of those before it", func(t *testing.T) {
 		c := ready(t)
-		e := Electorate{Epoch: 1, Seats: []int{1, 3, 4}, Granted: []Granted{{Number: 77, By: markOf("m1.1")}}}
-		kinds(c, 1, Msg{Kind: State, Epoch: e.Epoch, Seats: e.Seats, Granted: e.Granted})
+		e := Electorate{Epoch: 1, Voters: []int{1, 3, 4}, Granted: []GrantRecord{{Number: 77, OwnerHash: markOf("m1.1")}}}
+		kinds(c, 1, Message{Kind: ElectorateState, Epoch: e.Epoch, Voters: e.Voters, Granted: e.Granted})
 		c.tables[3].reg.read = true
-		ask := Msg{Kind: Ask, Duty: "d", Number: 77, Who: "m4.1", Round: 9, Epoch: 1}
+		ask := Message{Kind: Request, Duty: "d", Number: 77, Owner: "m4.1", Round: 9, Epoch: 1}
 		if got := kinds(c, 4, ask); len(got) != 0 {
 			t.Errorf("a new voter does not abstain: it says %c", got)
 		}
@@ -223,7 +223,7 @@
 		if got := kinds(c, 4, ask); !slices.Equal(got, []Kind{Deny}) {
 			t.Errorf("another's number again: it says %c", got)
 		}
-		ask.Who = "m1.1"
+		ask.Owner = "m1.1"
 		if got := kinds(c, 1, ask); !slices.Equal(got, []Kind{Grant}) {
 			t.Errorf("the owner's renewal: it says %c", got)
 		}
@@ -231,26 +231,26 @@
 	t.Run("a voter of an epoch before the last abstains", func(t *testing.T) {
 		c := ready(t)
 		at := c.tables[1].abstain
-		c.tables[1].Handle(c.now, Heard{3, Msg{Kind: State, Epoch: 2, Seats: []int{1, 3, 4}}})
+		c.tables[1].Handle(c.now, Received{3, Message{Kind: ElectorateState, Epoch: 2, Voters: []int{1, 3, 4}}})
 		if c.tables[1].abstain <= at {
 			t.Error("it may have been no voter in between, and grants at once")
 		}
 	})
 	t.Run("questions and grants of another epoch count for nothing", func(t *testing.T) {
 		c := ready(t)
-		kinds(c, 1, Msg{Kind: State, Epoch: 1, Seats: []int{1, 3, 4}})
+		kinds(c, 1, Message{Kind: ElectorateState, Epoch: 1, Voters: []int{1, 3, 4}})
 		c.tables[3].reg.read = true
 		c.now = c.tables[3].abstain
-		if got := kinds(c, 4, Msg{Kind: Ask, Duty: "d", Number: 1 << 40, Who: "m4.1", Round: 9}); !slices.Equal(got, []Kind{State}) {
+		if got := kinds(c, 4, Message{Kind: Request, Duty: "d", Number: 1 << 40, Owner: "m4.1", Round: 9}); !slices.Equal(got, []Kind{ElectorateState}) {
 			t.Errorf("asked by the former epoch it says %c", got)
 		}
-		if got := kinds(c, 4, Msg{Kind: Ask, Duty: "d", Number: 1 << 40, Who: "m4.1", Round: 9, Epoch: 2}); !slices.Equal(got, []Kind{Read}) {
+		if got := kinds(c, 4, Message{Kind: Request, Duty: "d", Number: 1 << 40, Owner: "m4.1", Round: 9, Epoch: 2}); !slices.Equal(got, []Kind{ReadElectorate}) {
 			t.Errorf("asked by a later epoch it says %c", got)
 		}
 		b := c.tables[3].bids["d"]
 		*b = bid{number: 9, round: 7, asking: true, asked: c.now, epoch: 1, seats: []int{1, 3, 4}}
 		for _, from := range b.seats {
-			kinds(c, from, Msg{Kind: Grant, Duty: "d", Number: 9, Round: 7})
+			kinds(c, from, Message{Kind: Grant, Duty: "d", Number: 9, Round: 7})
 		}
 		if b.owns {
 			t.Error("it owns by grants of the former epoch")
@@ -258,10 +258,10 @@
 	})
 	t.Run("a proposal is given up in time", func(t *testing.T) {
 		c := ready(t)
-		c.tables[3].reg.bid = proposal{ballot: 5, began: c.now, accepts: true, seats: accept.Next, answers: map[int]bool{}}
+		c.tables[3].reg.bid = proposal{ballot: 5, began: c.now, accepts: true, seats: accept.NextVoters, answers: map[int]bool{}}
 		c.now += c.tables[3].cfg.Lease
 		for from := range 5 {
-			kinds(c, from, Msg{Kind: Accepted, Number: 5})
+			kinds(c, from, Message{Kind: Accepted, Number: 5})
 		}
 		if c.tables[3].reg.Epoch != 0 {
 			t.Error("voters were changed by answers of long ago: who gave them may have forgotten")
@@ -271,18 +271,18 @@
 
 // TestMessagesFit: the largest message on voters has room in 256 bytes, which is what the engine takes.
 func TestMessagesFit(t *testing.T) {
-	m := Msg{Kind: State, Round: 1 << 30, Epoch: 1 << 20, Ballot: 1 << 40}
+	m := Message{Kind: ElectorateState, Round: 1 << 30, Epoch: 1 << 20, Ballot: 1 << 40}
 	for p := range 9 {
-		m.Seats, m.Next = append(m.Seats, 4087+p), append(m.Next, 4087+p)
+		m.Voters, m.NextVoters = append(m.Voters, 4087+p), append(m.NextVoters, 4087+p)
 	}
 	for range dutiesMost {
-		m.Granted = append(m.Granted, Granted{Number: 1 << 41, By: 1 << 31})
+		m.Granted = append(m.Granted, GrantRecord{Number: 1 << 41, OwnerHash: 1 << 31})
 	}
 	b, err := cbor.Marshal(m)
 	if err != nil || len(b) > 256 {
 		t.Errorf("%d bytes, %v", len(b), err)
 	}
-	m = Msg{Kind: Accept, Epoch: 1 << 20, Ballot: 1 << 40, Next: m.Next, Vacant: m.Next}
+	m = Message{Kind: Accept, Epoch: 1 << 20, Ballot: 1 << 40, NextVoters: m.NextVoters, VacantSlots: m.NextVoters}
 	if b, err = cbor.Marshal(m); err != nil || len(b) > 256 {
 		t.Errorf("%d bytes, %v", len(b), err)
 	}
--- a/internal/quiet/clock.go
+++ b/internal/quiet/clock.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Reading is by how much a clock is ahead of this member's, as far as is known: between these.
-type Reading struct{ Least, Most time.Duration }
+// OffsetRange is by how much a clock is ahead of this member's, as far as is known: between these.
+type OffsetRange struct{ Min, Max time.Duration }
 
-// Told is the reading of a clock that stood at a time when a fact was born that is so old at most, and not younger than none, at this
+// EstimateOffset is the reading of a clock that stood at a time when a fact was born that is so old at most, and not younger than none, at this
 // member's time.
-func Told(wall, now time.Time, age time.Duration) Reading {
+func EstimateOffset(wall, now time.Time, age time.Duration) OffsetRange {
 	ahead := wall.Sub(now)
-	return Reading{ahead, ahead + age}
+	return OffsetRange{ahead, ahead + age}
 }
 
-// Agree is by how much the fleet's clock is ahead of this member's, whose own reading is 0: within the bounds that those others have in common
+// FleetOffset is by how much the fleet's clock is ahead of this member's, whose own reading is 0: within the bounds that those others have in common
 // who agree with most (Marzullo, 1984). A clock that is off, or lies, is outvoted as long as more than half agree, this member's own
 // counted; where no more than half do there is no clock, and it reports false.
-func Agree(others []Reading) (r Reading, agree int, ok bool) {
+func FleetOffset(others []OffsetRange) (r OffsetRange, agree int, ok bool) {
 	type edge struct {
 		at   time.Duration
 		step int
 	}
 	edges := []edge{{0, 1}, {0, -1}}
 	for _, x := range others {
-		edges = append(edges, edge{x.Least, 1}, edge{x.Most, -1})
+		edges = append(edges, edge{x.Min, 1}, edge{x.Max, -1})
 	}
 	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), b.step-a.step) }) // those that touch agree
 	in := 0
@@ -38,11 +38,11 @@
 	}
 	none := true
 	for _, x := range others {
-		if x.Least <= at && at <= x.Most {
+		if x.Min <= at && at <= x.Max {
 			if none {
 				r, none = x, false
 			}
-			r = Reading{max(r.Least, x.Least), min(r.Most, x.Most)}
+			r = OffsetRange{max(r.Min, x.Min), min(r.Max, x.Max)}
 		}
 	}
 	return r, agree, agree*2 > len(others)+1
--- a/internal/quiet/hours.go
+++ b/internal/quiet/hours.go
@@ -29,12 +29,12 @@
 	From, To int
 }
 
-// Hours is a region's calendar. Of a day in Never no minute is quiet, also of a span that began the evening before.
-type Hours struct {
-	Zone  *time.Location
-	Week  []Span
-	Never map[Date]bool
-	Also  map[Date][]Span // spans that begin on single days; their Days don't count
+// Calendar is a region's calendar. Of a day in Never no minute is quiet, also of a span that began the evening before.
+type Calendar struct {
+	Zone     *time.Location
+	Weekly   []Span
+	Excluded map[Date]bool
+	Extra    map[Date][]Span // spans that begin on single days; their Days don't count
 }
 
 func dateOf(t time.Time) Date {
@@ -51,20 +51,20 @@
 	return time.Date(d.Year, d.Month, d.Day, 12, 0, 0, 0, time.UTC).Weekday()
 }
 
-// Quiet reports whether the region is quiet at an instant.
-func (h *Hours) Quiet(t time.Time) bool {
+// Contains reports whether the region is quiet at an instant.
+func (h *Calendar) Contains(t time.Time) bool {
 	local := t.In(h.Zone)
 	today := dateOf(local)
-	if h.Never[today] {
+	if h.Excluded[today] {
 		return false
 	}
 	minute := local.Hour()*60 + local.Minute()
 	yesterday := today.next(-1)
-	return h.in(today, minute) || !h.Never[yesterday] && h.in(yesterday, minute+dayLong)
+	return h.in(today, minute) || !h.Excluded[yesterday] && h.in(yesterday, minute+dayLong)
 }
 
 // in reports whether a span that begins on a day holds at a minute since its midnight.
-func (h *Hours) in(day Date, minute int) bool {
+func (h *Calendar) in(day Date, minute int) bool {
 	at := func(s Span) bool {
 		to := s.To
 		if to <= s.From {
@@ -73,22 +73,22 @@
 		return s.From <= minute && minute < to
 	}
 	weekday := day.weekday()
-	for _, s := range h.Week {
+	for _, s := range h.Weekly {
 		if s.Days[weekday] && at(s) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(h.Also[day], at)
+	return slices.ContainsFunc(h.Extra[day], at)
 }
 
 // Window is a time in which one region, or several at once, are quiet.
 type Window struct{ From, To time.Time }
 
-// Next is the window that an instant lies in, from that instant on, or the first one behind it that begins within a time; false: there is
+// NextWindow is the window that an instant lies in, from that instant on, or the first one behind it that begins within a time; false: there is
 // none. An end that lies beyond is told as the end of that time.
-func Next(from time.Time, within time.Duration, of ...*Hours) (Window, bool) {
+func NextWindow(from time.Time, within time.Duration, of ...*Calendar) (Window, bool) {
 	quiet := func(t time.Time) bool {
-		return !slices.ContainsFunc(of, func(h *Hours) bool { return !h.Quiet(t) })
+		return !slices.ContainsFunc(of, func(h *Calendar) bool { return !h.Contains(t) })
 	}
 	// Spans begin and end, and zones change, on whole minutes of true time.
 	at, last := from, from.Add(within)
@@ -107,10 +107,10 @@
 	return w, true
 }
 
-// Left is for how long regions go on to be quiet together at an instant that is known up to a doubt; 0: they may not be quiet. It looks no
+// Remaining is for how long regions go on to be quiet together at an instant that is known up to a doubt; 0: they may not be quiet. It looks no
 // further than a day.
-func Left(t time.Time, doubt time.Duration, of ...*Hours) time.Duration {
-	early, ok := Next(t.Add(-doubt), 24*time.Hour, of...)
+func Remaining(t time.Time, doubt time.Duration, of ...*Calendar) time.Duration {
+	early, ok := NextWindow(t.Add(-doubt), 24*time.Hour, of...)
 	if !ok || early.From.After(t.Add(-doubt)) {
 		return 0
 	}
@@ -147,8 +147,8 @@
 	return s, err
 }
 
-// ParseDay reads a day such as "2026-09-24".
-func ParseDay(text string) (Date, error) {
+// ParseDate reads a day such as "2026-09-24".
+func ParseDate(text string) (Date, error) {
 	t, err := time.Parse(time.DateOnly, text)
 	if err != nil {
 		return Date{}, fmt.Errorf("%q is no day, such as \"2026-09-24\"", text)
@@ -156,10 +156,10 @@
 	return dateOf(t), nil
 }
 
-// ParseExtra reads a day and a time on it, such as "2026-12-25 00:00-24:00".
-func ParseExtra(text string) (d Date, s Span, err error) {
+// ParseDatedSpan reads a day and a time on it, such as "2026-12-25 00:00-24:00".
+func ParseDatedSpan(text string) (d Date, s Span, err error) {
 	day, clock, _ := strings.Cut(text, " ")
-	if d, err = ParseDay(day); err == nil {
+	if d, err = ParseDate(day); err == nil {
 		s.From, s.To, err = times(clock)
 	}
 	return d, s, err
--- a/internal/quiet/quiet_test.go
+++ b/internal/quiet/quiet_test.go
@@ -18,20 +18,20 @@
 	return z
 }
 
-func hours(t *testing.T, where string, spans ...string) *Hours {
+func hours(t *testing.T, where string, spans ...string) *Calendar {
 	t.Helper()
-	h := &Hours{Zone: zone(t, where), Never: map[Date]bool{}, Also: map[Date][]Span{}}
+	h := &Calendar{Zone: zone(t, where), Excluded: map[Date]bool{}, Extra: map[Date][]Span{}}
 	for _, text := range spans {
 		s, err := ParseSpan(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Week = append(h.Week, s)
+		h.Weekly = append(h.Weekly, s)
 	}
 	return h
 }
 
-func at(t *testing.T, h *Hours, text string) time.Time {
+func at(t *testing.T, h *Calendar, text string) time.Time {
 	t.Helper()
 	layout := "2006-01-02 15:04"
 	if strings.HasSuffix(text, "Z") {
@@ -49,22 +49,22 @@
 func TestNights(t *testing.T) {
 	seoul := hours(t, "Asia/Seoul", "mon-fri 22:00-05:00", "sat sun 20:00-24:00")
 	for _, day := range []string{"2026-09-24", "2026-02-16"} { // the days before Chuseok and Seollal
-		d, err := ParseDay(day)
+		d, err := ParseDate(day)
 		if err != nil {
 			t.Fatal(err)
 		}
-		seoul.Never[d] = true
+		seoul.Excluded[d] = true
 	}
-	d, s, err := ParseExtra("2026-12-25 10:00-12:00")
+	d, s, err := ParseDatedSpan("2026-12-25 10:00-12:00")
 	if err != nil {
 		t.Fatal(err)
 	}
-	seoul.Also[d] = []Span{s}
+	seoul.Extra[d] = []Span{s}
 	berlin := hours(t, "Europe/Berlin", "daily 01:30-02:30")
 	york := hours(t, "America/New_York", "daily 01:00-04:00")
 	for _, tc := range []struct {
 		name       string
-		h          *Hours
+		h          *Calendar
 		from       string
 		begins, to string // in UTC
 	}{
@@ -81,7 +81,7 @@
 		{"an hour longer", york, "2026-11-01 00:00", "2026-11-01T05:00Z", "2026-11-01T09:00Z"},
 	} {
 		from := at(t, tc.h, tc.from)
-		w, ok := Next(from, 7*24*time.Hour, tc.h)
+		w, ok := NextWindow(from, 7*24*time.Hour, tc.h)
 		if got := w.From.UTC().Format("2006-01-02T15:04Z"); !ok || got != tc.begins || w.To.UTC().Format("2006-01-02T15:04Z") != tc.to {
 			t.Errorf("%s, from %v: %v to %v (%v), want %s to %s", tc.name, from, w.From.UTC(), w.To.UTC(), ok, tc.begins, tc.to)
 		}
@@ -98,18 +98,18 @@
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			end, windows, long := now.AddDate(1, 0, 0), 0, 0.0
 			for now.Before(end) {
-				w, ok := Next(now, 10*24*time.Hour, h)
+				w, ok := NextWindow(now, 10*24*time.Hour, h)
 				if !ok {
 					t.Fatalf("%s: no window after %v", where, now)
 				}
 				for x := now; x.Before(w.To.Add(time.Minute)); x = x.Add(time.Minute) {
-					if in := !x.Before(w.From) && x.Before(w.To); h.Quiet(x) != in {
+					if in := !x.Before(w.From) && x.Before(w.To); h.Contains(x) != in {
 						t.Fatalf("%s: %v is quiet: %v; the window is %v to %v", where, x.In(h.Zone), !in, w.From.In(h.Zone), w.To.In(h.Zone))
 					}
 				}
 				doubt := time.Duration(rnd.IntN(300)) * time.Second
 				x := w.From.Add(time.Duration(rnd.Int64N(int64(w.To.Sub(w.From)))))
-				if left := Left(x, doubt, h); left > max(0, w.To.Sub(x)-doubt) || left > 0 && x.Add(-doubt).Before(w.From) {
+				if left := Remaining(x, doubt, h); left > max(0, w.To.Sub(x)-doubt) || left > 0 && x.Add(-doubt).Before(w.From) {
 					t.Fatalf("%s: at %v, known up to %v, %v are left of %v to %v", where, x, doubt, left, w.From, w.To)
 				}
 				windows++
@@ -128,11 +128,11 @@
 func TestRegionsThatNeverMeet(t *testing.T) {
 	seoul, berlin := hours(t, "Asia/Seoul", "daily 02:00-09:00"), hours(t, "Europe/Berlin", "daily 00:00-06:00")
 	from := at(t, seoul, "2026-12-02 00:00")
-	w, ok := Next(from, 48*time.Hour, seoul, berlin)
+	w, ok := NextWindow(from, 48*time.Hour, seoul, berlin)
 	if !ok || w.From.UTC().Hour() != 23 || w.To.Sub(w.From) != time.Hour { // 8:00 in Seoul, midnight in Berlin
 		t.Errorf("%v to %v, %v", w.From.UTC(), w.To.UTC(), ok)
 	}
-	if w, ok := Next(from, 30*24*time.Hour, seoul, hours(t, "Europe/Berlin", "daily 01:00-06:00")); ok {
+	if w, ok := NextWindow(from, 30*24*time.Hour, seoul, hours(t, "Europe/Berlin", "daily 01:00-06:00")); ok {
 		t.Errorf("they meet from %v to %v", w.From, w.To)
 	}
 }
@@ -146,7 +146,7 @@
 		}
 	}
 	for _, text := range []string{"2026-13-01", "2026-02-30", "tomorrow"} {
-		if _, err := ParseDay(text); err == nil {
+		if _, err := ParseDate(text); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
@@ -158,30 +158,30 @@
 // TestClocksAgree: the fleet's clock lies where most agree; one that is an hour or a year off moves nothing, also if it is this member's own, and
 // where no more than half agree there is none.
 func TestClocksAgree(t *testing.T) {
-	ms := func(least, most int) Reading {
-		return Reading{time.Duration(least) * time.Millisecond, time.Duration(most) * time.Millisecond}
+	ms := func(least, most int) OffsetRange {
+		return OffsetRange{time.Duration(least) * time.Millisecond, time.Duration(most) * time.Millisecond}
 	}
 	for _, tc := range []struct {
 		name   string
-		others []Reading
-		want   Reading
+		others []OffsetRange
+		want   OffsetRange
 		n      int
 		ok     bool
 	}{
-		{"alone", nil, Reading{}, 1, true},
-		{"all agree", []Reading{ms(-20, 30), ms(-5, 80)}, ms(-5, 30), 3, true},
-		{"one is a year off", []Reading{ms(-20, 30), {365 * 24 * time.Hour, 366 * 24 * time.Hour}}, ms(-20, 30), 2, true},
-		{"this one is an hour off", []Reading{ms(3600000, 3600500), ms(3600200, 3600900), ms(3599000, 3600300)}, ms(3600200, 3600300), 3, true},
-		{"two and two", []Reading{ms(-5, 5), ms(9000, 9010), ms(9005, 9020)}, ms(-5, 5), 2, false},
-		{"they touch", []Reading{ms(0, 10)}, ms(0, 10), 2, true},
-		{"one other, who is off", []Reading{ms(500, 510)}, Reading{}, 1, false},
+		{"alone", nil, OffsetRange{}, 1, true},
+		{"all agree", []OffsetRange{ms(-20, 30), ms(-5, 80)}, ms(-5, 30), 3, true},
+		{"one is a year off", []OffsetRange{ms(-20, 30), {365 * 24 * time.Hour, 366 * 24 * time.Hour}}, ms(-20, 30), 2, true},
+		{"this one is an hour off", []OffsetRange{ms(3600000, 3600500), ms(3600200, 3600900), ms(3599000, 3600300)}, ms(3600200, 3600300), 3, true},
+		{"two and two", []OffsetRange{ms(-5, 5), ms(9000, 9010), ms(9005, 9020)}, ms(-5, 5), 2, false},
+		{"they touch", []OffsetRange{ms(0, 10)}, ms(0, 10), 2, true},
+		{"one other, who is off", []OffsetRange{ms(500, 510)}, OffsetRange{}, 1, false},
 	} {
-		if r, n, ok := Agree(tc.others); r != tc.want || n != tc.n || ok != tc.ok {
+		if r, n, ok := FleetOffset(tc.others); r != tc.want || n != tc.n || ok != tc.ok {
 			t.Errorf("%s: %v, %d, %v; want %v, %d, %v", tc.name, r, n, ok, tc.want, tc.n, tc.ok)
 		}
 	}
 	now := time.Unix(1000, 0)
-	if r := Told(now.Add(-2*time.Second), now, 3*time.Second); r != (Reading{-2 * time.Second, time.Second}) {
+	if r := EstimateOffset(now.Add(-2*time.Second), now, 3*time.Second); r != (OffsetRange{-2 * time.Second, time.Second}) {
 		t.Errorf("a clock that told 2 s ago, 3 s at most: %v", r)
 	}
 }
--- a/internal/world/fleet_test.go
+++ b/internal/world/fleet_test.go
@@ -39,8 +39,8 @@
 func newTrial(t *testing.T, seed uint64, n int) *trial {
 	k := NewKernel(seed, start)
 	net := NewNetwork(k, 200*time.Microsecond, 2*time.Millisecond)
-	conf := fleet.Default()
-	conf.Places, conf.Expect = n, n
+	conf := fleet.DefaultConfig()
+	conf.Slots, conf.ExpectedMembers = n, n
 	x := &trial{t: t, f: NewFleet(k, net, conf), using: map[int][]*Member{}, both: map[int]time.Duration{}}
 	x.f.Watch = x.watch
 	for range n {
@@ -49,7 +49,7 @@
 	return x
 }
 
-func (x *trial) watch(m *Member, s fleet.Standing) {
+func (x *trial) watch(m *Member, s fleet.Assignment) {
 	now := x.f.K.Now()
 	for p, by := range x.using {
 		if i := slices.Index(by, m); i >= 0 {
@@ -59,9 +59,9 @@
 			}
 		}
 	}
-	if s.Place >= 0 {
-		if x.using[s.Place] = append(x.using[s.Place], m); len(x.using[s.Place]) == 2 {
-			x.both[s.Place] = now
+	if s.Slot >= 0 {
+		if x.using[s.Slot] = append(x.using[s.Slot], m); len(x.using[s.Slot]) == 2 {
+			x.both[s.Slot] = now
 		}
 	}
 }
@@ -97,9 +97,9 @@
 func (x *trial) report() {
 	n := 0
 	for _, m := range x.f.Members {
-		if s := m.Table.Standing(); m.Up && (s.Place < 0 || s.Alone) && n < 5 {
+		if s := m.Table.Assignment(); m.Up && (s.Slot < 0 || s.Isolated) && n < 5 {
 			n++
-			x.t.Logf("%s: place %d, alone %v, %d rows", m.name, s.Place, s.Alone, len(m.Table.Rows()))
+			x.t.Logf("%s: place %d, alone %v, %d rows", m.name, s.Slot, s.Isolated, len(m.Table.Members()))
 		}
 	}
 }
@@ -117,11 +117,11 @@
 func (x *trial) agreed() bool {
 	var first []fleet.Holder
 	for _, m := range x.up() {
-		s := m.Table.Standing()
+		s := m.Table.Assignment()
 		if first == nil {
 			first = s.Holders
 		}
-		if s.Place < 0 || s.Alone || s.Holders[s.Place].Name != m.name || !slices.Equal(first, s.Holders) {
+		if s.Slot < 0 || s.Isolated || s.Holders[s.Slot].Name != m.name || !slices.Equal(first, s.Holders) {
 			return false
 		}
 	}
@@ -131,7 +131,7 @@
 // lost reports that all of some members know that one is lost.
 func lost(among []*Member, name string) bool {
 	return !slices.ContainsFunc(among, func(m *Member) bool {
-		state, known := m.Table.StateOf(name)
+		state, known := m.Table.MemberState(name)
 		return known && state == fleet.Alive
 	})
 }
@@ -166,16 +166,16 @@
 		return slices.ContainsFunc(rest, func(m *Member) bool { return lost([]*Member{m}, victim.name) })
 	})
 	t.Logf("a death noticed after %v, known to all %v later", first, x.until("all to know", 30*time.Second, func() bool { return lost(rest, victim.name) }))
-	place := victim.Last.Place
+	place := victim.Last.Slot
 	victim.Start(0)
 	t.Logf("back in its place after %v", x.until("coming back", 30*time.Second, x.agreed))
-	if victim.Last.Place != place {
-		t.Errorf("it held place %d and came back to %d", place, victim.Last.Place)
+	if victim.Last.Slot != place {
+		t.Errorf("it held place %d and came back to %d", place, victim.Last.Slot)
 	}
 
 	half := map[*Member]int{}
 	for _, m := range x.f.Members[n/2:] {
-		half[m] = m.Last.Place
+		half[m] = m.Last.Slot
 		m.Kill()
 	}
 	for m := range half {
@@ -183,8 +183,8 @@
 	}
 	t.Logf("half restarted at once, all in their places after %v", x.until("half restarting", time.Minute, func() bool { return len(x.up()) == n && x.agreed() }))
 	for m, place := range half {
-		if m.Last.Place != place {
-			t.Errorf("%s held place %d and came back to %d", m.name, place, m.Last.Place)
+		if m.Last.Slot != place {
+			t.Errorf("%s held place %d and came back to %d", m.name, place, m.Last.Slot)
 		}
 	}
 
@@ -198,9 +198,9 @@
 	sleeper.Stop()
 	x.f.K.Run(x.f.K.Now() + 10*time.Second)
 	var woke []int
-	x.f.Watch = func(m *Member, s fleet.Standing) {
+	x.f.Watch = func(m *Member, s fleet.Assignment) {
 		if x.watch(m, s); m == sleeper {
-			woke = append(woke, s.Place)
+			woke = append(woke, s.Slot)
 		}
 	}
 	sleeper.Continue()
@@ -232,9 +232,9 @@
 	n := len(x.f.Members)
 	held := map[*Member]int{}
 	for i, m := range x.f.Members {
-		held[m] = m.Last.Place
+		held[m] = m.Last.Slot
 		if m.Kill(); i%10 == 5 {
-			m.Last, held[m] = fleet.None, -1
+			m.Last, held[m] = fleet.NoClaim, -1
 		}
 	}
 	packets, rnd := x.f.Packets, x.f.K.Stream("power")
@@ -244,8 +244,8 @@
 	took := x.until("coming back from a loss of power", time.Minute, func() bool { return len(x.up()) == n && x.agreed() })
 	x.t.Logf("power lost everywhere: all agree after %v, by %.0f packets a member and second", took, float64(x.f.Packets-packets)/took.Seconds()/float64(n))
 	for m, place := range held {
-		if place >= 0 && m.Last.Place != place {
-			x.t.Errorf("%s held place %d and came back to %d", m.name, place, m.Last.Place)
+		if place >= 0 && m.Last.Slot != place {
+			x.t.Errorf("%s held place %d and came back to %d", m.name, place, m.Last.Slot)
 		}
 	}
 }
@@ -253,7 +253,7 @@
 // vacant reports that nobody takes a name for a holder.
 func (x *trial) vacant(name string) bool {
 	return !slices.ContainsFunc(x.up(), func(m *Member) bool {
-		return slices.ContainsFunc(m.Table.Standing().Holders, func(h fleet.Holder) bool { return h.Name == name && h.State == fleet.Alive })
+		return slices.ContainsFunc(m.Table.Assignment().Holders, func(h fleet.Holder) bool { return h.Name == name && h.State == fleet.Alive })
 	})
 }
 
@@ -268,11 +268,11 @@
 		small = x.f.Members
 	}
 	took := x.until("knowing of the cut", 5*time.Minute, func() bool {
-		return !slices.ContainsFunc(small, func(m *Member) bool { return !m.Table.Standing().Alone })
+		return !slices.ContainsFunc(small, func(m *Member) bool { return !m.Table.Assignment().Isolated })
 	})
 	x.f.K.Run(x.f.K.Now() + 20*time.Second)
 	for _, m := range x.f.Members {
-		if s := m.Table.Standing(); s.Place < 0 {
+		if s := m.Table.Assignment(); s.Slot < 0 {
 			x.t.Errorf("%s gave its place up within its lease", m.name)
 		}
 	}
--- a/internal/world/members.go
+++ b/internal/world/members.go
@@ -36,7 +36,7 @@
 	Conf    fleet.Config // of all, but for Self
 	Members []*Member
 	// Watch is told how a member stands, whenever that changes, and that it is gone (Place below 0).
-	Watch func(m *Member, s fleet.Standing)
+	Watch func(m *Member, s fleet.Assignment)
 	// Notes is told what members log; nil: nothing.
 	Notes func(m *Member, text string)
 
@@ -46,7 +46,7 @@
 
 // NewFleet is a fleet without members.
 func NewFleet(k *Kernel, net *Network, conf fleet.Config) *Fleet {
-	return &Fleet{K: k, Net: net, Conf: conf, Watch: func(*Member, fleet.Standing) {}}
+	return &Fleet{K: k, Net: net, Conf: conf, Watch: func(*Member, fleet.Assignment) {}}
 }
 
 // Member is one member's process.
@@ -109,7 +109,7 @@
 
 // Add makes a member that is not up.
 func (f *Fleet) Add() *Member {
-	m := &Member{No: len(f.Members), f: f, Last: fleet.None, name: fmt.Sprintf("n%04d", len(f.Members))}
+	m := &Member{No: len(f.Members), f: f, Last: fleet.NoClaim, name: fmt.Sprintf("n%04d", len(f.Members))}
 	f.Members = append(f.Members, m)
 	return m
 }
@@ -123,8 +123,8 @@
 	m.view, m.alive, m.news, m.ring, m.backlog = make([]peerView, len(f.Members)), 0, nil, nil, nil
 	m.rnd = f.K.Stream(fmt.Sprintf("member %d life %d", m.No, m.gen))
 	cfg := f.Conf
-	cfg.Last = m.Last
-	cfg.Self = fleet.Member{Name: m.name, Life: m.life, Claim: fleet.None}
+	cfg.LastClaim = m.Last
+	cfg.Self = fleet.Member{Name: m.name, Incarnation: m.life, Claim: fleet.NoClaim}
 	m.self, m.seeds = cfg.Self, seeds
 	t, err := fleet.New(cfg)
 	if err != nil {
@@ -167,7 +167,7 @@
 // Kill ends a member's process without a word.
 func (m *Member) Kill() {
 	m.Up = false
-	m.f.Watch(m, fleet.Standing{Place: -1})
+	m.f.Watch(m, fleet.Assignment{Slot: -1})
 }
 
 // Leave ends it with a goodbye.
@@ -202,16 +202,16 @@
 			m.inc++
 			m.spread(news{about: m.No, kind: isAlive, life: m.life, inc: m.inc, from: m.No, member: a.Self})
 		case fleet.Sync:
-			m.sync(a.Few)
-		case fleet.Stand:
-			if a.Place >= 0 {
-				m.Last = fleet.Claim{Place: a.Place, Term: a.Term}
+			m.sync(a.SkipSeeds)
+		case fleet.AssignmentChange:
+			if a.Slot >= 0 {
+				m.Last = fleet.Claim{Slot: a.Slot, Term: a.Term}
 			}
-			m.f.Watch(m, a.Standing)
-		case fleet.Yield:
+			m.f.Watch(m, a.Assignment)
+		case fleet.Superseded:
 			m.Yielded = true
 			m.Kill()
-		case fleet.Note:
+		case fleet.LogMessage:
 			if m.f.Notes != nil {
 				m.f.Notes(m, a.Text)
 			}
@@ -238,7 +238,7 @@
 	to = slices.DeleteFunc(to, func(i int) bool { return i == m.No })
 	left, ok, gen := len(to), false, m.gen
 	if left == 0 {
-		m.f.K.After(0, func() { m.process(gen, func() { m.tell(fleet.Synced{}) }) })
+		m.f.K.After(0, func() { m.process(gen, func() { m.tell(fleet.SyncDone{}) }) })
 		return
 	}
 	for _, i := range to {
@@ -246,7 +246,7 @@
 			left--
 			ok = ok || answered
 			if left == 0 {
-				m.tell(fleet.Synced{OK: ok})
+				m.tell(fleet.SyncDone{OK: ok})
 			}
 		})
 	}
@@ -266,19 +266,19 @@
 // state is a member's whole state, as it is exchanged.
 type state struct {
 	news []news
-	past fleet.Past
+	past fleet.SharedState
 }
 
 func (m *Member) state() state {
-	s := state{news: []news{{about: m.No, kind: isAlive, life: m.life, inc: m.inc, member: m.self}}, past: m.Table.Past()}
+	s := state{news: []news{{about: m.No, kind: isAlive, life: m.life, inc: m.inc, member: m.self}}, past: m.Table.SharedState()}
 	for i := range m.view {
 		v := &m.view[i]
 		switch {
 		case !v.known:
 		case v.state == fleet.Alive && !v.suspect:
-			s.news = append(s.news, news{about: i, kind: isAlive, life: v.member.Life, inc: v.inc, member: v.member})
+			s.news = append(s.news, news{about: i, kind: isAlive, life: v.member.Incarnation, inc: v.inc, member: v.member})
 		case v.state != fleet.Left: // memberlist merges the dead as suspects, so that they can answer
-			s.news = append(s.news, news{about: i, kind: isSuspect, life: v.member.Life, inc: v.inc, from: m.No})
+			s.news = append(s.news, news{about: i, kind: isSuspect, life: v.member.Incarnation, inc: v.inc, from: m.No})
 		}
 	}
 	return s
@@ -288,7 +288,7 @@
 	for _, n := range s.news {
 		m.learn(n)
 	}
-	m.tell(fleet.Told{Past: s.past})
+	m.tell(fleet.RemoteState{SharedState: s.past})
 }
 
 // exchange swaps whole states with another.
@@ -360,7 +360,7 @@
 func (m *Member) hear() {
 	if now := m.f.K.Now(); now-m.heardAt >= tickEvery/2 {
 		m.heardAt = now
-		m.tell(fleet.Heard{})
+		m.tell(fleet.MemberContact{})
 	}
 }
 
@@ -398,7 +398,7 @@
 	if m.view[i].state != fleet.Alive {
 		return
 	}
-	acked, gen, life := false, m.gen, m.view[i].member.Life
+	acked, gen, life := false, m.gen, m.view[i].member.Incarnation
 	ack := func(*Member) { acked = true }
 	pinged := func(o, by *Member) {
 		if o.life == life { // a later process of its name does not answer for it
@@ -427,7 +427,7 @@
 	m.f.K.After(probeEvery, func() {
 		m.process(gen, func() {
 			if v := &m.view[i]; !acked && v.state == fleet.Alive {
-				m.learn(news{about: i, kind: isSuspect, life: v.member.Life, inc: v.inc, from: m.No})
+				m.learn(news{about: i, kind: isSuspect, life: v.member.Incarnation, inc: v.inc, from: m.No})
 			}
 		})
 	})
@@ -441,7 +441,7 @@
 	}
 	v := &m.view[n.about]
 	if n.kind == isAlive {
-		if v.known && (n.life < v.member.Life || n.life == v.member.Life && n.inc <= v.inc) {
+		if v.known && (n.life < v.member.Incarnation || n.life == v.member.Incarnation && n.inc <= v.inc) {
 			return
 		}
 		m.f.K.Stop(v.timer)
@@ -452,11 +452,11 @@
 		*v = peerView{known: true, inc: n.inc, at: m.f.K.Now(), member: n.member}
 		m.spread(n)
 		if changed {
-			m.tell(fleet.Seen{Member: n.member})
+			m.tell(fleet.MemberAlive{Member: n.member})
 		}
 		return
 	}
-	if !v.known || n.life != v.member.Life || n.inc < v.inc || v.state != fleet.Alive {
+	if !v.known || n.life != v.member.Incarnation || n.inc < v.inc || v.state != fleet.Alive {
 		return
 	}
 	if n.kind == isSuspect {
@@ -476,14 +476,14 @@
 		v.state = fleet.Left
 	}
 	m.spread(n)
-	m.tell(fleet.Gone{Name: v.member.Name, Life: v.member.Life, Left: n.kind == hasLeft})
+	m.tell(fleet.MemberGone{Name: v.member.Name, Incarnation: v.member.Incarnation, Left: n.kind == hasLeft})
 }
 
 // aboutSelf answers what is said of this member and is not so, and learns of a later process of its name.
 func (m *Member) aboutSelf(n news) {
 	switch {
 	case n.kind == isAlive && n.life > m.life:
-		m.tell(fleet.Seen{Member: n.member})
+		m.tell(fleet.MemberAlive{Member: n.member})
 	case n.kind != isAlive && n.life == m.life && n.inc >= m.inc:
 		m.inc = n.inc + 1
 		m.spread(news{about: m.No, kind: isAlive, life: m.life, inc: m.inc, from: m.No, member: m.self})
@@ -502,7 +502,7 @@
 	v.timer = m.f.K.At(at, func() {
 		m.process(gen, func() {
 			if v := &m.view[i]; v.suspect && v.inc == inc {
-				m.learn(news{about: i, kind: isDead, life: v.member.Life, inc: v.inc, from: m.No})
+				m.learn(news{about: i, kind: isDead, life: v.member.Incarnation, inc: v.inc, from: m.No})
 			}
 		})
 	})
@@ -516,5 +516,5 @@
 	}
 	v.agree = append(v.agree, from)
 	m.suspect(i)
-	m.spread(news{about: i, kind: isSuspect, life: v.member.Life, inc: v.inc, from: from})
+	m.spread(news{about: i, kind: isSuspect, life: v.member.Incarnation, inc: v.inc, from: from})
 }
--- a/internal/world/owners.go
+++ b/internal/world/owners.go
@@ -61,7 +61,7 @@
 func (o *Owners) Start(m *OwnerMember) error {
 	o.lives++
 	conf := o.conf
-	conf.Self, conf.Life = ownerName(m.No), o.lives
+	conf.Self, conf.Incarnation = ownerName(m.No), o.lives
 	t, err := owner.New(conf, o.K.Now(), nil, m.voters)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 	o.tell(m, o.stand(m))
 	o.K.Every(ownersTick, ownersTick, func() bool {
 		if m.gen == gen && m.Up {
-			o.tell(m, owner.Tick{Wall: uint64(o.K.Now() / time.Millisecond)})
+			o.tell(m, owner.Tick{WallMillis: uint64(o.K.Now() / time.Millisecond)})
 		}
 		return m.gen == gen && m.Up
 	})
@@ -96,8 +96,8 @@
 }
 
 // stand is how a member stands now. Who is gone keeps its place until Hold is over.
-func (o *Owners) stand(m *OwnerMember) owner.Stand {
-	s := owner.Stand{Place: m.No, Expect: len(o.Members)}
+func (o *Owners) stand(m *OwnerMember) owner.FleetUpdate {
+	s := owner.FleetUpdate{Slot: m.No, ExpectedMembers: len(o.Members)}
 	for _, x := range o.Members {
 		h := owner.Holder{Name: ownerName(x.No), Alive: x.Up}
 		if !x.Up && o.K.Now()-x.died >= o.Hold {
@@ -111,18 +111,18 @@
 func (o *Owners) tell(m *OwnerMember, e owner.Event) {
 	for _, a := range m.Table.Handle(o.K.Now(), e) {
 		switch a := a.(type) {
-		case owner.Tell:
+		case owner.Send:
 			o.Sent++
 			o.Net.Packet(m.No, a.To, func() {
 				if to := o.Members[a.To]; to.Up {
-					o.tell(to, owner.Heard{From: m.No, Msg: a.Msg})
+					o.tell(to, owner.Received{From: m.No, Message: a.Message})
 				}
 			})
-		case owner.Own:
+		case owner.Acquired:
 			o.Changed(m, a.Duty, true)
 		case owner.Lost:
 			o.Changed(m, a.Duty, false)
-		case owner.Elected:
+		case owner.ElectorateChange:
 			m.voters = a.Electorate
 		}
 	}
--- a/internal/world/owners_test.go
+++ b/internal/world/owners_test.go
@@ -25,7 +25,7 @@
 	k := NewKernel(seed, start)
 	net := NewNetwork(k, 200*time.Microsecond, 2*time.Millisecond)
 	net.Loss = 0.05
-	conf := owner.Default()
+	conf := owner.DefaultConfig()
 	for d := range duties {
 		conf.Duties = append(conf.Duties, fmt.Sprint("duty", d))
 	}
@@ -42,11 +42,11 @@
 			return
 		}
 		if old := who[duty]; old != nil && old != m && old.Up {
-			if _, ok := old.Table.May(k.Now(), duty); ok {
+			if _, ok := old.Table.MayAct(k.Now(), duty); ok {
 				t.Errorf("%s is owned by two at %v", duty, k.Now())
 			}
 		}
-		number, _ := m.Table.May(k.Now(), duty)
+		number, _ := m.Table.MayAct(k.Now(), duty)
 		if number <= numbers[duty] {
 			t.Errorf("%s is owned under %d after %d", duty, number, numbers[duty])
 		}
@@ -98,12 +98,12 @@
 func renew(t *testing.T, o *Owners, duties int, numbers map[string]uint64) {
 	t.Helper()
 	watcher := o.Members[len(o.Members)-1]
-	votes := func(m *OwnerMember) bool { return slices.Contains(watcher.Table.Electorate().Seats, m.No) }
+	votes := func(m *OwnerMember) bool { return slices.Contains(watcher.Table.Electorate().Voters, m.No) }
 	owned := func() bool {
 		n := 0
 		for _, m := range o.Members {
 			for d := range duties {
-				if _, ok := m.Table.May(o.K.Now(), fmt.Sprint("duty", d)); ok && m.Up {
+				if _, ok := m.Table.MayAct(o.K.Now(), fmt.Sprint("duty", d)); ok && m.Up {
 					n++
 				}
 			}
@@ -123,7 +123,7 @@
 	}
 	var took []time.Duration
 	for range 3 {
-		victim := o.Members[watcher.Table.Electorate().Seats[1]]
+		victim := o.Members[watcher.Table.Electorate().Voters[1]]
 		sent := o.Sent
 		o.Kill(victim)
 		took = append(took, wait("a voter is replaced", 2*time.Minute, func() bool { return !votes(victim) }))
@@ -132,7 +132,7 @@
 	}
 	wait("all is owned", time.Minute, owned)
 	dead := o.Members[:0:0]
-	for _, p := range watcher.Table.Electorate().Seats[:3] {
+	for _, p := range watcher.Table.Electorate().Voters[:3] {
 		dead = append(dead, o.Members[p])
 		o.Kill(o.Members[p])
 	}
