--- a/internal/blocks/duties.go
+++ b/internal/blocks/duties.go
@@ -4,8 +4,8 @@
 	"net/url"
 	"time"
 
+	"sloepick/internal/election"
 	"sloepick/internal/operator"
-	"sloepick/internal/owner"
 )
 
 // dutiesBlock declares the block duties.
@@ -43,8 +43,8 @@
 
 // Duties are a fleet's work.
 type Duties struct {
-	Owner  owner.Config // without duties' names
-	Report *Report      // nil: none
+	Owner  election.Config // without duties' names
+	Report *Report         // nil: none
 }
 
 // Report is where the fleet's standing is told.
@@ -66,7 +66,7 @@
 	if !s.Present() {
 		return nil
 	}
-	o := owner.DefaultConfig()
+	o := election.DefaultConfig()
 	o.InitialVoters, o.Lease = s.Count("voters"), s.Duration("lease")
 	o.RenewInterval, o.AnswerTimeout, o.CandidateDelay = o.Lease/renewPart, o.Lease/answerPart, o.Lease/stepPart
 	d := &Duties{Owner: o}
--- a/internal/blocks/regions.go
+++ b/internal/blocks/regions.go
@@ -4,8 +4,8 @@
 	"time"
 	_ "time/tzdata" // zones by name, also where the machine has none
 
+	"sloepick/internal/maintenance"
 	"sloepick/internal/operator"
-	"sloepick/internal/quiet"
 )
 
 // regionBlock declares the block region.
@@ -28,8 +28,8 @@
 }
 
 // hoursOf reads a region's calendar, and what is wrong with it.
-func hoursOf(s *operator.Section) (h *quiet.Calendar, out []operator.Problem) {
-	h = &quiet.Calendar{Excluded: map[quiet.Date]bool{}, Extra: map[quiet.Date][]quiet.Span{}}
+func hoursOf(s *operator.Section) (h *maintenance.Calendar, out []operator.Problem) {
+	h = &maintenance.Calendar{Excluded: map[maintenance.Date]bool{}, Extra: map[maintenance.Date][]maintenance.Span{}}
 	var err error
 	if h.Zone, err = time.LoadLocation(s.Word("clock")); err != nil || s.Word("clock") == "Local" {
 		out = append(out, operator.Problem{Key: "clock", Msg: "there is no such time zone; want a name such as \"Asia/Seoul\""})
@@ -46,17 +46,17 @@
 		}
 	}
 	each("quiet", func(text string) error {
-		span, err := quiet.ParseSpan(text)
+		span, err := maintenance.ParseSpan(text)
 		h.Weekly = append(h.Weekly, span)
 		return err
 	})
 	each("none", func(text string) error {
-		day, err := quiet.ParseDate(text)
+		day, err := maintenance.ParseDate(text)
 		h.Excluded[day] = true
 		return err
 	})
 	each("also", func(text string) error {
-		day, span, err := quiet.ParseDatedSpan(text)
+		day, span, err := maintenance.ParseDatedSpan(text)
 		h.Extra[day] = append(h.Extra[day], span)
 		return err
 	})
@@ -64,8 +64,8 @@
 }
 
 // Regions are the calendars of the regions that have one, by their names.
-func Regions(c *operator.Config) map[string]*quiet.Calendar {
-	all := map[string]*quiet.Calendar{}
+func Regions(c *operator.Config) map[string]*maintenance.Calendar {
+	all := map[string]*maintenance.Calendar{}
 	for _, s := range c.All("region") {
 		all[s.Label], _ = hoursOf(s)
 	}
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"sloepick/internal/blocks"
-	"sloepick/internal/duty"
+	"sloepick/internal/fleetreport"
 	"sloepick/internal/gossip"
 )
 
@@ -18,7 +18,7 @@
 	}
 	f.Owner = d.Owner
 	if d.Report != nil {
-		f.Owner.Duties = append(f.Owner.Duties, duty.DutyName)
+		f.Owner.Duties = append(f.Owner.Duties, fleetreport.DutyName)
 	}
 	if len(f.Owner.Duties) == 0 {
 		return errors.New("the block duties has no duty")
@@ -32,7 +32,7 @@
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
-	report := &duty.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
+	report := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
 		Body: func() any { return r.member.Report() }, Client: &http.Client{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/duty"
-	"sloepick/internal/owner"
+	"sloepick/internal/election"
+	"sloepick/internal/fleetreport"
 	"sloepick/internal/testbed"
 	"sloepick/internal/testbed/e2e"
 	"sloepick/internal/testbed/faultnet"
@@ -23,22 +23,22 @@
 type outside struct {
 	*httptest.Server
 	mu     sync.Mutex
-	fence  owner.Fence
-	taken  []duty.Payload
-	turned []duty.Payload
+	fence  election.Fence
+	taken  []fleetreport.Payload
+	turned []fleetreport.Payload
 }
 
 func newOutside(t *testing.T) *outside {
 	o := &outside{}
 	o.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		var s duty.Payload
+		var s fleetreport.Payload
 		if err := json.NewDecoder(req.Body).Decode(&s); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		if above, ok := o.fence.Admit(s.Duty, owner.Ownership{Number: s.Number, Owner: s.Owner}); !ok {
+		if above, ok := o.fence.Admit(s.Duty, election.Ownership{Number: s.Number, Owner: s.Owner}); !ok {
 			o.turned = append(o.turned, s)
 			w.WriteHeader(http.StatusConflict)
 			fmt.Fprintf(w, `{"Above": %d}`, above.Number)
@@ -117,7 +117,7 @@
 	for end := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
 		out.mu.Lock()
 		late := out.fence.Rejected
-		arrived := slices.ContainsFunc(out.turned, func(s duty.Payload) bool { return strings.HasPrefix(s.Owner, e2e.GatewayName(a)+".") })
+		arrived := slices.ContainsFunc(out.turned, func(s fleetreport.Payload) bool { return strings.HasPrefix(s.Owner, e2e.GatewayName(a)+".") })
 		out.mu.Unlock()
 		if arrived {
 			t.Logf("the late step arrived and was turned away: %v", late)
@@ -148,7 +148,7 @@
 		}
 	}
 	out.audit(t)
-	if rep := report(r, 0); rep == nil || len(rep.Duties) != 1 || rep.Duties[0].Duty != duty.DutyName {
+	if rep := report(r, 0); rep == nil || len(rep.Duties) != 1 || rep.Duties[0].Duty != fleetreport.DutyName {
 		t.Errorf("the status tells %+v", rep)
 	}
 }
@@ -160,7 +160,7 @@
 	t.Logf("%d steps taken, of %v; turned away %v", steps, names, o.fence.Rejected)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	last := map[string]duty.Payload{}
+	last := map[string]fleetreport.Payload{}
 	for i, s := range o.taken {
 		if i > 0 && (s.Number < o.taken[i-1].Number || s.Number == o.taken[i-1].Number && s.Owner != o.taken[i-1].Owner) {
 			t.Errorf("a step of %s under %d was taken after one of %s under %d", s.Owner, s.Number, o.taken[i-1].Owner, o.taken[i-1].Number)
--- a/internal/owner/fence.go
+++ b/internal/election/fence.go
@@ -1,4 +1,4 @@
-package owner
+package election
 
 // Fence is what a receiver keeps of each duty: the highest number that it took, and whose. The zero value has taken none.
 type Fence struct {
--- a/internal/owner/owner.go
+++ b/internal/election/owner.go
@@ -8,7 +8,7 @@
 // Trencseni and Gazso, 2012).
 //
 // Times are a [time.Duration] on the member's own monotonic clock.
-package owner
+package election
 
 import (
 	"fmt"
--- a/internal/owner/voters.go
+++ b/internal/election/voters.go
@@ -1,4 +1,4 @@
-package owner
+package election
 
 import (
 	"slices"
--- a/internal/duty/report.go
+++ b/internal/fleetreport/report.go
@@ -1,6 +1,6 @@
 // Package duty does pieces of work on behalf of the fleet, each by the member that owns it. Every step carries the owner's number, and the
 // lease is looked at before and after each step that can't be taken back.
-package duty
+package fleetreport
 
 import (
 	"bytes"
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
-	"sloepick/internal/owner"
+	"sloepick/internal/election"
 )
 
 // Election tells whether this member may act for a duty, and takes that a receiver knows a higher number.
 type Election interface {
-	MayAct(duty string) (owner.Ownership, bool)
+	MayAct(duty string) (election.Ownership, bool)
 	ReportRejection(duty string, number uint64) error
 }
 
@@ -72,7 +72,7 @@
 var errTurned = errors.New("turned away")
 
 // step makes one step. Its outcome is known only if the lease held all along.
-func (r *Reporter) step(ctx context.Context, mark owner.Ownership, n uint64) {
+func (r *Reporter) step(ctx context.Context, mark election.Ownership, n uint64) {
 	err := r.post(ctx, Payload{Duty: DutyName, Number: mark.Number, Owner: mark.Owner, Sequence: n, At: time.Now(), Body: r.Body()})
 	after, still := r.Election.MayAct(DutyName)
 	switch {
--- a/internal/gossip/duties.go
+++ b/internal/gossip/duties.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"sloepick/internal/election"
 	"sloepick/internal/fleet"
-	"sloepick/internal/owner"
 )
 
 const (
@@ -20,8 +20,8 @@
 // duties are this member's part in work on behalf of the fleet. The engine's goroutine owns the table. nil: there are none.
 type duties struct {
 	e     *Engine
-	table *owner.Table
-	in    chan owner.Event
+	table *election.Table
+	in    chan election.Event
 	last  fleet.Assignment
 	owned atomic.Pointer[map[string]lease]
 }
@@ -34,22 +34,22 @@
 	at     time.Duration
 }
 
-func newDuties(e *Engine, cfg owner.Config) (*duties, error) {
+func newDuties(e *Engine, cfg election.Config) (*duties, error) {
 	cfg.Self, cfg.Incarnation = e.cfg.Name, e.life
 	if len(cfg.Self) > dutyNameMost {
 		return nil, fmt.Errorf("the member's name has %d bytes, more than the %d that its messages on duties have room for", len(cfg.Self), dutyNameMost)
 	}
-	t, err := owner.New(cfg, time.Since(e.start), nil, e.saved.Voters)
+	t, err := election.New(cfg, time.Since(e.start), nil, e.saved.Voters)
 	if err != nil {
 		return nil, err
 	}
-	d := &duties{e: e, table: t, in: make(chan owner.Event, dutiesMost)}
+	d := &duties{e: e, table: t, in: make(chan election.Event, dutiesMost)}
 	d.owned.Store(&map[string]lease{})
 	return d, nil
 }
 
 // inbox is where events wait; nil, which is never ready, without duties.
-func (d *duties) inbox() <-chan owner.Event {
+func (d *duties) inbox() <-chan election.Event {
 	if d == nil {
 		return nil
 	}
@@ -57,24 +57,24 @@
 }
 
 // handle hands the table an event and does what it wants.
-func (d *duties) handle(ev owner.Event) {
+func (d *duties) handle(ev election.Event) {
 	if d == nil {
 		return
 	}
-	for queue := []owner.Event{ev}; len(queue) > 0; queue = queue[1:] {
+	for queue := []election.Event{ev}; len(queue) > 0; queue = queue[1:] {
 		for _, a := range d.table.Handle(time.Since(d.e.start), queue[0]) {
 			switch a := a.(type) {
-			case owner.Send:
+			case election.Send:
 				if a.To == d.last.Slot {
-					queue = append(queue, owner.Received{From: a.To, Message: a.Message})
+					queue = append(queue, election.Received{From: a.To, Message: a.Message})
 				} else {
 					d.tell(a)
 				}
-			case owner.Acquired:
+			case election.Acquired:
 				d.e.log.Info("duty: owned", "duty", a.Duty, "number", a.Number)
-			case owner.Lost:
+			case election.Lost:
 				d.e.log.Info("duty: lost", "duty", a.Duty)
-			case owner.ElectorateChange:
+			case election.ElectorateChange:
 				d.e.log.Info("duties: voters", "epoch", a.Epoch, "places", a.Voters, "next", a.NextVoters)
 				d.e.saved.Voters = a.Electorate
 				d.e.keep()
@@ -96,7 +96,7 @@
 	d.owned.Store(&owned)
 }
 
-func (d *duties) tell(a owner.Send) {
+func (d *duties) tell(a election.Send) {
 	b, err := cbor.Marshal(a.Message)
 	if err == nil {
 		err = d.e.tellPlace(a.To, dutyFlag, string(b))
@@ -108,14 +108,14 @@
 
 // message takes a message of the member in a place.
 func (d *duties) message(from int, b []byte) {
-	var m owner.Message
+	var m election.Message
 	if d == nil || cbor.Unmarshal(b, &m) != nil {
 		return
 	}
-	d.post(owner.Received{From: from, Message: m})
+	d.post(election.Received{From: from, Message: m})
 }
 
-func (d *duties) post(ev owner.Event) {
+func (d *duties) post(ev election.Event) {
 	select {
 	case d.in <- ev:
 	default:
@@ -126,29 +126,29 @@
 	if d == nil {
 		return
 	}
-	e := owner.FleetUpdate{Slot: s.Slot, SlotChanged: d.last.Holders != nil && (s.Slot != d.last.Slot || s.Term != d.last.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Table.ExpectedMembers}
+	e := election.FleetUpdate{Slot: s.Slot, SlotChanged: d.last.Holders != nil && (s.Slot != d.last.Slot || s.Term != d.last.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Table.ExpectedMembers}
 	for _, h := range s.Holders {
-		e.Holders = append(e.Holders, owner.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
+		e.Holders = append(e.Holders, election.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
 	}
 	d.last = s
 	d.handle(e)
 }
 
-func (d *duties) rows() []owner.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
+func (d *duties) rows() []election.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
 
 // MayAct reports whether this member may act for a duty at this moment, and under which number. It is to be asked before and after each
 // step that can't be taken back: no after it means that the outcome is unknown. It may be called from any goroutine.
-func (e *Engine) MayAct(duty string) (owner.Ownership, bool) {
+func (e *Engine) MayAct(duty string) (election.Ownership, bool) {
 	if e.duties == nil {
-		return owner.Ownership{}, false
+		return election.Ownership{}, false
 	}
 	l, ok := (*e.duties.owned.Load())[duty]
 	now := time.Now()
 	mono := now.Sub(e.start)
 	if slept := now.Round(0).Sub(l.wall) - (mono - l.at); !ok || mono >= l.until || max(slept, -slept) > jumpMost {
-		return owner.Ownership{}, false
+		return election.Ownership{}, false
 	}
-	return owner.Ownership{Number: l.number, Owner: e.duties.table.Identity()}, true
+	return election.Ownership{Number: l.number, Owner: e.duties.table.Identity()}, true
 }
 
 // ReportRejection tells that a receiver turned this member away below a number.
@@ -156,6 +156,6 @@
 	if e.duties == nil {
 		return fmt.Errorf("there is no duty %q here", duty)
 	}
-	e.duties.post(owner.Rejected{Duty: duty, Number: number})
+	e.duties.post(election.Rejected{Duty: duty, Number: number})
 	return nil
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -19,10 +19,10 @@
 	"github.com/hashicorp/memberlist"
 
 	"sloepick/internal/commons"
+	"sloepick/internal/election"
 	"sloepick/internal/fleet"
 	"sloepick/internal/gateway"
-	"sloepick/internal/owner"
-	"sloepick/internal/quiet"
+	"sloepick/internal/maintenance"
 	"sloepick/internal/recovery"
 )
 
@@ -61,10 +61,10 @@
 	Generation   uint64 // of the configuration
 	Table        fleet.Config
 	Transport    memberlist.Transport // nil: sockets at Address
-	Owner        owner.Config         // work on behalf of the fleet; no duties: there is none
+	Owner        election.Config      // work on behalf of the fleet; no duties: there is none
 	News         *commons.Config      // what members know of each other; nil: nothing beyond who is there
 	Zone         string               // of this member, its region
-	Regions      map[string]*quiet.Calendar
+	Regions      map[string]*maintenance.Calendar
 
 	version int // that it tells; 0: metaVersion
 }
@@ -98,7 +98,7 @@
 	lost     atomic.Uint64
 	syncing  atomic.Bool
 	leaving  atomic.Bool
-	regions  atomic.Pointer[map[string]*quiet.Calendar] // with a calendar, by name
+	regions  atomic.Pointer[map[string]*maintenance.Calendar] // with a calendar, by name
 	yielded  chan fleet.Member
 	start    time.Time
 	memory   atomic.Pointer[Memory] // nil: none
@@ -122,14 +122,14 @@
 	Now      time.Duration // on the clock of the rows
 	Phase    string        // how far service has returned; "": all is let in
 	Lost     uint64        // messages to others that found the queue full
-	Duties   []owner.DutyStatus
-	Voters   owner.Electorate  // who votes on duties, as far as this member knows
-	News     []NewsRow         // what is known of members, in the order of their names; none where it is off
-	Heard    NewsCounts        // and how it came
-	Clock    Clock             // the fleet's, where news is on
-	Regions  []RegionRow       // those with a calendar, in the order of their names
-	Wall     int64             // when this report was made, ms since 1970
-	Drops    map[string]uint64 // those of other members, by name, as they told with their last whole state
+	Duties   []election.DutyStatus
+	Voters   election.Electorate // who votes on duties, as far as this member knows
+	News     []NewsRow           // what is known of members, in the order of their names; none where it is off
+	Heard    NewsCounts          // and how it came
+	Clock    Clock               // the fleet's, where news is on
+	Regions  []RegionRow         // those with a calendar, in the order of their names
+	Wall     int64               // when this report was made, ms since 1970
+	Drops    map[string]uint64   // those of other members, by name, as they told with their last whole state
 }
 
 // New makes a member; it opens its socket and does not join yet.
@@ -295,11 +295,11 @@
 			ticked = now
 			if jump := now.Round(0).Sub(wall.Round(0)) - now.Sub(wall); max(jump, -jump) > jumpMost {
 				e.handle(fleet.ClockJump{})
-				e.duties.handle(owner.Resumed{})
+				e.duties.handle(election.Resumed{})
 			}
 			wall = now
 			e.handle(fleet.Tick{})
-			e.duties.handle(owner.Tick{WallMillis: uint64(max(0, now.UnixMilli()))})
+			e.duties.handle(election.Tick{WallMillis: uint64(max(0, now.UnixMilli()))})
 			e.tell()
 		case <-ctx.Done():
 			e.handle(fleet.Leave{})
--- a/internal/gossip/regions.go
+++ b/internal/gossip/regions.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"sloepick/internal/quiet"
+	"sloepick/internal/maintenance"
 )
 
 const (
@@ -32,38 +32,38 @@
 
 // calendar keeps the windows that were found: to look for one that is days away takes some ms.
 type calendar struct {
-	hours   map[string]*quiet.Calendar
-	windows map[string]quiet.Window
+	hours   map[string]*maintenance.Calendar
+	windows map[string]maintenance.Window
 	until   time.Time // windows hold until then ...
 }
 
 // Regions has the regions' calendars be these from now on.
-func (e *Engine) Regions(hours map[string]*quiet.Calendar) { e.regions.Store(&hours) }
+func (e *Engine) Regions(hours map[string]*maintenance.Calendar) { e.regions.Store(&hours) }
 
 // clock is the fleet's clock, at a time of this member's wall clock.
 func clockOf(rows []NewsRow, self string, at time.Time) Clock {
-	var readings []quiet.OffsetRange
+	var readings []maintenance.OffsetRange
 	for _, row := range rows {
 		if row.Name != self {
-			readings = append(readings, quiet.EstimateOffset(time.UnixMilli(row.Wall), at, row.Age+wallStep))
+			readings = append(readings, maintenance.EstimateOffset(time.UnixMilli(row.Wall), at, row.Age+wallStep))
 		}
 	}
-	r, agree, ok := quiet.FleetOffset(readings)
+	r, agree, ok := maintenance.FleetOffset(readings)
 	c := Clock{OK: ok, Agree: agree, Of: len(readings) + 1, Ahead: (r.Min + r.Max) / 2, Doubt: (r.Max - r.Min) / 2}
 	c.Off = ok && max(c.Ahead, -c.Ahead) > c.Doubt+offMost
 	return c
 }
 
 // rows are the regions as of a time of the fleet's clock.
-func (c *calendar) rows(hours map[string]*quiet.Calendar, clock Clock, at time.Time) (rows []RegionRow) {
+func (c *calendar) rows(hours map[string]*maintenance.Calendar, clock Clock, at time.Time) (rows []RegionRow) {
 	if !clock.OK {
 		return nil
 	}
 	at = at.Add(clock.Ahead)
 	if same := maps.Equal(c.hours, hours); !same || at.After(c.until) || at.Before(c.until.Add(-time.Hour)) {
-		c.hours, c.windows, c.until = hours, map[string]quiet.Window{}, at.Add(time.Hour)
+		c.hours, c.windows, c.until = hours, map[string]maintenance.Window{}, at.Add(time.Hour)
 		for name, h := range hours {
-			if w, ok := quiet.NextWindow(at, quietAhead, h); ok {
+			if w, ok := maintenance.NextWindow(at, quietAhead, h); ok {
 				c.windows[name] = w
 				if w.To.Before(c.until) {
 					c.until = w.To
@@ -72,7 +72,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(hours)) {
-		row := RegionRow{Name: name, Left: quiet.Remaining(at, clock.Doubt, hours[name])}
+		row := RegionRow{Name: name, Left: maintenance.Remaining(at, clock.Doubt, hours[name])}
 		if w, ok := c.windows[name]; ok {
 			row.From, row.To = w.From.In(hours[name].Zone), w.To.In(hours[name].Zone)
 		}
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/quiet"
+	"sloepick/internal/maintenance"
 )
 
 // TestClockOfMembers: a member whose clock is an hour or a year off has no say in the fleet's clock; if it is this one it says so, and goes by the
 // others'; where no more than half agree nothing is quiet.
 func TestClockOfMembers(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
-	span, err := quiet.ParseSpan("daily 13:00-14:00")
+	span, err := maintenance.ParseSpan("daily 13:00-14:00")
 	if err != nil {
 		t.Fatal(err)
 	}
-	hours := map[string]*quiet.Calendar{"hall-a": {Zone: time.UTC, Weekly: []quiet.Span{span}}}
+	hours := map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	row := func(name string, ahead time.Duration) NewsRow {
 		return NewsRow{Name: name, Age: time.Second, Wall: at.Add(ahead - time.Second/2).UnixMilli()}
 	}
@@ -48,17 +48,17 @@
 // TestCalendarChanges: another calendar holds from the next look on, and a window that is over gives way to the next one.
 func TestCalendarChanges(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
-	calendarOf := func(text string) map[string]*quiet.Calendar {
-		span, err := quiet.ParseSpan(text)
+	calendarOf := func(text string) map[string]*maintenance.Calendar {
+		span, err := maintenance.ParseSpan(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return map[string]*quiet.Calendar{"hall-a": {Zone: time.UTC, Weekly: []quiet.Span{span}}}
+		return map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	}
 	var days calendar
 	one, clock := calendarOf("daily 13:00-14:00"), Clock{OK: true}
 	for _, tc := range []struct {
-		hours map[string]*quiet.Calendar
+		hours map[string]*maintenance.Calendar
 		after time.Duration
 		from  int // hour
 		day   int
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -10,21 +10,21 @@
 	"slices"
 	"time"
 
+	"sloepick/internal/election"
 	"sloepick/internal/fleet"
-	"sloepick/internal/owner"
 )
 
 // This file is what a member keeps on its disk.
 
 // saved is what a member keeps on its disk.
 type saved struct {
-	Name    string           `json:"name"`
-	Life    uint64           `json:"life"`
-	Claim   fleet.Claim      `json:"claim"`
-	Members []string         `json:"members"` // addresses
-	Held    []held           `json:"held"`    // what others claimed ...
-	At      int64            `json:"at"`      // ... by this wall clock, in milliseconds since 1970
-	Voters  owner.Electorate `json:"voters"`
+	Name    string              `json:"name"`
+	Life    uint64              `json:"life"`
+	Claim   fleet.Claim         `json:"claim"`
+	Members []string            `json:"members"` // addresses
+	Held    []held              `json:"held"`    // what others claimed ...
+	At      int64               `json:"at"`      // ... by this wall clock, in milliseconds since 1970
+	Voters  election.Electorate `json:"voters"`
 }
 
 // held is another member's claim, as it was known last: after a loss of power a place is kept for one whose disk is lost, too.
--- a/internal/quiet/clock.go
+++ b/internal/maintenance/clock.go
@@ -1,4 +1,4 @@
-package quiet
+package maintenance
 
 import (
 	"cmp"
--- a/internal/quiet/hours.go
+++ b/internal/maintenance/hours.go
@@ -4,7 +4,7 @@
 // A region is quiet at an instant if its wall clock stands in one of its spans then. So where clocks are set forward a span may be
 // shorter that night or not come at all, and where they are set back it may be longer or come twice: what counts is what the clock on
 // the wall says, as for the people there.
-package quiet
+package maintenance
 
 import (
 	"fmt"
--- a/internal/world/owners.go
+++ b/internal/world/owners.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"sloepick/internal/owner"
+	"sloepick/internal/election"
 )
 
 const ownersTick = 200 * time.Millisecond // as internal/gossip has it
@@ -23,23 +23,23 @@
 	Changed func(m *OwnerMember, duty string, owns bool)
 
 	Sent  int // messages
-	conf  owner.Config
+	conf  election.Config
 	lives uint64
 }
 
 // OwnerMember is one member.
 type OwnerMember struct {
 	No    int
-	Table *owner.Table
+	Table *election.Table
 	Up    bool
 
 	gen    int
 	died   time.Duration
-	voters owner.Electorate // on its disk
+	voters election.Electorate // on its disk
 }
 
 // NewOwners makes members in the places of their numbers, all up.
-func NewOwners(k *Kernel, net *Network, conf owner.Config, n int) (*Owners, error) {
+func NewOwners(k *Kernel, net *Network, conf election.Config, n int) (*Owners, error) {
 	o := &Owners{K: k, Net: net, Noticed: 8 * time.Second, Hold: 3 * time.Minute, Changed: func(*OwnerMember, string, bool) {}, conf: conf}
 	for i := range n {
 		o.Members = append(o.Members, &OwnerMember{No: i})
@@ -62,7 +62,7 @@
 	o.lives++
 	conf := o.conf
 	conf.Self, conf.Incarnation = ownerName(m.No), o.lives
-	t, err := owner.New(conf, o.K.Now(), nil, m.voters)
+	t, err := election.New(conf, o.K.Now(), nil, m.voters)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	o.tell(m, o.stand(m))
 	o.K.Every(ownersTick, ownersTick, func() bool {
 		if m.gen == gen && m.Up {
-			o.tell(m, owner.Tick{WallMillis: uint64(o.K.Now() / time.Millisecond)})
+			o.tell(m, election.Tick{WallMillis: uint64(o.K.Now() / time.Millisecond)})
 		}
 		return m.gen == gen && m.Up
 	})
@@ -96,10 +96,10 @@
 }
 
 // stand is how a member stands now. Who is gone keeps its place until Hold is over.
-func (o *Owners) stand(m *OwnerMember) owner.FleetUpdate {
-	s := owner.FleetUpdate{Slot: m.No, ExpectedMembers: len(o.Members)}
+func (o *Owners) stand(m *OwnerMember) election.FleetUpdate {
+	s := election.FleetUpdate{Slot: m.No, ExpectedMembers: len(o.Members)}
 	for _, x := range o.Members {
-		h := owner.Holder{Name: ownerName(x.No), Alive: x.Up}
+		h := election.Holder{Name: ownerName(x.No), Alive: x.Up}
 		if !x.Up && o.K.Now()-x.died >= o.Hold {
 			h.Name = ""
 		}
@@ -108,21 +108,21 @@
 	return s
 }
 
-func (o *Owners) tell(m *OwnerMember, e owner.Event) {
+func (o *Owners) tell(m *OwnerMember, e election.Event) {
 	for _, a := range m.Table.Handle(o.K.Now(), e) {
 		switch a := a.(type) {
-		case owner.Send:
+		case election.Send:
 			o.Sent++
 			o.Net.Packet(m.No, a.To, func() {
 				if to := o.Members[a.To]; to.Up {
-					o.tell(to, owner.Received{From: m.No, Message: a.Message})
+					o.tell(to, election.Received{From: m.No, Message: a.Message})
 				}
 			})
-		case owner.Acquired:
+		case election.Acquired:
 			o.Changed(m, a.Duty, true)
-		case owner.Lost:
+		case election.Lost:
 			o.Changed(m, a.Duty, false)
-		case owner.ElectorateChange:
+		case election.ElectorateChange:
 			m.voters = a.Electorate
 		}
 	}
--- a/internal/world/owners_test.go
+++ b/internal/world/owners_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/owner"
+	"sloepick/internal/election"
 	"sloepick/internal/testbed/seeds"
 )
 
@@ -25,7 +25,7 @@
 	k := NewKernel(seed, start)
 	net := NewNetwork(k, 200*time.Microsecond, 2*time.Millisecond)
 	net.Loss = 0.05
-	conf := owner.DefaultConfig()
+	conf := election.DefaultConfig()
 	for d := range duties {
 		conf.Duties = append(conf.Duties, fmt.Sprint("duty", d))
 	}
