--- a/internal/blocks/back.go
+++ b/internal/blocks/back.go
@@ -25,8 +25,8 @@
 }
 
 // Backs reads the kinds of nodes that are not reached by RESP2.
-func Backs(c *operator.Config) map[string]gateway.Back {
-	all := map[string]gateway.Back{}
+func Backs(c *operator.Config) map[string]gateway.Backend {
+	all := map[string]gateway.Backend{}
 	for _, s := range c.All("back") {
 		all[s.Label] = h2.NewBack(h2.BackConfig{Streams: s.Count("streams"), Connections: s.Count("connections"),
 			Ping: s.Duration("ping"), Idle: s.Duration("idle")})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -69,7 +69,7 @@
 	}
 	clients := resp.NewFront(cfg.Listen)
 	give(sockets, clientsName, &clients.Listener)
-	cfg.Fronts, cfg.Back = []gateway.Front{clients}, resp.Back{}
+	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Back{}
 	r := reloader{file: file, cfg: &cfg, getenv: getenv, log: log, level: &level, reloads: make(chan gateway.Reload)}
 	if file != "" {
 		var warnings sloe.Diags
@@ -79,7 +79,7 @@
 		r.warn(warnings)
 		cfg.Tuning, cfg.Routes = tuning.From(r.now), route.From(r.now)
 		level.Set(blocks.Level(r.now))
-		cfg.Backs = blocks.Backs(r.now)
+		cfg.BackendsByKind = blocks.Backs(r.now)
 		for _, l := range blocks.Listeners(r.now) {
 			f, err := h2.NewFront(l)
 			if err != nil {
@@ -87,7 +87,7 @@
 			}
 			give(sockets, l.Name, &f.Listener)
 			r.fronts = append(r.fronts, f)
-			cfg.Fronts = append(cfg.Fronts, f)
+			cfg.Frontends = append(cfg.Frontends, f)
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -115,12 +115,12 @@
 	r.manager = manager
 	stopped := make(chan struct{})
 	defer close(stopped)
-	cfg.Ready = func(d *gateway.Door) {
+	cfg.OnReady = func(d *gateway.Core) {
 		manager.Ready()
 		go manager.Watch(d.Post, stopped)
 	}
 	context.AfterFunc(ctx, manager.Stopping)
-	log.Info("starting", "listen", cfg.Listen, "servers", len(cfg.Known.Servers))
+	log.Info("starting", "listen", cfg.Listen, "servers", len(cfg.KnownServers.Servers))
 	go r.run(ctx, hup)
 	if err := gateway.Run(ctx, cfg, r.reloads, log); err != nil {
 		return err
@@ -176,7 +176,7 @@
 // give hands a socket that was passed in to a front.
 func give(sockets map[string]net.Listener, name string, to *gateway.Listener) {
 	if ln := sockets[name]; ln != nil {
-		to.Give(ln)
+		to.UseSocket(ln)
 		delete(sockets, name)
 	}
 }
@@ -272,7 +272,7 @@
 // read reads everything before anything changes: a slip in one file must not stop a gateway that serves, nor leave it
 // with half of a change.
 func (r *reloader) read(ctx context.Context) (gateway.Reload, *operator.Config, error) {
-	addr, err := gateway.LoadDiscovery(r.getenv)
+	addr, err := gateway.LoadDiscoveryAddr(r.getenv)
 	if err != nil {
 		return gateway.Reload{}, nil, err
 	}
@@ -314,7 +314,7 @@
 	if err != nil {
 		return // told already, by the one who read the address of discovery
 	}
-	for _, d := range cfg.Prove(routes) {
+	for _, d := range cfg.ValidateRoutes(routes) {
 		r.log.Warn("the platform's settings have changed: the next start would fail", "why", d.Msg, "at", d.Pos.String())
 	}
 }
@@ -322,7 +322,7 @@
 // hand gives a reload to the gateway and waits until it counts there. It reports false when the gateway ends.
 func (r *reloader) hand(ctx context.Context, next gateway.Reload) bool {
 	taken := make(chan struct{})
-	next.Taken = taken
+	next.Applied = taken
 	select {
 	case r.reloads <- next:
 	case <-ctx.Done():
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -69,10 +69,10 @@
 	}
 	phase := &atomic.Int64{}
 	set.TrackChanges = true
-	r.cfg.Power = &gateway.Power{Start: start, Keeper: keeper, Every: b.Every, Clock: clocks,
+	r.cfg.Recovery = &gateway.RecoveryConfig{Start: start, Store: keeper, SaveInterval: b.Every, Clock: clocks,
 		Service: recovery.ServiceConfig{ColdFrom: set.Safety.ColdCapacity, ColdFor: set.Safety.ColdDuration, ColdTimes: decide.ColdLoadFactor(set.Safety), MaxAdvice: set.Limits.MaxRetryAfter,
 			MaxUnits: set.MaxUnits, DearPrice: dearest(r.cfg), Seed: uint64(r.cfg.Seed)},
-		Phase: func(p recovery.Phase) { phase.Store(int64(p)) }}
+		OnPhase: func(p recovery.Phase) { phase.Store(int64(p)) }}
 	if r.member != nil {
 		plans := recovery.PlansOf(set.Plans)
 		r.member.Remember(gossip.Memory{Phase: func() string { return recovery.Phase(phase.Load()).String() }, Word: func() recovery.Word {
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -13,24 +13,24 @@
 func (l *loop) heldMost() int { return int(float64(l.cfg.MemoryMB<<20) * l.tune.Load().Clients.Held) }
 
 // accept takes a request that a front has read whole. It returns nil if the request has its ending already.
-func (l *loop) accept(from Responder, v *Values) *request {
+func (l *loop) accept(from Responder, v *Request) *request {
 	if err := v.check(&l.cfg); err != nil {
-		from.Ended(Response{Kind: Rejected, Why: err.Error()})
+		from.Respond(Response{Kind: Rejected, Reason: err.Error()})
 		return nil
 	}
 	cap := l.cfg.Settings.OpenCap
 	if !l.mayAdmit() || l.held+v.size() > l.heldMost() || (cap > 0 && len(l.requests) >= cap) {
-		from.Ended(Response{Kind: Refused, After: l.cfg.Settings.Decide.Limits.MaxRetryAfter})
+		from.Respond(Response{Kind: Refused, RetryAfter: l.cfg.Settings.Decide.Limits.MaxRetryAfter})
 		return nil
 	}
 	if l.power != nil {
 		if ok, after := l.power.mayBegin(v); !ok {
-			from.Ended(Response{Kind: Refused, After: after})
+			from.Respond(Response{Kind: Refused, RetryAfter: after})
 			return nil
 		}
 	}
 	if _, open := l.ids[v.ID]; open { // two of one id must never meet one another's answer
-		from.Ended(Response{Kind: Rejected, Why: "a request with this id is open", Taken: true})
+		from.Respond(Response{Kind: Rejected, Reason: "a request with this id is open", DuplicateID: true})
 		return nil
 	}
 	l.nextID++
@@ -40,13 +40,13 @@
 		if advice == 0 {
 			advice = l.cfg.Settings.Decide.Limits.MaxRetryAfter
 		}
-		from.Ended(Response{Kind: Refused, After: advice})
+		from.Respond(Response{Kind: Refused, RetryAfter: advice})
 		return nil
 	}
 	l.requests[r.id] = r
 	l.ids[v.ID] = struct{}{}
 	l.held += v.size()
-	deadline := v.Came + min(v.Patience, v.limit) - deadlineMargin
+	deadline := v.ReceivedAt + min(v.ClientTimeout, v.limit) - deadlineMargin
 	r.overdue = l.at(deadline+overdueAfter, func() { l.overdue(r) })
 	ev := r.event()
 	ev.Deadline = deadline
@@ -70,7 +70,7 @@
 	if l.routes == nil {
 		return true
 	}
-	n := l.routes.Match(route.Ask{Class: r.v.Class, Plan: r.v.Plan, Customer: r.v.Customer, Patience: r.v.Patience})
+	n := l.routes.Match(route.Ask{Class: r.v.Class, Plan: r.v.Plan, Customer: r.v.Customer, Patience: r.v.ClientTimeout})
 	if n < 0 {
 		return true
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	l.log.Error("a request was left open past its deadline", "class", r.v.Class, "attempts", len(r.attempts))
-	l.answer(r, Response{Kind: Failed, Why: "failed", Late: true})
+	l.answer(r, Response{Kind: Failed, Reason: "failed", TimedOut: true})
 	l.feed(decide.ClientDisconnected{ID: r.id})
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	l.end(r)
-	r.from.Ended(e)
+	r.from.Respond(e)
 }
 
 // abandon ends a request whose client has gone away.
--- a/internal/gateway/back.go
+++ b/internal/gateway/back.go
@@ -8,21 +8,21 @@
 	"sloepick/decide"
 )
 
-// Back reaches nodes by a protocol of its own. Which nodes, discovery's kind tells (Config.Backs).
-type Back interface {
-	// Node is asked for a node at an address, by the loop.
-	Node(d *Door, p *Place) Transport
+// Backend reaches nodes by a protocol of its own. Which nodes, discovery's kind tells (Config.Backs).
+type Backend interface {
+	// NewTransport is asked for a node at an address, by the loop.
+	NewTransport(d *Core, p *Endpoint) Transport
 }
 
 // Transport carries attempts to one node at one address. Its methods are called by the loop.
 type Transport interface {
-	Start(t *Try)  // it must tell how the try ended, once, unless GiveUp comes first
-	GiveUp(t *Try) // nothing of it is waited for any more, and nothing of it may be written from now on
-	Drain()        // the connections that are there or being made take nothing new, and close once nothing is open on them
+	Start(t *Attempt)  // it must tell how the try ended, once, unless GiveUp comes first
+	Cancel(t *Attempt) // nothing of it is waited for any more, and nothing of it may be written from now on
+	Drain()            // the connections that are there or being made take nothing new, and close once nothing is open on them
 
-	// Idle is since when the connection has stood that has stood idle for longest; false: none is idle.
-	Idle() (since time.Duration, any bool)
-	Evict() // closes that connection
+	// OldestIdle is since when the connection has stood that has stood idle for longest; false: none is idle.
+	OldestIdle() (since time.Duration, any bool)
+	EvictIdle() // closes that connection
 }
 
 // AttemptResult is what became of an attempt that was not served, in no protocol's words.
@@ -30,11 +30,11 @@
 
 // The results.
 const (
-	NoRoom     AttemptResult = iota + 1 // nothing went out, for want of something here
-	NeverLeft                           // no connection came up, or it broke before the last byte was handed over
-	TurnedAway                          // the node said that it did not begin it
-	Broke                               // the connection, or its part in it, broke after the last byte
-	Unusable                            // the node answered, with an error or with what is no answer
+	NoLocalCapacity AttemptResult = iota + 1 // nothing went out, for want of something here
+	NotSent                                  // no connection came up, or it broke before the last byte was handed over
+	RefusedByNode                            // the node said that it did not begin it
+	ConnectionLost                           // the connection, or its part in it, broke after the last byte
+	BadResponse                              // the node answered, with an error or with what is no answer
 )
 
 // outcome is the one table of what may have run, for all protocols: after NoRoom, NeverLeft and TurnedAway nothing has, after
@@ -42,30 +42,30 @@
 // 8.7), or by an answer that promises it.
 func (f AttemptResult) outcome() decide.Outcome {
 	switch f {
-	case NoRoom:
+	case NoLocalCapacity:
 		return decide.NotSent
-	case NeverLeft:
+	case NotSent:
 		return decide.NoConnection
-	case TurnedAway:
+	case RefusedByNode:
 		return decide.Rejected
-	case Broke:
+	case ConnectionLost:
 		return decide.Reset
 	}
 	return decide.Error
 }
 
-// Place is a node as its transport sees it: connections to it are counted with all others.
-type Place struct {
+// Endpoint is a node as its transport sees it: connections to it are counted with all others.
+type Endpoint struct {
 	p    *pool
 	s    *upstream
 	addr string
 }
 
 // Addr is host:port.
-func (n *Place) Addr() string { return n.addr }
+func (n *Endpoint) Addr() string { return n.addr }
 
-// Take counts a connection that is to be made. It reports false if there is no room for it.
-func (n *Place) Take() bool {
+// ReserveConn counts a connection that is to be made. It reports false if there is no room for it.
+func (n *Endpoint) ReserveConn() bool {
 	if n.p.conns >= n.p.room() {
 		n.p.evict()
 	}
@@ -78,7 +78,7 @@
 }
 
 // Dial makes a connection that was taken, within the time for connecting or a shorter one, and lets the loop call done.
-func (n *Place) Dial(d *Door, within time.Duration, done func(net.Conn, error)) {
+func (n *Endpoint) Dial(d *Core, within time.Duration, done func(net.Conn, error)) {
 	within, addr := min(within, n.ConnectTimeout()), n.addr
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
@@ -89,44 +89,44 @@
 	}()
 }
 
-// NotReached is what becomes of an attempt whose connection was not made, or came up to a node that is not there any more (nil).
-func NotReached(err error) AttemptResult {
+// DialFailureResult is what becomes of an attempt whose connection was not made, or came up to a node that is not there any more (nil).
+func DialFailureResult(err error) AttemptResult {
 	if err != nil && localFault(err) {
-		return NoRoom
+		return NoLocalCapacity
 	}
-	return NeverLeft
+	return NotSent
 }
 
-// Give counts a connection off.
-func (n *Place) Give() { n.p.dropped(n.s) }
+// ReleaseConn counts a connection off.
+func (n *Endpoint) ReleaseConn() { n.p.dropped(n.s) }
 
-// Over reports that there are more connections than there may be, as a reload has lowered the bound: one that falls idle is to
+// OverLimit reports that there are more connections than there may be, as a reload has lowered the bound: one that falls idle is to
 // be closed.
-func (n *Place) Over() bool { return n.p.conns > n.p.most || n.s.conns > n.p.perNode }
+func (n *Endpoint) OverLimit() bool { return n.p.conns > n.p.most || n.s.conns > n.p.perNode }
 
 // ConnectTimeout is how long the making of a connection may take.
-func (n *Place) ConnectTimeout() time.Duration { return n.p.dialFor }
+func (n *Endpoint) ConnectTimeout() time.Duration { return n.p.dialFor }
 
 // IdleTimeout is how long a connection may stand idle, well within the time after which nodes may close it; 0: for ever.
-func (n *Place) IdleTimeout() time.Duration { return n.p.idleFor }
-
-// Try is one attempt, for a transport.
-type Try struct {
-	l         *loop
-	a         *attempt
-	transport Transport // that it was started by: a node that has moved has another; nil: by none
-	Own       any       // the transport's own
+func (n *Endpoint) IdleTimeout() time.Duration { return n.p.idleFor }
+
+// Attempt is one attempt, for a transport.
+type Attempt struct {
+	l             *loop
+	a             *attempt
+	transport     Transport // that it was started by: a node that has moved has another; nil: by none
+	TransportData any       // the transport's own
 }
 
-// Values are the request's. Patience and Came are not for the node: Left is what it may take.
-func (t *Try) Values() *Values { return t.a.req.v }
+// Request are the request's. Patience and Came are not for the node: Left is what it may take.
+func (t *Attempt) Request() *Request { return t.a.req.v }
 
-// Left is how long it will be waited for.
-func (t *Try) Left() time.Duration { return t.a.until - t.l.clock.Now() }
+// RemainingTime is how long it will be waited for.
+func (t *Attempt) RemainingTime() time.Duration { return t.a.until - t.l.clock.Now() }
 
-// Wanted looks again before the first byte, as all may have changed while a connection was made: the attempt may have been
+// Revalidate looks again before the first byte, as all may have changed while a connection was made: the attempt may have been
 // called off or its request answered, its node may drain or have moved, and the time in which nodes know its key may be over. If it reports false, the try has ended.
-func (t *Try) Wanted() bool {
+func (t *Attempt) Revalidate() bool {
 	switch a := t.a; {
 	case a.over:
 		return false
@@ -140,23 +140,23 @@
 	return true
 }
 
-// Placed tells that it has a connection: a time-out from now on is the node's.
-func (t *Try) Placed() { t.a.placed = true }
+// MarkConnected tells that it has a connection: a time-out from now on is the node's.
+func (t *Attempt) MarkConnected() { t.a.placed = true }
 
-// Whole tells that the last byte may have been handed over.
-func (t *Try) Whole() { t.a.whole = true }
+// MarkFullySent tells that the last byte may have been handed over.
+func (t *Attempt) MarkFullySent() { t.a.whole = true }
 
-// Served ends it with a node's value, and with what the node told of its use, as "used=86,units=3"; nil: nothing.
-func (t *Try) Served(value, figures []byte) {
+// Succeed ends it with a node's value, and with what the node told of its use, as "used=86,units=3"; nil: nothing.
+func (t *Attempt) Succeed(value, figures []byte) {
 	if !t.a.over {
 		t.l.served(t.a, value, figures)
 	}
 }
 
-// Ended ends it. What broke before it was whole never left.
-func (t *Try) Ended(f AttemptResult) {
-	if f == Broke && !t.a.whole {
-		f = NeverLeft
+// Fail ends it. What broke before it was whole never left.
+func (t *Attempt) Fail(f AttemptResult) {
+	if f == ConnectionLost && !t.a.whole {
+		f = NotSent
 	}
 	t.l.ended(t.a, f.outcome())
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -19,25 +19,25 @@
 
 // Config is what one gateway is told at its start.
 type Config struct {
-	Name       string
-	Listen     netip.AddrPort
-	Discovery  netip.AddrPort
-	Seed       int64
-	Cores      float64
-	MemoryMB   int
-	Sockets    int
-	PeerListen netip.AddrPort   // the zero value: no messages
-	Peers      []netip.AddrPort // by the gateways' numbers
-	Known      ServerList       // as this gateway last had it
-	Settings   settings.Settings
-	Tuning     tuning.Tuning   // the zero value: what holds without an operator file
-	Routes     []*route.Route  // proven by Prove; none: the module's own bounds hold
-	Fronts     []Front         // by which clients come
-	Member     Member          // of a fleet; nil: the settings tell the gateway's number, and all others are there
-	Ready      func(d *Door)   // called once, when the gateway takes requests and, in a fleet, has a place; nil: nobody asks
-	Back       Back            // by which nodes are reached
-	Backs      map[string]Back // by which nodes of a kind are reached in its place
-	Power      *Power          // how it comes back after a loss of power; nil: with nothing known and all let in
+	Name           string
+	Listen         netip.AddrPort
+	Discovery      netip.AddrPort
+	Seed           int64
+	Cores          float64
+	MemoryMB       int
+	Sockets        int
+	PeerListen     netip.AddrPort   // the zero value: no messages
+	Peers          []netip.AddrPort // by the gateways' numbers
+	KnownServers   ServerList       // as this gateway last had it
+	Settings       settings.Settings
+	Tuning         tuning.Tuning      // the zero value: what holds without an operator file
+	Routes         []*route.Route     // proven by Prove; none: the module's own bounds hold
+	Frontends      []Frontend         // by which clients come
+	Member         FleetMember        // of a fleet; nil: the settings tell the gateway's number, and all others are there
+	OnReady        func(d *Core)      // called once, when the gateway takes requests and, in a fleet, has a place; nil: nobody asks
+	DefaultBackend Backend            // by which nodes are reached
+	BackendsByKind map[string]Backend // by which nodes of a kind are reached in its place
+	Recovery       *RecoveryConfig    // how it comes back after a loss of power; nil: with nothing known and all let in
 }
 
 // fileConfig is the form of the configuration file.
@@ -84,10 +84,10 @@
 	return c, nil
 }
 
-// LoadDiscovery reads the file again and returns the address of discovery that stands in it. The environment's
+// LoadDiscoveryAddr reads the file again and returns the address of discovery that stands in it. The environment's
 // GW_DISCOVERY does not count here: it can't change while the process runs, so it would hold a gateway to the
 // address of its start.
-func LoadDiscovery(getenv func(string) string) (netip.AddrPort, error) {
+func LoadDiscoveryAddr(getenv func(string) string) (netip.AddrPort, error) {
 	c, err := LoadConfig(func(name string) string {
 		if name == "GW_DISCOVERY" {
 			return ""
@@ -98,7 +98,7 @@
 }
 
 func (f *fileConfig) config() (Config, error) {
-	c := Config{Name: f.Name, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
+	c := Config{Name: f.Name, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, KnownServers: f.Known}
 	var err error
 	if c.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
 		return c, fmt.Errorf("listen: %w", err)
@@ -127,7 +127,7 @@
 	if err := c.Settings.Decide.Validate(); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if err := c.Known.check(); err != nil {
+	if err := c.KnownServers.check(); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
 	return c, f.peers(&c)
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// Prove holds routes to the settings of a platform and to this gateway's own margins.
-func (c *Config) Prove(routes []*route.Route) sloe.Diags {
+// ValidateRoutes holds routes to the settings of a platform and to this gateway's own margins.
+func (c *Config) ValidateRoutes(routes []*route.Route) sloe.Diags {
 	if len(routes) == 0 {
 		return nil
 	}
@@ -175,11 +175,11 @@
 }
 
 // back is how nodes of a kind are reached.
-func (c *Config) back(kind string) Back {
-	if b := c.Backs[kind]; b != nil {
+func (c *Config) back(kind string) Backend {
+	if b := c.BackendsByKind[kind]; b != nil {
 		return b
 	}
-	return c.Back
+	return c.DefaultBackend
 }
 
 func (c *Config) hasPlan(name string) bool {
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -19,8 +19,8 @@
 
 // wire is a back without connections: it keeps the tries that are out, and what became of its nodes.
 type wire struct {
-	tries   []*Try
-	givenUp []*Try
+	tries   []*Attempt
+	givenUp []*Attempt
 	retired int
 	idle    map[string]time.Duration // by address
 	evicted []string
@@ -28,27 +28,27 @@
 
 type wireNode struct {
 	w *wire
-	p *Place
+	p *Endpoint
 }
 
-func (w *wire) Node(_ *Door, p *Place) Transport { return &wireNode{w, p} }
+func (w *wire) NewTransport(_ *Core, p *Endpoint) Transport { return &wireNode{w, p} }
 
-func (n *wireNode) Start(t *Try) {
-	if !n.p.Take() {
-		t.Ended(NoRoom)
+func (n *wireNode) Start(t *Attempt) {
+	if !n.p.ReserveConn() {
+		t.Fail(NoLocalCapacity)
 		return
 	}
 	n.w.tries = append(n.w.tries, t)
 }
-func (n *wireNode) GiveUp(t *Try) { n.w.givenUp = append(n.w.givenUp, t); n.p.Give() }
-func (n *wireNode) Drain()        { n.w.retired++ }
-func (n *wireNode) Idle() (time.Duration, bool) {
+func (n *wireNode) Cancel(t *Attempt) { n.w.givenUp = append(n.w.givenUp, t); n.p.ReleaseConn() }
+func (n *wireNode) Drain()            { n.w.retired++ }
+func (n *wireNode) OldestIdle() (time.Duration, bool) {
 	at, any := n.w.idle[n.p.Addr()]
 	return at, any
 }
-func (n *wireNode) Evict() {
+func (n *wireNode) EvictIdle() {
 	n.w.evicted = append(n.w.evicted, n.p.Addr())
-	n.p.Give()
+	n.p.ReleaseConn()
 }
 
 // still is a loop that a test drives by hand, with so many servers.
@@ -59,7 +59,7 @@
 		list = append(list, ServerEntry{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Zone: "a", Cell: i, State: "up", Weight: 1})
 	}
 	cfg, w := SmallConfig(t, long, list), &wire{}
-	cfg.Back = w
+	cfg.DefaultBackend = w
 	l, err := newLoop(cfg, &hand{time.Hour}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -76,23 +76,23 @@
 // asked keeps the endings of a request.
 type asked struct{ ends []Response }
 
-func (a *asked) Ended(e Response) { a.ends = append(a.ends, e) }
+func (a *asked) Respond(e Response) { a.ends = append(a.ends, e) }
 
-func values(id string) *Values {
-	return &Values{Customer: "00000000b4d65521", ID: id, Class: "look", Plan: "p", Patience: long, Units: 1, Spread: 2, Came: time.Hour}
+func values(id string) *Request {
+	return &Request{Customer: "00000000b4d65521", ID: id, Class: "look", Plan: "p", ClientTimeout: long, Units: 1, GatewayCount: 2, ReceivedAt: time.Hour}
 }
 
 // open puts a request into the loop.
 func open(l *loop, id string) (*asked, RequestHandle) {
 	a := &asked{}
-	t := l.door.Ask(a, values(id))
+	t := l.door.Submit(a, values(id))
 	l.drainTodo()
 	return a, t
 }
 
-func (a *asked) want(t *testing.T, kind Kind, why string) {
+func (a *asked) want(t *testing.T, kind ResponseKind, why string) {
 	t.Helper()
-	if len(a.ends) != 1 || a.ends[0].Kind != kind || a.ends[0].Why != why {
+	if len(a.ends) != 1 || a.ends[0].Kind != kind || a.ends[0].Reason != why {
 		t.Errorf("the client got %+v, want one of kind %d, %q", a.ends, kind, why)
 	}
 }
@@ -133,13 +133,13 @@
 func TestSilenceEndsInTime(t *testing.T) {
 	l, w := still(t, 1)
 	a, _ := open(l, "id")
-	w.tries[0].Placed()
-	w.tries[0].Whole()
+	w.tries[0].MarkConnected()
+	w.tries[0].MarkFullySent()
 	l.later(long - deadlineMargin)
 	if len(a.ends) != 1 {
 		t.Fatalf("%d answers at the deadline", len(a.ends))
 	}
-	w.tries[0].Served([]byte("late"), nil)
+	w.tries[0].Succeed([]byte("late"), nil)
 	l.later(time.Minute)
 	if len(a.ends) != 1 || len(l.requests) != 0 {
 		t.Errorf("%d answers, %d requests", len(a.ends), len(l.requests))
@@ -156,7 +156,7 @@
 		open(l, "id")
 		fill(l)
 		a, handle := open(l, "id-2")
-		if a.want(t, Refused, ""); handle.Open() || a.ends[0].After != time.Second {
+		if a.want(t, Refused, ""); handle.Open() || a.ends[0].RetryAfter != time.Second {
 			t.Errorf("%s: %+v, open %v", name, a.ends, handle.Open())
 		}
 	}
@@ -166,39 +166,39 @@
 // rewrite its set, or be turned away by a server and held against that.
 func TestValuesAreHeldToTheSettings(t *testing.T) {
 	l, _ := still(t, 1)
-	try := func(change func(v *Values)) error {
+	try := func(change func(v *Request)) error {
 		v := values("id")
 		change(v)
 		return v.check(&l.cfg)
 	}
 	l.cfg.Settings.Decide.Classes[0].Deadline -= time.Millisecond / 2 // 29,999.5 ms, which a client rounds up
-	book := func(v *Values) { v.Class, v.Write, v.Key = "book", true, "5c0f" }
-	for name, change := range map[string]func(v *Values){
-		"as it is": func(*Values) {}, "keyed": book, "last customer": func(v *Values) { v.Customer = "00000001ffffffff" },
-		"most units": func(v *Values) { v.Units = 8 }, "no set": func(v *Values) { v.Spread = 0 },
+	book := func(v *Request) { v.Class, v.Write, v.Key = "book", true, "5c0f" }
+	for name, change := range map[string]func(v *Request){
+		"as it is": func(*Request) {}, "keyed": book, "last customer": func(v *Request) { v.Customer = "00000001ffffffff" },
+		"most units": func(v *Request) { v.Units = 8 }, "no set": func(v *Request) { v.GatewayCount = 0 },
 	} {
 		if err := try(change); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for name, change := range map[string]func(v *Values){
-		"customer":      func(v *Values) { v.Customer = "0000000200000000" },
-		"short":         func(v *Values) { v.Customer = "b4d65521" },
-		"no hex":        func(v *Values) { v.Customer = "0000000xb4d65521" },
-		"no id":         func(v *Values) { v.ID = "" },
-		"long id":       func(v *Values) { v.ID = fmt.Sprintf("%0129d", 1) },
-		"class":         func(v *Values) { v.Class = "none" },
-		"plan":          func(v *Values) { v.Plan = "none" },
-		"other command": func(v *Values) { v.Write = true },
-		"no key":        func(v *Values) { v.Class, v.Write = "book", true },
-		"long key":      func(v *Values) { book(v); v.Key = fmt.Sprintf("%065d", 1) },
-		"no time":       func(v *Values) { v.Patience = 0 },
-		"too long":      func(v *Values) { v.Patience = long + time.Millisecond },
-		"units":         func(v *Values) { v.Units = 8.5 },
-		"few units":     func(v *Values) { v.Units = 0.5 },
-		"spread":        func(v *Values) { v.Spread = 3 },
-		"first":         func(v *Values) { v.First = 2 },
-		"body":          func(v *Values) { v.Body = make([]byte, ValueMost+1) },
+	for name, change := range map[string]func(v *Request){
+		"customer":      func(v *Request) { v.Customer = "0000000200000000" },
+		"short":         func(v *Request) { v.Customer = "b4d65521" },
+		"no hex":        func(v *Request) { v.Customer = "0000000xb4d65521" },
+		"no id":         func(v *Request) { v.ID = "" },
+		"long id":       func(v *Request) { v.ID = fmt.Sprintf("%0129d", 1) },
+		"class":         func(v *Request) { v.Class = "none" },
+		"plan":          func(v *Request) { v.Plan = "none" },
+		"other command": func(v *Request) { v.Write = true },
+		"no key":        func(v *Request) { v.Class, v.Write = "book", true },
+		"long key":      func(v *Request) { book(v); v.Key = fmt.Sprintf("%065d", 1) },
+		"no time":       func(v *Request) { v.ClientTimeout = 0 },
+		"too long":      func(v *Request) { v.ClientTimeout = long + time.Millisecond },
+		"units":         func(v *Request) { v.Units = 8.5 },
+		"few units":     func(v *Request) { v.Units = 0.5 },
+		"spread":        func(v *Request) { v.GatewayCount = 3 },
+		"first":         func(v *Request) { v.FirstGateway = 2 },
+		"body":          func(v *Request) { v.Body = make([]byte, MaxPayloadSize+1) },
 	} {
 		if try(change) == nil {
 			t.Errorf("%s passes", name)
@@ -212,9 +212,9 @@
 	first, _ := open(l, "id")
 	second, _ := open(l, "id")
 	second.want(t, Rejected, "a request with this id is open")
-	w.tries[0].Placed()
-	w.tries[0].Whole()
-	w.tries[0].Served([]byte("v"), nil)
+	w.tries[0].MarkConnected()
+	w.tries[0].MarkFullySent()
+	w.tries[0].Succeed([]byte("v"), nil)
 	l.drainTodo()
 	first.want(t, Served, "")
 	if _, third := open(l, "id"); !third.Open() {
@@ -229,24 +229,24 @@
 	drained, ended int
 }
 
-func (c *client) Quiet() bool         { return c.quiet }
-func (c *client) Used() time.Duration { return c.used }
-func (c *client) Drain()              { c.drained++ }
-func (c *client) Close()              { c.ended++ }
+func (c *client) Idle() bool              { return c.quiet }
+func (c *client) LastUsed() time.Duration { return c.used }
+func (c *client) Drain()                  { c.drained++ }
+func (c *client) Close()                  { c.ended++ }
 
 // Clients and servers together stay within the descriptors, and a client over the last of them is sent away.
 func TestDescriptorsAreBounded(t *testing.T) {
 	l, _ := still(t, 1)
 	most := l.cfg.Sockets - leastSockets
 	for range most {
-		if !l.door.Admit(&client{}) { // owed an answer, so not to be evicted
+		if !l.door.AdmitConn(&client{}) { // owed an answer, so not to be evicted
 			t.Fatal("a client that there is room for is turned away")
 		}
 	}
 	if room := l.pool.room(); room+len(l.clients)+reserveSockets > l.cfg.Sockets || room < 1 {
 		t.Errorf("room for %d connections to servers beside %d clients", room, len(l.clients))
 	}
-	if l.door.Admit(&client{}) || len(l.clients) != most {
+	if l.door.AdmitConn(&client{}) || len(l.clients) != most {
 		t.Errorf("one more is taken: %d", len(l.clients))
 	}
 }
@@ -256,7 +256,7 @@
 	l, _ := still(t, 1)
 	old, young, owed := &client{quiet: true, used: 5}, &client{quiet: true, used: 9}, &client{used: 1}
 	for _, c := range []*client{young, old, owed} {
-		l.door.Admit(c)
+		l.door.AdmitConn(c)
 	}
 	l.evictClient()
 	if old.drained != 1 || young.drained+owed.drained != 0 {
@@ -311,13 +311,13 @@
 		result AttemptResult
 		whole  bool
 		want   decide.Outcome
-	}{{NoRoom, false, decide.NotSent}, {NeverLeft, false, decide.NoConnection}, {TurnedAway, true, decide.Rejected}, {Broke, true, decide.Reset},
-		{Broke, false, decide.NoConnection}, {Unusable, true, decide.Error}} {
+	}{{NoLocalCapacity, false, decide.NotSent}, {NotSent, false, decide.NoConnection}, {RefusedByNode, true, decide.Rejected}, {ConnectionLost, true, decide.Reset},
+		{ConnectionLost, false, decide.NoConnection}, {BadResponse, true, decide.Error}} {
 		l, w := still(t, 1)
 		_, handle := open(l, "id")
 		a := handle.r.attempts[0]
 		a.whole = c.whole
-		w.tries[0].Ended(c.result)
+		w.tries[0].Fail(c.result)
 		if a.outcome != c.want {
 			t.Errorf("result %d, whole %v: outcome %v, want %v", c.result, c.whole, a.outcome, c.want)
 		}
@@ -403,7 +403,7 @@
 	next.Clients.Held = 0.01
 	before, idleFor, held := l.pool.most, l.pool.idleFor, l.heldMost()
 	taken := make(chan struct{})
-	l.retune(Reload{Tuning: &next, Taken: taken})
+	l.retune(Reload{Tuning: &next, Applied: taken})
 	<-taken
 	if a.over || len(w.givenUp) != 0 {
 		t.Error("an attempt that is out was ended")
@@ -425,7 +425,7 @@
 func TestStopIsNeverShorterThanClientsWait(t *testing.T) {
 	l, _ := still(t, 0)
 	c := &client{}
-	l.door.Admit(c)
+	l.door.AdmitConn(c)
 	short := tuning.Default()
 	short.Stop.Longest, short.Stop.Accept, short.Stop.LastCall = time.Second, 0, 0
 	l.tune.Store(&short)
@@ -441,30 +441,30 @@
 // The core under its owner's hands: a request goes out, is answered, and the end owes nothing.
 func TestCoreByHand(t *testing.T) {
 	cfg, w, clock := SmallConfig(t, long, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", State: "up", Weight: 1}}), &wire{}, &hand{time.Hour}
-	cfg.Back = w
-	c, err := NewCore(cfg, clock, nil, slog.New(slog.DiscardHandler))
+	cfg.DefaultBackend = w
+	c, err := NewStepper(cfg, clock, nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	events := 0
-	c.Tap(func(decide.Event, []decide.Action) { events++ })
+	c.Observe(func(decide.Event, []decide.Action) { events++ })
 	a := &asked{}
-	c.Door().Post(func() { c.Door().Ask(a, values("id")) })
-	<-c.Posted()
+	c.Core().Post(func() { c.Core().Submit(a, values("id")) })
+	<-c.Wakeups()
 	c.Step()
-	if f := c.Figures(); f.Requests != 1 || f.Held == 0 || len(w.tries) != 1 {
+	if f := c.Stats(); f.Requests != 1 || f.RequestBytes == 0 || len(w.tries) != 1 {
 		t.Fatalf("%+v, %d attempts", f, len(w.tries))
 	}
-	w.tries[0].Whole()
-	w.tries[0].Served([]byte("v"), nil)
+	w.tries[0].MarkFullySent()
+	w.tries[0].Succeed([]byte("v"), nil)
 	c.Step()
 	a.want(t, Served, "")
-	if f := c.Figures(); f.Requests != 0 || f.Held != 0 || events < 2 {
+	if f := c.Stats(); f.Requests != 0 || f.RequestBytes != 0 || events < 2 {
 		t.Errorf("%+v, %d events", f, events)
 	}
 	c.Stop()
 	for !c.Stopped() {
-		at, any := c.Next()
+		at, any := c.NextTimer()
 		if !any {
 			t.Fatal("nothing is due, and it has not stopped")
 		}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -25,25 +25,25 @@
 		cfg := SmallConfig(t, long, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", Zone: "a", State: "up", Weight: 1}})
 		cfg.Settings.Decide.Classes[1].DedupWindow = time.Second
 		w := &wire{}
-		cfg.Back = w
+		cfg.DefaultBackend = w
 		l, err := newLoop(cfg, &hand{time.Hour}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		a, v := &asked{}, values("id")
 		v.Class, v.Write, v.Key = "book", true, "77"
-		l.door.Ask(a, v)
+		l.door.Submit(a, v)
 		l.drainTodo()
-		w.tries[0].Placed()
-		w.tries[0].Whole()
-		w.tries[0].Ended(Broke)
+		w.tries[0].MarkConnected()
+		w.tries[0].MarkFullySent()
+		w.tries[0].Fail(ConnectionLost)
 		l.drainTodo()
 		if len(w.tries) != 2 {
 			t.Fatalf("%d attempts", len(w.tries))
 		}
-		w.tries[1].Placed()
+		w.tries[1].MarkConnected()
 		if written {
-			w.tries[1].Whole()
+			w.tries[1].MarkFullySent()
 		}
 		l.later(time.Second)
 		if over := w.tries[1].a.over; over == written || len(w.givenUp) > 0 == written {
@@ -60,11 +60,11 @@
 func TestAbsentServerStillAnswers(t *testing.T) {
 	l, w := still(t, 1)
 	first, _ := open(l, "one")
-	w.tries[0].Placed()
-	w.tries[0].Whole()
+	w.tries[0].MarkConnected()
+	w.tries[0].MarkFullySent()
 	l.fleet(decide.ListFull, ServerList{Version: 2, Full: true})
 	l.drainTodo()
-	w.tries[0].Served([]byte("v"), nil)
+	w.tries[0].Succeed([]byte("v"), nil)
 	l.drainTodo()
 	first.want(t, Served, "")
 	second, _ := open(l, "two")
@@ -95,7 +95,7 @@
 	if len(a.ends) > 0 || !handle.Open() {
 		t.Fatalf("the request has ended: %+v", a.ends)
 	}
-	if first.Wanted() {
+	if first.Revalidate() {
 		t.Error("it is wanted")
 	}
 	l.drainTodo()
@@ -192,7 +192,7 @@
 // after which a request that was left open is failed. The attempt ends by the time that the module meant, so the request ends by the module.
 func TestLoopIsSlowBetweenDecidingAndSending(t *testing.T) {
 	cfg, w, clock := SmallConfig(t, long, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", State: "up", Weight: 1}}), &wire{}, &slowHand{now: time.Hour}
-	cfg.Back = w
+	cfg.DefaultBackend = w
 	l, err := newLoop(cfg, clock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -45,31 +45,31 @@
 
 // puppet is a node that answers when the test says so.
 type puppet struct {
-	tries  []*gateway.Try
+	tries  []*gateway.Attempt
 	served int
 }
 
-func (p *puppet) Node(*gateway.Door, *gateway.Place) gateway.Transport { return p }
-func (p *puppet) Drain()                                               {}
-func (p *puppet) Idle() (time.Duration, bool)                          { return 0, false }
-func (p *puppet) Evict()                                               {}
+func (p *puppet) NewTransport(*gateway.Core, *gateway.Endpoint) gateway.Transport { return p }
+func (p *puppet) Drain()                                                          {}
+func (p *puppet) OldestIdle() (time.Duration, bool)                               { return 0, false }
+func (p *puppet) EvictIdle()                                                      {}
 
-func (p *puppet) Start(t *gateway.Try) {
-	if t.Wanted() {
-		t.Placed()
-		t.Whole()
+func (p *puppet) Start(t *gateway.Attempt) {
+	if t.Revalidate() {
+		t.MarkConnected()
+		t.MarkFullySent()
 		p.tries = append(p.tries, t)
 	}
 }
 
-func (p *puppet) GiveUp(t *gateway.Try) {
-	p.tries = slices.DeleteFunc(p.tries, func(o *gateway.Try) bool { return o == t })
+func (p *puppet) Cancel(t *gateway.Attempt) {
+	p.tries = slices.DeleteFunc(p.tries, func(o *gateway.Attempt) bool { return o == t })
 }
 
 // run is one core with a front, a client of it, and an audit of what the core does for its requests.
 type run struct {
 	t     *testing.T
-	core  *gateway.Core
+	core  *gateway.Stepper
 	clock hand
 	back  puppet
 	plan  *faultconn.Injector
@@ -84,7 +84,7 @@
 
 // protocol is a front with the pieces that its clients send.
 type protocol struct {
-	front   func(ln net.Listener) gateway.Front
+	front   func(ln net.Listener) gateway.Frontend
 	piece   func() (b []byte, answers int) // some commands: one rejected at once, two good, one too many
 	answers func(got []byte) int
 }
@@ -99,9 +99,9 @@
 	}
 	return map[string]protocol{
 		"RESP2": {
-			front: func(ln net.Listener) gateway.Front {
+			front: func(ln net.Listener) gateway.Frontend {
 				f := resp.NewFront(netip.AddrPort{})
-				f.Give(ln)
+				f.UseSocket(ln)
 				return f
 			},
 			piece: func() ([]byte, int) {
@@ -119,12 +119,12 @@
 			},
 		},
 		"HTTP/2": {
-			front: func(ln net.Listener) gateway.Front {
+			front: func(ln net.Listener) gateway.Frontend {
 				f, err := h2.NewFront(h2.Listener{Name: "x", Streams: 100})
 				if err != nil {
 					t.Fatal(err)
 				}
-				f.Give(ln)
+				f.UseSocket(ln)
 				return f
 			},
 			piece: func() ([]byte, int) {
@@ -166,7 +166,7 @@
 }
 
 // newRunOf is one whose node is at an address, reached by a back; nil: the puppet.
-func newRunOf(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, back gateway.Back, node string) *run {
+func newRunOf(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, back gateway.Backend, node string) *run {
 	set, err := settings.Parse(testbed.MinimalSettings(30 * time.Second))
 	if err != nil {
 		t.Fatal(err)
@@ -178,27 +178,27 @@
 		back = &r.back
 	}
 	tune := tuning.Default()
-	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 100, Settings: set, Seed: 1, Back: back, Tuning: tune,
-		Known: gateway.ServerList{Version: 1, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: node, Zone: "a", State: "up", Weight: 1}}}}
+	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 100, Settings: set, Seed: 1, DefaultBackend: back, Tuning: tune,
+		KnownServers: gateway.ServerList{Version: 1, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: node, Zone: "a", State: "up", Weight: 1}}}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.addr = ln.Addr().String()
 	front := p.front(faultconn.Listener{Listener: ln, Injector: plan})
-	cfg.Fronts = []gateway.Front{front}
-	if r.core, err = gateway.NewCore(cfg, &r.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
+	cfg.Frontends = []gateway.Frontend{front}
+	if r.core, err = gateway.NewStepper(cfg, &r.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	r.stop = sync.OnceFunc(r.core.Stop)
-	r.core.Tap(r.audit)
+	r.core.Observe(r.audit)
 	if err := front.Listen(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		front.Serve(context.Background(), r.core.Door())
+		front.Serve(context.Background(), r.core.Core())
 	}()
 	t.Cleanup(func() { front.Close(); <-served })
 	r.far = r.dial(slow)
@@ -276,7 +276,7 @@
 func (r *run) pump() {
 	for r.core.Step(); ; r.core.Step() {
 		select {
-		case <-r.core.Posted():
+		case <-r.core.Wakeups():
 		case <-time.After(time.Millisecond):
 			return
 		}
@@ -288,7 +288,7 @@
 	for len(r.back.tries) > 0 {
 		t := r.back.tries[0]
 		r.back.tries = r.back.tries[1:]
-		t.Served(bytes.Repeat([]byte("v"), size), nil)
+		t.Succeed(bytes.Repeat([]byte("v"), size), nil)
 		r.back.served++
 	}
 	r.core.Step()
@@ -297,7 +297,7 @@
 // settled holds that where no client is there nothing is open.
 func (r *run) settled() {
 	r.pump()
-	if f := r.core.Figures(); f.Clients == 0 && (f.Held > 0 || len(r.back.tries) > 0) {
+	if f := r.core.Stats(); f.Clients == 0 && (f.RequestBytes > 0 || len(r.back.tries) > 0) {
 		r.t.Errorf("no client is there, and %+v, %d attempts", f, len(r.back.tries))
 	}
 }
@@ -377,7 +377,7 @@
 	r.pump()
 	r.far.Write(b)
 	r.settled()
-	for end := time.Now().Add(endWithin); plan.Op == faultconn.None && r.core.Figures().Requests < openMost && time.Now().Before(end); {
+	for end := time.Now().Add(endWithin); plan.Op == faultconn.None && r.core.Stats().Requests < openMost && time.Now().Before(end); {
 		r.pump() // a late machine may not have read the piece: a connection without a request gives way to newcomers
 	}
 	for _, s := range script {
@@ -410,13 +410,13 @@
 	t := r.t
 	r.far.Close()
 	r.stop()
-	for end := time.Now().Add(endWithin); !r.core.Stopped() || r.plan.OpenConns() > 0 || r.core.Figures().Requests > 0; r.pump() {
+	for end := time.Now().Add(endWithin); !r.core.Stopped() || r.plan.OpenConns() > 0 || r.core.Stats().Requests > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
-			t.Fatalf("it does not end: %+v, %d connections are not closed", r.core.Figures(), r.plan.OpenConns())
+			t.Fatalf("it does not end: %+v, %d connections are not closed", r.core.Stats(), r.plan.OpenConns())
 		}
 	}
-	if f := r.core.Figures(); f.Held != 0 || f.Clients != 0 {
+	if f := r.core.Stats(); f.RequestBytes != 0 || f.Clients != 0 {
 		t.Errorf("left: %+v", f)
 	}
 	for id, ended := range r.ended {
@@ -504,7 +504,7 @@
 	askH2(c, "bad", "Z")
 	r.far.Write(bytes.Clone(c.Out()))
 	before := r.back.served
-	for end := time.Now().Add(endWithin); r.core.Figures().Clients > 0; r.pump() {
+	for end := time.Now().Add(endWithin); r.core.Stats().Clients > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
 			t.Fatal("the connection does not end")
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -16,5 +16,5 @@
 		t.Fatal(err)
 	}
 	return Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Seed: 1,
-		Known: ServerList{Version: 1, Full: true, Servers: servers}}
+		KnownServers: ServerList{Version: 1, Full: true, Servers: servers}}
 }
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -10,27 +10,27 @@
 	"sloepick/internal/tuning"
 )
 
-// Front takes clients in by a protocol of its own. Listen comes first, in the goroutine of the start; Serve takes
+// Frontend takes clients in by a protocol of its own. Listen comes first, in the goroutine of the start; Serve takes
 // connections, in one of its own, until the front has finished or is closed; Finish and Close may come more than once, from any
 // goroutine.
-type Front interface {
+type Frontend interface {
 	Listen(ctx context.Context) error
-	Serve(ctx context.Context, d *Door)
+	Serve(ctx context.Context, d *Core)
 	Finish(by time.Time) // takes the connections that wait to be accepted, until that time at most, and closes
 	Close() error
 }
 
-// Conn is a client's connection of any protocol, as the core counts it among the descriptors. Its methods are called by
+// ClientConn is a client's connection of any protocol, as the core counts it among the descriptors. Its methods are called by
 // the loop.
-type Conn interface {
-	Quiet() bool         // nothing is owed on it, so that it may be drained to make room
-	Used() time.Duration // when it was last answered, or came
-	Drain()              // takes what has come, answers all, and ends
-	Close()              // ends at once; what is open on it is abandoned
+type ClientConn interface {
+	Idle() bool              // nothing is owed on it, so that it may be drained to make room
+	LastUsed() time.Duration // when it was last answered, or came
+	Drain()                  // takes what has come, answers all, and ends
+	Close()                  // ends at once; what is open on it is abandoned
 }
 
 // Responder is a request's place on a front. Ended is called by the loop once, possibly before Ask returns.
-type Responder interface{ Ended(e Response) }
+type Responder interface{ Respond(e Response) }
 
 // RequestHandle is an open request. The zero value is none: it has had its ending.
 type RequestHandle struct{ r *request }
@@ -38,16 +38,16 @@
 // Open reports that the handle is of a request.
 func (t RequestHandle) Open() bool { return t.r != nil }
 
-// Door is what fronts and backs see of the core. Post, Accept, Closing, Log, Now and Tuning may be called from any goroutine;
+// Core is what fronts and backs see of the core. Post, Accept, Closing, Log, Now and Tuning may be called from any goroutine;
 // the others are for the loop's, in which what Post is given runs, and what At and Later are.
-type Door struct{ l *loop }
+type Core struct{ l *loop }
 
 // Post lets the loop call a function. It waits while the loop's inbox is full.
-func (d *Door) Post(f func()) { d.l.in.post(f) }
+func (d *Core) Post(f func()) { d.l.in.post(f) }
 
 // taken lets the loop take a connection that was accepted. Only so many are accepted ahead of the loop, which bounds the
 // descriptors: hundreds that come at once wait in the kernel. It reports false once the context has ended.
-func (d *Door) taken(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
+func (d *Core) taken(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
 	select {
 	case d.l.ahead <- struct{}{}:
 		d.l.in.post(func() {
@@ -62,29 +62,29 @@
 }
 
 // Closing is closed when nothing new is taken any more.
-func (d *Door) Closing() <-chan struct{} { return d.l.closed }
+func (d *Core) Closing() <-chan struct{} { return d.l.closed }
 
 // Log is the gateway's.
-func (d *Door) Log() *slog.Logger { return d.l.log }
+func (d *Core) Log() *slog.Logger { return d.l.log }
 
 // Now is the core's time.
-func (d *Door) Now() time.Duration { return d.l.clock.Now() }
+func (d *Core) Now() time.Duration { return d.l.clock.Now() }
 
 // Tuning is what operators set.
-func (d *Door) Tuning() *tuning.Tuning { return d.l.tune.Load() }
+func (d *Core) Tuning() *tuning.Tuning { return d.l.tune.Load() }
 
-// At calls a function at a time, unless it is called off.
-func (d *Door) At(t time.Duration, do func()) (callOff func()) {
+// Schedule calls a function at a time, unless it is called off.
+func (d *Core) Schedule(t time.Duration, do func()) (callOff func()) {
 	a := d.l.at(t, do)
 	return func() { d.l.unset(a) }
 }
 
-// Later calls a function at the end of the loop's turn.
-func (d *Door) Later(do func()) { d.l.after = append(d.l.after, do) }
+// Defer calls a function at the end of the loop's turn.
+func (d *Core) Defer(do func()) { d.l.after = append(d.l.after, do) }
 
-// Admit counts a connection, and reports false if there is no room for it. One that comes while the gateway ends is drained
+// AdmitConn counts a connection, and reports false if there is no room for it. One that comes while the gateway ends is drained
 // soon.
-func (d *Door) Admit(c Conn) bool {
+func (d *Core) AdmitConn(c ClientConn) bool {
 	if !d.l.admit(c) {
 		return false
 	}
@@ -94,28 +94,28 @@
 	return true
 }
 
-// Gone forgets a connection that was closed.
-func (d *Door) Gone(c Conn) { delete(d.l.clients, c) }
+// RemoveConn forgets a connection that was closed.
+func (d *Core) RemoveConn(c ClientConn) { delete(d.l.clients, c) }
 
-// Ask takes a request into the core.
-func (d *Door) Ask(from Responder, v *Values) RequestHandle {
+// Submit takes a request into the core.
+func (d *Core) Submit(from Responder, v *Request) RequestHandle {
 	return RequestHandle{d.l.accept(from, v)}
 }
 
-// Decide has the module hear at once of what was asked and abandoned in this turn; otherwise it does when the call that the loop
+// ProcessPending has the module hear at once of what was asked and abandoned in this turn; otherwise it does when the call that the loop
 // makes returns. A front with many requests at hand calls it between them, so that each is held to what the one before left.
-func (d *Door) Decide() { d.l.drainTodo() }
+func (d *Core) ProcessPending() { d.l.drainTodo() }
 
 // Abandon ends a request whose client has gone away.
-func (d *Door) Abandon(t RequestHandle) { d.l.abandon(t.r) }
+func (d *Core) Abandon(t RequestHandle) { d.l.abandon(t.r) }
 
-// Room is what the customer's bucket has room for now.
-func (d *Door) Room(customer, plan string) (decide.Allowance, bool) {
+// Allowance is what the customer's bucket has room for now.
+func (d *Core) Allowance(customer, plan string) (decide.Allowance, bool) {
 	return d.l.core.Allowance(d.Now(), customer, plan)
 }
 
 // admit counts a client's connection among the descriptors. It reports false if there is no room.
-func (l *loop) admit(c Conn) bool {
+func (l *loop) admit(c ClientConn) bool {
 	if len(l.clients) >= sockets(l.cfg.Sockets, l.tune.Load().Clients.Descriptors) {
 		l.evictClient()
 	}
@@ -131,9 +131,9 @@
 // that have not asked yet in its place was measured: in a crowd of newcomers it is they who are about to ask.) If
 // all are owed answers nothing is closed, and the new one takes from the servers' share of descriptors.
 func (l *loop) evictClient() {
-	var quiet Conn
+	var quiet ClientConn
 	for c, n := range l.clients {
-		if c.Quiet() && (quiet == nil || c.Used() < quiet.Used() || c.Used() == quiet.Used() && n < l.clients[quiet]) {
+		if c.Idle() && (quiet == nil || c.LastUsed() < quiet.LastUsed() || c.LastUsed() == quiet.LastUsed() && n < l.clients[quiet]) {
 			quiet = c
 		}
 	}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -30,8 +30,8 @@
 	return Listener{name: name, addr: addr, ready: make(chan struct{}), finish: &atomic.Int64{}}
 }
 
-// Give has it use a socket that listens already.
-func (s *Listener) Give(ln net.Listener) { s.ln = ln }
+// UseSocket has it use a socket that listens already.
+func (s *Listener) UseSocket(ln net.Listener) { s.ln = ln }
 
 // Listen opens it, unless it was given.
 func (s *Listener) Listen(ctx context.Context) (err error) {
@@ -53,8 +53,8 @@
 	return s.ln.Addr()
 }
 
-// Accept takes connections until the listener is closed or has finished, or the context ends, and lets the loop call take for each.
-func (s *Listener) Accept(ctx context.Context, d *Door, take func(net.Conn)) {
+// AcceptLoop takes connections until the listener is closed or has finished, or the context ends, and lets the loop call take for each.
+func (s *Listener) AcceptLoop(ctx context.Context, d *Core, take func(net.Conn)) {
 	for {
 		finishing := s.finish.Load() != 0
 		if finishing && !s.allowOneMore() {
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -45,7 +45,7 @@
 	taken, ended := 0, make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.Accept(t.Context(), l.door, func(c net.Conn) {
+		s.AcceptLoop(t.Context(), l.door, func(c net.Conn) {
 			taken++
 			c.Close()
 		})
@@ -86,7 +86,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.Accept(t.Context(), l.door, func(net.Conn) {})
+		s.AcceptLoop(t.Context(), l.door, func(net.Conn) {})
 	}()
 	time.Sleep(20 * time.Millisecond) // it waits by then; if it comes later, it has nothing to wake from
 	s.Finish(time.Now().Add(time.Minute))
@@ -121,7 +121,7 @@
 func (f *lateFront) Listen(context.Context) error { return nil }
 func (f *lateFront) Finish(time.Time)             { close(f.finish) }
 func (f *lateFront) Close() error                 { return nil }
-func (f *lateFront) Serve(ctx context.Context, d *Door) {
+func (f *lateFront) Serve(ctx context.Context, d *Core) {
 	<-f.finish
 	time.Sleep(10 * time.Millisecond) // as long as the loop takes to see that no client is left
 	d.taken(ctx, f.conn, func(c net.Conn) {
@@ -136,7 +136,7 @@
 	near, far := connectedPair(t)
 	f := &lateFront{finish: make(chan struct{}), conn: near}
 	cfg := SmallConfig(t, long, nil)
-	cfg.Fronts, cfg.Back = []Front{f}, &wire{}
+	cfg.Frontends, cfg.DefaultBackend = []Frontend{f}, &wire{}
 	cfg.Tuning.Stop.Accept = 0
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -21,10 +21,10 @@
 	cfg            Config
 	log            *slog.Logger
 	clock          Clock
-	door           *Door
+	door           *Core
 	core           *decide.Gateway
 	in             *inbox
-	peers          Peers // nil where messages are not allowed
+	peers          PeerTransport // nil where messages are not allowed
 	alarms         alarms
 	todo           []decide.Event
 	decided        time.Duration // when the module was last asked: times that it tells count from then
@@ -32,7 +32,7 @@
 	ids            map[string]struct{} // of the requests that are owed an answer, as their clients named them
 	nextID         uint64
 	pool           pool
-	clients        map[Conn]uint64 // by when they came
+	clients        map[ClientConn]uint64 // by when they came
 	joined         uint64
 	tune           *atomic.Pointer[tuning.Tuning] // stored by the loop, read by the goroutines of connections too
 	routes         *route.Table                   // nil: none
@@ -59,11 +59,11 @@
 
 func newLoop(cfg Config, clock Clock, log *slog.Logger) (*loop, error) {
 	l := &loop{cfg: cfg, log: log, clock: clock, in: newInbox(), requests: map[string]*request{},
-		ids: map[string]struct{}{}, clients: map[Conn]uint64{}, tune: &atomic.Pointer[tuning.Tuning]{}, closed: make(chan struct{})}
+		ids: map[string]struct{}{}, clients: map[ClientConn]uint64{}, tune: &atomic.Pointer[tuning.Tuning]{}, closed: make(chan struct{})}
 	if cfg.Tuning == (tuning.Tuning{}) {
 		cfg.Tuning = tuning.Default()
 	}
-	l.door, l.rank, l.place.number = &Door{l}, cfg.Settings.Decide.Rank, -1
+	l.door, l.rank, l.place.number = &Core{l}, cfg.Settings.Decide.Rank, -1
 	l.tune.Store(&cfg.Tuning)
 	l.ahead = make(chan struct{}, cfg.Tuning.Clients.AcceptAhead)
 	l.acceptFailures = &failureLog{log: log}
@@ -72,10 +72,10 @@
 	if err := l.startCore(); err != nil {
 		return nil, err
 	}
-	if cfg.Power != nil {
-		l.power = l.newPower(cfg.Power)
+	if cfg.Recovery != nil {
+		l.power = l.newPower(cfg.Recovery)
 	}
-	l.fleet(decide.ListStale, cfg.Known)
+	l.fleet(decide.ListStale, cfg.KnownServers)
 	l.drainTodo()
 	return l, nil
 }
@@ -199,7 +199,7 @@
 		return
 	}
 	for _, r := range slices.SortedFunc(maps.Values(l.requests), func(a, b *request) int { return cmp.Compare(a.n, b.n) }) {
-		l.answer(r, Response{Kind: Failed, Why: "internal error"})
+		l.answer(r, Response{Kind: Failed, Reason: "internal error"})
 		for _, a := range r.attempts {
 			l.pool.cancel(a)
 		}
@@ -219,11 +219,11 @@
 		}
 	case decide.Refuse:
 		if r := l.requests[a.ID]; r != nil {
-			l.answer(r, Response{Kind: Refused, After: a.RetryAfter, Quota: a.OverQuota})
+			l.answer(r, Response{Kind: Refused, RetryAfter: a.RetryAfter, QuotaExceeded: a.OverQuota})
 		}
 	case decide.Fail:
 		if r := l.requests[a.ID]; r != nil {
-			l.answer(r, Response{Kind: Failed, Why: "failed", Late: r.ranOut()})
+			l.answer(r, Response{Kind: Failed, Reason: "failed", TimedOut: r.ranOut()})
 		}
 	case decide.SetTimer:
 		core := l.core
@@ -236,7 +236,7 @@
 		if l.peers == nil {
 			return
 		}
-		if err := l.peers.Tell(a.To, a.Text); err != nil {
+		if err := l.peers.Send(a.To, a.Text); err != nil {
 			l.log.Debug("a message was not sent", "err", err) // as if lost
 		}
 	case decide.Log:
--- a/internal/gateway/mailbox.go
+++ b/internal/gateway/mailbox.go
@@ -14,8 +14,8 @@
 // NewMailbox makes one that holds nothing.
 func NewMailbox[T any]() Mailbox[T] { return Mailbox[T]{c: make(chan T, 1)} }
 
-// Hand gives the reader a value. It reports false if one that was handed before still waits, or the mailbox has ended.
-func (b *Mailbox[T]) Hand(v T) bool {
+// TrySend gives the reader a value. It reports false if one that was handed before still waits, or the mailbox has ended.
+func (b *Mailbox[T]) TrySend(v T) bool {
 	if b.ended {
 		return false
 	}
@@ -27,16 +27,16 @@
 	}
 }
 
-// End has the reader stop once it has taken what was handed. Ending it again changes nothing.
-func (b *Mailbox[T]) End() {
+// Close has the reader stop once it has taken what was handed. Ending it again changes nothing.
+func (b *Mailbox[T]) Close() {
 	if !b.ended {
 		b.ended = true
 		close(b.c)
 	}
 }
 
-// Wait takes the next value, in the reader's goroutine. It reports false once the mailbox has ended.
-func (b *Mailbox[T]) Wait() (v T, going bool) {
+// Receive takes the next value, in the reader's goroutine. It reports false once the mailbox has ended.
+func (b *Mailbox[T]) Receive() (v T, going bool) {
 	v, going = <-b.c
 	return v, going
 }
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -7,15 +7,15 @@
 	"sloepick/internal/fleet"
 )
 
-// Member takes part in a fleet for the gateway: it tells by the Door how the gateway stands, and carries the module's messages
+// FleetMember takes part in a fleet for the gateway: it tells by the Door how the gateway stands, and carries the module's messages
 // from place to place.
-type Member interface {
-	Peers
+type FleetMember interface {
+	PeerTransport
 	// Serve takes part until the context ends, and then leaves.
-	Serve(ctx context.Context, d *Door)
-	// Valid reports that the standing of that number is the last one and still good: a process that stood still must not go by
+	Serve(ctx context.Context, d *Core)
+	// IsCurrent reports that the standing of that number is the last one and still good: a process that stood still must not go by
 	// what it was told before. It may be called from any goroutine.
-	Valid(n uint64) bool
+	IsCurrent(n uint64) bool
 }
 
 // place is what a gateway in a fleet was told.
@@ -26,13 +26,13 @@
 	had    bool   // a place before
 }
 
-// Stand lets the loop take how the gateway stands in its fleet. Standings are counted.
-func (d *Door) Stand(s fleet.Assignment, n uint64) {
+// SetMembership lets the loop take how the gateway stands in its fleet. Standings are counted.
+func (d *Core) SetMembership(s fleet.Assignment, n uint64) {
 	d.Post(func() { d.l.stand(s, n) })
 }
 
-// Message lets the loop take a message of the gateway in that place.
-func (d *Door) Message(from int, text string) { d.l.peerMessage(from, text) }
+// DeliverMessage lets the loop take a message of the gateway in that place.
+func (d *Core) DeliverMessage(from int, text string) { d.l.peerMessage(from, text) }
 
 func (l *loop) stand(s fleet.Assignment, n uint64) {
 	was := l.place
@@ -67,5 +67,5 @@
 
 // mayAdmit reports that the gateway has a place, or needs none.
 func (l *loop) mayAdmit() bool {
-	return l.cfg.Member == nil || l.place.number >= 0 && l.cfg.Member.Valid(l.place.n)
+	return l.cfg.Member == nil || l.place.number >= 0 && l.cfg.Member.IsCurrent(l.place.n)
 }
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -20,7 +20,7 @@
 
 // nodeSide is a node's protocol: it answers what it reads until something fails.
 type nodeSide struct {
-	back  gateway.Back
+	back  gateway.Backend
 	serve func(c net.Conn) error
 }
 
@@ -75,11 +75,11 @@
 	"more": func(r *run, _ gateway.ServerList) { r.far.Write(r.again()) },
 	"drain": func(r *run, list gateway.ServerList) {
 		list.Servers[0].State = "draining"
-		r.core.Fleet(decide.ListFull, list)
+		r.core.UpdateServers(decide.ListFull, list)
 	},
 	"move": func(r *run, list gateway.ServerList) {
 		list.Servers[0].StartedMS++
-		r.core.Fleet(decide.ListFull, list)
+		r.core.UpdateServers(decide.ListFull, list)
 	},
 	"client leaves": func(r *run, _ gateway.ServerList) { acts["reset"](r) },
 	"term":          func(r *run, _ gateway.ServerList) { r.stop() },
@@ -148,12 +148,12 @@
 		r.pump()
 	}
 	list.Servers[0].State = "gone"
-	r.core.Fleet(decide.ListFull, list)
+	r.core.UpdateServers(decide.ListFull, list)
 	r.conclude()
-	for end := time.Now().Add(endWithin); r.core.Figures().Connections > 0 || plan.OpenConns() > 0; r.pump() {
+	for end := time.Now().Add(endWithin); r.core.Stats().ServerConns > 0 || plan.OpenConns() > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
-			t.Fatalf("%d connections to the node are counted, %d open", r.core.Figures().Connections, plan.OpenConns())
+			t.Fatalf("%d connections to the node are counted, %d open", r.core.Stats().ServerConns, plan.OpenConns())
 		}
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -10,9 +10,9 @@
 
 const datagramMost = 256 // bytes of a message between gateways
 
-// Peers transport messages to the other gateways, by their numbers. Tell never waits; what it sends may be lost.
-type Peers interface {
-	Tell(to int, text string) error
+// PeerTransport transport messages to the other gateways, by their numbers. Tell never waits; what it sends may be lost.
+type PeerTransport interface {
+	Send(to int, text string) error
 }
 
 // peerLink is the socket to the other gateways.
@@ -34,8 +34,8 @@
 	return p, nil
 }
 
-// Tell sends a message to a gateway by its number. It may be lost, as any datagram.
-func (p *peerLink) Tell(to int, text string) error {
+// Send sends a message to a gateway by its number. It may be lost, as any datagram.
+func (p *peerLink) Send(to int, text string) error {
 	if to < 0 || to >= len(p.addrs) || len(text) > datagramMost {
 		return fmt.Errorf("message of %d bytes to gateway %d can't be sent", len(text), to)
 	}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -64,7 +64,7 @@
 	if e.State != decide.Gone && (moved || s.transport == nil) {
 		s.retire() // it leads to a process that is gone
 		s.addr = addr
-		s.transport = p.l.cfg.back(e.Kind).Node(p.l.door, &Place{p, s, addr})
+		s.transport = p.l.cfg.back(e.Kind).NewTransport(p.l.door, &Endpoint{p, s, addr})
 	}
 	if e.State != decide.Serving {
 		s.retire()
@@ -117,7 +117,7 @@
 		p.l.ended(a, decide.NoConnection)
 		return
 	}
-	a.try = Try{l: p.l, a: a, transport: s.transport}
+	a.try = Attempt{l: p.l, a: a, transport: s.transport}
 	s.transport.Start(&a.try)
 }
 
@@ -134,13 +134,13 @@
 		if s.transport == nil {
 			continue
 		}
-		at, any := s.transport.Idle()
+		at, any := s.transport.OldestIdle()
 		if any && (oldest == nil || at < since || at == since && s.id < oldest.id) {
 			oldest, since = s, at
 		}
 	}
 	if oldest != nil {
-		oldest.transport.Evict()
+		oldest.transport.EvictIdle()
 	}
 }
 
@@ -179,7 +179,7 @@
 		return
 	}
 	if a.try.transport != nil {
-		a.try.transport.GiveUp(&a.try)
+		a.try.transport.Cancel(&a.try)
 	}
 	p.l.ended(a, o)
 }
--- a/internal/gateway/power.go
+++ b/internal/gateway/power.go
@@ -8,8 +8,8 @@
 	"sloepick/internal/recovery"
 )
 
-// Keeper keeps what outlives the process. Its methods never wait for a disk.
-type Keeper interface {
+// StateStore keeps what outlives the process. Its methods never wait for a disk.
+type StateStore interface {
 	// Note takes customers whose buckets changed, the units that are answered a second, and the usual requests a second that a
 	// warm node is sent.
 	Note(changed []decide.BucketSnapshot, work, sends float64)
@@ -19,14 +19,14 @@
 	Open(kept bool)
 }
 
-// Power is how a gateway comes back after a loss of power.
-type Power struct {
-	Start   *recovery.Start // with what the disk held
-	Service recovery.ServiceConfig
-	Keeper  Keeper
-	Every   time.Duration // from one Note to the next
-	Clock   func() recovery.Clock
-	Phase   func(recovery.Phase) // is told each phase; nil: nobody asks
+// RecoveryConfig is how a gateway comes back after a loss of power.
+type RecoveryConfig struct {
+	Start        *recovery.Start // with what the disk held
+	Service      recovery.ServiceConfig
+	Store        StateStore
+	SaveInterval time.Duration // from one Note to the next
+	Clock        func() recovery.Clock
+	OnPhase      func(recovery.Phase) // is told each phase; nil: nobody asks
 }
 
 const (
@@ -37,7 +37,7 @@
 
 // power is what the loop keeps of it. nil: nothing is kept, and all is let in at once.
 type power struct {
-	*Power
+	*RecoveryConfig
 	l       *loop
 	svc     *recovery.Service
 	met     time.Duration
@@ -49,9 +49,9 @@
 }
 
 // newPower begins with the disk judged.
-func (l *loop) newPower(cfg *Power) *power {
+func (l *loop) newPower(cfg *RecoveryConfig) *power {
 	now := l.clock.Now()
-	p := &power{Power: cfg, l: l, svc: recovery.NewService(cfg.Service), workAt: now}
+	p := &power{RecoveryConfig: cfg, l: l, svc: recovery.NewService(cfg.Service), workAt: now}
 	p.svc.Judged()
 	p.tell("")
 	l.at(now, p.tick)
@@ -61,7 +61,7 @@
 // tick keeps what changed, and moves the phases on.
 func (p *power) tick() {
 	now := p.l.clock.Now()
-	p.l.at(now+p.Every, p.tick)
+	p.l.at(now+p.SaveInterval, p.tick)
 	if p.svc.Phase() < recovery.Met {
 		if p.l.cfg.Member != nil {
 			return
@@ -69,7 +69,7 @@
 		p.meet(1) // without a fleet there is nobody to wait for
 	}
 	p.changed = p.l.core.AppendChanged(p.changed[:0], changedMost)
-	p.Keeper.Note(p.changed, p.worked(now), p.l.core.WarmServerRate())
+	p.Store.Note(p.changed, p.worked(now), p.l.core.WarmServerRate())
 	if note := p.svc.Tick(now); note != "" {
 		p.tell(note)
 	}
@@ -95,8 +95,8 @@
 func (p *power) tell(note string) {
 	p.phase = p.svc.Phase()
 	p.l.log.Info("power: "+p.phase.String(), "note", note)
-	if p.Phase != nil {
-		p.Phase(p.phase)
+	if p.OnPhase != nil {
+		p.OnPhase(p.phase)
 	}
 }
 
@@ -109,14 +109,14 @@
 	p.met = p.l.clock.Now()
 	p.recall()
 	p.svc.Meet(p.met, p.belief.Work, p.Start.Lit())
-	p.Keeper.Open(p.belief.Verdict == recovery.Kept)
+	p.Store.Open(p.belief.Verdict == recovery.Kept)
 	p.tell(p.belief.String())
 }
 
 func (p *power) recall() {
 	p.belief = p.Start.Believe(p.Clock())
 	p.l.feed(p.belief.Recall)
-	p.Keeper.Heard(p.Start.Seen())
+	p.Store.Heard(p.Start.Seen())
 }
 
 // heard takes another member's word. Long after the start only last lives are learned from it: what it knows of customers is told by
@@ -125,7 +125,7 @@
 	if !p.Start.Hear(w) {
 		return
 	}
-	p.Keeper.Heard(p.Start.Seen())
+	p.Store.Heard(p.Start.Seen())
 	switch phase := p.svc.Phase(); {
 	case phase < recovery.Met:
 	case phase < recovery.Full && p.l.clock.Now()-p.met < hearFor:
@@ -159,11 +159,11 @@
 }
 
 // mayBegin reports whether it is a request's turn, and else when to return.
-func (p *power) mayBegin(v *Values) (ok bool, after time.Duration) {
+func (p *power) mayBegin(v *Request) (ok bool, after time.Duration) {
 	if p.svc.Phase() == recovery.Full {
 		return true, 0
 	}
-	ask := recovery.Ask{Keyed: v.Write, Again: v.Again, Units: v.Units}
+	ask := recovery.Ask{Keyed: v.Write, Again: v.ClientRetry, Units: v.Units}
 	for i := range p.l.cfg.Settings.Decide.Plans {
 		if plan := &p.l.cfg.Settings.Decide.Plans[i]; plan.Name == v.Plan {
 			ask.Price = plan.Price
@@ -172,8 +172,8 @@
 	return p.svc.Admit(p.l.clock.Now(), ask)
 }
 
-// Word lets the loop take what another member told of the time before.
-func (d *Door) Word(w recovery.Word) {
+// DeliverRecoverySnapshot lets the loop take what another member told of the time before.
+func (d *Core) DeliverRecoverySnapshot(w recovery.Word) {
 	d.Post(func() {
 		if d.l.power != nil {
 			d.l.power.heard(w)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -12,38 +12,38 @@
 
 // Bounds on a request's values, whatever protocol they come by.
 const (
-	ValueMost    = 64 << 10    // bytes of a body, and of a node's value
-	idMost       = 128         // bytes of a request's id
-	keyMost      = 64          // bytes of an idempotency key
-	waitMost     = time.Minute // where its class has no deadline
-	unitsMost    = 1 << 10     // where the settings name no most
-	customerMost = 1<<33 - 1
+	MaxPayloadSize = 64 << 10    // bytes of a body, and of a node's value
+	idMost         = 128         // bytes of a request's id
+	keyMost        = 64          // bytes of an idempotency key
+	waitMost       = time.Minute // where its class has no deadline
+	unitsMost      = 1 << 10     // where the settings name no most
+	customerMost   = 1<<33 - 1
 )
 
-// Values are a request's, in no protocol's words. Once the core has them they are not changed.
-type Values struct {
+// Request are a request's, in no protocol's words. Once the core has them they are not changed.
+type Request struct {
 	Customer, ID, Class, Plan, Key string
-	Patience                       time.Duration // of the client, from Came on
+	ClientTimeout                  time.Duration // of the client, from Came on
 	Units                          float64
-	Spread, First                  int // the customer's set; Spread 0: not told
-	Again, Write                   bool
+	GatewayCount, FirstGateway     int // the customer's set; Spread 0: not told
+	ClientRetry, Write             bool
 	Body                           []byte
-	Came                           time.Duration
+	ReceivedAt                     time.Duration
 	Native                         any // the request as its own protocol has it, for a back of that protocol; nil: no more than this
-	Extra                          int // bytes that Native holds beyond this
+	NativeSize                     int // bytes that Native holds beyond this
 
 	limit time.Duration // of its class: no client waits longer
 }
 
 // size is how many bytes it holds while it is open.
-func (v *Values) size() int {
-	return len(v.Customer) + len(v.ID) + len(v.Class) + len(v.Plan) + len(v.Key) + len(v.Body) + v.Extra
+func (v *Request) size() int {
+	return len(v.Customer) + len(v.ID) + len(v.Class) + len(v.Plan) + len(v.Key) + len(v.Body) + v.NativeSize
 }
 
 // check holds a request's values to the settings. What passes is counted as the customer's demand, told to
 // peers and sent to servers, so a value that no usual client sends, in a usual customer's name, must end here:
 // it would bend that customer's share, or be held against the server that turns it away.
-func (v *Values) check(cfg *Config) error {
+func (v *Request) check(cfg *Config) error {
 	if n, err := strconv.ParseUint(v.Customer, 16, 64); err != nil || len(v.Customer) != 16 || n > customerMost {
 		return errors.New("the customer is not 16 hex digits, below 2^33")
 	}
@@ -68,13 +68,13 @@
 		return errors.New("k is missing")
 	case len(v.Key) > keyMost:
 		return errors.New("k is too long")
-	case len(v.Body) > ValueMost:
-		return fmt.Errorf("the body is over %d bytes", ValueMost)
-	case v.Patience <= 0 || v.Patience >= v.limit+time.Millisecond: // whole milliseconds, so it may be rounded up
+	case len(v.Body) > MaxPayloadSize:
+		return fmt.Errorf("the body is over %d bytes", MaxPayloadSize)
+	case v.ClientTimeout <= 0 || v.ClientTimeout >= v.limit+time.Millisecond: // whole milliseconds, so it may be rounded up
 		return errors.New("d is out of range")
 	case v.Units < 1 || v.Units > units:
 		return errors.New("units are out of range")
-	case v.Spread < 0 || v.Spread > set.Gateways, v.First < 0 || v.First >= set.Gateways:
+	case v.GatewayCount < 0 || v.GatewayCount > set.Gateways, v.FirstGateway < 0 || v.FirstGateway >= set.Gateways:
 		return errors.New("the set is out of range")
 	}
 	return nil
@@ -84,29 +84,29 @@
 func (r *request) event() decide.Request {
 	v := r.v
 	return decide.Request{ID: r.id, Class: v.Class, Plan: v.Plan, Customer: v.Customer, Units: v.Units,
-		GatewayCount: v.Spread, FirstGateway: v.First, ClientRetry: v.Again, Write: v.Write}
+		GatewayCount: v.GatewayCount, FirstGateway: v.FirstGateway, ClientRetry: v.ClientRetry, Write: v.Write}
 }
 
-// Kind is how a request ended.
-type Kind int
+// ResponseKind is how a request ended.
+type ResponseKind int
 
 // The kinds of endings.
 const (
-	Served   Kind = iota + 1
-	Refused       // it never ran: trying again does no harm
-	Failed        // nothing is promised
-	Rejected      // the request itself can't be taken
+	Served   ResponseKind = iota + 1
+	Refused               // it never ran: trying again does no harm
+	Failed                // nothing is promised
+	Rejected              // the request itself can't be taken
 )
 
 // Response is how a request ended for its client, in no protocol's words. A front makes its bytes of it.
 type Response struct {
-	Kind  Kind
-	Value []byte        // of Served: as a node gave it
-	After time.Duration // of Refused: when to come again; 0: no advice
-	Quota bool          // of Refused: the customer's quota has no room
-	Late  bool          // of Failed: time was up
-	Taken bool          // of Rejected: a request with its id is open
-	Why   string        // of Failed and Rejected
+	Kind          ResponseKind
+	Value         []byte        // of Served: as a node gave it
+	RetryAfter    time.Duration // of Refused: when to come again; 0: no advice
+	QuotaExceeded bool          // of Refused: the customer's quota has no room
+	TimedOut      bool          // of Failed: time was up
+	DuplicateID   bool          // of Rejected: a request with its id is open
+	Reason        string        // of Failed and Rejected
 }
 
 // request is a client's request until its final answer is given and nothing of it is out.
@@ -114,7 +114,7 @@
 	id       string // the module's; a client's own ids may come twice
 	n        uint64 // counts them
 	from     Responder
-	v        *Values
+	v        *Request
 	attempts []*attempt
 	overdue  *alarm
 	out      int          // attempts that have not ended
@@ -141,7 +141,7 @@
 	writeBy   time.Duration // the last byte must be written by then; 0: there is no such time
 	expiry    *alarm
 	tooLate   *alarm // at writeBy
-	try       Try
+	try       Attempt
 	placed    bool // its transport has put it on a connection
 	whole     bool // the last byte may have been written
 	over      bool
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -123,9 +123,9 @@
 func startRig(t *testing.T, cfg gateway.Config) *rig {
 	t.Helper()
 	r := &rig{moves: make(chan gateway.Reload), done: make(chan error, 1)}
-	r.reg, cfg.Discovery = newRegistry(t, cfg.Known)
+	r.reg, cfg.Discovery = newRegistry(t, cfg.KnownServers)
 	front := resp.NewFront(netip.MustParseAddrPort("127.0.0.1:0"))
-	cfg.Fronts, cfg.Back = []gateway.Front{front}, resp.Back{}
+	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{front}, resp.Back{}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	go func() { r.done <- gateway.Run(ctx, cfg, r.moves, slog.New(slog.DiscardHandler)) }()
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -33,7 +33,7 @@
 	cfg := gateway.SmallConfig(t, aim, servers)
 	rt.Name = "r"
 	cfg.Routes = []*route.Route{&rt}
-	if diags := cfg.Prove(cfg.Routes); len(diags) > 0 {
+	if diags := cfg.ValidateRoutes(cfg.Routes); len(diags) > 0 {
 		t.Fatal(diags)
 	}
 	return startRig(t, cfg)
@@ -187,7 +187,7 @@
 		c.look("old")
 		x := b.asked(t)
 		taken, tune := make(chan struct{}), tuning.Default()
-		r.moves <- gateway.Reload{Discovery: r.reg.Addr(), Tuning: &tune, Routes: next, Taken: taken}
+		r.moves <- gateway.Reload{Discovery: r.reg.Addr(), Tuning: &tune, Routes: next, Applied: taken}
 		<-taken
 		x.answer(t, "-ERR failed\r\n")
 		b.asked(t).answer(t, served("again"))
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -31,13 +31,13 @@
 	Discovery netip.AddrPort  // where it is from then on; its whole list is asked for, moved or not
 	Tuning    *tuning.Tuning  // nil: as it was
 	Routes    []*route.Route  // with Tuning: proven by Config.Prove
-	Taken     chan<- struct{} // closed, if not nil, when the values count
+	Applied   chan<- struct{} // closed, if not nil, when the values count
 }
 
 // Run serves until the context ends; then it takes what still comes for a moment, answers all that it has
 // taken, and returns. What comes over reloads counts from then on.
 func Run(ctx context.Context, cfg Config, reloads <-chan Reload, log *slog.Logger) error {
-	for _, f := range cfg.Fronts {
+	for _, f := range cfg.Frontends {
 		if err := f.Listen(ctx); err != nil {
 			return err
 		}
@@ -67,7 +67,7 @@
 	moves := make(chan netip.AddrPort)
 	wg.Go(func() { takeReloads(inner, reloads, moves, l) })
 	wg.Go(func() { follow(inner, cfg.Discovery, moves, l.news, log) })
-	for _, f := range cfg.Fronts {
+	for _, f := range cfg.Frontends {
 		l.fronts++
 		wg.Go(func() {
 			f.Serve(inner, l.door)
@@ -100,15 +100,15 @@
 
 // readyOnce tells that the gateway takes requests.
 func (l *loop) readyOnce() {
-	if ready := l.cfg.Ready; ready != nil {
-		l.cfg.Ready = nil
+	if ready := l.cfg.OnReady; ready != nil {
+		l.cfg.OnReady = nil
 		ready(l.door)
 	}
 }
 
 // closeFronts has nothing new come.
 func (l *loop) closeFronts() (err error) {
-	for _, f := range l.cfg.Fronts {
+	for _, f := range l.cfg.Frontends {
 		err = errors.Join(err, f.Close())
 	}
 	return err
@@ -138,8 +138,8 @@
 		l.pool.retune()
 		l.reroute(r.Routes)
 	}
-	if r.Taken != nil {
-		close(r.Taken)
+	if r.Applied != nil {
+		close(r.Applied)
 	}
 }
 
@@ -149,7 +149,7 @@
 	l.log.Info("stopping", "open", len(l.requests))
 	t := l.tune.Load().Stop
 	l.at(now+t.Accept, func() {
-		for _, f := range l.cfg.Fronts {
+		for _, f := range l.cfg.Frontends {
 			f.Finish(time.Now().Add(t.LastCall))
 		}
 		l.closing = true
@@ -166,8 +166,8 @@
 }
 
 // connections are the clients', in the order in which they came.
-func (l *loop) connections() []Conn {
-	return slices.SortedFunc(maps.Keys(l.clients), func(a, b Conn) int { return cmp.Compare(l.clients[a], l.clients[b]) })
+func (l *loop) connections() []ClientConn {
+	return slices.SortedFunc(maps.Keys(l.clients), func(a, b ClientConn) int { return cmp.Compare(l.clients[a], l.clients[b]) })
 }
 
 // longestWait is how long a client may wait for an answer.
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -49,7 +49,7 @@
 	if d := <-got; d.from != 1 || d.text != strings.Repeat("y", datagramMost) {
 		t.Errorf("got %d bytes from %d", len(d.text), d.from)
 	}
-	if err := p.Tell(1, "hello"); err != nil {
+	if err := p.Send(1, "hello"); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 16)
@@ -57,11 +57,11 @@
 		t.Errorf("the peer got %q from %v, %v", buf[:n], from, err)
 	}
 	for _, to := range []int{-1, 2} {
-		if p.Tell(to, "x") == nil {
+		if p.Send(to, "x") == nil {
 			t.Errorf("a message to gateway %d was sent", to)
 		}
 	}
-	if p.Tell(1, strings.Repeat("x", datagramMost+1)) == nil {
+	if p.Send(1, strings.Repeat("x", datagramMost+1)) == nil {
 		t.Error("a message that is too long was sent")
 	}
 }
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen.String() != "127.0.0.9:1" || c.Discovery.Port() != 8500 || len(c.Peers) != 2 ||
-		uint64(c.Seed) != 0x8c1f30d27a5be964 || c.Known.Servers[0].ID != "s-5" || len(c.Settings.Decide.Classes) != 2 {
+		uint64(c.Seed) != 0x8c1f30d27a5be964 || c.KnownServers.Servers[0].ID != "s-5" || len(c.Settings.Decide.Classes) != 2 {
 		t.Errorf("got %+v", c)
 	}
 	for edit, want := range map[string]string{
@@ -145,11 +145,11 @@
 	if c, err := LoadConfig(getenv); err != nil || c.Discovery.String() != "127.0.0.9:1" {
 		t.Errorf("at the start: %v, %v", c.Discovery, err)
 	}
-	if addr, err := LoadDiscovery(getenv); err != nil || addr.String() != "127.0.0.1:8500" {
+	if addr, err := LoadDiscoveryAddr(getenv); err != nil || addr.String() != "127.0.0.1:8500" {
 		t.Errorf("at a reload: %v, %v", addr, err)
 	}
 	write(`{"name"`)
-	if _, err := LoadDiscovery(getenv); err == nil {
+	if _, err := LoadDiscoveryAddr(getenv); err == nil {
 		t.Error("a broken file passes")
 	}
 }
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -41,7 +41,7 @@
 			}
 			u.metered = int(n)
 		case string(name) == "units":
-			v, err := Number(string(value))
+			v, err := ParseNumber(string(value))
 			if err != nil || v <= 0 || v > units || u.units > 0 {
 				return use{}
 			}
@@ -61,8 +61,8 @@
 
 var errNumber = errors.New("not a plain number, or out of range")
 
-// Number reads plain digits, with a point at most: no sign, exponent or word such as 'inf'.
-func Number(s string) (float64, error) {
+// ParseNumber reads plain digits, with a point at most: no sign, exponent or word such as 'inf'.
+func ParseNumber(s string) (float64, error) {
 	if strings.Trim(s, "0123456789.") != "" {
 		return 0, errNumber
 	}
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -30,8 +30,8 @@
 	return o
 }
 
-// Try writes what the kernel takes at once. Taking nothing is no error.
-func (o *Writer) Try(b []byte) (n int, err error) {
+// TryWrite writes what the kernel takes at once. Taking nothing is no error.
+func (o *Writer) TryWrite(b []byte) (n int, err error) {
 	if o.raw == nil {
 		return 0, nil
 	}
@@ -54,9 +54,9 @@
 	return n, errors.Join(opErr, err)
 }
 
-// Quiet reports whether the connection is open and nothing has come on it that was not read. Where that can't be seen, it
+// ReceiveQueueEmpty reports whether the connection is open and nothing has come on it that was not read. Where that can't be seen, it
 // reports false.
-func (o *Writer) Quiet() bool {
+func (o *Writer) ReceiveQueueEmpty() bool {
 	if o.raw == nil {
 		return false
 	}
@@ -71,20 +71,20 @@
 // Busy reports that Finish has not ended.
 func (o *Writer) Busy() bool { return o.busy }
 
-// Finish writes the rest from a goroutine of its own, within a time, and then lets the loop call done. The time limit ends with
+// WriteAsync writes the rest from a goroutine of its own, within a time, and then lets the loop call done. The time limit ends with
 // the write: one left on the connection would have a later Try fail, which goes by the connection's deadlines too.
-func (o *Writer) Finish(rest []byte, within time.Duration, d *Door, done func(error)) {
+func (o *Writer) WriteAsync(rest []byte, within time.Duration, d *Core, done func(error)) {
 	o.finish(rest, within, 1, d, done)
 }
 
-// FinishWhileTaken is Finish for a peer that may be slow: it is given up when it has taken nothing for stall, or has not taken all in
+// WriteAsyncUntilStall is Finish for a peer that may be slow: it is given up when it has taken nothing for stall, or has not taken all in
 // stallsMost times that.
-func (o *Writer) FinishWhileTaken(rest []byte, stall time.Duration, d *Door, done func(error)) {
+func (o *Writer) WriteAsyncUntilStall(rest []byte, stall time.Duration, d *Core, done func(error)) {
 	o.finish(rest, stall, stallsMost, d, done)
 }
 
 // finish writes in so many steps at most. Each has its time, and each but the last has to bring something forward.
-func (o *Writer) finish(rest []byte, within time.Duration, steps int, d *Door, done func(error)) {
+func (o *Writer) finish(rest []byte, within time.Duration, steps int, d *Core, done func(error)) {
 	o.busy = true
 	go func() {
 		var err error
@@ -111,7 +111,7 @@
 // Shutdown tells the peer that nothing more is written, and lets the loop call done once the peer has closed its side too, or
 // has had so long to. Until then the connection takes what the peer still sends, so that no reset overtakes what was written; it is
 // not read.
-func (o *Writer) Shutdown(within time.Duration, d *Door, done func()) {
+func (o *Writer) Shutdown(within time.Duration, d *Core, done func()) {
 	closer, ok := o.conn.(interface{ CloseWrite() error })
 	if !ok || o.raw == nil {
 		done()
--- a/internal/gateway/writer_test.go
+++ b/internal/gateway/writer_test.go
@@ -57,14 +57,14 @@
 // finish runs Writer.Finish as the loop does, and waits for what it tells.
 func finish(t *testing.T, o *Writer, rest []byte, within time.Duration) error {
 	t.Helper()
-	return await(func(d *Door, done func(error)) { o.Finish(rest, within, d, done) })
+	return await(func(d *Core, done func(error)) { o.WriteAsync(rest, within, d, done) })
 }
 
 // await begins what ends in the loop, and waits for that.
-func await(begin func(d *Door, done func(error))) error {
+func await(begin func(d *Core, done func(error))) error {
 	l := &loop{in: newInbox()}
 	told := make(chan error, 1)
-	begin(&Door{l}, func(err error) { told <- err })
+	begin(&Core{l}, func(err error) { told <- err })
 	<-l.in.ready
 	for _, do := range l.in.take(nil) {
 		do()
@@ -85,7 +85,7 @@
 	if last := conn.lastDeadline(); !last.IsZero() {
 		t.Errorf("the connection keeps the deadline %v of a write that is over", last)
 	}
-	if n, err := o.Try([]byte("next")); n != 4 || err != nil {
+	if n, err := o.TryWrite([]byte("next")); n != 4 || err != nil {
 		t.Errorf("the next write took %d bytes, error %v", n, err)
 	}
 	got := make([]byte, 8)
@@ -101,7 +101,7 @@
 	if err := near.SetWriteDeadline(time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewWriter(near).Try([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := NewWriter(near).TryWrite([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -143,8 +143,8 @@
 		"a byte at a time":   {slices.Repeat([]int{1}, 100), stallsMost, true},
 	} {
 		c := &slowConn{takes: x.takes}
-		err := await(func(d *Door, done func(error)) {
-			NewWriter(c).FinishWhileTaken(make([]byte, 100), time.Second, d, done)
+		err := await(func(d *Core, done func(error)) {
+			NewWriter(c).WriteAsyncUntilStall(make([]byte, 100), time.Second, d, done)
 		})
 		if givenUp := errors.Is(err, os.ErrDeadlineExceeded); givenUp != x.givenUp || c.took != x.took || err != nil && !givenUp {
 			t.Errorf("%s: %d bytes were taken, error %v", name, c.took, err)
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -73,7 +73,7 @@
 	door := e.door
 	e.mu.Unlock()
 	if door != nil {
-		door.Message(place, text)
+		door.DeliverMessage(place, text)
 	}
 }
 
@@ -116,7 +116,7 @@
 		door := d.e.door
 		d.e.mu.Unlock()
 		if door != nil {
-			door.Word(w)
+			door.DeliverRecoverySnapshot(w)
 		}
 	}
 	d.e.mu.Lock()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -106,7 +106,7 @@
 	mu    sync.Mutex
 	nodes map[string]*memberlist.Node // by life
 	drops map[string]uint64           // messages that others dropped, by name, as they told last
-	door  *gateway.Door
+	door  *gateway.Core
 }
 
 type tell struct {
@@ -235,13 +235,13 @@
 // Report is the table as it stands; nil before there is one.
 func (e *Engine) Report() *Report { return e.report.Load() }
 
-// Valid implements gateway.Member: a process that stood still must not go by what it was told before.
-func (e *Engine) Valid(n uint64) bool {
+// IsCurrent implements gateway.Member: a process that stood still must not go by what it was told before.
+func (e *Engine) IsCurrent(n uint64) bool {
 	return n == e.stood.Load() && int64(time.Since(e.start)) < e.until.Load()
 }
 
 // Serve implements gateway.Member: it takes part until the context ends, and then says goodbye.
-func (e *Engine) Serve(ctx context.Context, d *gateway.Door) {
+func (e *Engine) Serve(ctx context.Context, d *gateway.Core) {
 	e.mu.Lock()
 	e.door = d
 	e.mu.Unlock()
@@ -359,7 +359,7 @@
 func (e *Engine) stand(s fleet.Assignment) {
 	e.standing.Store(&s)
 	e.log.Info("fleet: standing", "place", s.Slot, "term", s.Term, "alone", s.Isolated)
-	e.door.Stand(s, e.stood.Add(1))
+	e.door.SetMembership(s, e.stood.Add(1))
 	e.duties.stand(s)
 	e.tell()
 	if s.Slot >= 0 {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -51,12 +51,12 @@
 		t.Fatal(err)
 	}
 	set.Decide.Gateways = cfg.Table.Slots
-	core, err := gateway.NewCore(gateway.Config{Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Member: e}, wall{time.Now()}, e, log)
+	core, err := gateway.NewStepper(gateway.Config{Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Member: e}, wall{time.Now()}, e, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := &member{Engine: e, t: t, peers: make(chan decide.PeerMessage, 1000), served: make(chan struct{})}
-	core.Tap(func(ev decide.Event, _ []decide.Action) {
+	core.Observe(func(ev decide.Event, _ []decide.Action) {
 		if ev, ok := ev.(decide.PeerMessage); ok {
 			select {
 			case m.peers <- ev:
@@ -72,12 +72,12 @@
 	t.Cleanup(m.stop)
 	go func() {
 		defer close(m.served)
-		e.Serve(ctx, core.Door())
+		e.Serve(ctx, core.Core())
 	}()
 	go func() { // the loop, which goes on until nobody posts any more
 		for {
 			select {
-			case <-core.Posted():
+			case <-core.Wakeups():
 			case <-time.After(10 * time.Millisecond):
 			}
 			core.Step()
@@ -175,7 +175,7 @@
 	if n, _ := alive(stranger.until("a view", func(*Report) bool { return true }), ""); n != 1 {
 		t.Errorf("one with another key sees %d members", n)
 	}
-	if err := a.Tell(rb.Standing.Slot, "xhello"); err != nil {
+	if err := a.Send(rb.Standing.Slot, "xhello"); err != nil {
 		t.Error(err)
 	}
 	for m := range b.peers {
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, place := range []int{-1, 3, 3 - ra.Standing.Slot - rb.Standing.Slot} {
-		if a.Tell(place, "x") == nil {
+		if a.Send(place, "x") == nil {
 			t.Errorf("a message to place %d was taken", place)
 		}
 	}
@@ -232,7 +232,7 @@
 	case <-time.After(patience):
 		t.Fatal("the first was not told")
 	}
-	if first.Valid(first.stood.Load()) && first.standing.Load().Slot >= 0 {
+	if first.IsCurrent(first.stood.Load()) && first.standing.Load().Slot >= 0 {
 		t.Error("the first goes on")
 	}
 	if r := second.until("a place", placed); r.Standing.Slot != had {
@@ -278,11 +278,11 @@
 	a := start(t, "a", addresses(t, 1)[0], nil)
 	a.until("a place", placed)
 	n := a.stood.Load()
-	if !a.Valid(n) || a.Valid(n-1) {
-		t.Errorf("the last one is good: %v, the one before: %v", a.Valid(n), a.Valid(n-1))
+	if !a.IsCurrent(n) || a.IsCurrent(n-1) {
+		t.Errorf("the last one is good: %v, the one before: %v", a.IsCurrent(n), a.IsCurrent(n-1))
 	}
 	a.stop()
-	for end := time.Now().Add(patience); a.Valid(a.stood.Load()); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(patience); a.IsCurrent(a.stood.Load()); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it is good for ever")
 		}
--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -12,8 +12,8 @@
 
 // This file is messages from place to place.
 
-// Tell implements gateway.Peers.
-func (e *Engine) Tell(place int, text string) error { return e.tellPlace(place, 0, text) }
+// Send implements gateway.Peers.
+func (e *Engine) Send(place int, text string) error { return e.tellPlace(place, 0, text) }
 
 // tellPlace sends a text to whoever is in a place. flag is set in the sender's place, and tells what the text is.
 func (e *Engine) tellPlace(place int, flag uint16, text string) error {
--- a/internal/h2/back.go
+++ b/internal/h2/back.go
@@ -28,21 +28,21 @@
 // NewBack makes one.
 func NewBack(c BackConfig) *Back { return &Back{c} }
 
-// Node implements gateway.Back.
-func (b *Back) Node(d *gateway.Door, p *gateway.Place) gateway.Transport {
-	return &node{cfg: b.cfg, d: d, place: p, spots: map[*gateway.Try]spot{}}
+// NewTransport implements gateway.Back.
+func (b *Back) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
+	return &node{cfg: b.cfg, d: d, place: p, spots: map[*gateway.Attempt]spot{}}
 }
 
 // node is a node at an address. All of it is the loop's.
 type node struct {
 	cfg     BackConfig
-	d       *gateway.Door
-	place   *gateway.Place
+	d       *gateway.Core
+	place   *gateway.Endpoint
 	conns   []*nodeConn
 	dialing bool
-	stale   bool           // the connection that is being made leads to what has drained or moved since
-	waiting []*gateway.Try // for the connection that is being made
-	spots   map[*gateway.Try]spot
+	stale   bool               // the connection that is being made leads to what has drained or moved since
+	waiting []*gateway.Attempt // for the connection that is being made
+	spots   map[*gateway.Attempt]spot
 }
 
 // spot is where a try is out.
@@ -53,14 +53,14 @@
 
 // Start implements gateway.Transport. A try goes on the connection with the fewest open; where all are full, or still write,
 // another is made, one at a time, and as many wait for it as it will take.
-func (n *node) Start(t *gateway.Try) {
+func (n *node) Start(t *gateway.Attempt) {
 	if c := n.free(); c != nil {
 		c.send(t)
 		return
 	}
 	switch {
-	case len(n.waiting) >= n.cfg.Streams, !n.dialing && (len(n.conns) >= n.cfg.Connections || !n.place.Take()):
-		t.Ended(gateway.NoRoom)
+	case len(n.waiting) >= n.cfg.Streams, !n.dialing && (len(n.conns) >= n.cfg.Connections || !n.place.ReserveConn()):
+		t.Fail(gateway.NoLocalCapacity)
 		return
 	case !n.dialing:
 		n.dial()
@@ -90,16 +90,16 @@
 		nc.Close()
 	}
 	if err != nil || stale {
-		n.place.Give()
-		result := gateway.NotReached(err)
+		n.place.ReleaseConn()
+		result := gateway.DialFailureResult(err)
 		for _, t := range waiting {
-			t.Ended(result)
+			t.Fail(result)
 		}
 		return
 	}
 	n.begin(nc)
 	for _, t := range waiting {
-		if t.Wanted() {
+		if t.Revalidate() {
 			n.Start(t)
 		}
 	}
@@ -109,7 +109,7 @@
 	limits := wire.DefaultLimits()
 	limits.Streams = n.cfg.Streams
 	now := n.d.Now()
-	c := &nodeConn{n: n, nc: nc, out: gateway.NewWriter(nc), wire: wire.NewClient(limits, now), tries: map[uint32]*gateway.Try{},
+	c := &nodeConn{n: n, nc: nc, out: gateway.NewWriter(nc), wire: wire.NewClient(limits, now), tries: map[uint32]*gateway.Attempt{},
 		heard: now, used: now, resume: gateway.NewMailbox[struct{}]()}
 	n.conns = append(n.conns, c)
 	c.flush()
@@ -117,9 +117,9 @@
 	go c.read()
 }
 
-// GiveUp implements gateway.Transport: the stream is reset, the connection stays. One that still writes is ended: the rest of the
+// Cancel implements gateway.Transport: the stream is reset, the connection stays. One that still writes is ended: the rest of the
 // request could go out after its end.
-func (n *node) GiveUp(t *gateway.Try) {
+func (n *node) Cancel(t *gateway.Attempt) {
 	if i := slices.Index(n.waiting, t); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 		return
@@ -144,8 +144,8 @@
 	}
 }
 
-// Idle implements gateway.Transport.
-func (n *node) Idle() (since time.Duration, any bool) {
+// OldestIdle implements gateway.Transport.
+func (n *node) OldestIdle() (since time.Duration, any bool) {
 	c := n.idlest()
 	if c == nil {
 		return 0, false
@@ -153,8 +153,8 @@
 	return c.used, true
 }
 
-// Evict implements gateway.Transport.
-func (n *node) Evict() { n.idlest().end() }
+// EvictIdle implements gateway.Transport.
+func (n *node) EvictIdle() { n.idlest().end() }
 
 // idlest is the connection on which nothing has been open for longest; nil: there is none.
 func (n *node) idlest() (idlest *nodeConn) {
@@ -172,11 +172,11 @@
 	nc     net.Conn
 	out    *gateway.Writer
 	wire   *wire.Conn
-	tries  map[uint32]*gateway.Try // by stream
-	heard  time.Duration           // when something came
-	used   time.Duration           // when something was open
-	pinged bool                    // since something came
-	last   bool                    // nothing new goes out on it
+	tries  map[uint32]*gateway.Attempt // by stream
+	heard  time.Duration               // when something came
+	used   time.Duration               // when something was open
+	pinged bool                        // since something came
+	last   bool                        // nothing new goes out on it
 	unsent []byte
 	closed bool
 	resume gateway.Mailbox[struct{}]
@@ -188,21 +188,21 @@
 func (c *nodeConn) clear() bool { return !c.out.Busy() && len(c.unsent) == 0 }
 
 // send puts a try on the connection.
-func (c *nodeConn) send(t *gateway.Try) {
-	v := t.Values()
-	stream, ok := c.wire.Ask(askFields(v, t.Left()), v.Body)
+func (c *nodeConn) send(t *gateway.Attempt) {
+	v := t.Request()
+	stream, ok := c.wire.Ask(askFields(v, t.RemainingTime()), v.Body)
 	if !ok { // free has seen room
-		t.Ended(gateway.NoRoom)
+		t.Fail(gateway.NoLocalCapacity)
 		return
 	}
 	c.tries[stream], c.n.spots[t] = t, spot{c, stream}
 	c.used = c.n.d.Now()
-	t.Placed()
+	t.MarkConnected()
 	c.flush()
 }
 
 // askFields are a request's, by the same mapping as the front's.
-func askFields(v *gateway.Values, left time.Duration) []hpack.HeaderField {
+func askFields(v *gateway.Request, left time.Duration) []hpack.HeaderField {
 	path := pathAsk + v.Class
 	if v.Write {
 		path = pathDo + v.Class
@@ -215,10 +215,10 @@
 	if v.Key != "" {
 		fields = append(fields, hpack.HeaderField{Name: fieldKey, Value: strconv.Quote(v.Key), Sensitive: true})
 	}
-	if v.Spread > 0 {
-		fields = append(fields, hpack.HeaderField{Name: fieldSet, Value: strconv.Itoa(v.Spread) + ";" + strconv.Itoa(v.First)})
+	if v.GatewayCount > 0 {
+		fields = append(fields, hpack.HeaderField{Name: fieldSet, Value: strconv.Itoa(v.GatewayCount) + ";" + strconv.Itoa(v.FirstGateway)})
 	}
-	if v.Again {
+	if v.ClientRetry {
 		fields = append(fields, hpack.HeaderField{Name: fieldAgain, Value: "1"})
 	}
 	if len(v.Body) > 0 {
@@ -233,14 +233,14 @@
 	if c.closed || c.out.Busy() || len(c.unsent) == 0 {
 		return
 	}
-	n, err := c.out.Try(c.unsent)
+	n, err := c.out.TryWrite(c.unsent)
 	if err != nil {
 		c.end()
 		return
 	}
 	for stream, t := range c.tries {
 		if c.wire.Unsent(stream) == 0 {
-			t.Whole()
+			t.MarkFullySent()
 		}
 	}
 	if n == len(c.unsent) {
@@ -249,7 +249,7 @@
 	}
 	rest := c.unsent[n:]
 	c.unsent = nil
-	c.out.Finish(rest, c.n.d.Tuning().Clients.Write, c.n.d, func(err error) {
+	c.out.WriteAsync(rest, c.n.d.Tuning().Clients.Write, c.n.d, func(err error) {
 		if err != nil {
 			c.end()
 			return
@@ -266,7 +266,7 @@
 		n, err := c.nc.Read(buf)
 		if n > 0 {
 			c.n.d.Post(func() { c.fed(buf[:n]) })
-			if _, going := c.resume.Wait(); !going {
+			if _, going := c.resume.Receive(); !going {
 				return
 			}
 		}
@@ -290,7 +290,7 @@
 	}
 	c.flush()
 	c.endIfDone()
-	c.resume.Hand(struct{}{})
+	c.resume.TrySend(struct{}{})
 }
 
 func (c *nodeConn) event(e wire.Event) {
@@ -309,26 +309,26 @@
 	}
 	switch {
 	case e.Kind == wire.Refused:
-		t.Ended(gateway.TurnedAway)
+		t.Fail(gateway.RefusedByNode)
 	case e.Kind == wire.Answered:
 		conclude(t, e.Answer)
 	case e.Mine:
-		t.Ended(gateway.Unusable)
+		t.Fail(gateway.BadResponse)
 	default:
-		t.Ended(gateway.Broke)
+		t.Fail(gateway.ConnectionLost)
 	}
 }
 
 // conclude takes an answer.
-func conclude(t *gateway.Try, a *wire.Answer) {
+func conclude(t *gateway.Attempt, a *wire.Answer) {
 	never := slices.ContainsFunc(a.Fields, func(f hpack.HeaderField) bool { return f.Name == fieldRan && f.Value == ranNever })
 	switch {
 	case a.Status == statusOK:
-		t.Served(a.Body, figures(a))
+		t.Succeed(a.Body, figures(a))
 	case never:
-		t.Ended(gateway.TurnedAway)
+		t.Fail(gateway.RefusedByNode)
 	default:
-		t.Ended(gateway.Unusable)
+		t.Fail(gateway.BadResponse)
 	}
 }
 
@@ -343,7 +343,7 @@
 }
 
 // forget takes a try off its stream.
-func (c *nodeConn) forget(stream uint32) *gateway.Try {
+func (c *nodeConn) forget(stream uint32) *gateway.Attempt {
 	t := c.tries[stream]
 	delete(c.tries, stream)
 	delete(c.n.spots, t)
@@ -365,14 +365,14 @@
 	}
 	c.closed = true
 	c.nc.Close()
-	c.resume.End()
+	c.resume.Close()
 	if c.alarm != nil {
 		c.alarm()
 	}
 	c.n.conns = slices.DeleteFunc(c.n.conns, func(o *nodeConn) bool { return o == c })
-	c.n.place.Give()
+	c.n.place.ReleaseConn()
 	for _, stream := range slices.Sorted(maps.Keys(c.tries)) {
-		c.forget(stream).Ended(gateway.Broke)
+		c.forget(stream).Fail(gateway.ConnectionLost)
 	}
 }
 
@@ -402,6 +402,6 @@
 		next = now + c.n.cfg.Ping
 	}
 	if !c.closed {
-		c.alarm = c.n.d.At(next, c.watch)
+		c.alarm = c.n.d.Schedule(next, c.watch)
 	}
 }
--- a/internal/h2/back_test.go
+++ b/internal/h2/back_test.go
@@ -23,7 +23,7 @@
 		change(&b)
 	}
 	return newRigOf(t, p, nodes, func(cfg *gateway.Config, _ *Listener) {
-		cfg.Backs = map[string]gateway.Back{testbed.H2NodeKind: NewBack(b)}
+		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBack(b)}
 	})
 }
 
@@ -344,7 +344,7 @@
 			p := platform()
 			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = h2.nodes, true, 8
 			r := newRigOf(t, p, 1, func(cfg *gateway.Config, _ *Listener) {
-				cfg.Backs = map[string]gateway.Back{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+				cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
 			})
 			r.site.Nodes[0].SetUseReport(func(testbed.Arrival) string { return figures })
 			c, served := &caller{r: r}, 0
--- a/internal/h2/front.go
+++ b/internal/h2/front.go
@@ -59,15 +59,15 @@
 }
 
 // Serve implements gateway.Front.
-func (f *Front) Serve(ctx context.Context, d *gateway.Door) {
-	f.Accept(ctx, d, func(nc net.Conn) { f.take(d, nc) })
+func (f *Front) Serve(ctx context.Context, d *gateway.Core) {
+	f.AcceptLoop(ctx, d, func(nc net.Conn) { f.take(d, nc) })
 }
 
 // take begins a connection, in the loop.
-func (f *Front) take(d *gateway.Door, nc net.Conn) {
+func (f *Front) take(d *gateway.Core, nc net.Conn) {
 	now := d.Now()
 	c := &conn{f: f, d: d, nc: nc, raw: nc, used: now, came: now, asks: map[uint32]*ask{}, resume: gateway.NewMailbox[struct{}]()}
-	if !d.Admit(c) {
+	if !d.AdmitConn(c) {
 		nc.Close() // unread, so nothing is lost
 		return
 	}
@@ -90,7 +90,7 @@
 // conn is a client's connection. All but read is the loop's.
 type conn struct {
 	f        *Front
-	d        *gateway.Door
+	d        *gateway.Core
 	nc       net.Conn // raw, or TLS on it, whose closing would wait for the peer
 	raw      net.Conn
 	out      *gateway.Writer
@@ -115,7 +115,7 @@
 type ask struct {
 	c      *conn
 	stream uint32
-	v      *gateway.Values
+	v      *gateway.Request
 	handle gateway.RequestHandle
 	over   bool
 }
@@ -134,7 +134,7 @@
 		n, err := c.nc.Read(buf)
 		if n > 0 {
 			c.d.Post(func() { c.fed(buf[:n]) })
-			if _, going := c.resume.Wait(); !going {
+			if _, going := c.resume.Receive(); !going {
 				return
 			}
 		}
@@ -176,7 +176,7 @@
 	}
 	c.touch()
 	if !c.wire.Failed() {
-		c.resume.Hand(struct{}{}) // the reader waits for it, one piece at a time
+		c.resume.TrySend(struct{}{}) // the reader waits for it, one piece at a time
 	}
 }
 
@@ -221,18 +221,18 @@
 	}
 	a := &ask{c: c, stream: stream, v: v}
 	c.asks[stream] = a
-	a.handle = c.d.Ask(a, v)
+	a.handle = c.d.Submit(a, v)
 }
 
-// Ended answers the request.
-func (a *ask) Ended(e gateway.Response) {
+// Respond answers the request.
+func (a *ask) Respond(e gateway.Response) {
 	if a.over {
 		return
 	}
 	a.over = true
 	delete(a.c.asks, a.stream)
 	r := respond(e)
-	if room, ok := a.c.d.Room(a.v.Customer, a.v.Plan); ok && e.Kind != gateway.Rejected {
+	if room, ok := a.c.d.Allowance(a.v.Customer, a.v.Plan); ok && e.Kind != gateway.Rejected {
 		r.limits(a.v.Plan, a.v.Units, room)
 	}
 	a.c.tell(a.stream, r)
@@ -251,7 +251,7 @@
 func (c *conn) touch() {
 	if !c.later && !c.closed {
 		c.later = true
-		c.d.Later(c.flush)
+		c.d.Defer(c.flush)
 	}
 }
 
@@ -270,7 +270,7 @@
 	}
 	n, err := 0, error(nil)
 	if len(c.unsent) > 0 {
-		n, err = c.out.Try(c.unsent)
+		n, err = c.out.TryWrite(c.unsent)
 	}
 	if err != nil {
 		c.Close()
@@ -279,7 +279,7 @@
 	if n < len(c.unsent) {
 		rest := c.unsent[n:]
 		c.unsent = nil
-		c.out.FinishWhileTaken(rest, c.d.Tuning().Clients.Write, c.d, func(err error) {
+		c.out.WriteAsyncUntilStall(rest, c.d.Tuning().Clients.Write, c.d, func(err error) {
 			if err != nil {
 				c.Close()
 				return
@@ -315,14 +315,14 @@
 	}
 	c.half = true
 	// Nothing is under way, either way: nothing was answered yet, or long ago.
-	settled := c.peek.Quiet() && (c.used == c.came || c.d.Now()-c.used > c.d.Tuning().Clients.Fault)
+	settled := c.peek.ReceiveQueueEmpty() && (c.used == c.came || c.d.Now()-c.used > c.d.Tuning().Clients.Fault)
 	w, ok := c.nc.(interface{ CloseWrite() error })
 	if settled || !ok {
 		c.Close()
 		return
 	}
 	go w.CloseWrite() // TLS's waits for room in the kernel; that it fails shows at Close
-	c.d.At(c.d.Now()+c.d.Tuning().Clients.Fault, c.Close)
+	c.d.Schedule(c.d.Now()+c.d.Tuning().Clients.Fault, c.Close)
 }
 
 // watch ends what a client lets wait: a connection that is quiet for too long, a request that does not come to its end, and
@@ -349,14 +349,14 @@
 			next = quiet
 		}
 	}
-	c.alarm = c.d.At(next, c.watch)
+	c.alarm = c.d.Schedule(next, c.watch)
 }
 
-// Quiet reports that nothing is owed.
-func (c *conn) Quiet() bool { return c.wire.Open() == 0 && !c.draining && !c.ending }
+// Idle reports that nothing is owed.
+func (c *conn) Idle() bool { return c.wire.Open() == 0 && !c.draining && !c.ending }
 
-// Used is when it was last answered.
-func (c *conn) Used() time.Duration { return c.used }
+// LastUsed is when it was last answered.
+func (c *conn) LastUsed() time.Duration { return c.used }
 
 // Drain ends it. While the gateway ends this is in the two steps of RFC 9113, 6.8, and what crosses the first GOAWAY is still
 // taken; else room is wanted at once, and a client whose request crosses the one GOAWAY reads there that it never ran.
@@ -368,7 +368,7 @@
 	select {
 	case <-c.d.Closing():
 		c.wire.Shutdown()
-		c.d.At(c.d.Now()+c.d.Tuning().Stop.LastCall, func() {
+		c.d.Schedule(c.d.Now()+c.d.Tuning().Stop.LastCall, func() {
 			c.wire.Refuse()
 			c.touch()
 		})
@@ -388,7 +388,7 @@
 		c.alarm()
 	}
 	c.raw.Close()
-	c.resume.End()
+	c.resume.Close()
 	c.abandon()
-	c.d.Gone(c)
+	c.d.RemoveConn(c)
 }
--- a/internal/h2/lookup_test.go
+++ b/internal/h2/lookup_test.go
@@ -22,9 +22,9 @@
 		b.Run(by, func(b *testing.B) {
 			node := instant(b)
 			r := newRigOf(b, platform(), 1, func(cfg *gateway.Config, _ *Listener) {
-				cfg.Known.Servers[0].Addr = node
+				cfg.KnownServers.Servers[0].Addr = node
 				cfg.Tuning.Nodes.Rest = 0 // one connection carries all, so that none is made while it counts
-				d, err := testbed.NewDiscovery(cfg.Known.Version, cfg.Known)
+				d, err := testbed.NewDiscovery(cfg.KnownServers.Version, cfg.KnownServers)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/h2/mapping.go
+++ b/internal/h2/mapping.go
@@ -66,8 +66,8 @@
 }
 
 // read makes a request's values of what came. Whether they fit the site's settings is for the core to say.
-func read(q *wire.Request, came time.Duration) (*gateway.Values, *problem) {
-	v := &gateway.Values{Units: 1, Body: q.Body, Came: came}
+func read(q *wire.Request, came time.Duration) (*gateway.Request, *problem) {
+	v := &gateway.Request{Units: 1, Body: q.Body, ReceivedAt: came}
 	path, _, _ := strings.Cut(q.Path, "?")
 	class, ask := strings.CutPrefix(path, pathAsk)
 	if !ask {
@@ -115,29 +115,29 @@
 }
 
 // fields take a request's fields. They report false for what can't be used.
-var fields = map[string]func(v *gateway.Values, s string) bool{
-	fieldCustomer: func(v *gateway.Values, s string) bool { v.Customer = s; return s != "" },
-	fieldPlan:     func(v *gateway.Values, s string) bool { v.Plan = s; return s != "" },
-	fieldID:       func(v *gateway.Values, s string) bool { v.ID = s; return s != "" },
-	fieldPatience: func(v *gateway.Values, s string) bool {
+var fields = map[string]func(v *gateway.Request, s string) bool{
+	fieldCustomer: func(v *gateway.Request, s string) bool { v.Customer = s; return s != "" },
+	fieldPlan:     func(v *gateway.Request, s string) bool { v.Plan = s; return s != "" },
+	fieldID:       func(v *gateway.Request, s string) bool { v.ID = s; return s != "" },
+	fieldPatience: func(v *gateway.Request, s string) bool {
 		ms, err := strconv.ParseUint(s, 10, 31)
-		v.Patience = time.Duration(ms) * time.Millisecond
+		v.ClientTimeout = time.Duration(ms) * time.Millisecond
 		return err == nil
 	},
-	fieldUnits: func(v *gateway.Values, s string) (ok bool) {
+	fieldUnits: func(v *gateway.Request, s string) (ok bool) {
 		units, err := strconv.ParseFloat(s, 64)
 		v.Units = units
 		return err == nil && strings.Trim(s, "0123456789.") == ""
 	},
-	fieldSet: func(v *gateway.Values, s string) bool {
+	fieldSet: func(v *gateway.Request, s string) bool {
 		a, b, _ := strings.Cut(s, ";")
 		spread, err := strconv.ParseUint(a, 10, 20)
 		first, err2 := strconv.ParseUint(b, 10, 20)
-		v.Spread, v.First = int(spread), int(first)
+		v.GatewayCount, v.FirstGateway = int(spread), int(first)
 		return err == nil && err2 == nil && spread > 0
 	},
-	fieldAgain: func(v *gateway.Values, s string) bool { v.Again = s == "1"; return s == "0" || s == "1" },
-	fieldKey: func(v *gateway.Values, s string) bool {
+	fieldAgain: func(v *gateway.Request, s string) bool { v.ClientRetry = s == "1"; return s == "0" || s == "1" },
+	fieldKey: func(v *gateway.Request, s string) bool {
 		if len(s) >= 2 && strings.HasPrefix(s, keyQuotes) && strings.HasSuffix(s, keyQuotes) { // a structured string (RFC 9651)
 			s = s[1 : len(s)-1]
 		}
@@ -191,10 +191,10 @@
 		r.status = statusOK
 		r.typed(e.Value, typeOctets)
 	case gateway.Refused:
-		if r.status = statusBusy; e.Quota {
+		if r.status = statusBusy; e.QuotaExceeded {
 			r.status = statusOver
 		}
-		after := e.After
+		after := e.RetryAfter
 		if after <= 0 {
 			after = noAdvice
 		}
@@ -202,15 +202,15 @@
 		r.set(fieldAfter, strconv.FormatInt(int64((after+time.Millisecond-1)/time.Millisecond), 10))
 		r.set(fieldRan, ranNever)
 	case gateway.Failed:
-		if r.status = statusBroken; e.Late {
+		if r.status = statusBroken; e.TimedOut {
 			r.status = statusLate
 		}
 		r.set(fieldRan, ranUnknown)
 	default:
-		if e.Taken {
-			return (&problem{statusTaken, "id-open", e.Why}).tell()
+		if e.DuplicateID {
+			return (&problem{statusTaken, "id-open", e.Reason}).tell()
 		}
-		why := e.Why
+		why := e.Reason
 		if here := spelled[why]; here != "" {
 			why = here
 		}
--- a/internal/h2/mapping_test.go
+++ b/internal/h2/mapping_test.go
@@ -34,7 +34,7 @@
 			}
 			return
 		}
-		if method != "POST" || v.Customer == "" || v.Plan == "" || v.ID == "" || v.Patience < 0 || v.Units < 0 || seen[fieldID] != 1 {
+		if method != "POST" || v.Customer == "" || v.Plan == "" || v.ID == "" || v.ClientTimeout < 0 || v.Units < 0 || seen[fieldID] != 1 {
 			t.Fatalf("taken: %+v", v)
 		}
 		if v.Write != strings.HasPrefix(path, pathDo) || strings.ContainsAny(v.Key, `"\`) {
@@ -52,13 +52,13 @@
 		after  string
 	}{
 		{gateway.Response{Kind: gateway.Served, Value: []byte("v")}, 200, "", ""},
-		{gateway.Response{Kind: gateway.Refused, After: 1500 * time.Microsecond}, 503, "never", "2"},
-		{gateway.Response{Kind: gateway.Refused, Quota: true, After: 2 * time.Second}, 429, "never", "2000"},
+		{gateway.Response{Kind: gateway.Refused, RetryAfter: 1500 * time.Microsecond}, 503, "never", "2"},
+		{gateway.Response{Kind: gateway.Refused, QuotaExceeded: true, RetryAfter: 2 * time.Second}, 429, "never", "2000"},
 		{gateway.Response{Kind: gateway.Refused}, 503, "never", "1000"},
 		{gateway.Response{Kind: gateway.Failed}, 502, "unknown", ""},
-		{gateway.Response{Kind: gateway.Failed, Late: true}, 504, "unknown", ""},
-		{gateway.Response{Kind: gateway.Rejected, Why: "k is missing"}, 400, "never", ""},
-		{gateway.Response{Kind: gateway.Rejected, Taken: true}, 409, "never", ""},
+		{gateway.Response{Kind: gateway.Failed, TimedOut: true}, 504, "unknown", ""},
+		{gateway.Response{Kind: gateway.Rejected, Reason: "k is missing"}, 400, "never", ""},
+		{gateway.Response{Kind: gateway.Rejected, DuplicateID: true}, 409, "never", ""},
 	} {
 		r, got := respond(c.e), map[string]string{}
 		for _, f := range r.fields {
--- a/internal/h2/mixed_test.go
+++ b/internal/h2/mixed_test.go
@@ -121,7 +121,7 @@
 	p := platform()
 	p.H2Nodes = h2Nodes
 	r := newRig(t, p, func(cfg *gateway.Config, _ *Listener) {
-		cfg.Backs = map[string]gateway.Back{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
 	})
 	for _, n := range r.site.Nodes {
 		n.SetExtraDelay(func(a testbed.Arrival) time.Duration {
--- a/internal/resp/back.go
+++ b/internal/resp/back.go
@@ -16,13 +16,15 @@
 // Back reaches nodes: an attempt is a command on a connection that carries nothing else meanwhile.
 type Back struct{}
 
-// Node implements gateway.Back.
-func (Back) Node(d *gateway.Door, p *gateway.Place) gateway.Transport { return &node{d: d, place: p} }
+// NewTransport implements gateway.Back.
+func (Back) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
+	return &node{d: d, place: p}
+}
 
 // node is a node at an address. All of it is the loop's.
 type node struct {
-	d        *gateway.Door
-	place    *gateway.Place
+	d        *gateway.Core
+	place    *gateway.Endpoint
 	idle     []*conn // the last used last: it is the least likely to have been closed
 	retired  int     // counts; a connection from before the last one takes nothing new
 	sweeping bool
@@ -34,7 +36,7 @@
 	nc      net.Conn
 	out     *gateway.Writer
 	retired int                            // the node's, when it was asked for
-	try     *gateway.Try                   // whose answer is owed
+	try     *gateway.Attempt               // whose answer is owed
 	whole   bool                           // the last byte of it was handed over
 	early   *answer                        // came before it was known here that the last byte was handed over
 	asked   gateway.Mailbox[time.Duration] // tells the reader that an answer is owed, and how long one may take once it has begun
@@ -43,14 +45,14 @@
 }
 
 // Start implements gateway.Transport: on an idle connection, or on a new one.
-func (n *node) Start(t *gateway.Try) {
+func (n *node) Start(t *gateway.Attempt) {
 	for c := n.rested(); c != nil; c = n.rested() {
 		if c.write(t) {
 			return
 		}
 	}
-	if !n.place.Take() {
-		t.Ended(gateway.NoRoom)
+	if !n.place.ReserveConn() {
+		t.Fail(gateway.NoLocalCapacity)
 		return
 	}
 	n.dial(t)
@@ -71,33 +73,33 @@
 	return nil
 }
 
-func (n *node) dial(t *gateway.Try) {
+func (n *node) dial(t *gateway.Attempt) {
 	retired := n.retired
-	n.place.Dial(n.d, t.Left(), func(nc net.Conn, err error) { n.dialed(t, retired, nc, err) })
+	n.place.Dial(n.d, t.RemainingTime(), func(nc net.Conn, err error) { n.dialed(t, retired, nc, err) })
 }
 
 // dialed looks again before the first byte: while the connection was made the attempt may have been called
 // off or its request answered, and its server may have been drained or moved. Without this a request would
 // go out after its final answer, or to a server that was told to be let alone.
-func (n *node) dialed(t *gateway.Try, retired int, nc net.Conn, err error) {
+func (n *node) dialed(t *gateway.Attempt, retired int, nc net.Conn, err error) {
 	if err != nil {
-		n.place.Give()
-		t.Ended(gateway.NotReached(err))
+		n.place.ReleaseConn()
+		t.Fail(gateway.DialFailureResult(err))
 		return
 	}
 	c := newConn(n, nc, retired)
 	go c.read()
 	if retired != n.retired {
 		c.close()
-		t.Ended(gateway.NeverLeft)
+		t.Fail(gateway.NotSent)
 		return
 	}
-	if !t.Wanted() {
+	if !t.Revalidate() {
 		c.park()
 		return
 	}
 	if !c.write(t) {
-		t.Ended(gateway.NeverLeft)
+		t.Fail(gateway.NotSent)
 	}
 }
 
@@ -105,9 +107,9 @@
 	return &conn{n: n, nc: nc, out: gateway.NewWriter(nc), retired: retired, used: n.d.Now(), asked: gateway.NewMailbox[time.Duration]()}
 }
 
-// GiveUp implements gateway.Transport.
-func (n *node) GiveUp(t *gateway.Try) {
-	if c, ok := t.Own.(*conn); ok {
+// Cancel implements gateway.Transport.
+func (n *node) Cancel(t *gateway.Attempt) {
+	if c, ok := t.TransportData.(*conn); ok {
 		c.close() // an answer is owed on it, so it can't be used again
 	}
 }
@@ -120,16 +122,16 @@
 	}
 }
 
-// Idle implements gateway.Transport.
-func (n *node) Idle() (since time.Duration, any bool) {
+// OldestIdle implements gateway.Transport.
+func (n *node) OldestIdle() (since time.Duration, any bool) {
 	if len(n.idle) == 0 {
 		return 0, false
 	}
 	return n.idle[0].used, true
 }
 
-// Evict implements gateway.Transport.
-func (n *node) Evict() { n.idle[0].close() }
+// EvictIdle implements gateway.Transport.
+func (n *node) EvictIdle() { n.idle[0].close() }
 
 // sweep retires connections well before the server may close them: a request written to one that is being
 // closed would end as a reset, which for a request that must not run twice is the end.
@@ -139,51 +141,51 @@
 		n.idle[0].close()
 	}
 	if n.sweeping = len(n.idle) > 0; n.sweeping {
-		n.d.At(n.idle[0].used+idleFor, n.sweep)
+		n.d.Schedule(n.idle[0].used+idleFor, n.sweep)
 	}
 }
 
 // write sends an attempt on a connection. It reports false if the connection took nothing of it, so that
 // another may be tried: nothing has reached the server. A connection on which something waits unasked is out
 // of step, or at its end, and takes nothing.
-func (c *conn) write(t *gateway.Try) bool {
-	if !c.out.Quiet() {
+func (c *conn) write(t *gateway.Attempt) bool {
+	if !c.out.ReceiveQueueEmpty() {
 		c.close()
 		return false
 	}
-	b := commandOf(t.Values()).frame(t.Left())
-	n, err := c.out.Try(b)
+	b := commandOf(t.Request()).frame(t.RemainingTime())
+	n, err := c.out.TryWrite(b)
 	if err != nil {
 		c.close()
 		if n > 0 {
-			t.Ended(gateway.NeverLeft) // broken before the last byte
+			t.Fail(gateway.NotSent) // broken before the last byte
 		}
 		return n > 0
 	}
 	c.try, c.whole, c.used = t, false, c.n.d.Now()
-	t.Own = c
-	t.Placed()
-	c.asked.Hand(c.n.d.Tuning().Nodes.Answer) // the reader has taken the one before
+	t.TransportData = c
+	t.MarkConnected()
+	c.asked.TrySend(c.n.d.Tuning().Nodes.Answer) // the reader has taken the one before
 	if n == len(b) {
 		c.whole = true
-		t.Whole()
+		t.MarkFullySent()
 		return true
 	}
-	c.out.Finish(b[n:], t.Left(), c.n.d, func(err error) { c.sent(t, err) })
+	c.out.WriteAsync(b[n:], t.RemainingTime(), c.n.d, func(err error) { c.sent(t, err) })
 	return true
 }
 
 // sent takes how the writing of a large request ended. The server may have answered by then.
-func (c *conn) sent(t *gateway.Try, err error) {
+func (c *conn) sent(t *gateway.Attempt, err error) {
 	early := c.early
 	c.early = nil
 	if err == nil {
 		c.whole = true
-		t.Whole()
+		t.MarkFullySent()
 	}
 	if err != nil || c.closed {
 		c.close()
-		t.Ended(gateway.Broke)
+		t.Fail(gateway.ConnectionLost)
 		return
 	}
 	if early != nil {
@@ -196,7 +198,7 @@
 // leaves the writer waiting, and what it said is no answer.
 func (c *conn) hold(a answer) {
 	c.early = &a
-	c.n.d.At(c.n.d.Now()+c.n.d.Tuning().Nodes.Answer, func() {
+	c.n.d.Schedule(c.n.d.Now()+c.n.d.Tuning().Nodes.Answer, func() {
 		if c.early == &a {
 			c.early = nil
 			c.broke(false)
@@ -207,7 +209,7 @@
 // park keeps a connection for the next attempt.
 func (c *conn) park() {
 	n := c.n
-	if c.closed || c.out.Busy() || c.retired != n.retired || n.place.Over() {
+	if c.closed || c.out.Busy() || c.retired != n.retired || n.place.OverLimit() {
 		c.close()
 		return
 	}
@@ -215,7 +217,7 @@
 	n.idle = append(n.idle, c)
 	if idleFor := n.place.IdleTimeout(); !n.sweeping && idleFor > 0 {
 		n.sweeping = true
-		n.d.At(c.used+idleFor, n.sweep)
+		n.d.Schedule(c.used+idleFor, n.sweep)
 	}
 }
 
@@ -225,11 +227,11 @@
 	}
 	c.closed = true
 	c.nc.Close()
-	c.asked.End()
+	c.asked.Close()
 	if i := slices.Index(c.n.idle, c); i >= 0 {
 		c.n.idle = slices.Delete(c.n.idle, i, i+1)
 	}
-	c.n.place.Give()
+	c.n.place.ReleaseConn()
 }
 
 // answered takes a server's whole answer.
@@ -253,10 +255,10 @@
 		c.close()
 	}
 	if a.result != 0 {
-		t.Ended(a.result)
+		t.Fail(a.result)
 		return
 	}
-	t.Served(a.value, a.figures)
+	t.Succeed(a.value, a.figures)
 }
 
 // broke takes that a connection ended, or carried what is no answer.
@@ -268,9 +270,9 @@
 	switch t := c.try; {
 	case t == nil || c.out.Busy(): // the writer still has to tell whether it had written the last byte
 	case spoilt && c.whole:
-		t.Ended(gateway.Unusable) // the server answered, so the request may have run
+		t.Fail(gateway.BadResponse) // the server answered, so the request may have run
 	default:
-		t.Ended(gateway.Broke)
+		t.Fail(gateway.ConnectionLost)
 	}
 }
 
@@ -279,7 +281,7 @@
 // read here, a copy in the reader's hands could meet the next request and pass for its answer.
 func (c *conn) read() {
 	buf := make([]byte, 0, readFirst)
-	for within, going := c.asked.Wait(); going; within, going = c.asked.Wait() {
+	for within, going := c.asked.Receive(); going; within, going = c.asked.Receive() {
 		a, err := c.readAnswer(&buf, within)
 		if err != nil {
 			c.n.d.Post(func() { c.broke(errors.Is(err, errSpoilt)) })
--- a/internal/resp/back_test.go
+++ b/internal/resp/back_test.go
@@ -24,15 +24,15 @@
 		"":          nil, // without a fault in between it carries the request, so that the others can fail
 		"timed out": func(b *bench, _ *client) { b.later(long) },
 		"left":      func(_ *bench, c *client) { c.Close() },
-		"draining":  func(b *bench, _ *client) { b.Fleet(decide.ListFull, server("draining")) },
+		"draining":  func(b *bench, _ *client) { b.UpdateServers(decide.ListFull, server("draining")) },
 		"drained and back": func(b *bench, _ *client) {
-			b.Fleet(decide.ListFull, server("draining"))
-			b.Fleet(decide.ListFull, server("up"))
+			b.UpdateServers(decide.ListFull, server("draining"))
+			b.UpdateServers(decide.ListFull, server("up"))
 		},
 		"moved": func(b *bench, _ *client) {
 			moved := server("up")
 			moved.Servers[0].Addr = "127.0.0.1:2"
-			b.Fleet(decide.ListFull, moved)
+			b.UpdateServers(decide.ListFull, moved)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 			}
 			far := b.bring(try)
 			b.node().Drain()
-			b.node().GiveUp(try)
+			b.node().Cancel(try)
 			if got := text(t, far); strings.Contains(got, askName) != (meanwhile == nil) {
 				t.Errorf("the server got %q", got)
 			}
@@ -59,15 +59,15 @@
 	write(t, far, testbed.FormatReply("v"))
 	b.ended()
 	n := b.node()
-	if _, any := n.Idle(); !any {
+	if _, any := n.OldestIdle(); !any {
 		t.Fatal("the connection is not kept")
 	}
 	b.later(n.place.IdleTimeout() - 1)
-	if b.Figures().Connections != 1 {
+	if b.Stats().ServerConns != 1 {
 		t.Fatal("retired before its time")
 	}
-	if b.later(1); b.Figures().Connections != 0 || n.place.IdleTimeout() > 30*time.Second { // of the platform's 60 s
-		t.Errorf("%d connections after %v", b.Figures().Connections, n.place.IdleTimeout())
+	if b.later(1); b.Stats().ServerConns != 0 || n.place.IdleTimeout() > 30*time.Second { // of the platform's 60 s
+		t.Errorf("%d connections after %v", b.Stats().ServerConns, n.place.IdleTimeout())
 	}
 	text(t, far)
 }
@@ -83,7 +83,7 @@
 	write(t, far, testbed.FormatReply("v"))
 	b.ended()
 	text(t, far)
-	if n := b.Figures().Connections; n != 1 {
+	if n := b.Stats().ServerConns; n != 1 {
 		t.Errorf("%d connections are left, want that of the open attempt", n)
 	}
 }
@@ -99,7 +99,7 @@
 		t.Errorf("outcome %v", o)
 	}
 	text(t, far)
-	if _, any := b.node().Idle(); any {
+	if _, any := b.node().OldestIdle(); any {
 		t.Error("the connection is kept")
 	}
 	c.Close()
@@ -118,7 +118,7 @@
 	b.ended()
 	out := b.node().idle[0]
 	write(t, far, testbed.FormatReply("first"))
-	for end := time.Now().Add(patience); out.out.Quiet(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); out.out.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the copy was read, or never came")
 		}
@@ -159,8 +159,8 @@
 		try, _, _ := b.attempted("id")
 		far := b.bring(try)
 		write(t, far, spoilt)
-		if o := b.ended(); o != decide.Error || b.Figures().Connections > len(b.held.tries)-1 {
-			t.Errorf("%.20q: outcome %v, %d connections", spoilt, o, b.Figures().Connections)
+		if o := b.ended(); o != decide.Error || b.Stats().ServerConns > len(b.held.tries)-1 {
+			t.Errorf("%.20q: outcome %v, %d connections", spoilt, o, b.Stats().ServerConns)
 		}
 	}
 }
@@ -170,11 +170,11 @@
 	t.Helper()
 	b := newBench(t, long)
 	try, _, _ := b.attempted("id")
-	c := try.Values().Native.(*command)
+	c := try.Request().Native.(*command)
 	c.args = append(c.args, bytes.Repeat([]byte("x"), 4<<20))
 	near, far := narrow(t)
 	b.node().dialed(try, 0, near, nil)
-	out, ok := try.Own.(*conn)
+	out, ok := try.TransportData.(*conn)
 	if !ok || !out.out.Busy() || out.whole {
 		t.Fatal("the request went at once")
 	}
@@ -231,7 +231,7 @@
 func TestAnswerOvertakesTheWritersNews(t *testing.T) {
 	b, out, far := large(t)
 	go io.Copy(io.Discard, far)
-	<-b.Posted() // the writer is done, and the loop has not heard of it
+	<-b.Wakeups() // the writer is done, and the loop has not heard of it
 	out.answered(answer{value: []byte("v"), inStep: true})
 	if len(b.ends) > 0 {
 		t.Fatalf("ended as %v before the writer was heard", b.ends[0])
@@ -258,7 +258,7 @@
 
 // A request that came by another protocol is sent as RESP2 has it, with all that its values tell.
 func TestCommandOfOtherProtocols(t *testing.T) {
-	v := &gateway.Values{Customer: customer, ID: "id", Class: "book", Plan: "p", Key: "77", Units: 2.5, Spread: 2, First: 1, Again: true, Write: true,
+	v := &gateway.Request{Customer: customer, ID: "id", Class: "book", Plan: "p", Key: "77", Units: 2.5, GatewayCount: 2, FirstGateway: 1, ClientRetry: true, Write: true,
 		Body: []byte("BODY")}
 	const want = "*5\r\n$4\r\nQ.DO\r\n$16\r\n" + customer + "\r\n$2\r\nid\r\n$52\r\nc=book,t=p,d=250,k=77,r=1,units=2.5,spread=2,first=1\r\n$4\r\nBODY\r\n"
 	if got := string(commandOf(v).frame(250 * time.Millisecond)); got != want {
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -19,7 +19,7 @@
 
 // command is a request as RESP2 has it.
 type command struct {
-	gateway.Values
+	gateway.Request
 	args         [][]byte // unchanged; the list at listArg is sent on with another d
 	before, tail []byte   // of the list, round the figure of d
 }
@@ -59,7 +59,7 @@
 }
 
 // commandOf is a request as nodes take it: as its client sent it, where that was by RESP2.
-func commandOf(v *gateway.Values) *command {
+func commandOf(v *gateway.Request) *command {
 	if c, ok := v.Native.(*command); ok {
 		return c
 	}
@@ -71,13 +71,13 @@
 	if v.Key != "" {
 		c.tail = append(append(c.tail, ",k="...), v.Key...)
 	}
-	if v.Again {
+	if v.ClientRetry {
 		c.tail = append(c.tail, ",r=1"...)
 	}
 	c.tail = strconv.AppendFloat(append(c.tail, ",units="...), v.Units, 'f', -1, 64)
-	if v.Spread > 0 {
-		c.tail = strconv.AppendInt(append(c.tail, ",spread="...), int64(v.Spread), 10)
-		c.tail = strconv.AppendInt(append(c.tail, ",first="...), int64(v.First), 10)
+	if v.GatewayCount > 0 {
+		c.tail = strconv.AppendInt(append(c.tail, ",spread="...), int64(v.GatewayCount), 10)
+		c.tail = strconv.AppendInt(append(c.tail, ",first="...), int64(v.FirstGateway), 10)
 	}
 	c.args = [][]byte{[]byte(name), []byte(v.Customer), []byte(v.ID), nil}
 	if len(v.Body) > 0 {
@@ -96,8 +96,8 @@
 		return nil, errors.New("the id or the list is missing or too long")
 	}
 	c := &command{args: cloneArgs(args)}
-	c.Values = gateway.Values{Customer: string(args[customerArg]), ID: string(args[idArg]), Units: 1, Write: name == doName, Came: now,
-		Native: c, Extra: len(args[listArg])}
+	c.Request = gateway.Request{Customer: string(args[customerArg]), ID: string(args[idArg]), Units: 1, Write: name == doName, ReceivedAt: now,
+		Native: c, NativeSize: len(args[listArg])}
 	if len(args) > bodyArg {
 		c.Body = c.args[bodyArg]
 	}
@@ -162,20 +162,20 @@
 		c.Plan = value
 	case "d":
 		var ms float64
-		ms, err = gateway.Number(value)
-		c.Patience = time.Duration(ms * float64(time.Millisecond))
+		ms, err = gateway.ParseNumber(value)
+		c.ClientTimeout = time.Duration(ms * float64(time.Millisecond))
 	case "k":
 		c.Key = value
 		return value != ""
 	case "r":
-		c.Again = value == "1"
+		c.ClientRetry = value == "1"
 	case "units":
-		c.Units, err = gateway.Number(value)
+		c.Units, err = gateway.ParseNumber(value)
 	case "spread":
-		c.Spread, err = whole(value)
-		return err == nil && c.Spread > 0
+		c.GatewayCount, err = whole(value)
+		return err == nil && c.GatewayCount > 0
 	case "first":
-		c.First, err = whole(value)
+		c.FirstGateway, err = whole(value)
 	}
 	return err == nil
 }
--- a/internal/resp/crossing_test.go
+++ b/internal/resp/crossing_test.go
@@ -21,7 +21,7 @@
 // unread waits until something lies unread in the kernel.
 func unread(t *testing.T, c *client) {
 	t.Helper()
-	for late := time.Now().Add(patience); c.out.Quiet(); time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(patience); c.out.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("nothing came")
 		}
@@ -40,8 +40,8 @@
 			b := newBench(t, long)
 			b.retune(brief)
 			near, far := pair(t)
-			c := newClient(b.Door(), near)
-			b.Door().Admit(c)
+			c := newClient(b.Core(), near)
+			b.Core().AdmitConn(c)
 			write(t, far, tc.unread)
 			unread(t, c)
 			r := newReader(c)
@@ -60,8 +60,8 @@
 func TestTimeIsGrantedOnce(t *testing.T) {
 	b := newBench(t, long)
 	near, far := pair(t)
-	c := newClient(b.Door(), near)
-	b.Door().Admit(c)
+	c := newClient(b.Core(), near)
+	b.Core().AdmitConn(c)
 	write(t, far, "$4\r\nPI")
 	unread(t, c)
 	r := newReader(c)
@@ -80,7 +80,7 @@
 	b := newBench(t, long)
 	b.retune(func(t *tuning.Tuning) { t.Clients.Pipeline = 1 })
 	asks := 0
-	b.Tap(func(e decide.Event, _ []decide.Action) {
+	b.Observe(func(e decide.Event, _ []decide.Action) {
 		if _, ok := e.(decide.Request); ok {
 			asks++
 		}
@@ -91,8 +91,8 @@
 	far.Close()
 	b.until("the client's end", func() bool { return c.closed })
 	b.bring(b.held.tries[0])
-	if asks != 1 || b.Figures().Held != 0 {
-		t.Errorf("%d requests of a client that has gone reached the core, %d bytes are held", asks, b.Figures().Held)
+	if asks != 1 || b.Stats().RequestBytes != 0 {
+		t.Errorf("%d requests of a client that has gone reached the core, %d bytes are held", asks, b.Stats().RequestBytes)
 	}
 }
 
@@ -101,8 +101,8 @@
 	b := newBench(t, long)
 	b.retune(func(t *tuning.Tuning) { t.Clients.Pipeline = 1 })
 	near, far := pair(t)
-	c := newClient(b.Door(), near)
-	b.Door().Admit(c)
+	c := newClient(b.Core(), near)
+	b.Core().AdmitConn(c)
 	r, done := newReader(c), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -133,7 +133,7 @@
 			c, far := b.connect(asked("one"))
 			b.until("the first", func() bool { return len(b.held.tries) == 1 })
 			write(t, far, strings.Repeat(ping, behind))
-			for late := time.Now().Add(patience); name == "reads ahead" && !c.out.Quiet(); time.Sleep(time.Millisecond) {
+			for late := time.Now().Add(patience); name == "reads ahead" && !c.out.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
 				if time.Now().After(late) {
 					t.Fatal("the reader does not read ahead")
 				}
@@ -147,7 +147,7 @@
 					all = []byte(err.Error())
 				}
 				got <- string(all)
-				b.Door().Post(c.Close)
+				b.Core().Post(c.Close)
 			}()
 			b.until("all answers", func() bool { return c.closed })
 			if all := <-got; all != want {
@@ -197,7 +197,7 @@
 	c.Drain()
 	b.until("the half close", func() bool { return c.half })
 	b.until("the close", func() bool { return c.closed })
-	if b.Figures().Clients != 0 {
+	if b.Stats().Clients != 0 {
 		t.Error("the descriptor is still counted")
 	}
 	far.Close()
@@ -238,7 +238,7 @@
 			b.node().dialed(b.held.tries[1], 0, near, nil)
 			c.Close()
 			b.node().Drain()
-			b.node().GiveUp(b.held.tries[1])
+			b.node().Cancel(b.held.tries[1])
 			if got := text(t, far); strings.Contains(got, doName) == late {
 				t.Errorf("the server got %q", got)
 			}
--- a/internal/resp/ended_test.go
+++ b/internal/resp/ended_test.go
@@ -18,13 +18,13 @@
 		b.t.Fatal(err)
 	}
 	far.Close() // what it sends is a reset
-	c := newClient(b.Door(), near)
-	for late := time.Now().Add(patience); c.out.Quiet(); time.Sleep(time.Millisecond) {
+	c := newClient(b.Core(), near)
+	for late := time.Now().Add(patience); c.out.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			b.t.Fatal("the reset did not come")
 		}
 	}
-	if !b.Door().Admit(c) {
+	if !b.Core().AdmitConn(c) {
 		b.t.Fatal("no room")
 	}
 	return c
@@ -53,7 +53,7 @@
 	} {
 		b := newBench(t, long)
 		asked := 0
-		b.Tap(func(e decide.Event, _ []decide.Action) {
+		b.Observe(func(e decide.Event, _ []decide.Action) {
 			if _, ok := e.(decide.Request); ok {
 				asked++
 			}
@@ -67,7 +67,7 @@
 			c.Close()
 			b.Step()
 		}
-		if f := b.Figures(); !c.closed || f.Clients != 0 || f.Held != 0 || len(c.slots) != 0 {
+		if f := b.Stats(); !c.closed || f.Clients != 0 || f.RequestBytes != 0 || len(c.slots) != 0 {
 			t.Errorf("%s: closed %v, %d slots, left %+v", name, c.closed, len(c.slots), f)
 		}
 		if first == nil || first.Class != "look" {
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -25,14 +25,14 @@
 }
 
 // Serve implements gateway.Front.
-func (f *Front) Serve(ctx context.Context, d *gateway.Door) {
-	f.Accept(ctx, d, func(nc net.Conn) { take(d, nc) })
+func (f *Front) Serve(ctx context.Context, d *gateway.Core) {
+	f.AcceptLoop(ctx, d, func(nc net.Conn) { take(d, nc) })
 }
 
 // take begins a connection, in the loop.
-func take(d *gateway.Door, nc net.Conn) *client {
+func take(d *gateway.Core, nc net.Conn) *client {
 	c := newClient(d, nc)
-	if !d.Admit(c) {
+	if !d.AdmitConn(c) {
 		nc.Close() // unread: the client sends what it may have written once more, elsewhere
 		return nil
 	}
@@ -49,8 +49,8 @@
 	ready  bool
 }
 
-// Ended implements gateway.Responder: it fills the slot and writes what is next in order.
-func (s *slot) Ended(e gateway.Response) {
+// Respond implements gateway.Responder: it fills the slot and writes what is next in order.
+func (s *slot) Respond(e gateway.Response) {
 	s.handle, s.end, s.ready = gateway.RequestHandle{}, e, true
 	s.client.flush()
 }
@@ -69,18 +69,18 @@
 		return redcon.AppendBulk(b, e.Value)
 	case gateway.Refused:
 		b = append(b, "-BUSY"...)
-		if e.After > 0 {
-			ms := (e.After + time.Millisecond - 1) / time.Millisecond
+		if e.RetryAfter > 0 {
+			ms := (e.RetryAfter + time.Millisecond - 1) / time.Millisecond
 			b = strconv.AppendInt(append(b, ' '), int64(ms), 10)
 		}
 		return append(b, "\r\n"...)
 	}
-	return redcon.AppendError(b, "ERR "+e.Why)
+	return redcon.AppendError(b, "ERR "+e.Reason)
 }
 
 // client is a connection of a client. What is not atomic is the loop's.
 type client struct {
-	d       *gateway.Door
+	d       *gateway.Core
 	conn    net.Conn
 	out     *gateway.Writer
 	slots   []*slot // in the order of the commands
@@ -98,7 +98,7 @@
 	closed   bool
 }
 
-func newClient(d *gateway.Door, nc net.Conn) *client {
+func newClient(d *gateway.Core, nc net.Conn) *client {
 	now := d.Now()
 	return &client{d: d, conn: nc, out: gateway.NewWriter(nc), came: now, used: now, resume: gateway.NewMailbox[struct{}]()}
 }
@@ -125,10 +125,10 @@
 		c.slots = append(c.slots, s)
 		if r.cmd == nil {
 			s.reply, s.ready = r.reply, true
-		} else if t := c.d.Ask(s, &r.cmd.Values); !s.ready {
+		} else if t := c.d.Submit(s, &r.cmd.Request); !s.ready {
 			s.handle = t
 		}
-		c.d.Decide()
+		c.d.ProcessPending()
 	}
 	if c.closed {
 		return
@@ -141,15 +141,15 @@
 		c.endIfDone()
 	}
 	if e.fault && !c.closed {
-		c.d.At(c.d.Now()+c.d.Tuning().Clients.Fault, c.Close)
+		c.d.Schedule(c.d.Now()+c.d.Tuning().Clients.Fault, c.Close)
 	}
 }
 
-// Quiet reports that nothing is owed on the connection.
-func (c *client) Quiet() bool { return len(c.slots) == 0 && !c.out.Busy() && !c.ending }
+// Idle reports that nothing is owed on the connection.
+func (c *client) Idle() bool { return len(c.slots) == 0 && !c.out.Busy() && !c.ending }
 
-// Used is when it was last answered, or came.
-func (c *client) Used() time.Duration { return c.used }
+// LastUsed is when it was last answered, or came.
+func (c *client) LastUsed() time.Duration { return c.used }
 
 // Drain ends it between requests: its reader stops once nothing more waits in the kernel, and when what
 // it had read is answered the connection is closed. Closing at once would lose a request that has come.
@@ -180,7 +180,7 @@
 		c.slots = slices.Delete(c.slots, 0, n)
 		c.used = c.d.Now()
 		if before := c.owed.Add(int32(-n)) + int32(n); before >= c.owedMost.Load() {
-			c.resume.Hand(struct{}{})
+			c.resume.TrySend(struct{}{})
 			if !c.read {
 				c.wakeReader()
 			}
@@ -203,7 +203,7 @@
 	if c.out.Busy() || len(c.backlog) == 0 {
 		return
 	}
-	n, err := c.out.Try(c.backlog)
+	n, err := c.out.TryWrite(c.backlog)
 	if err != nil {
 		c.Close()
 		return
@@ -214,7 +214,7 @@
 	}
 	rest := c.backlog[n:]
 	c.backlog = nil
-	c.out.FinishWhileTaken(rest, c.d.Tuning().Clients.Write, c.d, func(err error) {
+	c.out.WriteAsyncUntilStall(rest, c.d.Tuning().Clients.Write, c.d, func(err error) {
 		if err != nil {
 			c.Close()
 			return
@@ -233,7 +233,7 @@
 		return
 	}
 	fault := c.d.Tuning().Clients.Fault
-	if c.out.Quiet() && (c.used == c.came || c.d.Now()-c.used > fault) {
+	if c.out.ReceiveQueueEmpty() && (c.used == c.came || c.d.Now()-c.used > fault) {
 		c.Close()
 		return
 	}
@@ -248,8 +248,8 @@
 	}
 	c.closed = true
 	c.conn.Close()
-	c.resume.End()
-	c.d.Gone(c)
+	c.resume.Close()
+	c.d.RemoveConn(c)
 	for _, s := range c.slots {
 		if s.handle.Open() {
 			c.d.Abandon(s.handle)
--- a/internal/resp/front_test.go
+++ b/internal/resp/front_test.go
@@ -68,12 +68,12 @@
 	b := newBench(t, long)
 	near, far := pair(t)
 	write(t, far, "*1\r\n$4\r\nPING\r\n")
-	c := newClient(b.Door(), near)
-	for c.out.Quiet() { // the kernel has it before the reader is started
+	c := newClient(b.Core(), near)
+	for c.out.ReceiveQueueEmpty() { // the kernel has it before the reader is started
 		time.Sleep(time.Millisecond)
 	}
 	c.Drain()
-	b.Door().Admit(c)
+	b.Core().AdmitConn(c)
 	go newReader(c).run()
 	b.until("the end", func() bool { return c.closed })
 	if got := text(t, far); got != "+PONG\r\n" {
@@ -100,13 +100,13 @@
 	b := newBench(t, long)
 	c, far := b.connect(asked("id") + "*-1\r\n")
 	b.until("the fault", func() bool { return c.read })
-	if c.closed || b.Figures().Requests != 1 {
+	if c.closed || b.Stats().Requests != 1 {
 		t.Fatal("the open request got no time")
 	}
 	b.later(b.tune.Clients.Fault)
-	b.node().GiveUp(b.held.tries[0])
+	b.node().Cancel(b.held.tries[0])
 	text(t, far)
-	if !c.closed || b.Figures().Held != 0 {
+	if !c.closed || b.Stats().RequestBytes != 0 {
 		t.Error("the connection is still open")
 	}
 }
@@ -115,8 +115,8 @@
 func TestClientThatReadsNothing(t *testing.T) {
 	b := newBench(t, long)
 	near, _ := narrow(t)
-	c := newClient(b.Door(), near)
-	b.Door().Admit(c)
+	c := newClient(b.Core(), near)
+	b.Core().AdmitConn(c)
 	answer := redcon.AppendBulk(nil, bytes.Repeat([]byte("x"), valueMost))
 	for n := 0; !c.closed; n++ {
 		if n*len(answer) > 64<<20 {
@@ -124,7 +124,7 @@
 		}
 		c.take(commands{got: []received{{reply: answer}}})
 	}
-	if len(c.backlog) != 0 || b.Figures().Clients != 0 {
+	if len(c.backlog) != 0 || b.Stats().Clients != 0 {
 		t.Error("the client is kept")
 	}
 }
@@ -143,7 +143,7 @@
 			got = []byte(err.Error())
 		}
 		done <- string(got)
-		b.Door().Post(c.Close)
+		b.Core().Post(c.Close)
 	}()
 	b.until("the answers", func() bool { return c.closed })
 	if got := <-done; got != strings.Repeat("+PONG\r\n", n) {
@@ -157,8 +157,8 @@
 		return parseRequest(askName, [][]byte{[]byte(askName), []byte(customer), []byte("id"), []byte(list)}, 0)
 	}
 	c, err := parse("c=look,t=p,d=30000.5,k=5c0f,r=1,units=8,spread=2,first=1,x=?")
-	if err != nil || c.Class != "look" || c.Plan != "p" || c.Patience != 30000500*time.Microsecond || c.Key != "5c0f" || !c.Again || c.Units != 8 ||
-		c.Spread != 2 || c.First != 1 {
+	if err != nil || c.Class != "look" || c.Plan != "p" || c.ClientTimeout != 30000500*time.Microsecond || c.Key != "5c0f" || !c.ClientRetry || c.Units != 8 ||
+		c.GatewayCount != 2 || c.FirstGateway != 1 {
 		t.Errorf("got %+v, %v", c, err)
 	}
 	for _, list := range []string{
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -45,7 +45,7 @@
 		if r.held && !r.full() {
 			continue
 		}
-		if r.c.draining.Load() && len(r.buf) == 0 && r.c.out.Quiet() {
+		if r.c.draining.Load() && len(r.buf) == 0 && r.c.out.ReceiveQueueEmpty() {
 			r.hand(commands{last: true})
 			return
 		}
@@ -68,7 +68,7 @@
 func (r *reader) expired() (goOn bool) {
 	switch {
 	case r.held || len(r.buf) == 0 && r.c.owed.Load() > 0: // it is the client who waits
-	case !r.granted && !r.c.out.Quiet():
+	case !r.granted && !r.c.out.ReceiveQueueEmpty():
 		// A read whose deadline has passed takes nothing, whatever has come: it may be a whole request, and closing would reset
 		// the connection on it.
 		r.granted = true
@@ -101,7 +101,7 @@
 // read takes what has come. Where the buffer is full of commands that wait for the pipeline, it waits for that instead.
 func (r *reader) read() error {
 	if r.held && len(r.buf) >= aheadMost {
-		if _, going := r.c.resume.Wait(); !going {
+		if _, going := r.c.resume.Receive(); !going {
 			return net.ErrClosed
 		}
 		return nil
--- a/internal/resp/rig_test.go
+++ b/internal/resp/rig_test.go
@@ -33,7 +33,7 @@
 // held is a back whose connections the test brings: attempts wait for them in the order in which they went out.
 type held struct {
 	nodes []*heldNode
-	tries []*gateway.Try
+	tries []*gateway.Attempt
 }
 
 type heldNode struct {
@@ -41,18 +41,18 @@
 	h *held
 }
 
-func (h *held) Node(d *gateway.Door, p *gateway.Place) gateway.Transport {
-	n := &heldNode{Back{}.Node(d, p).(*node), h}
+func (h *held) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
+	n := &heldNode{Back{}.NewTransport(d, p).(*node), h}
 	h.nodes = append(h.nodes, n)
 	return n
 }
 
-func (n *heldNode) Start(t *gateway.Try) {
+func (n *heldNode) Start(t *gateway.Attempt) {
 	if c := n.rested(); c != nil && c.write(t) {
 		return
 	}
-	if !n.place.Take() {
-		t.Ended(gateway.NoRoom)
+	if !n.place.ReserveConn() {
+		t.Fail(gateway.NoLocalCapacity)
 		return
 	}
 	n.h.tries = append(n.h.tries, t)
@@ -61,7 +61,7 @@
 // bench is a core with one server, stepped by a test.
 type bench struct {
 	t *testing.T
-	*gateway.Core
+	*gateway.Stepper
 	clock *hand
 	held  *held
 	tune  tuning.Tuning
@@ -77,12 +77,12 @@
 	}
 	b := &bench{t: t, clock: &hand{}, held: &held{}, tune: tuning.Default()}
 	b.clock.now.Store(int64(time.Hour))
-	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Seed: 1, Back: b.held, Known: server("up")}
-	if b.Core, err = gateway.NewCore(cfg, b.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
+	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Seed: 1, DefaultBackend: b.held, KnownServers: server("up")}
+	if b.Stepper, err = gateway.NewStepper(cfg, b.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.end)
-	b.Tap(func(e decide.Event, _ []decide.Action) {
+	b.Observe(func(e decide.Event, _ []decide.Action) {
 		if e, ok := e.(decide.AttemptEnded); ok {
 			b.ends = append(b.ends, e.Outcome)
 		}
@@ -95,7 +95,7 @@
 	for _, n := range b.held.nodes {
 		n.Drain()
 		for _, t := range b.held.tries {
-			n.GiveUp(t)
+			n.Cancel(t)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	late := time.After(patience)
 	for b.Step(); !done(); b.Step() {
 		select {
-		case <-b.Posted():
+		case <-b.Wakeups():
 		case <-late:
 			b.t.Fatalf("%s did not come about", what)
 		}
@@ -175,7 +175,7 @@
 	if _, err := io.WriteString(far, sent); err != nil {
 		b.t.Fatal(err)
 	}
-	return take(b.Door(), near), far
+	return take(b.Core(), near), far
 }
 
 // asked is a request as it stands on the wire.
@@ -191,7 +191,7 @@
 }
 
 // attempted opens a request of a client, with its attempt waiting for a connection.
-func (b *bench) attempted(id string) (t *gateway.Try, c *client, far net.Conn) {
+func (b *bench) attempted(id string) (t *gateway.Attempt, c *client, far net.Conn) {
 	b.t.Helper()
 	before := len(b.held.tries)
 	c, far = b.connect(asked(id))
@@ -200,7 +200,7 @@
 }
 
 // bring gives a waiting attempt a connection, as its dial would, and returns the server's end.
-func (b *bench) bring(t *gateway.Try) (far net.Conn) {
+func (b *bench) bring(t *gateway.Attempt) (far net.Conn) {
 	b.t.Helper()
 	near, far := pair(b.t)
 	b.node().dialed(t, 0, near, nil)
--- a/internal/resp/shape.go
+++ b/internal/resp/shape.go
@@ -16,7 +16,7 @@
 // headers with each read, not a pass over its bytes. (The RESP library waits for all of a huge or negative
 // length, and panics on some.)
 const (
-	valueMost   = gateway.ValueMost
+	valueMost   = gateway.MaxPayloadSize
 	headerMost  = 16                // bytes of a header, "$65536\r\n" and some
 	argsMost    = 16                // of a command: the longest that clients use has five
 	commandMost = valueMost + 4<<10 // bytes of a whole command
@@ -114,9 +114,9 @@
 		return 0, 0, errSpoilt
 	}
 	if string(word) == "BUSY" {
-		return gateway.TurnedAway, end + 1, nil
+		return gateway.RefusedByNode, end + 1, nil
 	}
-	return gateway.Unusable, end + 1, nil
+	return gateway.BadResponse, end + 1, nil
 }
 
 func servedAnswer(b []byte) (a answer, used int, err error) {
--- a/internal/resp/shape_test.go
+++ b/internal/resp/shape_test.go
@@ -17,10 +17,10 @@
 		"*3\r\n$1\r\nv\r\n$2\r\n51\r\n$3\r\n?!?\r\n": {0, []byte("v"), []byte("51"), true},
 		"*3\r\n$1\r\nv\r\n:5\r\n$-1\r\n":             {0, []byte("v"), nil, false},
 		"*3\r\n$1\r\nv\r\n$-1\r\n$3000000000\r\n":    {0, []byte("v"), nil, false},
-		"-ERR failed inflight=7,queue=2\r\n":         {gateway.Unusable, nil, nil, true},
-		"-BUSY\r\n":                                  {gateway.TurnedAway, nil, nil, true},
-		"-BUSY draining\r\n":                         {gateway.TurnedAway, nil, nil, true},
-		"-BUSYBODY\r\n":                              {gateway.Unusable, nil, nil, true},
+		"-ERR failed inflight=7,queue=2\r\n":         {gateway.BadResponse, nil, nil, true},
+		"-BUSY\r\n":                                  {gateway.RefusedByNode, nil, nil, true},
+		"-BUSY draining\r\n":                         {gateway.RefusedByNode, nil, nil, true},
+		"-BUSYBODY\r\n":                              {gateway.BadResponse, nil, nil, true},
 	} {
 		for n := range len(in) {
 			if _, used, err := parseAnswer([]byte(in[:n])); want.inStep && (used != 0 || err != nil) {
