--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -9,33 +9,35 @@
 
 // This file has what becomes of a request, from its being taken in to its one final answer.
 
-// heldMost is how many bytes the commands of open requests may take.
-func (l *loop) heldMost() int { return int(float64(l.cfg.MemoryMB<<20) * l.tune.Load().Clients.Held) }
+// maxRequestBytes is how many bytes the commands of open requests may take.
+func (l *eventLoop) maxRequestBytes() int {
+	return int(float64(l.cfg.MemoryMB<<20) * l.tuning.Load().Clients.Held)
+}
 
-// accept takes a request that a front has read whole. It returns nil if the request has its ending already.
-func (l *loop) accept(from Responder, v *Request) *request {
-	if err := v.check(&l.cfg); err != nil {
+// submit takes a request that a front has read whole. It returns nil if the request has its ending already.
+func (l *eventLoop) submit(from Responder, v *Request) *requestState {
+	if err := v.validate(&l.cfg); err != nil {
 		from.Respond(Response{Kind: Rejected, Reason: err.Error()})
 		return nil
 	}
 	cap := l.cfg.Settings.OpenCap
-	if !l.mayAdmit() || l.held+v.size() > l.heldMost() || (cap > 0 && len(l.requests) >= cap) {
+	if !l.mayAcceptRequests() || l.requestBytes+v.size() > l.maxRequestBytes() || (cap > 0 && len(l.requests) >= cap) {
 		from.Respond(Response{Kind: Refused, RetryAfter: l.cfg.Settings.Decide.Limits.MaxRetryAfter})
 		return nil
 	}
-	if l.power != nil {
-		if ok, after := l.power.mayBegin(v); !ok {
+	if l.recovery != nil {
+		if ok, after := l.recovery.admit(v); !ok {
 			from.Respond(Response{Kind: Refused, RetryAfter: after})
 			return nil
 		}
 	}
-	if _, open := l.ids[v.ID]; open { // two of one id must never meet one another's answer
+	if _, open := l.clientIDs[v.ID]; open { // two of one id must never meet one another's answer
 		from.Respond(Response{Kind: Rejected, Reason: "a request with this id is open", DuplicateID: true})
 		return nil
 	}
 	l.nextID++
-	r := &request{id: strconv.FormatUint(l.nextID, 36), n: l.nextID, from: from, v: v}
-	if !l.enter(r) {
+	r := &requestState{id: strconv.FormatUint(l.nextID, 36), seq: l.nextID, responder: from, values: v}
+	if !l.enterRoute(r) {
 		advice := r.routes.Route(r.route).Advice
 		if advice == 0 {
 			advice = l.cfg.Settings.Decide.Limits.MaxRetryAfter
@@ -44,33 +46,33 @@
 		return nil
 	}
 	l.requests[r.id] = r
-	l.ids[v.ID] = struct{}{}
-	l.held += v.size()
-	deadline := v.ReceivedAt + min(v.ClientTimeout, v.limit) - deadlineMargin
-	r.overdue = l.at(deadline+overdueAfter, func() { l.overdue(r) })
+	l.clientIDs[v.ID] = struct{}{}
+	l.requestBytes += v.size()
+	deadline := v.ReceivedAt + min(v.ClientTimeout, v.maxWait) - deadlineMargin
+	r.overdueTimer = l.schedule(deadline+overdueGrace, func() { l.failOverdue(r) })
 	ev := r.event()
 	ev.Deadline = deadline
 	if r.routes != nil {
 		ev.RetryPolicy = r.routes.Bounds(r.route, ev.Class, l.clock.Now())
 	}
-	l.feed(ev)
+	l.enqueue(ev)
 	return r
 }
 
-// reroute takes routes in place of the former ones. Requests that are open keep what they began with.
-func (l *loop) reroute(routes []*route.Route) {
+// setRoutes takes routes in place of the former ones. Requests that are open keep what they began with.
+func (l *eventLoop) setRoutes(routes []*route.Route) {
 	l.routes = nil
 	if len(routes) > 0 {
 		l.routes = route.NewTable(routes, &l.cfg.Settings.Decide)
 	}
 }
 
-// enter finds a request's route and takes it in. It reports false if the route has no room.
-func (l *loop) enter(r *request) bool {
+// enterRoute finds a request's route and takes it in. It reports false if the route has no room.
+func (l *eventLoop) enterRoute(r *requestState) bool {
 	if l.routes == nil {
 		return true
 	}
-	n := l.routes.Match(route.Ask{Class: r.v.Class, Plan: r.v.Plan, Customer: r.v.Customer, Patience: r.v.ClientTimeout})
+	n := l.routes.Match(route.Ask{Class: r.values.Class, Plan: r.values.Plan, Customer: r.values.Customer, Patience: r.values.ClientTimeout})
 	if n < 0 {
 		return true
 	}
@@ -78,49 +80,49 @@
 	return l.routes.Begin(n)
 }
 
-// overdue fails a request that the module has not ended in time. The client must get its one answer before
+// failOverdue fails a request that the module has not ended in time. The client must get its one answer before
 // it stops waiting, whatever became of the request.
-func (l *loop) overdue(r *request) {
+func (l *eventLoop) failOverdue(r *requestState) {
 	if r.done {
 		return
 	}
-	l.log.Error("a request was left open past its deadline", "class", r.v.Class, "attempts", len(r.attempts))
-	l.answer(r, Response{Kind: Failed, Reason: "failed", TimedOut: true})
-	l.feed(decide.ClientDisconnected{ID: r.id})
+	l.log.Error("a request was left open past its deadline", "class", r.values.Class, "attempts", len(r.attempts))
+	l.respond(r, Response{Kind: Failed, Reason: "failed", TimedOut: true})
+	l.enqueue(decide.ClientDisconnected{ID: r.id})
 }
 
-// answer gives a request its final answer, once.
-func (l *loop) answer(r *request, e Response) {
+// respond gives a request its final respond, once.
+func (l *eventLoop) respond(r *requestState, e Response) {
 	if r.done {
 		return
 	}
-	l.end(r)
-	r.from.Respond(e)
+	l.finish(r)
+	r.responder.Respond(e)
 }
 
 // abandon ends a request whose client has gone away.
-func (l *loop) abandon(r *request) {
+func (l *eventLoop) abandon(r *requestState) {
 	if r.done {
 		return
 	}
-	l.end(r)
-	l.feed(decide.ClientDisconnected{ID: r.id})
+	l.finish(r)
+	l.enqueue(decide.ClientDisconnected{ID: r.id})
 }
 
-func (l *loop) end(r *request) {
+func (l *eventLoop) finish(r *requestState) {
 	r.done = true
 	if r.routes != nil {
 		r.routes.End(r.route)
 	}
-	l.held -= r.v.size()
-	delete(l.ids, r.v.ID)
-	l.unset(r.overdue)
-	l.drop(r)
+	l.requestBytes -= r.values.size()
+	delete(l.clientIDs, r.values.ID)
+	l.cancelTimer(r.overdueTimer)
+	l.release(r)
 }
 
-// drop forgets a request that is over.
-func (l *loop) drop(r *request) {
-	if r.done && r.out == 0 {
+// release forgets a request that is over.
+func (l *eventLoop) release(r *requestState) {
+	if r.done && r.activeAttempts == 0 {
 		delete(l.requests, r.id)
 	}
 }
--- a/internal/gateway/alarm.go
+++ b/internal/gateway/alarm.go
@@ -6,40 +6,40 @@
 // Its one method may be called from any goroutine.
 type Clock interface{ Now() time.Duration }
 
-// clock tells the time since the Unix epoch. It reads the wall clock once, and goes by the monotonic clock from then on, so it never runs backwards.
-type clock struct {
+// monotonicClock tells the time since the Unix epoch. It reads the wall monotonicClock once, and goes by the monotonic monotonicClock from then on, so it never runs backwards.
+type monotonicClock struct {
 	start time.Time
 	epoch time.Duration
 }
 
-func newClock() clock {
+func newClock() monotonicClock {
 	now := time.Now()
-	return clock{now, time.Duration(now.UnixNano())}
+	return monotonicClock{now, time.Duration(now.UnixNano())}
 }
 
 // Now implements Clock.
-func (c clock) Now() time.Duration { return c.epoch + time.Since(c.start) }
+func (c monotonicClock) Now() time.Duration { return c.epoch + time.Since(c.start) }
 
-// alarm is a call that is due at a time.
-type alarm struct {
+// timer is a call that is due at a time.
+type timer struct {
 	at    time.Duration
-	do    func()
+	fn    func()
 	index int // in the heap, or -1
 }
 
-type alarms []*alarm
+type timerHeap []*timer
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a alarms) Swap(i, j int) {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a timerHeap) Swap(i, j int) {
 	a[i], a[j] = a[j], a[i]
 	a[i].index, a[j].index = i, j
 }
-func (a *alarms) Push(x any) {
-	x.(*alarm).index = len(*a)
-	*a = append(*a, x.(*alarm))
+func (a *timerHeap) Push(x any) {
+	x.(*timer).index = len(*a)
+	*a = append(*a, x.(*timer))
 }
-func (a *alarms) Pop() any {
+func (a *timerHeap) Pop() any {
 	old := *a
 	n := len(old) - 1
 	x := old[n]
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -6,58 +6,60 @@
 
 // This file has what becomes of an attempt.
 
-// send starts an attempt.
-func (l *loop) send(s decide.SendAttempt) {
+// startAttempt starts an attempt.
+func (l *eventLoop) startAttempt(s decide.SendAttempt) {
 	r := l.requests[s.ID]
 	if r == nil {
 		return
 	}
 	now := l.clock.Now()
-	a := &attempt{req: r, n: len(r.attempts), at: now, until: l.decided + s.Timeout, writeBy: s.WriteDeadline, server: l.pool.servers[s.Server]}
+	a := &attemptState{req: r, index: len(r.attempts), startedAt: now, deadline: l.decidedAt + s.Timeout, writeBy: s.WriteDeadline, server: l.pool.servers[s.Server]}
 	r.attempts = append(r.attempts, a)
-	r.out++
+	r.activeAttempts++
 	if r.done {
-		l.ended(a, decide.NotSent)
+		l.endAttempt(a, decide.NotSent)
 		return
 	}
-	a.expiry = l.at(a.until, func() { l.pool.expire(a) })
-	if a.writeBy > 0 && a.writeBy < a.until {
-		a.tooLate = l.at(a.writeBy, func() { l.pool.dropUnwritten(a) })
+	a.expiryTimer = l.schedule(a.deadline, func() { l.pool.expire(a) })
+	if a.writeBy > 0 && a.writeBy < a.deadline {
+		a.writeTimer = l.schedule(a.writeBy, func() { l.pool.expireUnwritten(a) })
 	}
 	l.pool.start(a)
 }
 
-// ended tells the module how an attempt ended.
-func (l *loop) ended(a *attempt, o decide.Outcome) { l.endedWith(a, o, use{}) }
+// endAttempt tells the module how an attempt endAttempt.
+func (l *eventLoop) endAttempt(a *attemptState, o decide.Outcome) {
+	l.endAttemptWithUsage(a, o, usage{})
+}
 
-func (l *loop) endedWith(a *attempt, o decide.Outcome, u use) {
-	if a.over {
+func (l *eventLoop) endAttemptWithUsage(a *attemptState, o decide.Outcome, u usage) {
+	if a.ended {
 		return
 	}
-	a.over, a.outcome = true, o
-	l.unset(a.expiry)
-	l.unset(a.tooLate)
+	a.ended, a.outcome = true, o
+	l.cancelTimer(a.expiryTimer)
+	l.cancelTimer(a.writeTimer)
 	r := a.req
-	r.out--
-	ev := decide.AttemptEnded{ID: r.id, Attempt: a.n, Outcome: o, Latency: l.clock.Now() - a.at, RequestDone: r.done,
+	r.activeAttempts--
+	ev := decide.AttemptEnded{ID: r.id, Attempt: a.index, Outcome: o, Latency: l.clock.Now() - a.startedAt, RequestDone: r.done,
 		MeteredPercentPlusOne: u.metered, ActualUnits: u.units}
 	if a.server != nil {
 		ev.Server = a.server.id
 	}
-	l.feed(ev)
-	l.drop(r)
+	l.enqueue(ev)
+	l.release(r)
 }
 
-// served passes a value on and ends its attempt. The first good answer of a request settles its units: those of others are
+// completeAttempt passes a value on and ends its attempt. The first good answer of a request settles its units: those of others are
 // called off by then.
-func (l *loop) served(a *attempt, value, figures []byte) {
+func (l *eventLoop) completeAttempt(a *attemptState, value, figures []byte) {
 	if r := a.req; r.routes != nil {
 		now := l.clock.Now()
-		r.routes.Answered(r.route, r.v.Class, now-a.at, now)
+		r.routes.Answered(r.route, r.values.Class, now-a.startedAt, now)
 	}
-	if l.power != nil {
-		l.power.answered(a.req.v.Units)
+	if l.recovery != nil {
+		l.recovery.countAnswer(a.req.values.Units)
 	}
-	l.answer(a.req, Response{Kind: Served, Value: value})
-	l.endedWith(a, decide.OK, l.cfg.readUse(figures))
+	l.respond(a.req, Response{Kind: Served, Value: value})
+	l.endAttemptWithUsage(a, decide.OK, l.cfg.parseUsage(figures))
 }
--- a/internal/gateway/back.go
+++ b/internal/gateway/back.go
@@ -56,9 +56,9 @@
 
 // Endpoint is a node as its transport sees it: connections to it are counted with all others.
 type Endpoint struct {
-	p    *pool
-	s    *upstream
-	addr string
+	pool   *pool
+	server *upstream
+	addr   string
 }
 
 // Addr is host:port.
@@ -66,14 +66,14 @@
 
 // ReserveConn counts a connection that is to be made. It reports false if there is no room for it.
 func (n *Endpoint) ReserveConn() bool {
-	if n.p.conns >= n.p.room() {
-		n.p.evict()
+	if n.pool.conns >= n.pool.connLimit() {
+		n.pool.evictIdle()
 	}
-	if n.s.conns >= n.p.perNode || n.p.conns >= n.p.room() {
+	if n.server.conns >= n.pool.maxConnsPerServer || n.pool.conns >= n.pool.connLimit() {
 		return false
 	}
-	n.s.conns++
-	n.p.conns++
+	n.server.conns++
+	n.pool.conns++
 	return true
 }
 
@@ -91,72 +91,74 @@
 
 // DialFailureResult is what becomes of an attempt whose connection was not made, or came up to a node that is not there any more (nil).
 func DialFailureResult(err error) AttemptResult {
-	if err != nil && localFault(err) {
+	if err != nil && isLocalFailure(err) {
 		return NoLocalCapacity
 	}
 	return NotSent
 }
 
 // ReleaseConn counts a connection off.
-func (n *Endpoint) ReleaseConn() { n.p.dropped(n.s) }
+func (n *Endpoint) ReleaseConn() { n.pool.releaseConn(n.server) }
 
 // OverLimit reports that there are more connections than there may be, as a reload has lowered the bound: one that falls idle is to
 // be closed.
-func (n *Endpoint) OverLimit() bool { return n.p.conns > n.p.most || n.s.conns > n.p.perNode }
+func (n *Endpoint) OverLimit() bool {
+	return n.pool.conns > n.pool.maxConns || n.server.conns > n.pool.maxConnsPerServer
+}
 
 // ConnectTimeout is how long the making of a connection may take.
-func (n *Endpoint) ConnectTimeout() time.Duration { return n.p.dialFor }
+func (n *Endpoint) ConnectTimeout() time.Duration { return n.pool.connectTimeout }
 
 // IdleTimeout is how long a connection may stand idle, well within the time after which nodes may close it; 0: for ever.
-func (n *Endpoint) IdleTimeout() time.Duration { return n.p.idleFor }
+func (n *Endpoint) IdleTimeout() time.Duration { return n.pool.idleTimeout }
 
 // Attempt is one attempt, for a transport.
 type Attempt struct {
-	l             *loop
-	a             *attempt
+	loop          *eventLoop
+	state         *attemptState
 	transport     Transport // that it was started by: a node that has moved has another; nil: by none
 	TransportData any       // the transport's own
 }
 
 // Request are the request's. Patience and Came are not for the node: Left is what it may take.
-func (t *Attempt) Request() *Request { return t.a.req.v }
+func (t *Attempt) Request() *Request { return t.state.req.values }
 
 // RemainingTime is how long it will be waited for.
-func (t *Attempt) RemainingTime() time.Duration { return t.a.until - t.l.clock.Now() }
+func (t *Attempt) RemainingTime() time.Duration { return t.state.deadline - t.loop.clock.Now() }
 
 // Revalidate looks again before the first byte, as all may have changed while a connection was made: the attempt may have been
 // called off or its request answered, its node may drain or have moved, and the time in which nodes know its key may be over. If it reports false, the try has ended.
 func (t *Attempt) Revalidate() bool {
-	switch a := t.a; {
-	case a.over:
+	switch a := t.state; {
+	case a.ended:
 		return false
 	case a.req.done:
-		t.l.ended(a, decide.Cancelled)
+		t.loop.endAttempt(a, decide.Cancelled)
 		return false
-	case a.server.entry.State != decide.Serving, a.writeBy > 0 && t.l.clock.Now() >= a.writeBy:
-		t.l.ended(a, decide.NoConnection)
+	case a.server.entry.State != decide.Serving, a.writeBy > 0 && t.loop.clock.Now() >= a.writeBy:
+		t.loop.endAttempt(a, decide.NoConnection)
 		return false
 	}
 	return true
 }
 
 // MarkConnected tells that it has a connection: a time-out from now on is the node's.
-func (t *Attempt) MarkConnected() { t.a.placed = true }
+func (t *Attempt) MarkConnected() { t.state.connected = true }
 
 // MarkFullySent tells that the last byte may have been handed over.
-func (t *Attempt) MarkFullySent() { t.a.whole = true }
+func (t *Attempt) MarkFullySent() { t.state.fullySent = true }
 
 // Succeed ends it with a node's value, and with what the node told of its use, as "used=86,units=3"; nil: nothing.
 func (t *Attempt) Succeed(value, figures []byte) {
-	if !t.a.over {
-		t.l.served(t.a, value, figures)
+	if !t.state.ended {
+		t.loop.completeAttempt(t.state, value, figures)
 	}
 }
 
 // Fail ends it. What broke before it was whole never left.
 func (t *Attempt) Fail(f AttemptResult) {
-	if f == ConnectionLost && !t.a.whole {
+	if f == ConnectionLost && !t.state.fullySent {
 		f = NotSent
 	}
-	t.l.ended(t.a, f.outcome())
+	t.loop.endAttempt(t.state, f.outcome())
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -77,7 +77,7 @@
 			*field = v
 		}
 	}
-	c, err := f.config()
+	c, err := f.parse()
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -97,7 +97,7 @@
 	return c.Discovery, err
 }
 
-func (f *fileConfig) config() (Config, error) {
+func (f *fileConfig) parse() (Config, error) {
 	c := Config{Name: f.Name, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, KnownServers: f.Known}
 	var err error
 	if c.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
@@ -106,9 +106,9 @@
 	if c.Discovery, err = netip.ParseAddrPort(f.Discovery); err != nil {
 		return c, fmt.Errorf("discovery: %w", err)
 	}
-	if c.Cores <= 0 || c.MemoryMB <= 0 || c.Sockets < leastSockets {
+	if c.Cores <= 0 || c.MemoryMB <= 0 || c.Sockets < minSockets {
 		return c, fmt.Errorf("limits: got %v cores, %d MB, %d sockets, want more than 0, 0 and at least %d",
-			c.Cores, c.MemoryMB, c.Sockets, leastSockets)
+			c.Cores, c.MemoryMB, c.Sockets, minSockets)
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
@@ -127,14 +127,14 @@
 	if err := c.Settings.Decide.Validate(); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if err := c.KnownServers.check(); err != nil {
+	if err := c.KnownServers.validate(); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
-	return c, f.peers(&c)
+	return c, f.parsePeers(&c)
 }
 
-// peers reads the addresses between gateways, which are needed only where messages are allowed.
-func (f *fileConfig) peers(c *Config) error {
+// parsePeers reads the addresses between gateways, which are needed only where messages are allowed.
+func (f *fileConfig) parsePeers(c *Config) error {
 	d := c.Settings.Decide
 	if !d.Limits.PeerMessages || f.PeerListen == "" {
 		return nil
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// back is how nodes of a kind are reached.
-func (c *Config) back(kind string) Backend {
+// backendFor is how nodes of a kind are reached.
+func (c *Config) backendFor(kind string) Backend {
 	if b := c.BackendsByKind[kind]; b != nil {
 		return b
 	}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -18,39 +18,39 @@
 // The tests here force one order of two events that can cross in the core, whatever the protocol. docs/design/crossings.md lists
 // them.
 
-// TestUnwrittenRepeatIsDropped: a repeat of a keyed request that is not written whole when servers may forget its key is given up,
+// TestUnwrittenRetryIsCancelled: a repeat of a keyed request that is not written whole when servers may forget its key is given up,
 // as one that never ran; one that is written is waited for.
-func TestUnwrittenRepeatIsDropped(t *testing.T) {
+func TestUnwrittenRetryIsCancelled(t *testing.T) {
 	for name, written := range map[string]bool{"written": true, "not written": false} {
-		cfg := SmallConfig(t, long, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", Zone: "a", State: "up", Weight: 1}})
+		cfg := SmallConfig(t, longDeadline, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", Zone: "a", State: "up", Weight: 1}})
 		cfg.Settings.Decide.Classes[1].DedupWindow = time.Second
-		w := &wire{}
+		w := &fakeBackend{}
 		cfg.DefaultBackend = w
-		l, err := newLoop(cfg, &hand{time.Hour}, slog.New(slog.DiscardHandler))
+		l, err := newLoop(cfg, &manualClock{time.Hour}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, v := &asked{}, values("id")
+		a, v := &responseRecorder{}, testRequest("id")
 		v.Class, v.Write, v.Key = "book", true, "77"
-		l.door.Submit(a, v)
-		l.drainTodo()
-		w.tries[0].MarkConnected()
-		w.tries[0].MarkFullySent()
-		w.tries[0].Fail(ConnectionLost)
-		l.drainTodo()
-		if len(w.tries) != 2 {
-			t.Fatalf("%d attempts", len(w.tries))
+		l.core.Submit(a, v)
+		l.processPending()
+		w.attempts[0].MarkConnected()
+		w.attempts[0].MarkFullySent()
+		w.attempts[0].Fail(ConnectionLost)
+		l.processPending()
+		if len(w.attempts) != 2 {
+			t.Fatalf("%d attempts", len(w.attempts))
 		}
-		w.tries[1].MarkConnected()
+		w.attempts[1].MarkConnected()
 		if written {
-			w.tries[1].MarkFullySent()
+			w.attempts[1].MarkFullySent()
 		}
-		l.later(time.Second)
-		if over := w.tries[1].a.over; over == written || len(w.givenUp) > 0 == written {
-			t.Errorf("%s: over %v, %d given up", name, over, len(w.givenUp))
+		l.advance(time.Second)
+		if over := w.attempts[1].state.ended; over == written || len(w.cancelled) > 0 == written {
+			t.Errorf("%s: over %v, %d given up", name, over, len(w.cancelled))
 		}
-		if !written && (w.tries[1].a.outcome != decide.NoConnection || len(a.ends) != 1 || a.ends[0].Kind != Failed) {
-			t.Errorf("%s: outcome %v, the client got %+v", name, w.tries[1].a.outcome, a.ends)
+		if !written && (w.attempts[1].state.outcome != decide.NoConnection || len(a.responses) != 1 || a.responses[0].Kind != Failed) {
+			t.Errorf("%s: outcome %v, the client got %+v", name, w.attempts[1].state.outcome, a.responses)
 		}
 	}
 }
@@ -58,81 +58,81 @@
 // TestAbsentServerStillAnswers: a server that a whole list leaves out is gone, also where it still answers: what it was sent before
 // is answered, and nothing new goes to it.
 func TestAbsentServerStillAnswers(t *testing.T) {
-	l, w := still(t, 1)
-	first, _ := open(l, "one")
-	w.tries[0].MarkConnected()
-	w.tries[0].MarkFullySent()
-	l.fleet(decide.ListFull, ServerList{Version: 2, Full: true})
-	l.drainTodo()
-	w.tries[0].Succeed([]byte("v"), nil)
-	l.drainTodo()
+	l, w := newTestLoop(t, 1)
+	first, _ := submitRequest(l, "one")
+	w.attempts[0].MarkConnected()
+	w.attempts[0].MarkFullySent()
+	l.updateServers(decide.ListFull, ServerList{Version: 2, Full: true})
+	l.processPending()
+	w.attempts[0].Succeed([]byte("v"), nil)
+	l.processPending()
 	first.want(t, Served, "")
-	second, _ := open(l, "two")
+	second, _ := submitRequest(l, "two")
 	second.want(t, Refused, "")
-	if len(w.tries) != 1 || w.retired == 0 {
-		t.Errorf("%d attempts, retired %d times", len(w.tries), w.retired)
+	if len(w.attempts) != 1 || w.drained == 0 {
+		t.Errorf("%d attempts, retired %d times", len(w.attempts), w.drained)
 	}
 }
 
-// TestAttemptToAServerThatHasJustGone: the module wants an attempt at a server whose list has changed in the same turn: it is not
+// TestAttemptToServerJustDrained: the module wants an attempt at a server whose list has changed in the same turn: it is not
 // made, and counts as one that never ran.
-func TestAttemptToAServerThatHasJustGone(t *testing.T) {
-	l, w := still(t, 1)
+func TestAttemptToServerJustDrained(t *testing.T) {
+	l, w := newTestLoop(t, 1)
 	l.pool.servers["s-0"].entry.State = decide.Draining // the core has heard, the module has not
-	a, _ := open(l, "one")
-	if a.want(t, Refused, ""); len(w.tries) != 0 {
-		t.Errorf("%d attempts", len(w.tries))
+	a, _ := submitRequest(l, "one")
+	if a.want(t, Refused, ""); len(w.attempts) != 0 {
+		t.Errorf("%d attempts", len(w.attempts))
 	}
 }
 
-// TestGivenUpAttemptIsNotWanted: an attempt that was given up, as its connection was being made, is not written when that comes up, though
+// TestCancelledAttemptIsNotSent: an attempt that was given up, as its connection was being made, is not written when that comes up, though
 // its request is still open.
-func TestGivenUpAttemptIsNotWanted(t *testing.T) {
-	l, w := still(t, 1)
-	a, handle := open(l, "id")
-	first := w.tries[0]
-	l.pool.giveUp(first.a, decide.NoConnection)
-	if len(a.ends) > 0 || !handle.Open() {
-		t.Fatalf("the request has ended: %+v", a.ends)
+func TestCancelledAttemptIsNotSent(t *testing.T) {
+	l, w := newTestLoop(t, 1)
+	a, handle := submitRequest(l, "id")
+	first := w.attempts[0]
+	l.pool.abort(first.state, decide.NoConnection)
+	if len(a.responses) > 0 || !handle.Open() {
+		t.Fatalf("the request has ended: %+v", a.responses)
 	}
 	if first.Revalidate() {
 		t.Error("it is wanted")
 	}
-	l.drainTodo()
+	l.processPending()
 }
 
-// TestRequestThatTheModuleForgot: whatever became of a request in the module, its client has an answer at its time.
-func TestRequestThatTheModuleForgot(t *testing.T) {
-	l, _ := still(t, 1)
-	a, _ := open(l, "id")
-	l.feed(decide.ClientDisconnected{ID: "1"})
-	l.drainTodo()
-	if l.later(long - deadlineMargin + overdueAfter); len(a.ends) != 1 || a.ends[0].Kind != Failed {
-		t.Errorf("the client got %+v", a.ends)
+// TestRequestLostByDeciderIsAnswered: whatever became of a request in the module, its client has an answer at its time.
+func TestRequestLostByDeciderIsAnswered(t *testing.T) {
+	l, _ := newTestLoop(t, 1)
+	a, _ := submitRequest(l, "id")
+	l.enqueue(decide.ClientDisconnected{ID: "1"})
+	l.processPending()
+	if l.advance(longDeadline - deadlineMargin + overdueGrace); len(a.responses) != 1 || a.responses[0].Kind != Failed {
+		t.Errorf("the client got %+v", a.responses)
 	}
 }
 
 // TestPanicAfterTheAnswer: a request that has its answer, and an attempt still out, gets no second one when the module panics.
 func TestPanicAfterTheAnswer(t *testing.T) {
-	l, _ := still(t, 1)
-	a, handle := open(l, "id")
-	l.answer(handle.r, Response{Kind: Served, Value: []byte("v")})
-	l.restart(l.core)
-	if a.want(t, Served, ""); len(l.requests) > 0 && l.requests["1"].out == 0 {
+	l, _ := newTestLoop(t, 1)
+	a, handle := submitRequest(l, "id")
+	l.respond(handle.r, Response{Kind: Served, Value: []byte("v")})
+	l.restart(l.decider)
+	if a.want(t, Served, ""); len(l.requests) > 0 && l.requests["1"].activeAttempts == 0 {
 		t.Error("the request is kept")
 	}
 }
 
-// TestOldWatchCantCrossAMove: what the former address of discovery has said as the gateway moves to another one counts before the
+// TestOldWatcherDeliversBeforeMove: what the former address of discovery has said as the gateway moves to another one counts before the
 // new one's whole list, however long the loop takes to hear it, though it is of a higher version.
-func TestOldWatchCantCrossAMove(t *testing.T) {
+func TestOldWatcherDeliversBeforeMove(t *testing.T) {
 	leaks.Check(t)
 	former := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		if req.URL.RawQuery == "" {
-			fmt.Fprint(rw, listText(41, true, "up"))
+			fmt.Fprint(rw, listJSON(41, true, "up"))
 			return
 		}
-		fmt.Fprint(rw, listText(42, false, "draining"))
+		fmt.Fprint(rw, listJSON(42, false, "draining"))
 	}))
 	defer former.Close()
 	next := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
@@ -140,7 +140,7 @@
 			<-req.Context().Done()
 			return
 		}
-		fmt.Fprint(rw, listText(2, true, "up"))
+		fmt.Fprint(rw, listJSON(2, true, "up"))
 	}))
 	defer next.Close()
 	at := func(s *httptest.Server) netip.AddrPort {
@@ -160,7 +160,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		follow(ctx, at(former), moves, hear, slog.New(slog.DiscardHandler))
+		watchDiscovery(ctx, at(former), moves, hear, slog.New(slog.DiscardHandler))
 	}()
 	<-changed
 	moves <- at(next)
@@ -177,37 +177,37 @@
 	}
 }
 
-// slowHand is a clock that moves on each time it is read.
-type slowHand struct {
+// steppingClock is a clock that moves on each time it is read.
+type steppingClock struct {
 	now  time.Duration
 	step time.Duration
 }
 
-func (h *slowHand) Now() time.Duration {
+func (h *steppingClock) Now() time.Duration {
 	h.now += h.step
 	return h.now
 }
 
-// TestLoopIsSlowBetweenDecidingAndSending: the loop is held up between the module's decision and the attempt, by more than the time
+// TestLoopDelayBetweenDecisionAndSend: the loop is held up between the module's decision and the attempt, by more than the time
 // after which a request that was left open is failed. The attempt ends by the time that the module meant, so the request ends by the module.
-func TestLoopIsSlowBetweenDecidingAndSending(t *testing.T) {
-	cfg, w, clock := SmallConfig(t, long, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", State: "up", Weight: 1}}), &wire{}, &slowHand{now: time.Hour}
+func TestLoopDelayBetweenDecisionAndSend(t *testing.T) {
+	cfg, w, clock := SmallConfig(t, longDeadline, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", State: "up", Weight: 1}}), &fakeBackend{}, &steppingClock{now: time.Hour}
 	cfg.DefaultBackend = w
 	l, err := newLoop(cfg, clock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock.step = 2 * overdueAfter
-	a, handle := open(l, "id")
+	clock.step = 2 * overdueGrace
+	a, handle := submitRequest(l, "id")
 	clock.step = 0
 	attempt := handle.r.attempts[0]
-	if attempt.until >= handle.r.overdue.at {
-		t.Errorf("the attempt ends %v behind the time at which its request is failed", attempt.until-handle.r.overdue.at)
+	if attempt.deadline >= handle.r.overdueTimer.at {
+		t.Errorf("the attempt ends %v behind the time at which its request is failed", attempt.deadline-handle.r.overdueTimer.at)
 	}
-	attempt.placed, attempt.whole = true, true
-	clock.now = handle.r.overdue.at
-	l.ring()
-	if len(a.ends) != 1 || a.ends[0].Kind != Refused {
-		t.Errorf("the client got %+v, want a refusal: the class is safe to repeat", a.ends)
+	attempt.connected, attempt.fullySent = true, true
+	clock.now = handle.r.overdueTimer.at
+	l.fireTimers()
+	if len(a.responses) != 1 || a.responses[0].Kind != Refused {
+		t.Errorf("the client got %+v, want a refusal: the class is safe to repeat", a.responses)
 	}
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -16,45 +16,45 @@
 )
 
 const (
-	watchWait   = 4 * time.Second        // a watch waits so long for news ...
-	watchOver   = 500 * time.Millisecond // ... and is given up so long after: discovery that is down says nothing
-	checkMost   = 250 * time.Millisecond // a call that need not wait is given up after this; another one is out for longer meanwhile
-	watchRetry  = 50 * time.Millisecond
-	olderMost   = 3       // answers in a row of a version older than the one held, after which discovery has begun to count anew
-	listMost    = 8 << 20 // bytes of a list
-	sameFailure = 30 * time.Second
-	nextFailure = time.Second
+	pollWait            = 4 * time.Second        // a watch waits so long for news ...
+	pollGrace           = 500 * time.Millisecond // ... and is given up so long after: discovery that is down says nothing
+	shortCallTimeout    = 250 * time.Millisecond // a call that need not wait is given up after this; another one is out for longer meanwhile
+	retryDelay          = 50 * time.Millisecond
+	maxOlderAnswers     = 3       // answers in a row of a version older than the one held, after which discovery has begun to count anew
+	maxListSize         = 8 << 20 // bytes of a list
+	sameFailureInterval = 30 * time.Second
+	failureInterval     = time.Second
 )
 
 // watcher follows discovery.
 type watcher struct {
-	client  *http.Client
-	base    string
-	wait    time.Duration // of a watch
-	over    time.Duration // past its wait a call is given up
-	check   time.Duration // a call that does not wait is given up
-	slow    time.Duration // the patient one is given up; 0: there is none
-	news    func(decide.ListKind, ServerList)
-	log     *failureLog
-	version uint64 // of the list that is held
-	known   bool   // there is one
-	older   int    // answers of older versions in a row
-	failing bool
-	patient *call // is out beside short ones while discovery fails; nil: none
+	client       *http.Client
+	url          string
+	wait         time.Duration // of a watch
+	grace        time.Duration // past its wait a call is given up
+	shortTimeout time.Duration // a call that does not wait is given up
+	longTimeout  time.Duration // the patient one is given up; 0: there is none
+	onUpdate     func(decide.ListKind, ServerList)
+	log          *failureLog
+	version      uint64 // of the list that is held
+	hasList      bool   // there is one
+	olderAnswers int    // answers of older versions in a row
+	failing      bool
+	longCall     *call // is out beside short ones while discovery fails; nil: none
 }
 
 func newWatcher(addr netip.AddrPort, news func(decide.ListKind, ServerList), log *slog.Logger) *watcher {
-	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: watchOver}).DialContext,
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: pollGrace}).DialContext,
 		MaxIdleConns: 1, DisableCompression: true}
-	return &watcher{client: &http.Client{Transport: transport}, base: "http://" + addr.String() + "/v1/servers",
-		wait: watchWait, over: watchOver, check: checkMost, slow: watchWait + watchOver, news: news, log: &failureLog{log: log}}
+	return &watcher{client: &http.Client{Transport: transport}, url: "http://" + addr.String() + "/v1/servers",
+		wait: pollWait, grace: pollGrace, shortTimeout: shortCallTimeout, longTimeout: pollWait + pollGrace, onUpdate: news, log: &failureLog{log: log}}
 }
 
-// follow watches discovery at an address, and from each move on at the new one. A move calls off what waits at
+// watchDiscovery watches discovery at an address, and from each move on at the new one. A move calls off what waits at
 // the old address and begins with the whole list of the new one, only after the old watcher has ended: versions
 // of the two tell nothing of each other, so their changes must never be mixed. Until the new one answers, the
 // list last told stays.
-func follow(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, news func(decide.ListKind, ServerList), log *slog.Logger) {
+func watchDiscovery(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, news func(decide.ListKind, ServerList), log *slog.Logger) {
 	for ctx.Err() == nil {
 		at, cancel := context.WithCancel(ctx)
 		w, ended := newWatcher(addr, news, log), make(chan struct{})
@@ -77,43 +77,43 @@
 // discovery is back. Without them a gateway would learn of a drain only seconds after that, and go on sending.
 func (w *watcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
-	defer w.endPatient()
+	defer w.endLongCall()
 	for ctx.Err() == nil {
 		called := time.Now()
-		list, err := w.next(ctx)
+		list, err := w.fetchNext(ctx)
 		if err == nil {
-			err = w.judge(&list)
+			err = w.checkVersion(&list)
 		}
 		if err != nil {
 			if ctx.Err() == nil {
 				w.log.warn("discovery is failing", err)
 			}
 			w.failing = true
-			sleep(ctx, watchRetry)
+			sleep(ctx, retryDelay)
 			continue
 		}
-		w.endPatient()
+		w.endLongCall()
 		w.failing = false
-		w.take(list)
-		if !list.Full && len(list.Servers) == 0 && time.Since(called) < watchRetry {
-			sleep(ctx, watchRetry) // discovery that does not wait must not be asked without end
+		w.deliver(list)
+		if !list.Full && len(list.Servers) == 0 && time.Since(called) < retryDelay {
+			sleep(ctx, retryDelay) // discovery that does not wait must not be asked without end
 		}
 	}
 }
 
-// next makes the call that is due.
-func (w *watcher) next(ctx context.Context) (ServerList, error) {
+// fetchNext makes the call that is due.
+func (w *watcher) fetchNext(ctx context.Context) (ServerList, error) {
 	switch {
-	case !w.known:
-		return w.short(ctx, w.base)
+	case !w.hasList:
+		return w.fetchShort(ctx, w.url)
 	case w.failing:
-		return w.short(ctx, w.changesURL(0))
+		return w.fetchShort(ctx, w.changesURL(0))
 	}
-	return w.fetch(ctx, w.changesURL(w.wait), w.wait+w.over)
+	return w.fetch(ctx, w.changesURL(w.wait), w.wait+w.grace)
 }
 
 func (w *watcher) changesURL(wait time.Duration) string {
-	return fmt.Sprintf("%s?after=%d&wait_ms=%d", w.base, w.version, wait.Milliseconds())
+	return fmt.Sprintf("%s?after=%d&wait_ms=%d", w.url, w.version, wait.Milliseconds())
 }
 
 // call is one that runs beside others.
@@ -124,7 +124,7 @@
 	err    error
 }
 
-func (w *watcher) begin(ctx context.Context, url string, within time.Duration) *call {
+func (w *watcher) startCall(ctx context.Context, url string, within time.Duration) *call {
 	c := &call{ended: make(chan struct{})}
 	ctx, c.cancel = context.WithCancel(ctx)
 	go func() {
@@ -140,67 +140,67 @@
 	<-c.ended
 }
 
-// short makes a call that need not wait. While discovery fails a patient one of the same question is out beside the short ones:
-// short calls tell at once that a silent discovery is back, and the patient one takes the answer of a slow discovery, which
-// would never answer in a short one's time.
-func (w *watcher) short(ctx context.Context, url string) (ServerList, error) {
-	if w.failing && w.patient == nil && w.slow > 0 {
-		w.patient = w.begin(ctx, url, w.slow)
+// fetchShort makes a call that need not wait. While discovery fails a patient one of the same question is out beside the fetchShort ones:
+// fetchShort calls tell at once that a silent discovery is back, and the patient one takes the answer of a slow discovery, which
+// would never answer in a fetchShort one's time.
+func (w *watcher) fetchShort(ctx context.Context, url string) (ServerList, error) {
+	if w.failing && w.longCall == nil && w.longTimeout > 0 {
+		w.longCall = w.startCall(ctx, url, w.longTimeout)
 	}
-	quick := w.begin(ctx, url, w.check)
+	quick := w.startCall(ctx, url, w.shortTimeout)
 	defer quick.end()
-	if w.patient == nil {
+	if w.longCall == nil {
 		<-quick.ended
 		return quick.list, quick.err
 	}
 	select {
 	case <-quick.ended:
 		return quick.list, quick.err
-	case <-w.patient.ended:
-		list, err := w.patient.list, w.patient.err
-		w.endPatient()
+	case <-w.longCall.ended:
+		list, err := w.longCall.list, w.longCall.err
+		w.endLongCall()
 		return list, err
 	}
 }
 
-func (w *watcher) endPatient() {
-	if w.patient != nil {
-		w.patient.end()
-		w.patient = nil
+func (w *watcher) endLongCall() {
+	if w.longCall != nil {
+		w.longCall.end()
+		w.longCall = nil
 	}
 }
 
-// judge reports why a list that can be read is not taken. Discovery that falls behind itself could tell that a server that drains is
+// checkVersion reports why a list that can be read is not taken. Discovery that falls behind itself could tell that a server that drains is
 // up; one that has begun to count anew says the same again and again.
-func (w *watcher) judge(list *ServerList) error {
+func (w *watcher) checkVersion(list *ServerList) error {
 	switch {
-	case !list.Full && !w.known:
+	case !list.Full && !w.hasList:
 		return errors.New("changes to a list that this gateway does not hold")
-	case !w.known || list.Version >= w.version:
-		w.older = 0
+	case !w.hasList || list.Version >= w.version:
+		w.olderAnswers = 0
 		return nil
 	case !list.Full:
-		if w.older++; w.older >= olderMost {
-			w.known, w.older = false, 0 // it is asked for the whole list, which counts as the first
+		if w.olderAnswers++; w.olderAnswers >= maxOlderAnswers {
+			w.hasList, w.olderAnswers = false, 0 // it is asked for the whole list, which counts as the first
 		}
 		return fmt.Errorf("changes of version %d, older than version %d of the list that is held", list.Version, w.version)
 	}
-	if w.older++; w.older < olderMost {
+	if w.olderAnswers++; w.olderAnswers < maxOlderAnswers {
 		return fmt.Errorf("a whole list of version %d, older than version %d that is held", list.Version, w.version)
 	}
-	w.older = 0
+	w.olderAnswers = 0
 	return nil
 }
 
-// take hands on a list.
-func (w *watcher) take(list ServerList) {
+// deliver hands on a list.
+func (w *watcher) deliver(list ServerList) {
 	kind := decide.ListDelta
 	if list.Full {
 		kind = decide.ListFull
 	}
-	w.version, w.known = list.Version, true
+	w.version, w.hasList = list.Version, true
 	if list.Full || len(list.Servers) > 0 {
-		w.news(kind, list)
+		w.onUpdate(kind, list)
 	}
 }
 
@@ -217,12 +217,12 @@
 		return list, fmt.Errorf("calling discovery: %w", err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, listMost+1))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxListSize+1))
 	if err != nil {
 		return list, fmt.Errorf("reading the list after %d bytes: %w", len(raw), err)
 	}
-	if len(raw) > listMost {
-		return list, fmt.Errorf("the list is over %d bytes", listMost)
+	if len(raw) > maxListSize {
+		return list, fmt.Errorf("the list is over %d bytes", maxListSize)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return list, fmt.Errorf("discovery answered %s", resp.Status)
@@ -230,26 +230,26 @@
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return list, fmt.Errorf("reading the list of %d bytes: %w", len(raw), err)
 	}
-	return list, list.check()
+	return list, list.validate()
 }
 
 // failureLog tells failures that come again and again without filling the log: another one after nextFailure, the same one after
 // sameFailure.
 type failureLog struct {
-	log  *slog.Logger
-	last string
-	at   time.Time
-	more int // that were not told since
+	log        *slog.Logger
+	last       string
+	at         time.Time
+	suppressed int // that were not told since
 }
 
 func (f *failureLog) warn(what string, err error) {
 	since, text := time.Since(f.at), err.Error()
-	if !f.at.IsZero() && (since < nextFailure || since < sameFailure && text == f.last) {
-		f.more++
+	if !f.at.IsZero() && (since < failureInterval || since < sameFailureInterval && text == f.last) {
+		f.suppressed++
 		return
 	}
-	f.log.Warn(what, "err", text, "untold", f.more)
-	f.last, f.at, f.more = text, time.Now(), 0
+	f.log.Warn(what, "err", text, "untold", f.suppressed)
+	f.last, f.at, f.suppressed = text, time.Now(), 0
 }
 
 // sleep waits, or less if the context ends.
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -30,69 +30,69 @@
 	"sloepick/internal/tuning"
 )
 
-var scriptsOf = flag.Int("acts", 2, "acts of each script of TestConnectionsEndOnce, 5 at most")
+var scriptLength = flag.Int("acts", 2, "acts of each script of TestConnectionsEndOnce, 5 at most")
 
 const (
-	endWithin = 20 * time.Second // no run waits for it to pass
-	openMost  = 2                // requests: the third of a piece is refused at once
-	whose     = "00000000b4d65521"
+	endTimeout   = 20 * time.Second // no run waits for it to pass
+	maxOpen      = 2                // requests: the third of a piece is refused at once
+	testCustomer = "00000000b4d65521"
 )
 
-// hand is a clock that a test moves.
-type hand struct{ now atomic.Int64 }
+// manualClock is a clock that a test moves.
+type manualClock struct{ now atomic.Int64 }
 
-func (h *hand) Now() time.Duration { return time.Duration(h.now.Load()) }
+func (h *manualClock) Now() time.Duration { return time.Duration(h.now.Load()) }
 
-// puppet is a node that answers when the test says so.
-type puppet struct {
-	tries  []*gateway.Attempt
-	served int
+// manualBackend is a node that answers when the test says so.
+type manualBackend struct {
+	attempts []*gateway.Attempt
+	served   int
 }
 
-func (p *puppet) NewTransport(*gateway.Core, *gateway.Endpoint) gateway.Transport { return p }
-func (p *puppet) Drain()                                                          {}
-func (p *puppet) OldestIdle() (time.Duration, bool)                               { return 0, false }
-func (p *puppet) EvictIdle()                                                      {}
+func (p *manualBackend) NewTransport(*gateway.Core, *gateway.Endpoint) gateway.Transport { return p }
+func (p *manualBackend) Drain()                                                          {}
+func (p *manualBackend) OldestIdle() (time.Duration, bool)                               { return 0, false }
+func (p *manualBackend) EvictIdle()                                                      {}
 
-func (p *puppet) Start(t *gateway.Attempt) {
+func (p *manualBackend) Start(t *gateway.Attempt) {
 	if t.Revalidate() {
 		t.MarkConnected()
 		t.MarkFullySent()
-		p.tries = append(p.tries, t)
+		p.attempts = append(p.attempts, t)
 	}
 }
 
-func (p *puppet) Cancel(t *gateway.Attempt) {
-	p.tries = slices.DeleteFunc(p.tries, func(o *gateway.Attempt) bool { return o == t })
+func (p *manualBackend) Cancel(t *gateway.Attempt) {
+	p.attempts = slices.DeleteFunc(p.attempts, func(o *gateway.Attempt) bool { return o == t })
 }
 
-// run is one core with a front, a client of it, and an audit of what the core does for its requests.
-type run struct {
-	t     *testing.T
-	core  *gateway.Stepper
-	clock hand
-	back  puppet
-	plan  *faultconn.Injector
-	addr  string
-	far   net.Conn
-	ended map[string]bool
-	gone  map[string]bool // their clients
-	mu    sync.Mutex
-	got   bytes.Buffer
-	stop  func() // as SIGTERM does, once
+// scenario is one core with a front, a client of it, and an audit of what the core does for its requests.
+type scenario struct {
+	t          *testing.T
+	core       *gateway.Stepper
+	clock      manualClock
+	backend    manualBackend
+	plan       *faultconn.Injector
+	addr       string
+	client     net.Conn
+	ended      map[string]bool
+	clientGone map[string]bool // their clients
+	mu         sync.Mutex
+	received   bytes.Buffer
+	stop       func() // as SIGTERM does, once
 }
 
 // protocol is a front with the pieces that its clients send.
 type protocol struct {
 	front   func(ln net.Listener) gateway.Frontend
-	piece   func() (b []byte, answers int) // some commands: one rejected at once, two good, one too many
+	chunk   func() (b []byte, answers int) // some commands: one rejected at once, two good, one too many
 	answers func(got []byte) int
 }
 
 func protocols(t testing.TB) map[string]protocol {
 	ask := func(id, class string) string {
 		b := redcon.AppendArray(nil, 4)
-		for _, arg := range []string{"Q.ASK", whose, id, "c=" + class + ",t=p,d=30000,units=1,spread=2,first=0"} {
+		for _, arg := range []string{"Q.ASK", testCustomer, id, "c=" + class + ",t=p,d=30000,units=1,spread=2,first=0"} {
 			b = redcon.AppendBulkString(b, arg)
 		}
 		return string(b)
@@ -104,7 +104,7 @@
 				f.UseSocket(ln)
 				return f
 			},
-			piece: func() ([]byte, int) {
+			chunk: func() ([]byte, int) {
 				return []byte("*1\r\n$4\r\nPING\r\n" + ask("bad", "none") + ask("a", "look") + "*1\r\n$4\r\nPING\r\n" + ask("b", "look") + ask("c", "look") + ask("worse", "none")), 7
 			},
 			answers: func(got []byte) (n int) {
@@ -127,7 +127,7 @@
 				f.UseSocket(ln)
 				return f
 			},
-			piece: func() ([]byte, int) {
+			chunk: func() ([]byte, int) {
 				c := wire.NewClient(wire.DefaultLimits(), 0)
 				askH2(c, "bad", "a", "b", "c", "worse")
 				return bytes.Clone(c.Out()), 5
@@ -156,26 +156,26 @@
 			class = "none"
 		}
 		c.Ask([]hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/v1/ask/" + class},
-			{Name: "sloepick-customer", Value: whose}, {Name: "sloepick-plan", Value: "p"}, {Name: "sloepick-id", Value: id},
+			{Name: "sloepick-customer", Value: testCustomer}, {Name: "sloepick-plan", Value: "p"}, {Name: "sloepick-id", Value: id},
 			{Name: "sloepick-patience", Value: "30000"}}, nil)
 	}
 }
 
-func newRun(t *testing.T, p protocol, plan *faultconn.Injector, slow bool) *run {
-	return newRunOf(t, p, plan, slow, nil, "127.0.0.1:1")
+func newRun(t *testing.T, p protocol, plan *faultconn.Injector, slow bool) *scenario {
+	return newRunWithBackend(t, p, plan, slow, nil, "127.0.0.1:1")
 }
 
-// newRunOf is one whose node is at an address, reached by a back; nil: the puppet.
-func newRunOf(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, back gateway.Backend, node string) *run {
+// newRunWithBackend is one whose node is at an address, reached by a back; nil: the puppet.
+func newRunWithBackend(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, back gateway.Backend, node string) *scenario {
 	set, err := settings.Parse(testbed.MinimalSettings(30 * time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.OpenCap = openMost
-	r := &run{t: t, plan: plan, ended: map[string]bool{}, gone: map[string]bool{}}
+	set.OpenCap = maxOpen
+	r := &scenario{t: t, plan: plan, ended: map[string]bool{}, clientGone: map[string]bool{}}
 	r.clock.now.Store(int64(time.Hour))
 	if back == nil {
-		back = &r.back
+		back = &r.backend
 	}
 	tune := tuning.Default()
 	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 100, Settings: set, Seed: 1, DefaultBackend: back, Tuning: tune,
@@ -201,11 +201,11 @@
 		front.Serve(context.Background(), r.core.Core())
 	}()
 	t.Cleanup(func() { front.Close(); <-served })
-	r.far = r.dial(slow)
+	r.client = r.dial(slow)
 	return r
 }
 
-func (r *run) dial(slow bool) net.Conn {
+func (r *scenario) dial(slow bool) net.Conn {
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
@@ -220,7 +220,7 @@
 		for {
 			n, err := c.Read(b)
 			r.mu.Lock()
-			r.got.Write(b[:n])
+			r.received.Write(b[:n])
 			r.mu.Unlock()
 			if err != nil {
 				return
@@ -231,7 +231,7 @@
 }
 
 // audit holds what is to hold for every request: it comes from a connection that is there, it ends once, and nothing goes out for it after that.
-func (r *run) audit(e decide.Event, actions []decide.Action) {
+func (r *scenario) audit(e decide.Event, actions []decide.Action) {
 	end := func(id, how string) {
 		if r.ended[id] {
 			r.t.Errorf("%s a second time: %s", id, how)
@@ -248,11 +248,11 @@
 			r.t.Errorf("%s is taken from a connection that is closed", e.ID)
 		}
 	case decide.ClientDisconnected:
-		if r.gone[e.ID] {
+		if r.clientGone[e.ID] {
 			r.t.Errorf("%s is told a second time to have no client", e.ID)
 		}
 		// Of two that the module ends at once the first one's answer may show that nobody is there for the second.
-		r.gone[e.ID], r.ended[e.ID] = true, true
+		r.clientGone[e.ID], r.ended[e.ID] = true, true
 	case decide.AttemptEnded:
 		if e.Outcome == decide.OK {
 			r.ended[e.ID] = true // once more if a second copy is answered
@@ -273,7 +273,7 @@
 }
 
 // pump steps until nothing was posted for a moment.
-func (r *run) pump() {
+func (r *scenario) pump() {
 	for r.core.Step(); ; r.core.Step() {
 		select {
 		case <-r.core.Wakeups():
@@ -284,34 +284,34 @@
 }
 
 // answer answers all that is open with so many bytes.
-func (r *run) answer(size int) {
-	for len(r.back.tries) > 0 {
-		t := r.back.tries[0]
-		r.back.tries = r.back.tries[1:]
+func (r *scenario) answer(size int) {
+	for len(r.backend.attempts) > 0 {
+		t := r.backend.attempts[0]
+		r.backend.attempts = r.backend.attempts[1:]
 		t.Succeed(bytes.Repeat([]byte("v"), size), nil)
-		r.back.served++
+		r.backend.served++
 	}
 	r.core.Step()
 }
 
-// settled holds that where no client is there nothing is open.
-func (r *run) settled() {
+// checkNothingLeft holds that where no client is there nothing is open.
+func (r *scenario) checkNothingLeft() {
 	r.pump()
-	if f := r.core.Stats(); f.Clients == 0 && (f.RequestBytes > 0 || len(r.back.tries) > 0) {
-		r.t.Errorf("no client is there, and %+v, %d attempts", f, len(r.back.tries))
+	if f := r.core.Stats(); f.Clients == 0 && (f.RequestBytes > 0 || len(r.backend.attempts) > 0) {
+		r.t.Errorf("no client is there, and %+v, %d attempts", f, len(r.backend.attempts))
 	}
 }
 
-// acts are what may happen to a connection with requests on it.
-var acts = map[string]func(r *run){
-	"answer": func(r *run) { r.answer(60 << 10) },
-	"reset": func(r *run) {
-		r.far.(*net.TCPConn).SetLinger(0)
-		r.far.Close()
+// actions are what may happen to a connection with requests on it.
+var actions = map[string]func(r *scenario){
+	"answer": func(r *scenario) { r.answer(60 << 10) },
+	"reset": func(r *scenario) {
+		r.client.(*net.TCPConn).SetLinger(0)
+		r.client.Close()
 	},
-	"half-close": func(r *run) { r.far.(*net.TCPConn).CloseWrite() },
-	"term":       func(r *run) { r.stop() },
-	"evict": func(r *run) { // newcomers until there is no room
+	"half-close": func(r *scenario) { r.client.(*net.TCPConn).CloseWrite() },
+	"term":       func(r *scenario) { r.stop() },
+	"evict": func(r *scenario) { // newcomers until there is no room
 		for range 40 {
 			c, err := net.Dial("tcp", r.addr)
 			if err != nil {
@@ -347,11 +347,11 @@
 // after that, no connection, request or byte is left, and nothing panics. Where nothing fails and the client stays, all its commands are answered.
 func TestConnectionsEndOnce(t *testing.T) {
 	for name, p := range protocols(t) {
-		for _, script := range scripts(*scriptsOf) {
+		for _, script := range scripts(*scriptLength) {
 			t.Run(name+" "+strings.Join(script, " "), func(t *testing.T) {
 				t.Parallel()
 				for _, slow := range []bool{false, true} {
-					failEach(t, faultconn.Accept, 12, func(t *testing.T, plan *faultconn.Injector) { play(t, p, plan, script, slow) })
+					failEach(t, faultconn.Accept, 12, func(t *testing.T, plan *faultconn.Injector) { runScript(t, p, plan, script, slow) })
 				}
 			})
 		}
@@ -371,46 +371,46 @@
 	}
 }
 
-func play(t *testing.T, p protocol, plan *faultconn.Injector, script []string, slow bool) {
+func runScript(t *testing.T, p protocol, plan *faultconn.Injector, script []string, slow bool) {
 	r := newRun(t, p, plan, slow)
-	b, commands := p.piece()
+	b, commands := p.chunk()
 	r.pump()
-	r.far.Write(b)
-	r.settled()
-	for end := time.Now().Add(endWithin); plan.Op == faultconn.None && r.core.Stats().Requests < openMost && time.Now().Before(end); {
+	r.client.Write(b)
+	r.checkNothingLeft()
+	for end := time.Now().Add(endTimeout); plan.Op == faultconn.None && r.core.Stats().Requests < maxOpen && time.Now().Before(end); {
 		r.pump() // a late machine may not have read the piece: a connection without a request gives way to newcomers
 	}
 	for _, s := range script {
-		acts[s](r)
-		r.settled()
+		actions[s](r)
+		r.checkNothingLeft()
 	}
-	acts["answer"](r)
+	actions["answer"](r)
 	r.pump()
 	if plan.Op == faultconn.None && !slow && !slices.Contains(script, "reset") && !slices.Contains(script, "half-close") {
 		var n int
-		for end := time.Now().Add(endWithin); n != commands && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(endTimeout); n != commands && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			r.pump()
-			acts["answer"](r) // what came late
+			actions["answer"](r) // what came late
 			r.mu.Lock()
-			n = p.answers(r.got.Bytes())
+			n = p.answers(r.received.Bytes())
 			r.mu.Unlock()
 		}
 		if n != commands {
 			t.Errorf("%d of %d commands were answered", n, commands)
 		}
-		if r.back.served != openMost {
-			t.Errorf("%d requests were served, want %d", r.back.served, openMost)
+		if r.backend.served != maxOpen {
+			t.Errorf("%d requests were served, want %d", r.backend.served, maxOpen)
 		}
 	}
-	r.conclude()
+	r.shutDown()
 }
 
-// conclude ends the client and the gateway, and holds that nothing is left.
-func (r *run) conclude() {
+// shutDown ends the client and the gateway, and holds that nothing is left.
+func (r *scenario) shutDown() {
 	t := r.t
-	r.far.Close()
+	r.client.Close()
 	r.stop()
-	for end := time.Now().Add(endWithin); !r.core.Stopped() || r.plan.OpenConns() > 0 || r.core.Stats().Requests > 0; r.pump() {
+	for end := time.Now().Add(endTimeout); !r.core.Stopped() || r.plan.OpenConns() > 0 || r.core.Stats().Requests > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
 			t.Fatalf("it does not end: %+v, %d connections are not closed", r.core.Stats(), r.plan.OpenConns())
@@ -442,28 +442,28 @@
 		p := protocols(t)[name]
 		plan := &faultconn.Injector{Op: faultconn.Op(op) % (faultconn.Accept + 1), Nth: 1 + int(n%8)}
 		r := newRun(t, p, plan, false)
-		b, _ := p.piece()
+		b, _ := p.chunk()
 		left := b
 		for i := 0; i < min(len(script), 40); i++ {
 			switch script[i] % 8 {
 			case 0: // so many of the piece's bytes; behind its end it comes again
 				if i++; i < len(script) {
 					k := min(int(script[i])*4, len(left))
-					r.far.Write(left[:k])
+					r.client.Write(left[:k])
 					if left = left[k:]; len(left) == 0 {
 						left = b
 					}
 				}
 			case 1: // bytes of the script's own
-				r.far.Write(script[i:])
+				r.client.Write(script[i:])
 			case 2:
-				acts["answer"](r)
+				actions["answer"](r)
 			case 3:
-				acts["reset"](r)
+				actions["reset"](r)
 			case 4:
-				acts["half-close"](r)
+				actions["half-close"](r)
 			case 5:
-				acts["term"](r)
+				actions["term"](r)
 			case 6:
 				r.clock.now.Add(int64(time.Second))
 			case 7:
@@ -471,15 +471,15 @@
 			}
 			r.core.Step()
 		}
-		acts["answer"](r)
+		actions["answer"](r)
 		r.pump()
-		r.conclude()
+		r.shutDown()
 	})
 }
 
-// TestPieceBehindTheEndByHTTP2: a client gives no window, so that its answers pile up to the limit; then it sends a piece whose first request is
+// TestHTTP2RequestAfterConnectionFailure: a client gives no window, so that its answers pile up to the limit; then it sends a piece whose first request is
 // rejected, which ends the connection, and the next must not be taken in.
-func TestPieceBehindTheEndByHTTP2(t *testing.T) {
+func TestHTTP2RequestAfterConnectionFailure(t *testing.T) {
 	r := newRun(t, protocols(t)["HTTP/2"], &faultconn.Injector{}, false)
 	c := wire.NewClient(wire.DefaultLimits(), 0)
 	var b bytes.Buffer
@@ -487,12 +487,12 @@
 	if err := http2.NewFramer(&b, nil).WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0}); err != nil {
 		t.Fatal(err)
 	}
-	r.far.Write(b.Bytes())
+	r.client.Write(b.Bytes())
 	left := wire.DefaultLimits().Unsent
 	for n := 0; left > 0; n++ {
 		askH2(c, string(rune('a'+n)))
-		r.far.Write(bytes.Clone(c.Out()))
-		for end := time.Now().Add(endWithin); len(r.back.tries) == 0; r.pump() {
+		r.client.Write(bytes.Clone(c.Out()))
+		for end := time.Now().Add(endTimeout); len(r.backend.attempts) == 0; r.pump() {
 			if time.Now().After(end) {
 				t.Fatal("the request did not come to its node")
 			}
@@ -502,16 +502,16 @@
 		left -= size
 	}
 	askH2(c, "bad", "Z")
-	r.far.Write(bytes.Clone(c.Out()))
-	before := r.back.served
-	for end := time.Now().Add(endWithin); r.core.Stats().Clients > 0; r.pump() {
+	r.client.Write(bytes.Clone(c.Out()))
+	before := r.backend.served
+	for end := time.Now().Add(endTimeout); r.core.Stats().Clients > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
 			t.Fatal("the connection does not end")
 		}
 	}
-	if len(r.ended) != before || len(r.back.tries) > 0 {
+	if len(r.ended) != before || len(r.backend.attempts) > 0 {
 		t.Errorf("%d requests were taken, want %d", len(r.ended), before)
 	}
-	r.conclude()
+	r.shutDown()
 }
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -16,7 +16,7 @@
 type Frontend interface {
 	Listen(ctx context.Context) error
 	Serve(ctx context.Context, d *Core)
-	Finish(by time.Time) // takes the connections that wait to be accepted, until that time at most, and closes
+	DrainBacklog(by time.Time) // takes the connections that wait to be accepted, until that time at most, and closes
 	Close() error
 }
 
@@ -33,25 +33,25 @@
 type Responder interface{ Respond(e Response) }
 
 // RequestHandle is an open request. The zero value is none: it has had its ending.
-type RequestHandle struct{ r *request }
+type RequestHandle struct{ r *requestState }
 
 // Open reports that the handle is of a request.
 func (t RequestHandle) Open() bool { return t.r != nil }
 
 // Core is what fronts and backs see of the core. Post, Accept, Closing, Log, Now and Tuning may be called from any goroutine;
 // the others are for the loop's, in which what Post is given runs, and what At and Later are.
-type Core struct{ l *loop }
+type Core struct{ l *eventLoop }
 
 // Post lets the loop call a function. It waits while the loop's inbox is full.
-func (d *Core) Post(f func()) { d.l.in.post(f) }
+func (d *Core) Post(f func()) { d.l.inbox.post(f) }
 
-// taken lets the loop take a connection that was accepted. Only so many are accepted ahead of the loop, which bounds the
+// postAccepted lets the loop take a connection that was accepted. Only so many are accepted ahead of the loop, which bounds the
 // descriptors: hundreds that come at once wait in the kernel. It reports false once the context has ended.
-func (d *Core) taken(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
+func (d *Core) postAccepted(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
 	select {
-	case d.l.ahead <- struct{}{}:
-		d.l.in.post(func() {
-			<-d.l.ahead
+	case d.l.acceptSlots <- struct{}{}:
+		d.l.inbox.post(func() {
+			<-d.l.acceptSlots
 			take(conn)
 		})
 		return true
@@ -62,7 +62,7 @@
 }
 
 // Closing is closed when nothing new is taken any more.
-func (d *Core) Closing() <-chan struct{} { return d.l.closed }
+func (d *Core) Closing() <-chan struct{} { return d.l.closingCh }
 
 // Log is the gateway's.
 func (d *Core) Log() *slog.Logger { return d.l.log }
@@ -71,25 +71,25 @@
 func (d *Core) Now() time.Duration { return d.l.clock.Now() }
 
 // Tuning is what operators set.
-func (d *Core) Tuning() *tuning.Tuning { return d.l.tune.Load() }
+func (d *Core) Tuning() *tuning.Tuning { return d.l.tuning.Load() }
 
 // Schedule calls a function at a time, unless it is called off.
 func (d *Core) Schedule(t time.Duration, do func()) (callOff func()) {
-	a := d.l.at(t, do)
-	return func() { d.l.unset(a) }
+	a := d.l.schedule(t, do)
+	return func() { d.l.cancelTimer(a) }
 }
 
 // Defer calls a function at the end of the loop's turn.
-func (d *Core) Defer(do func()) { d.l.after = append(d.l.after, do) }
+func (d *Core) Defer(do func()) { d.l.deferred = append(d.l.deferred, do) }
 
 // AdmitConn counts a connection, and reports false if there is no room for it. One that comes while the gateway ends is drained
 // soon.
 func (d *Core) AdmitConn(c ClientConn) bool {
-	if !d.l.admit(c) {
+	if !d.l.admitConn(c) {
 		return false
 	}
 	if d.l.closing {
-		d.l.at(d.Now()+d.l.tune.Load().Stop.LastCall, c.Drain)
+		d.l.schedule(d.Now()+d.l.tuning.Load().Stop.LastCall, c.Drain)
 	}
 	return true
 }
@@ -99,38 +99,38 @@
 
 // Submit takes a request into the core.
 func (d *Core) Submit(from Responder, v *Request) RequestHandle {
-	return RequestHandle{d.l.accept(from, v)}
+	return RequestHandle{d.l.submit(from, v)}
 }
 
 // ProcessPending has the module hear at once of what was asked and abandoned in this turn; otherwise it does when the call that the loop
 // makes returns. A front with many requests at hand calls it between them, so that each is held to what the one before left.
-func (d *Core) ProcessPending() { d.l.drainTodo() }
+func (d *Core) ProcessPending() { d.l.processPending() }
 
 // Abandon ends a request whose client has gone away.
 func (d *Core) Abandon(t RequestHandle) { d.l.abandon(t.r) }
 
 // Allowance is what the customer's bucket has room for now.
 func (d *Core) Allowance(customer, plan string) (decide.Allowance, bool) {
-	return d.l.core.Allowance(d.Now(), customer, plan)
+	return d.l.decider.Allowance(d.Now(), customer, plan)
 }
 
-// admit counts a client's connection among the descriptors. It reports false if there is no room.
-func (l *loop) admit(c ClientConn) bool {
-	if len(l.clients) >= sockets(l.cfg.Sockets, l.tune.Load().Clients.Descriptors) {
+// admitConn counts a client's connection among the descriptors. It reports false if there is no room.
+func (l *eventLoop) admitConn(c ClientConn) bool {
+	if len(l.clients) >= descriptorShare(l.cfg.Sockets, l.tuning.Load().Clients.Descriptors) {
 		l.evictClient()
 	}
-	if len(l.clients) >= l.cfg.Sockets-leastSockets {
+	if len(l.clients) >= l.cfg.Sockets-minSockets {
 		return false
 	}
-	l.joined++
-	l.clients[c] = l.joined
+	l.connSeq++
+	l.clients[c] = l.connSeq
 	return true
 }
 
 // evictClient makes room for a new connection by closing the one that has been quiet for longest. (Closing those
 // that have not asked yet in its place was measured: in a crowd of newcomers it is they who are about to ask.) If
 // all are owed answers nothing is closed, and the new one takes from the servers' share of descriptors.
-func (l *loop) evictClient() {
+func (l *eventLoop) evictClient() {
 	var quiet ClientConn
 	for c, n := range l.clients {
 		if c.Idle() && (quiet == nil || c.LastUsed() < quiet.LastUsed() || c.LastUsed() == quiet.LastUsed() && n < l.clients[quiet]) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -11,12 +11,12 @@
 )
 
 // A request goes on as the client sent it, but for the time that is left.
-func TestServes(t *testing.T) {
-	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
+func TestRequestIsForwarded(t *testing.T) {
+	b := newFakeServer(t)
+	c := newTestGateway(t, longDeadline, b).dial(t)
 	c.send("PING")
 	c.want("+PONG")
-	c.book("id-1")
+	c.sendKeyed("id-1")
 	x := b.next(t)
 	if got := strings.Join(append(x.args[:3:3], x.args[4]), " "); got != "Q.DO "+customer+" id-1 BODY" {
 		t.Errorf("the server got %q", got)
@@ -33,11 +33,11 @@
 
 // Answers come in the order of the commands, whoever is answered first.
 func TestPipelinedAnswersKeepOrder(t *testing.T) {
-	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
-	c.look("one")
+	b := newFakeServer(t)
+	c := newTestGateway(t, longDeadline, b).dial(t)
+	c.sendSafe("one")
 	first := b.next(t)
-	c.look("two")
+	c.sendSafe("two")
 	second := b.next(t)
 	c.send("PING")
 	second.answer(t, served("2"))
@@ -48,8 +48,8 @@
 }
 
 func TestBadCommandsAreAnswered(t *testing.T) {
-	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
+	b := newFakeServer(t)
+	c := newTestGateway(t, longDeadline, b).dial(t)
 	for _, words := range [][]string{
 		{"FLUSHALL"}, {""}, {"Q.ASK"}, {"Q.ASK", customer, "id", ""}, {"Q.ASK", "xyz", "id", "c=look,t=p,d=5"},
 		{"Q.ASK", customer, "id", "c=look,t=p"}, {"Q.ASK", customer, "id", "c=look,t=p,d=x"},
@@ -64,7 +64,7 @@
 			t.Errorf("%q: got %q, want an error", words, got)
 		}
 	}
-	c.look("good") // the connection lives
+	c.sendSafe("good") // the connection lives
 	b.next(t).answer(t, served("v"))
 	c.want("$v")
 }
@@ -72,7 +72,7 @@
 // Broken framing and values over 64 KiB get an error and an end, and never a panic: the parsing library
 // indexes out of range on lengths below nothing or near the largest number.
 func TestBrokenFramingEndsTheConnection(t *testing.T) {
-	r := newRig(t, long, newBackend(t))
+	r := newTestGateway(t, longDeadline, newFakeServer(t))
 	for name, raw := range map[string]string{
 		"inline": "PING\r\n", "no bulk": "*1\r\n:5\r\n", "count": "*x\r\n",
 		"negative": "*1\r\n$-9999\r\n", "largest": "*1\r\n$9223372036854775807\r\n",
@@ -94,44 +94,44 @@
 
 // A request that may have run at one cell must not run at another, and gets no promise.
 func TestKeyedRequestStaysInItsCell(t *testing.T) {
-	a, b := newBackend(t), newBackend(t)
-	c := newRig(t, long, a, b).dial(t)
-	c.book("id-1")
-	other := make(chan *backend, 1)
+	a, b := newFakeServer(t), newFakeServer(t)
+	c := newTestGateway(t, longDeadline, a, b).dial(t)
+	c.sendKeyed("id-1")
+	other := make(chan *fakeServer, 1)
 	go func() {
 		mine, its := a, b
-		var x exchange
+		var x received
 		select {
-		case x = <-a.got:
-		case x = <-b.got:
+		case x = <-a.commands:
+		case x = <-b.commands:
 			mine, its = b, a
 		}
 		other <- its
-		for ; ; x = <-mine.got {
+		for ; ; x = <-mine.commands {
 			if x.args != nil {
 				x.conn.Close()
 			}
 		}
 	}()
 	c.want("-ERR failed")
-	if o := <-other; len(o.got) > 0 {
-		t.Errorf("the other cell got %q", (<-o.got).args)
+	if o := <-other; len(o.commands) > 0 {
+		t.Errorf("the other cell got %q", (<-o.commands).args)
 	}
 }
 
 // What never ran may be refused, and the client is told when to come back.
-func TestNeverRanIsRefused(t *testing.T) {
+func TestUnexecutedRequestIsRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close() // connections are refused
-	for name, b := range map[string]*backend{"busy": newBackend(t), "refused": {addr: ln.Addr().String()}} {
-		c := newRig(t, long, b).dial(t)
-		c.book("id-1")
+	for name, b := range map[string]*fakeServer{"busy": newFakeServer(t), "refused": {addr: ln.Addr().String()}} {
+		c := newTestGateway(t, longDeadline, b).dial(t)
+		c.sendKeyed("id-1")
 		if name == "busy" {
 			go func() {
-				for x := range b.got {
+				for x := range b.commands {
 					if x.args != nil {
 						x.answer(t, "-BUSY\r\n")
 					}
@@ -145,15 +145,15 @@
 }
 
 // A failed safe request is tried again, and one that breaks late is too.
-func TestSafeRequestIsTriedAgain(t *testing.T) {
-	a, b := newBackend(t), newBackend(t)
-	c := newRig(t, long, a, b).dial(t)
-	c.look("id-1")
+func TestSafeRequestIsRetried(t *testing.T) {
+	a, b := newFakeServer(t), newFakeServer(t)
+	c := newTestGateway(t, longDeadline, a, b).dial(t)
+	c.sendSafe("id-1")
 	for i := 0; ; i++ {
-		var x exchange
+		var x received
 		select {
-		case x = <-a.got:
-		case x = <-b.got:
+		case x = <-a.commands:
+		case x = <-b.commands:
 		}
 		switch {
 		case x.args == nil: // the broken connection's end
@@ -169,9 +169,9 @@
 
 // A silent server must not hold a request past its time, and the attempt is given up by its connection's end.
 func TestSilentServer(t *testing.T) {
-	b := newBackend(t)
-	c := newRig(t, 300*time.Millisecond, b).dial(t)
-	c.look("id-1")
+	b := newFakeServer(t)
+	c := newTestGateway(t, 300*time.Millisecond, b).dial(t)
+	c.sendSafe("id-1")
 	b.next(t)
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("got %q, want a refusal", got)
@@ -184,10 +184,10 @@
 }
 
 // A client that leaves takes its request with it: work that nobody waits for is called off.
-func TestClientGone(t *testing.T) {
-	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
-	c.look("id-1")
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	b := newFakeServer(t)
+	c := newTestGateway(t, longDeadline, b).dial(t)
+	c.sendSafe("id-1")
 	b.next(t)
 	c.conn.Close()
 	if x := b.next(t); x.args != nil {
@@ -197,37 +197,37 @@
 
 // A server that drains gets nothing new, over an idle connection neither.
 func TestDrainedServerGetsNothing(t *testing.T) {
-	a := newBackend(t)
-	r := newRig(t, long, a)
+	a := newFakeServer(t)
+	r := newTestGateway(t, longDeadline, a)
 	c := r.dial(t)
-	c.look("id-1")
+	c.sendSafe("id-1")
 	x := a.next(t)
 	x.answer(t, served("v"))
 	c.want("$v")
-	r.reg.set(gateway.ServerList{Version: 2, Full: true, Servers: entries("draining", a)})
+	r.discovery.set(gateway.ServerList{Version: 2, Full: true, Servers: entries("draining", a)})
 	if x := a.next(t); x.args != nil { // told: the idle connection is closed
 		t.Fatalf("the server got %q", x.args)
 	}
-	c.look("id-2")
+	c.sendSafe("id-2")
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("got %q, want a refusal", got)
 	}
-	if len(a.got) > 0 {
-		t.Errorf("the draining server got %q", (<-a.got).args)
+	if len(a.commands) > 0 {
+		t.Errorf("the draining server got %q", (<-a.commands).args)
 	}
 }
 
 // A stopping gateway still takes what comes for a moment, answers all that it has, and ends without error.
-func TestStopOwesNothing(t *testing.T) {
-	b := newBackend(t)
-	r := newRig(t, long, b)
+func TestStopAnswersEverything(t *testing.T) {
+	b := newFakeServer(t)
+	r := newTestGateway(t, longDeadline, b)
 	c := r.dial(t)
-	c.look("id-1")
-	x := b.asked(t)
+	c.sendSafe("id-1")
+	x := b.nextCommand(t)
 	r.stop()
 	late := r.dial(t)
-	late.look("id-2")
-	y := b.asked(t)
+	late.sendSafe("id-2")
+	y := b.nextCommand(t)
 	idle := r.dial(t)
 	if got := idle.read(); got != "EOF" {
 		t.Errorf("an idle connection got %q, want its end", got)
--- a/internal/gateway/inbox.go
+++ b/internal/gateway/inbox.go
@@ -5,25 +5,25 @@
 // inbox holds what other goroutines have the loop do until the loop takes all of them in one wake-up. Whoever posts to a full one waits, so
 // that peers who send faster than the loop works wait in the kernel and not in memory. The loop never posts.
 type inbox struct {
-	mu     sync.Mutex
-	room   sync.Cond
-	items  []func()
-	closed bool
-	ready  chan struct{}
+	mu      sync.Mutex
+	notFull sync.Cond
+	items   []func()
+	closed  bool
+	ready   chan struct{}
 }
 
-const inboxMost = 1024 // calls: far more than a turn of the loop brings, and some MB if all are large
+const maxPosted = 1024 // calls: far more than a turn of the loop brings, and some MB if all are large
 
 func newInbox() *inbox {
 	q := &inbox{ready: make(chan struct{}, 1)}
-	q.room.L = &q.mu
+	q.notFull.L = &q.mu
 	return q
 }
 
 func (q *inbox) post(do func()) {
 	q.mu.Lock()
-	for len(q.items) >= inboxMost && !q.closed {
-		q.room.Wait()
+	for len(q.items) >= maxPosted && !q.closed {
+		q.notFull.Wait()
 	}
 	q.items = append(q.items, do)
 	first := len(q.items) == 1
@@ -41,7 +41,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 }
 
 // take returns what has come in; spare is a former batch whose memory is used again.
@@ -50,6 +50,6 @@
 	defer q.mu.Unlock()
 	items := q.items
 	q.items = spare[:0]
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 	return items
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	acceptRetry = 10 * time.Millisecond // after an accept that failed, as when descriptors are short
-	acceptLast  = 5 * time.Millisecond  // a listener that finishes closes when no connection has come for so long
+	acceptRetryDelay   = 10 * time.Millisecond // after an accept that failed, as when descriptors are short
+	backlogIdleTimeout = 5 * time.Millisecond  // a listener that finishes closes when no connection has come for so long
 )
 
 // Listener is a front's socket, for fronts to embed.
@@ -21,13 +21,13 @@
 	addr  string
 	ln    net.Listener
 	ready chan struct{} // closed when ln is there
-	// finish is when it closes at the latest, in nanoseconds of Unix time; 0: it does not finish yet.
-	finish *atomic.Int64
+	// drainDeadline is when it closes at the latest, in nanoseconds of Unix time; 0: it does not drainDeadline yet.
+	drainDeadline *atomic.Int64
 }
 
 // NewListener makes one that does not listen yet. The name stands in its errors.
 func NewListener(name, addr string) Listener {
-	return Listener{name: name, addr: addr, ready: make(chan struct{}), finish: &atomic.Int64{}}
+	return Listener{name: name, addr: addr, ready: make(chan struct{}), drainDeadline: &atomic.Int64{}}
 }
 
 // UseSocket has it use a socket that listens already.
@@ -56,15 +56,15 @@
 // AcceptLoop takes connections until the listener is closed or has finished, or the context ends, and lets the loop call take for each.
 func (s *Listener) AcceptLoop(ctx context.Context, d *Core, take func(net.Conn)) {
 	for {
-		finishing := s.finish.Load() != 0
-		if finishing && !s.allowOneMore() {
+		finishing := s.drainDeadline.Load() != 0
+		if finishing && !s.extendDeadline() {
 			s.Close()
 			return
 		}
 		conn, err := s.ln.Accept()
 		switch {
 		case err == nil:
-			if !d.taken(ctx, conn, take) {
+			if !d.postAccepted(ctx, conn, take) {
 				return
 			}
 		case errors.Is(err, net.ErrClosed):
@@ -76,22 +76,22 @@
 			}
 		default:
 			d.l.acceptFailures.warn("accepting a connection", err)
-			sleep(ctx, acceptRetry) // out of descriptors: some may be free then
+			sleep(ctx, acceptRetryDelay) // out of descriptors: some may be free then
 		}
 	}
 }
 
-// allowOneMore gives a listener that finishes the time for one more connection. It reports false if its time is over.
-func (s *Listener) allowOneMore() bool {
+// extendDeadline gives a listener that finishes the time for one more connection. It reports false if its time is over.
+func (s *Listener) extendDeadline() bool {
 	now := time.Now()
 	timed, ok := s.ln.(interface{ SetDeadline(time.Time) error })
-	return ok && now.UnixNano() < s.finish.Load() && timed.SetDeadline(now.Add(acceptLast)) == nil
+	return ok && now.UnixNano() < s.drainDeadline.Load() && timed.SetDeadline(now.Add(backlogIdleTimeout)) == nil
 }
 
-// Finish has Accept take the connections that the kernel has accepted and that wait, until that time at most, and close the listener. Closing
+// DrainBacklog has Accept take the connections that the kernel has accepted and that wait, until that time at most, and close the listener. Closing
 // it with some of them in its queue would reset them, and with them the requests that their clients have sent.
-func (s *Listener) Finish(by time.Time) {
-	s.finish.Store(by.UnixNano())
+func (s *Listener) DrainBacklog(by time.Time) {
+	s.drainDeadline.Store(by.UnixNano())
 	timed, ok := s.ln.(interface{ SetDeadline(time.Time) error })
 	if !ok || timed.SetDeadline(time.Unix(1, 0)) != nil { // wakes Accept
 		s.Close()
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -12,17 +12,17 @@
 	"sloepick/internal/testbed/leaks"
 )
 
-// TestAcceptQueueAtTheEnd: connections that the kernel has accepted, and that wait in the listener's queue when it finishes, are
+// TestBacklogIsDrained: connections that the kernel has accepted, and that wait in the listener's queue when it finishes, are
 // taken; then the listener closes.
-func TestAcceptQueueAtTheEnd(t *testing.T) {
+func TestBacklogIsDrained(t *testing.T) {
 	leaks.Check(t)
-	t.Run("before it accepts", func(t *testing.T) { acceptQueueAtTheEnd(t, false) })
-	t.Run("as it accepts", func(t *testing.T) { acceptQueueAtTheEnd(t, true) })
+	t.Run("before it accepts", func(t *testing.T) { testBacklogIsDrained(t, false) })
+	t.Run("as it accepts", func(t *testing.T) { testBacklogIsDrained(t, true) })
 }
 
-func acceptQueueAtTheEnd(t *testing.T, woken bool) {
+func testBacklogIsDrained(t *testing.T, woken bool) {
 	const waiting = 100 // more than are taken ahead of the loop
-	l, _ := still(t, 0)
+	l, _ := newTestLoop(t, 0)
 	s := NewListener("test", "127.0.0.1:0")
 	if err := s.Listen(t.Context()); err != nil {
 		t.Fatal(err)
@@ -40,12 +40,12 @@
 			t.Fatal(err)
 		}
 	} else {
-		s.Finish(time.Now().Add(time.Minute))
+		s.DrainBacklog(time.Now().Add(time.Minute))
 	}
 	taken, ended := 0, make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.AcceptLoop(t.Context(), l.door, func(c net.Conn) {
+		s.AcceptLoop(t.Context(), l.core, func(c net.Conn) {
 			taken++
 			c.Close()
 		})
@@ -56,15 +56,15 @@
 			t.Fatal("it ended with connections in its queue")
 		case <-time.After(20 * time.Millisecond):
 		}
-		s.Finish(time.Now().Add(time.Minute))
+		s.DrainBacklog(time.Now().Add(time.Minute))
 	}
 	for going := true; going; {
 		select {
-		case <-l.in.ready:
+		case <-l.inbox.ready:
 		case <-ended:
 			going = false
 		}
-		l.taken()
+		l.runPosted()
 	}
 	if taken != waiting {
 		t.Errorf("%d of %d connections were taken", taken, waiting)
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestFinishWakesAccept: a listener at which nobody waits closes at once.
-func TestFinishWakesAccept(t *testing.T) {
+// TestDrainBacklogWakesAccept: a listener at which nobody waits closes at once.
+func TestDrainBacklogWakesAccept(t *testing.T) {
 	leaks.Check(t)
-	l, _ := still(t, 0)
+	l, _ := newTestLoop(t, 0)
 	s := NewListener("test", "127.0.0.1:0")
 	if err := s.Listen(t.Context()); err != nil {
 		t.Fatal(err)
@@ -86,10 +86,10 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.AcceptLoop(t.Context(), l.door, func(net.Conn) {})
+		s.AcceptLoop(t.Context(), l.core, func(net.Conn) {})
 	}()
 	time.Sleep(20 * time.Millisecond) // it waits by then; if it comes later, it has nothing to wake from
-	s.Finish(time.Now().Add(time.Minute))
+	s.DrainBacklog(time.Now().Add(time.Minute))
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
@@ -97,34 +97,34 @@
 	}
 }
 
-// TestFinishHasAnEnd: connections that come without end don't keep a listener open past its time.
-func TestFinishHasAnEnd(t *testing.T) {
+// TestDrainBacklogHasDeadline: connections that come without end don't keep a listener open past its time.
+func TestDrainBacklogHasDeadline(t *testing.T) {
 	leaks.Check(t)
 	s := NewListener("test", "127.0.0.1:0")
 	if err := s.Listen(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.Finish(time.Now().Add(-time.Second))
-	if s.allowOneMore() {
+	s.DrainBacklog(time.Now().Add(-time.Second))
+	if s.extendDeadline() {
 		t.Error("it goes on")
 	}
 }
 
-// lateFront is a front that takes its last connection once it is told to finish.
-type lateFront struct {
+// slowFrontend is a front that takes its last connection once it is told to finish.
+type slowFrontend struct {
 	finish chan struct{}
 	conn   net.Conn
 	taken  atomic.Bool
 }
 
-func (f *lateFront) Listen(context.Context) error { return nil }
-func (f *lateFront) Finish(time.Time)             { close(f.finish) }
-func (f *lateFront) Close() error                 { return nil }
-func (f *lateFront) Serve(ctx context.Context, d *Core) {
+func (f *slowFrontend) Listen(context.Context) error { return nil }
+func (f *slowFrontend) DrainBacklog(time.Time)       { close(f.finish) }
+func (f *slowFrontend) Close() error                 { return nil }
+func (f *slowFrontend) Serve(ctx context.Context, d *Core) {
 	<-f.finish
 	time.Sleep(10 * time.Millisecond) // as long as the loop takes to see that no client is left
-	d.taken(ctx, f.conn, func(c net.Conn) {
+	d.postAccepted(ctx, f.conn, func(c net.Conn) {
 		f.taken.Store(true)
 		c.Close()
 	})
@@ -134,9 +134,9 @@
 func TestStopWaitsForTheLastAccept(t *testing.T) {
 	leaks.Check(t)
 	near, far := connectedPair(t)
-	f := &lateFront{finish: make(chan struct{}), conn: near}
-	cfg := SmallConfig(t, long, nil)
-	cfg.Frontends, cfg.DefaultBackend = []Frontend{f}, &wire{}
+	f := &slowFrontend{finish: make(chan struct{}), conn: near}
+	cfg := SmallConfig(t, longDeadline, nil)
+	cfg.Frontends, cfg.DefaultBackend = []Frontend{f}, &fakeBackend{}
 	cfg.Tuning.Stop.Accept = 0
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/gateway/mailbox.go
+++ b/internal/gateway/mailbox.go
@@ -7,20 +7,20 @@
 // descriptor back. Whoever still calls into it, the rest of a piece that it sent, an ending, an alarm, a writer that is done,
 // finds it closed, changes nothing and takes no request in.
 type Mailbox[T any] struct {
-	c     chan T
-	ended bool
+	values chan T
+	closed bool
 }
 
 // NewMailbox makes one that holds nothing.
-func NewMailbox[T any]() Mailbox[T] { return Mailbox[T]{c: make(chan T, 1)} }
+func NewMailbox[T any]() Mailbox[T] { return Mailbox[T]{values: make(chan T, 1)} }
 
 // TrySend gives the reader a value. It reports false if one that was handed before still waits, or the mailbox has ended.
 func (b *Mailbox[T]) TrySend(v T) bool {
-	if b.ended {
+	if b.closed {
 		return false
 	}
 	select {
-	case b.c <- v:
+	case b.values <- v:
 		return true
 	default:
 		return false
@@ -29,14 +29,14 @@
 
 // Close has the reader stop once it has taken what was handed. Ending it again changes nothing.
 func (b *Mailbox[T]) Close() {
-	if !b.ended {
-		b.ended = true
-		close(b.c)
+	if !b.closed {
+		b.closed = true
+		close(b.values)
 	}
 }
 
 // Receive takes the next value, in the reader's goroutine. It reports false once the mailbox has ended.
 func (b *Mailbox[T]) Receive() (v T, going bool) {
-	v, going = <-b.c
+	v, going = <-b.values
 	return v, going
 }
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -18,31 +18,31 @@
 	IsCurrent(n uint64) bool
 }
 
-// place is what a gateway in a fleet was told.
-type place struct {
-	number int // below 0: it may let nothing in
-	term   uint64
-	n      uint64 // of the standing
-	had    bool   // a place before
+// membership is what a gateway in a fleet was told.
+type membership struct {
+	number   int // below 0: it may let nothing in
+	term     uint64
+	seq      uint64 // of the standing
+	assigned bool   // a place before
 }
 
 // SetMembership lets the loop take how the gateway stands in its fleet. Standings are counted.
 func (d *Core) SetMembership(s fleet.Assignment, n uint64) {
-	d.Post(func() { d.l.stand(s, n) })
+	d.Post(func() { d.l.setMembership(s, n) })
 }
 
 // DeliverMessage lets the loop take a message of the gateway in that place.
-func (d *Core) DeliverMessage(from int, text string) { d.l.peerMessage(from, text) }
+func (d *Core) DeliverMessage(from int, text string) { d.l.postPeerMessage(from, text) }
 
-func (l *loop) stand(s fleet.Assignment, n uint64) {
-	was := l.place
-	l.place.n, l.place.number = n, s.Slot
+func (l *eventLoop) setMembership(s fleet.Assignment, n uint64) {
+	was := l.membership
+	l.membership.seq, l.membership.number = n, s.Slot
 	if s.Slot < 0 {
 		return // what is open goes on by the number that it had
 	}
-	l.place.term, l.place.had = s.Term, true
+	l.membership.term, l.membership.assigned = s.Term, true
 	e := decide.MembershipUpdate{Rank: s.Slot, Isolated: s.Isolated, Peers: make([]decide.PeerStatus, len(s.Holders)),
-		RankReassigned: was.had && (s.Slot != l.rank || s.Term != was.term)}
+		RankReassigned: was.assigned && (s.Slot != l.rank || s.Term != was.term)}
 	for i, h := range s.Holders {
 		switch {
 		case h.Name == "" || h.State == fleet.Left:
@@ -52,20 +52,20 @@
 		}
 	}
 	l.rank = s.Slot
-	l.feed(e)
-	if l.power != nil {
+	l.enqueue(e)
+	if l.recovery != nil {
 		alive := 0
 		for _, h := range s.Holders {
 			if h.Name != "" && h.State == fleet.Alive {
 				alive++
 			}
 		}
-		l.power.meet(alive)
+		l.recovery.join(alive)
 	}
-	l.readyOnce()
+	l.notifyReady()
 }
 
-// mayAdmit reports that the gateway has a place, or needs none.
-func (l *loop) mayAdmit() bool {
-	return l.cfg.Member == nil || l.place.number >= 0 && l.cfg.Member.IsCurrent(l.place.n)
+// mayAcceptRequests reports that the gateway has a place, or needs none.
+func (l *eventLoop) mayAcceptRequests() bool {
+	return l.cfg.Member == nil || l.membership.number >= 0 && l.cfg.Member.IsCurrent(l.membership.seq)
 }
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -18,14 +18,14 @@
 	"sloepick/internal/testbed/faultconn"
 )
 
-// nodeSide is a node's protocol: it answers what it reads until something fails.
-type nodeSide struct {
+// nodeProtocol is a node's protocol: it answers what it reads until something fails.
+type nodeProtocol struct {
 	back  gateway.Backend
 	serve func(c net.Conn) error
 }
 
-func nodeSides() map[string]nodeSide {
-	return map[string]nodeSide{
+func nodeProtocols() map[string]nodeProtocol {
+	return map[string]nodeProtocol{
 		"RESP2": {resp.Back{}, func(c net.Conn) error {
 			var buf []byte
 			b := make([]byte, 4<<10)
@@ -70,25 +70,25 @@
 	}
 }
 
-// nodeActs are what may happen to a node with requests on their way to it.
-var nodeActs = map[string]func(r *run, list gateway.ServerList){
-	"more": func(r *run, _ gateway.ServerList) { r.far.Write(r.again()) },
-	"drain": func(r *run, list gateway.ServerList) {
+// nodeActions are what may happen to a node with requests on their way to it.
+var nodeActions = map[string]func(r *scenario, list gateway.ServerList){
+	"more": func(r *scenario, _ gateway.ServerList) { r.client.Write(r.chunkAgain()) },
+	"drain": func(r *scenario, list gateway.ServerList) {
 		list.Servers[0].State = "draining"
 		r.core.UpdateServers(decide.ListFull, list)
 	},
-	"move": func(r *run, list gateway.ServerList) {
+	"move": func(r *scenario, list gateway.ServerList) {
 		list.Servers[0].StartedMS++
 		r.core.UpdateServers(decide.ListFull, list)
 	},
-	"client leaves": func(r *run, _ gateway.ServerList) { acts["reset"](r) },
-	"term":          func(r *run, _ gateway.ServerList) { r.stop() },
-	"time":          func(r *run, _ gateway.ServerList) { r.clock.now.Add(int64(2 * time.Second)) },
+	"client leaves": func(r *scenario, _ gateway.ServerList) { actions["reset"](r) },
+	"term":          func(r *scenario, _ gateway.ServerList) { r.stop() },
+	"time":          func(r *scenario, _ gateway.ServerList) { r.clock.now.Add(int64(2 * time.Second)) },
 }
 
-// again is the piece once more, with other ids.
-func (r *run) again() []byte {
-	b, _ := protocols(r.t)["RESP2"].piece()
+// chunkAgain is the piece once more, with other ids.
+func (r *scenario) chunkAgain() []byte {
+	b, _ := protocols(r.t)["RESP2"].chunk()
 	for id, other := range map[string]string{"a": "x", "b": "y", "c": "z"} {
 		b = []byte(strings.ReplaceAll(string(b), "$1\r\n"+id+"\r\n", "$1\r\n"+other+"\r\n"))
 	}
@@ -99,22 +99,22 @@
 // many commands, and has the node reset its connection, or never take it, at its nth read, write, close or accept, for all n that come about. It holds
 // what TestConnectionsEndOnce does, and that no connection to the node is left.
 func TestNodesEndOnce(t *testing.T) {
-	for name, side := range nodeSides() {
-		for first := range nodeActs {
-			for second := range nodeActs {
-				if *scriptsOf < 2 && first != second {
+	for name, side := range nodeProtocols() {
+		for first := range nodeActions {
+			for second := range nodeActions {
+				if *scriptLength < 2 && first != second {
 					continue
 				}
 				t.Run(name+" "+first+", "+second, func(t *testing.T) {
 					t.Parallel()
-					failEach(t, faultconn.Accept, 8, func(t *testing.T, plan *faultconn.Injector) { playNode(t, side, plan, first, second) })
+					failEach(t, faultconn.Accept, 8, func(t *testing.T, plan *faultconn.Injector) { runNodeScript(t, side, plan, first, second) })
 				})
 			}
 		}
 	}
 }
 
-func playNode(t *testing.T, side nodeSide, plan *faultconn.Injector, script ...string) {
+func runNodeScript(t *testing.T, side nodeProtocol, plan *faultconn.Injector, script ...string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -138,19 +138,19 @@
 			}()
 		}
 	}()
-	r := newRunOf(t, protocols(t)["RESP2"], &faultconn.Injector{}, false, side.back, ln.Addr().String())
+	r := newRunWithBackend(t, protocols(t)["RESP2"], &faultconn.Injector{}, false, side.back, ln.Addr().String())
 	list := gateway.ServerList{Version: 2, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: ln.Addr().String(), Zone: "a", State: "up", Weight: 1}}}
-	b, _ := protocols(t)["RESP2"].piece()
-	r.far.Write(b)
+	b, _ := protocols(t)["RESP2"].chunk()
+	r.client.Write(b)
 	r.pump()
 	for _, s := range script {
-		nodeActs[s](r, list)
+		nodeActions[s](r, list)
 		r.pump()
 	}
 	list.Servers[0].State = "gone"
 	r.core.UpdateServers(decide.ListFull, list)
-	r.conclude()
-	for end := time.Now().Add(endWithin); r.core.Stats().ServerConns > 0 || plan.OpenConns() > 0; r.pump() {
+	r.shutDown()
+	for end := time.Now().Add(endTimeout); r.core.Stats().ServerConns > 0 || plan.OpenConns() > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
 			t.Fatalf("%d connections to the node are counted, %d open", r.core.Stats().ServerConns, plan.OpenConns())
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -8,26 +8,26 @@
 	"net/netip"
 )
 
-const datagramMost = 256 // bytes of a message between gateways
+const maxDatagramSize = 256 // bytes of a message between gateways
 
 // PeerTransport transport messages to the other gateways, by their numbers. Tell never waits; what it sends may be lost.
 type PeerTransport interface {
 	Send(to int, text string) error
 }
 
-// peerLink is the socket to the other gateways.
-type peerLink struct {
+// peerSocket is the socket to the other gateways.
+type peerSocket struct {
 	conn  *net.UDPConn
 	addrs []netip.AddrPort
 	ranks map[netip.AddrPort]int
 }
 
-func openPeers(listen netip.AddrPort, addrs []netip.AddrPort) (*peerLink, error) {
+func openPeerSocket(listen netip.AddrPort, addrs []netip.AddrPort) (*peerSocket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("listening for peers: %w", err)
 	}
-	p := &peerLink{conn: conn, addrs: addrs, ranks: map[netip.AddrPort]int{}}
+	p := &peerSocket{conn: conn, addrs: addrs, ranks: map[netip.AddrPort]int{}}
 	for i, a := range addrs {
 		p.ranks[a] = i
 	}
@@ -35,8 +35,8 @@
 }
 
 // Send sends a message to a gateway by its number. It may be lost, as any datagram.
-func (p *peerLink) Send(to int, text string) error {
-	if to < 0 || to >= len(p.addrs) || len(text) > datagramMost {
+func (p *peerSocket) Send(to int, text string) error {
+	if to < 0 || to >= len(p.addrs) || len(text) > maxDatagramSize {
 		return fmt.Errorf("message of %d bytes to gateway %d can't be sent", len(text), to)
 	}
 	if _, err := p.conn.WriteToUDPAddrPort([]byte(text), p.addrs[to]); err != nil {
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// read hands on the messages of known gateways until the socket is closed. What comes from elsewhere or is
+// receive hands on the messages of known gateways until the socket is closed. What comes from elsewhere or is
 // too long is dropped: anyone may send to the port.
-func (p *peerLink) read(hand func(from int, text string), log *slog.Logger) {
-	buf := make([]byte, datagramMost+1)
+func (p *peerSocket) receive(hand func(from int, text string), log *slog.Logger) {
+	buf := make([]byte, maxDatagramSize+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -59,7 +59,7 @@
 			continue
 		}
 		rank, ok := p.ranks[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !ok || n > datagramMost {
+		if !ok || n > maxDatagramSize {
 			continue
 		}
 		hand(rank, string(buf[:n]))
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -11,9 +11,9 @@
 	"sloepick/decide"
 )
 
-// lateness is how late the loop may come to a time-out, when the core was busy elsewhere. From so much on, what the server
+// maxTimerDelay is how late the loop may come to a time-out, when the core was busy elsewhere. From so much on, what the server
 // said may lie unread, and the time-out says nothing of the server.
-const lateness = 20 * time.Millisecond
+const maxTimerDelay = 20 * time.Millisecond
 
 // upstream is one server.
 type upstream struct {
@@ -26,27 +26,27 @@
 
 // pool keeps the servers and counts the connections to them.
 type pool struct {
-	l       *loop
-	servers map[string]*upstream
-	conns   int // open or being made, of all servers
-	most    int
-	dialFor time.Duration
-	idleFor time.Duration
-	perNode int // connections to one server, open or being made
-}
-
-func newPool(l *loop, cfg Config) pool {
-	p := pool{l: l, servers: map[string]*upstream{}, dialFor: cfg.Settings.Decide.Limits.ConnectTimeout}
-	p.retune()
+	l                 *eventLoop
+	servers           map[string]*upstream
+	conns             int // open or being made, of all servers
+	maxConns          int
+	connectTimeout    time.Duration
+	idleTimeout       time.Duration
+	maxConnsPerServer int // connections to one server, open or being made
+}
+
+func newPool(l *eventLoop, cfg Config) pool {
+	p := pool{l: l, servers: map[string]*upstream{}, connectTimeout: cfg.Settings.Decide.Limits.ConnectTimeout}
+	p.applyTuning()
 	return p
 }
 
-// retune takes the values that operators may set. Connections over a lower bound go as they fall idle.
-func (p *pool) retune() {
-	t := &p.l.tune.Load().Nodes
-	p.most = sockets(p.l.cfg.Sockets, t.Descriptors)
-	p.idleFor = p.l.cfg.Settings.ConnIdle / time.Duration(t.IdlePart)
-	p.perNode = t.Connections
+// applyTuning takes the values that operators may set. Connections over a lower bound go as they fall idle.
+func (p *pool) applyTuning() {
+	t := &p.l.tuning.Load().Nodes
+	p.maxConns = descriptorShare(p.l.cfg.Sockets, t.Descriptors)
+	p.idleTimeout = p.l.cfg.Settings.ConnIdle / time.Duration(t.IdlePart)
+	p.maxConnsPerServer = t.Connections
 }
 
 // update takes an entry of the list. The id is the server; its address and its process may change, and with them its transport.
@@ -62,72 +62,72 @@
 	moved := s.addr != addr || s.entry.Started != e.Started
 	s.entry = e
 	if e.State != decide.Gone && (moved || s.transport == nil) {
-		s.retire() // it leads to a process that is gone
+		s.drain() // it leads to a process that is gone
 		s.addr = addr
-		s.transport = p.l.cfg.back(e.Kind).NewTransport(p.l.door, &Endpoint{p, s, addr})
+		s.transport = p.l.cfg.backendFor(e.Kind).NewTransport(p.l.core, &Endpoint{p, s, addr})
 	}
 	if e.State != decide.Serving {
-		s.retire()
+		s.drain()
 	}
-	p.forget(s)
+	p.removeIfGone(s)
 }
 
-func (s *upstream) retire() {
+func (s *upstream) drain() {
 	if s.transport != nil {
 		s.transport.Drain()
 	}
 }
 
-// forget drops a server that is gone once no connection leads to it. Fleets renew their machines under new ids,
+// removeIfGone drops a server that is gone once no connection leads to it. Fleets renew their machines under new ids,
 // so without this the table would grow for as long as the gateway runs.
-func (p *pool) forget(s *upstream) {
+func (p *pool) removeIfGone(s *upstream) {
 	if s.entry.State == decide.Gone && s.conns == 0 {
 		delete(p.servers, s.id)
 	}
 }
 
-// all are the servers in the order of ids.
-func (p *pool) all() []*upstream {
+// sorted are the servers in the order of ids.
+func (p *pool) sorted() []*upstream {
 	return slices.SortedFunc(maps.Values(p.servers), func(a, b *upstream) int { return cmp.Compare(a.id, b.id) })
 }
 
-// keepOnly takes that a whole list leaves servers out.
-func (p *pool) keepOnly(listed map[string]bool) {
-	for _, s := range p.all() {
+// removeUnlisted takes that a whole list leaves servers out.
+func (p *pool) removeUnlisted(listed map[string]bool) {
+	for _, s := range p.sorted() {
 		if !listed[s.id] {
 			s.entry.State = decide.Gone
-			s.retire()
-			p.forget(s)
+			s.drain()
+			p.removeIfGone(s)
 		}
 	}
 }
 
-// listed is the list as last told, in the order of ids.
-func (p *pool) listed() (list []decide.Server) {
-	for _, s := range p.all() {
+// snapshot is the list as last told, in the order of ids.
+func (p *pool) snapshot() (list []decide.Server) {
+	for _, s := range p.sorted() {
 		list = append(list, s.entry)
 	}
 	return list
 }
 
 // start hands an attempt to its server's transport.
-func (p *pool) start(a *attempt) {
+func (p *pool) start(a *attemptState) {
 	s := a.server
 	if s == nil || s.entry.State != decide.Serving {
-		p.l.ended(a, decide.NoConnection)
+		p.l.endAttempt(a, decide.NoConnection)
 		return
 	}
-	a.try = Attempt{l: p.l, a: a, transport: s.transport}
-	s.transport.Start(&a.try)
+	a.handle = Attempt{loop: p.l, state: a, transport: s.transport}
+	s.transport.Start(&a.handle)
 }
 
-// room is how many connections there may be, of all servers: clients over their share take from it.
-func (p *pool) room() int {
-	return min(p.most, p.l.cfg.Sockets-reserveSockets-len(p.l.clients))
+// connLimit is how many connections there may be, of all servers: clients over their share take from it.
+func (p *pool) connLimit() int {
+	return min(p.maxConns, p.l.cfg.Sockets-reservedSockets-len(p.l.clients))
 }
 
-// evict closes the connection that has stood idle for longest.
-func (p *pool) evict() {
+// evictIdle closes the connection that has stood idle for longest.
+func (p *pool) evictIdle() {
 	var oldest *upstream
 	var since time.Duration
 	for _, s := range p.servers {
@@ -144,49 +144,49 @@
 	}
 }
 
-// dropped counts a connection that is no more, or was never made.
-func (p *pool) dropped(s *upstream) {
+// releaseConn counts a connection that is no more, or was never made.
+func (p *pool) releaseConn(s *upstream) {
 	s.conns--
 	p.conns--
-	p.forget(s)
+	p.removeIfGone(s)
 }
 
 // expire ends an attempt whose time is up. One that has no connection yet never ran. If the loop itself comes
 // late, the server is not to blame: the attempt is called off.
-func (p *pool) expire(a *attempt) {
+func (p *pool) expire(a *attemptState) {
 	o := decide.TimedOut
 	switch {
-	case !a.placed:
+	case !a.connected:
 		o = decide.NoConnection
-	case p.l.clock.Now()-a.until > lateness:
+	case p.l.clock.Now()-a.deadline > maxTimerDelay:
 		o = decide.Cancelled
 	}
-	p.giveUp(a, o)
+	p.abort(a, o)
 }
 
-// dropUnwritten gives up an attempt whose last byte was not written in time. It never ran.
-func (p *pool) dropUnwritten(a *attempt) {
-	if !a.whole {
-		p.giveUp(a, decide.NoConnection)
+// expireUnwritten gives up an attempt whose last byte was not written in time. It never ran.
+func (p *pool) expireUnwritten(a *attemptState) {
+	if !a.fullySent {
+		p.abort(a, decide.NoConnection)
 	}
 }
 
 // cancel stops waiting for an attempt. Whether it ran is not known once its request may have been written.
-func (p *pool) cancel(a *attempt) { p.giveUp(a, decide.Cancelled) }
+func (p *pool) cancel(a *attemptState) { p.abort(a, decide.Cancelled) }
 
-func (p *pool) giveUp(a *attempt, o decide.Outcome) {
-	if a.over {
+func (p *pool) abort(a *attemptState, o decide.Outcome) {
+	if a.ended {
 		return
 	}
-	if a.try.transport != nil {
-		a.try.transport.Cancel(&a.try)
+	if a.handle.transport != nil {
+		a.handle.transport.Cancel(&a.handle)
 	}
-	p.l.ended(a, o)
+	p.l.endAttempt(a, o)
 }
 
-// localFault reports whether a connection was not made for want of something on this machine. The server must
+// isLocalFailure reports whether a connection was not made for want of something on this machine. The server must
 // not be held to be bad for it.
-func localFault(err error) bool {
+func isLocalFailure(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
 			return true
--- a/internal/gateway/power.go
+++ b/internal/gateway/power.go
@@ -30,137 +30,137 @@
 }
 
 const (
-	changedMost = 4096             // customers that one Note takes: the loop copies them
-	workFades   = 10 * time.Second // memory of what is answered
-	hearFor     = 5 * time.Second  // from its place on, a member still learns from others' words
+	maxChangedPerUpdate    = 4096             // customers that one Note takes: the loop copies them
+	throughputTimeConstant = 10 * time.Second // memory of what is answered
+	peerSnapshotWindow     = 5 * time.Second  // from its place on, a member still learns from others' words
 )
 
-// power is what the loop keeps of it. nil: nothing is kept, and all is let in at once.
-type power struct {
+// recoverer is what the loop keeps of it. nil: nothing is kept, and all is let in at once.
+type recoverer struct {
 	*RecoveryConfig
-	l       *loop
-	svc     *recovery.Service
-	met     time.Duration
-	belief  recovery.Belief
-	work    float64 // units answered a second, faded
-	workAt  time.Duration
-	changed []decide.BucketSnapshot
-	phase   recovery.Phase
+	l            *eventLoop
+	service      *recovery.Service
+	joinedAt     time.Duration
+	belief       recovery.Belief
+	throughput   float64 // units answered a second, faded
+	throughputAt time.Duration
+	changed      []decide.BucketSnapshot
+	phase        recovery.Phase
 }
 
-// newPower begins with the disk judged.
-func (l *loop) newPower(cfg *RecoveryConfig) *power {
+// newRecoverer begins with the disk judged.
+func (l *eventLoop) newRecoverer(cfg *RecoveryConfig) *recoverer {
 	now := l.clock.Now()
-	p := &power{RecoveryConfig: cfg, l: l, svc: recovery.NewService(cfg.Service), workAt: now}
-	p.svc.Judged()
-	p.tell("")
-	l.at(now, p.tick)
+	p := &recoverer{RecoveryConfig: cfg, l: l, service: recovery.NewService(cfg.Service), throughputAt: now}
+	p.service.Judged()
+	p.reportPhase("")
+	l.schedule(now, p.tick)
 	return p
 }
 
 // tick keeps what changed, and moves the phases on.
-func (p *power) tick() {
+func (p *recoverer) tick() {
 	now := p.l.clock.Now()
-	p.l.at(now+p.SaveInterval, p.tick)
-	if p.svc.Phase() < recovery.Met {
+	p.l.schedule(now+p.SaveInterval, p.tick)
+	if p.service.Phase() < recovery.Met {
 		if p.l.cfg.Member != nil {
 			return
 		}
-		p.meet(1) // without a fleet there is nobody to wait for
+		p.join(1) // without a fleet there is nobody to wait for
 	}
-	p.changed = p.l.core.AppendChanged(p.changed[:0], changedMost)
-	p.Store.Note(p.changed, p.worked(now), p.l.core.WarmServerRate())
-	if note := p.svc.Tick(now); note != "" {
-		p.tell(note)
+	p.changed = p.l.decider.AppendChanged(p.changed[:0], maxChangedPerUpdate)
+	p.Store.Note(p.changed, p.throughputToSave(now), p.l.decider.WarmServerRate())
+	if note := p.service.Tick(now); note != "" {
+		p.reportPhase(note)
 	}
 }
 
-// worked is what is answered a second. While service returns it is what was answered before, if that is more: power may be lost again.
-func (p *power) worked(now time.Duration) float64 {
-	p.fade(now)
-	since := now - p.met
-	seen := 1 - math.Exp(-max(since, time.Second).Seconds()/workFades.Seconds()) // of a steady rate, so soon after the beginning
-	if p.svc.Phase() < recovery.Full || since < workFades {
-		return max(p.work/seen, p.belief.Own)
+// throughputToSave is what is answered a second. While service returns it is what was answered before, if that is more: power may be lost again.
+func (p *recoverer) throughputToSave(now time.Duration) float64 {
+	p.decay(now)
+	since := now - p.joinedAt
+	seen := 1 - math.Exp(-max(since, time.Second).Seconds()/throughputTimeConstant.Seconds()) // of a steady rate, so soon after the beginning
+	if p.service.Phase() < recovery.Full || since < throughputTimeConstant {
+		return max(p.throughput/seen, p.belief.Own)
 	}
-	return p.work / seen
+	return p.throughput / seen
 }
 
-func (p *power) fade(now time.Duration) {
-	p.work *= math.Exp(-(now - p.workAt).Seconds() / workFades.Seconds())
-	p.workAt = now
+func (p *recoverer) decay(now time.Duration) {
+	p.throughput *= math.Exp(-(now - p.throughputAt).Seconds() / throughputTimeConstant.Seconds())
+	p.throughputAt = now
 }
 
-// tell puts a phase that was reached into the log.
-func (p *power) tell(note string) {
-	p.phase = p.svc.Phase()
+// reportPhase puts a phase that was reached into the log.
+func (p *recoverer) reportPhase(note string) {
+	p.phase = p.service.Phase()
 	p.l.log.Info("power: "+p.phase.String(), "note", note)
 	if p.OnPhase != nil {
 		p.OnPhase(p.phase)
 	}
 }
 
-// meet takes what is believed, as the gateway has its place among so many members that are back.
-func (p *power) meet(alive int) {
-	p.svc.Alive(alive)
-	if p.svc.Phase() >= recovery.Met {
+// join takes what is believed, as the gateway has its place among so many members that are back.
+func (p *recoverer) join(alive int) {
+	p.service.Alive(alive)
+	if p.service.Phase() >= recovery.Met {
 		return
 	}
-	p.met = p.l.clock.Now()
-	p.recall()
-	p.svc.Meet(p.met, p.belief.Work, p.Start.Lit())
+	p.joinedAt = p.l.clock.Now()
+	p.restoreBuckets()
+	p.service.Meet(p.joinedAt, p.belief.Work, p.Start.Lit())
 	p.Store.Open(p.belief.Verdict == recovery.Kept)
-	p.tell(p.belief.String())
+	p.reportPhase(p.belief.String())
 }
 
-func (p *power) recall() {
+func (p *recoverer) restoreBuckets() {
 	p.belief = p.Start.Believe(p.Clock())
-	p.l.feed(p.belief.Recall)
+	p.l.enqueue(p.belief.Recall)
 	p.Store.Heard(p.Start.Seen())
 }
 
-// heard takes another member's word. Long after the start only last lives are learned from it: what it knows of customers is told by
+// receiveSnapshot takes another member's word. Long after the start only last lives are learned from it: what it knows of customers is told by
 // the module's own messages.
-func (p *power) heard(w recovery.Word) {
+func (p *recoverer) receiveSnapshot(w recovery.Word) {
 	if !p.Start.Hear(w) {
 		return
 	}
 	p.Store.Heard(p.Start.Seen())
-	switch phase := p.svc.Phase(); {
+	switch phase := p.service.Phase(); {
 	case phase < recovery.Met:
-	case phase < recovery.Full && p.l.clock.Now()-p.met < hearFor:
-		p.recall()
-		p.svc.Work(p.belief.Work)
+	case phase < recovery.Full && p.l.clock.Now()-p.joinedAt < peerSnapshotWindow:
+		p.restoreBuckets()
+		p.service.Work(p.belief.Work)
 	default:
 		p.Start.Over()
 	}
 }
 
-// answered counts the units of a request that was served.
-func (p *power) answered(units float64) {
+// countAnswer counts the units of a request that was served.
+func (p *recoverer) countAnswer(units float64) {
 	now := p.l.clock.Now()
-	p.fade(now)
-	p.work += units / workFades.Seconds()
-	p.svc.Answered(now, units)
+	p.decay(now)
+	p.throughput += units / throughputTimeConstant.Seconds()
+	p.service.Answered(now, units)
 }
 
-// listed tells the phases of the nodes that serve.
-func (p *power) listed(kind decide.ListKind) {
+// updateNodes tells the phases of the nodes that serve.
+func (p *recoverer) updateNodes(kind decide.ListKind) {
 	if kind == decide.ListFailed {
 		return
 	}
 	var starts []time.Duration
-	for _, s := range p.l.pool.listed() {
+	for _, s := range p.l.pool.snapshot() {
 		if s.State == decide.Serving {
 			starts = append(starts, s.Started)
 		}
 	}
-	p.svc.Nodes(kind != decide.ListStale, starts)
+	p.service.Nodes(kind != decide.ListStale, starts)
 }
 
-// mayBegin reports whether it is a request's turn, and else when to return.
-func (p *power) mayBegin(v *Request) (ok bool, after time.Duration) {
-	if p.svc.Phase() == recovery.Full {
+// admit reports whether it is a request's turn, and else when to return.
+func (p *recoverer) admit(v *Request) (ok bool, after time.Duration) {
+	if p.service.Phase() == recovery.Full {
 		return true, 0
 	}
 	ask := recovery.Ask{Keyed: v.Write, Again: v.ClientRetry, Units: v.Units}
@@ -169,14 +169,14 @@
 			ask.Price = plan.Price
 		}
 	}
-	return p.svc.Admit(p.l.clock.Now(), ask)
+	return p.service.Admit(p.l.clock.Now(), ask)
 }
 
 // DeliverRecoverySnapshot lets the loop take what another member told of the time before.
 func (d *Core) DeliverRecoverySnapshot(w recovery.Word) {
 	d.Post(func() {
-		if d.l.power != nil {
-			d.l.power.heard(w)
+		if d.l.recovery != nil {
+			d.l.recovery.receiveSnapshot(w)
 		}
 	})
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	patience = 20 * time.Second // for what must come; no test waits for it to pass
-	long     = 30 * time.Second // an aim that no test reaches
+	testTimeout  = 20 * time.Second // for what must come; no test waits for it to pass
+	longDeadline = 30 * time.Second // an aim that no test reaches
 )
 
-// backend is a server under a test's control: it hands over each command with its connection.
-type backend struct {
-	addr string
-	got  chan exchange
+// fakeServer is a server under a test's control: it hands over each command with its connection.
+type fakeServer struct {
+	addr     string
+	commands chan received
 }
 
-type exchange struct {
+type received struct {
 	conn net.Conn
 	args []string
 }
 
-func newBackend(t *testing.T) *backend {
+func newFakeServer(t *testing.T) *fakeServer {
 	t.Helper()
-	b := &backend{got: make(chan exchange, 64)}
-	s, err := testbed.NewScriptedNode(func(conn net.Conn, args []string) { b.got <- exchange{conn, args} })
+	b := &fakeServer{commands: make(chan received, 64)}
+	s, err := testbed.NewScriptedNode(func(conn net.Conn, args []string) { b.commands <- received{conn, args} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 		go func() { // some may wait to hand over what no test took
 			for {
 				select {
-				case <-b.got:
+				case <-b.commands:
 				case <-closed:
 					return
 				}
@@ -56,48 +56,48 @@
 	return b
 }
 
-func (b *backend) next(t *testing.T) exchange {
+func (b *fakeServer) next(t *testing.T) received {
 	t.Helper()
 	select {
-	case x := <-b.got:
+	case x := <-b.commands:
 		return x
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came to the server")
 		panic("unreachable")
 	}
 }
 
-func (x exchange) answer(t *testing.T, reply string) {
+func (x received) answer(t *testing.T, reply string) {
 	t.Helper()
 	if _, err := io.WriteString(x.conn, reply); err != nil {
 		t.Error(err)
 	}
 }
 
-// registry is discovery under a test's control.
-type registry struct {
+// fakeDiscovery is discovery under a test's control.
+type fakeDiscovery struct {
 	*testbed.Discovery
 	calls chan string
 }
 
-// newRegistry starts discovery with a list and tells its address.
-func newRegistry(t *testing.T, list gateway.ServerList) (*registry, netip.AddrPort) {
+// newFakeDiscovery starts discovery with a list and tells its address.
+func newFakeDiscovery(t *testing.T, list gateway.ServerList) (*fakeDiscovery, netip.AddrPort) {
 	t.Helper()
 	d, err := testbed.NewDiscovery(list.Version, list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	return &registry{d, d.Queries}, d.Addr()
+	return &fakeDiscovery{d, d.Queries}, d.Addr()
 }
 
-func (r *registry) set(list gateway.ServerList) {
+func (r *fakeDiscovery) set(list gateway.ServerList) {
 	if err := r.Set(list.Version, list); err != nil {
 		panic(err)
 	}
 }
 
-func entries(state string, backends ...*backend) []gateway.ServerEntry {
+func entries(state string, backends ...*fakeServer) []gateway.ServerEntry {
 	var all []gateway.ServerEntry
 	for i, b := range backends {
 		all = append(all, gateway.ServerEntry{ID: fmt.Sprintf("s-%d", i), Addr: b.addr, Zone: "a", Cell: i, State: state, Weight: 1})
@@ -105,63 +105,63 @@
 	return all
 }
 
-// rig is a gateway at work.
-type rig struct {
-	addr  string
-	reg   *registry
-	moves chan gateway.Reload
-	stop  context.CancelFunc
-	done  chan error
+// testGateway is a gateway at work.
+type testGateway struct {
+	addr      string
+	discovery *fakeDiscovery
+	reloads   chan gateway.Reload
+	stop      context.CancelFunc
+	done      chan error
 }
 
-func newRig(t *testing.T, aim time.Duration, backends ...*backend) *rig {
+func newTestGateway(t *testing.T, aim time.Duration, backends ...*fakeServer) *testGateway {
 	t.Helper()
-	return startRig(t, gateway.SmallConfig(t, aim, entries("up", backends...)))
+	return startTestGateway(t, gateway.SmallConfig(t, aim, entries("up", backends...)))
 }
 
-// startRig starts a gateway with a configuration, but for its discovery.
-func startRig(t *testing.T, cfg gateway.Config) *rig {
+// startTestGateway starts a gateway with a configuration, but for its discovery.
+func startTestGateway(t *testing.T, cfg gateway.Config) *testGateway {
 	t.Helper()
-	r := &rig{moves: make(chan gateway.Reload), done: make(chan error, 1)}
-	r.reg, cfg.Discovery = newRegistry(t, cfg.KnownServers)
+	r := &testGateway{reloads: make(chan gateway.Reload), done: make(chan error, 1)}
+	r.discovery, cfg.Discovery = newFakeDiscovery(t, cfg.KnownServers)
 	front := resp.NewFront(netip.MustParseAddrPort("127.0.0.1:0"))
 	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{front}, resp.Back{}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	go func() { r.done <- gateway.Run(ctx, cfg, r.moves, slog.New(slog.DiscardHandler)) }()
+	go func() { r.done <- gateway.Run(ctx, cfg, r.reloads, slog.New(slog.DiscardHandler)) }()
 	t.Cleanup(cancel)
 	r.addr = front.Addr().String()
 	return r
 }
 
-// caller is a client's connection.
-type caller struct {
+// testClient is a client's connection.
+type testClient struct {
 	*testbed.Client
 	t    *testing.T
 	conn net.Conn
 }
 
-func (r *rig) dial(t *testing.T) *caller {
+func (r *testGateway) dial(t *testing.T) *testClient {
 	t.Helper()
 	c, err := testbed.Dial(r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	if err := c.Conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.Conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	return &caller{c, t, c.Conn}
+	return &testClient{c, t, c.Conn}
 }
 
-func (c *caller) send(words ...string) {
+func (c *testClient) send(words ...string) {
 	c.t.Helper()
 	if err := c.Send(words...); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *caller) raw(s string) {
+func (c *testClient) raw(s string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, s); err != nil {
 		c.t.Fatal(err)
@@ -169,7 +169,7 @@
 }
 
 // read returns a whole answer: a line, or the value of a bulk string after a '$'.
-func (c *caller) read() string {
+func (c *testClient) read() string {
 	c.t.Helper()
 	got, err := c.Read()
 	if err != nil {
@@ -178,7 +178,7 @@
 	return got
 }
 
-func (c *caller) want(answer string) {
+func (c *testClient) want(answer string) {
 	c.t.Helper()
 	if got := c.read(); got != answer {
 		c.t.Fatalf("got answer %q, want %q", got, answer)
@@ -187,11 +187,11 @@
 
 const customer = "00000000b4d65521"
 
-func (c *caller) look(id string) {
+func (c *testClient) sendSafe(id string) {
 	c.send("Q.ASK", customer, id, "c=look,t=p,d=30000,units=1,spread=2,first=0")
 }
 
-func (c *caller) book(id string) {
+func (c *testClient) sendKeyed(id string) {
 	c.send("Q.DO", customer, id, "c=book,t=p,d=30000,k=77,units=1,spread=2,first=0", "BODY")
 }
 
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -21,14 +21,14 @@
 	everything = failures | decide.NewOutcomeSet(decide.TimedOut, decide.Cancelled)
 )
 
-// routed is a gateway whose requests go by one route, held to the platform as at a start.
-func routed(t *testing.T, rt route.Route, servers []gateway.ServerEntry) *rig {
+// newRoutedGateway is a gateway whose requests go by one route, held to the platform as at a start.
+func newRoutedGateway(t *testing.T, rt route.Route, servers []gateway.ServerEntry) *testGateway {
 	t.Helper()
-	return routedWithin(t, long, rt, servers)
+	return newRoutedGatewayWithDeadline(t, longDeadline, rt, servers)
 }
 
-// routedWithin is such a gateway whose classes have an aim, from which the module guesses how long an answer takes.
-func routedWithin(t *testing.T, aim time.Duration, rt route.Route, servers []gateway.ServerEntry) *rig {
+// newRoutedGatewayWithDeadline is such a gateway whose classes have an aim, from which the module guesses how long an answer takes.
+func newRoutedGatewayWithDeadline(t *testing.T, aim time.Duration, rt route.Route, servers []gateway.ServerEntry) *testGateway {
 	t.Helper()
 	cfg := gateway.SmallConfig(t, aim, servers)
 	rt.Name = "r"
@@ -36,11 +36,11 @@
 	if diags := cfg.ValidateRoutes(cfg.Routes); len(diags) > 0 {
 		t.Fatal(diags)
 	}
-	return startRig(t, cfg)
+	return startTestGateway(t, cfg)
 }
 
-// asked takes the next command that comes to a server; ends of connections are passed over.
-func (b *backend) asked(t *testing.T) exchange {
+// nextCommand takes the next command that comes to a server; ends of connections are passed over.
+func (b *fakeServer) nextCommand(t *testing.T) received {
 	t.Helper()
 	for {
 		if x := b.next(t); x.args != nil {
@@ -49,19 +49,19 @@
 	}
 }
 
-// noMore fails the test if a command has come that no test took. Ends of connections are passed over: when the end of an attempt
+// wantNoCommand fails the test if a command has come that no test took. Ends of connections are passed over: when the end of an attempt
 // that was given up is read is the scheduler's.
-func (b *backend) noMore(t *testing.T) {
+func (b *fakeServer) wantNoCommand(t *testing.T) {
 	t.Helper()
-	for len(b.got) > 0 {
-		if x := <-b.got; x.args != nil {
+	for len(b.commands) > 0 {
+		if x := <-b.commands; x.args != nil {
 			t.Errorf("the server got more: %q", x.args)
 		}
 	}
 }
 
-// told is the time that a server was told it has, in ms.
-func (x exchange) told(t *testing.T) int {
+// timeoutMS is the time that a server was timeoutMS it has, in ms.
+func (x received) timeoutMS(t *testing.T) int {
 	t.Helper()
 	_, rest, _ := strings.Cut(x.args[3], ",d=")
 	d, _, _ := strings.Cut(rest, ",")
@@ -75,57 +75,57 @@
 // Each attempt has its time and no more, there are as many as the route says, and then the client hears at once, with
 // the route's advice.
 func TestRouteBoundsAttempts(t *testing.T) {
-	b := newBackend(t)
-	c := routedWithin(t, 10*time.Second, route.Route{Attempts: 3, Attempt: 400 * time.Millisecond, Whole: 10 * time.Second, Again: everything, BudgetFloor: 100,
+	b := newFakeServer(t)
+	c := newRoutedGatewayWithDeadline(t, 10*time.Second, route.Route{Attempts: 3, Attempt: 400 * time.Millisecond, Whole: 10 * time.Second, Again: everything, BudgetFloor: 100,
 		Advice: 70 * time.Millisecond}, entries("up", b)).dial(t)
-	c.look("id")
+	c.sendSafe("id")
 	for range 3 {
-		if d := b.asked(t).told(t); d > 400 {
+		if d := b.nextCommand(t).timeoutMS(t); d > 400 {
 			t.Errorf("an attempt was told to have %d ms", d)
 		}
 	}
 	c.want("-BUSY 70")
-	b.noMore(t)
+	b.wantNoCommand(t)
 }
 
 // A wait stands between attempts; while it lasts nothing goes out, and the client's leaving ends it.
 func TestRouteWaitsBetweenAttempts(t *testing.T) {
-	b := newBackend(t)
-	r := routed(t, route.Route{Attempts: 2, Whole: 20 * time.Second, Wait: 150 * time.Millisecond, Again: failures, BudgetFloor: 100}, entries("up", b))
+	b := newFakeServer(t)
+	r := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, Wait: 150 * time.Millisecond, Again: failures, BudgetFloor: 100}, entries("up", b))
 	c := r.dial(t)
-	c.look("id")
-	x := b.asked(t)
+	c.sendSafe("id")
+	x := b.nextCommand(t)
 	at := time.Now()
 	x.answer(t, "-ERR failed\r\n")
-	y := b.asked(t)
+	y := b.nextCommand(t)
 	if waited := time.Since(at); waited < 140*time.Millisecond {
 		t.Errorf("the second attempt came after %v", waited)
 	}
 	y.answer(t, served("v"))
 	c.want("$v")
-	c.look("id-2")
-	b.asked(t).answer(t, "-ERR failed\r\n")
+	c.sendSafe("id-2")
+	b.nextCommand(t).answer(t, "-ERR failed\r\n")
 	c.conn.Close()
 	d := r.dial(t)
-	d.look("id-3")
-	if z := b.asked(t); z.args[2] != "id-3" {
+	d.sendSafe("id-3")
+	if z := b.nextCommand(t); z.args[2] != "id-3" {
 		t.Errorf("the server got %q", z.args)
 	}
 }
 
 // A second copy goes out after its time, the first whole answer is the client's, and the other attempt is given up.
-func TestRouteSendsASecondCopy(t *testing.T) {
-	a, b := newBackend(t), newBackend(t)
-	c := routed(t, route.Route{Attempts: 2, Whole: 20 * time.Second, BudgetFloor: 100,
+func TestRouteSendsHedge(t *testing.T) {
+	a, b := newFakeServer(t), newFakeServer(t)
+	c := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, BudgetFloor: 100,
 		Copy: route.CopyRule{Allowed: true, After: 60 * time.Millisecond}}, entries("up", a, b)).dial(t)
-	c.look("id")
+	c.sendSafe("id")
 	first, other := a, b
 	select {
-	case <-a.got:
-	case <-b.got:
+	case <-a.commands:
+	case <-b.commands:
 		first, other = b, a
 	}
-	other.asked(t).answer(t, served("copy"))
+	other.nextCommand(t).answer(t, served("copy"))
 	c.want("$copy")
 	if x := first.next(t); x.args != nil {
 		t.Errorf("the slow server got %q, want the connection's end", x.args)
@@ -133,28 +133,28 @@
 }
 
 // A second copy of a keyed request stays in the group of the first, though that has no other server.
-func TestSecondCopyStaysInItsGroup(t *testing.T) {
-	a, b := newBackend(t), newBackend(t)
-	c := routed(t, route.Route{Attempts: 2, Attempt: 400 * time.Millisecond, Whole: 20 * time.Second, BudgetFloor: 100,
+func TestKeyedHedgeStaysInItsCell(t *testing.T) {
+	a, b := newFakeServer(t), newFakeServer(t)
+	c := newRoutedGateway(t, route.Route{Attempts: 2, Attempt: 400 * time.Millisecond, Whole: 20 * time.Second, BudgetFloor: 100,
 		Copy: route.CopyRule{Allowed: true, After: 30 * time.Millisecond}}, entries("up", a, b)).dial(t)
-	c.book("id")
+	c.sendKeyed("id")
 	other := b
 	select {
-	case <-a.got:
-	case <-b.got:
+	case <-a.commands:
+	case <-b.commands:
 		other = a
 	}
 	c.want("-ERR failed") // it may have run, so it is not refused
-	other.noMore(t)
+	other.wantNoCommand(t)
 }
 
 // A patience shorter than one attempt cuts it: the answer leaves before the client stops waiting.
-func TestPatienceShorterThanAnAttempt(t *testing.T) {
-	b := newBackend(t)
-	c := routedWithin(t, 300*time.Millisecond, route.Route{Attempts: 1, Attempt: 10 * time.Second, Whole: 20 * time.Second}, entries("up", b)).dial(t)
+func TestClientTimeoutShorterThanAttempt(t *testing.T) {
+	b := newFakeServer(t)
+	c := newRoutedGatewayWithDeadline(t, 300*time.Millisecond, route.Route{Attempts: 1, Attempt: 10 * time.Second, Whole: 20 * time.Second}, entries("up", b)).dial(t)
 	at := time.Now()
 	c.send("Q.ASK", customer, "id", "c=look,t=p,d=150,units=1,spread=2,first=0")
-	if d := b.asked(t).told(t); d > 140 {
+	if d := b.nextCommand(t).timeoutMS(t); d > 140 {
 		t.Errorf("the server was told to have %d ms", d)
 	}
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY") || time.Since(at) < 100*time.Millisecond {
@@ -164,50 +164,50 @@
 
 // Over the route's bound of open requests a request is refused at once, and a place that is free is taken again.
 func TestRouteBoundsOpenRequests(t *testing.T) {
-	b := newBackend(t)
-	r := routed(t, route.Route{Attempts: 1, Open: 1, Advice: 30 * time.Millisecond}, entries("up", b))
+	b := newFakeServer(t)
+	r := newRoutedGateway(t, route.Route{Attempts: 1, Open: 1, Advice: 30 * time.Millisecond}, entries("up", b))
 	c, d := r.dial(t), r.dial(t)
-	c.look("one")
-	x := b.asked(t)
-	d.look("two")
+	c.sendSafe("one")
+	x := b.nextCommand(t)
+	d.sendSafe("two")
 	d.want("-BUSY 30")
 	x.answer(t, served("1"))
 	c.want("$1")
-	d.look("three")
-	b.asked(t).answer(t, served("3"))
+	d.sendSafe("three")
+	b.nextCommand(t).answer(t, served("3"))
 	d.want("$3")
 }
 
 // A reload that tightens a route, or removes it, is for new requests; those that are open keep what they began with.
 func TestReloadOfRoutes(t *testing.T) {
 	for _, next := range map[string][]*route.Route{"tightened": {{Name: "r", Attempts: 1}}, "removed": nil} {
-		b := newBackend(t)
-		r := routed(t, route.Route{Attempts: 2, Again: failures, BudgetFloor: 100, Open: 1}, entries("up", b))
+		b := newFakeServer(t)
+		r := newRoutedGateway(t, route.Route{Attempts: 2, Again: failures, BudgetFloor: 100, Open: 1}, entries("up", b))
 		c := r.dial(t)
-		c.look("old")
-		x := b.asked(t)
+		c.sendSafe("old")
+		x := b.nextCommand(t)
 		taken, tune := make(chan struct{}), tuning.Default()
-		r.moves <- gateway.Reload{Discovery: r.reg.Addr(), Tuning: &tune, Routes: next, Applied: taken}
+		r.reloads <- gateway.Reload{Discovery: r.discovery.Addr(), Tuning: &tune, Routes: next, Applied: taken}
 		<-taken
 		x.answer(t, "-ERR failed\r\n")
-		b.asked(t).answer(t, served("again"))
+		b.nextCommand(t).answer(t, served("again"))
 		c.want("$again")
 		d := r.dial(t) // the old table's place was given back to the old table
-		d.look("new")
-		y := b.asked(t)
+		d.sendSafe("new")
+		y := b.nextCommand(t)
 		y.answer(t, "-ERR failed\r\n")
 		if next != nil {
 			d.want("-BUSY 200")
 			continue
 		}
-		b.asked(t).answer(t, served("by the module's own bounds"))
+		b.nextCommand(t).answer(t, served("by the module's own bounds"))
 		d.want("$by the module's own bounds")
 	}
 }
 
 // With every node failing fast, each group gets its first attempts x (1 + budget) at most, by the nodes' own tallies,
 // and every client one answer.
-func TestBudgetHoldsOnTheWire(t *testing.T) {
+func TestRetryBudgetAtServers(t *testing.T) {
 	var mu sync.Mutex
 	firsts, all := map[int]int{}, map[int]int{}
 	seen := map[string]bool{}
@@ -231,7 +231,7 @@
 		t.Cleanup(s.Close)
 		servers = append(servers, gateway.ServerEntry{ID: fmt.Sprintf("s-%d", i), Addr: s.Addr(), Zone: "a", Cell: i % 2, State: "up", Weight: 1})
 	}
-	r := routed(t, route.Route{Attempts: 5, Again: failures, Budget: 0.2}, servers)
+	r := newRoutedGateway(t, route.Route{Attempts: 5, Again: failures, Budget: 0.2}, servers)
 	var wg sync.WaitGroup
 	answered := 0
 	for n := range 8 {
@@ -243,7 +243,7 @@
 			}
 			defer c.Close()
 			for i := range 50 {
-				c.Conn.SetDeadline(time.Now().Add(patience))
+				c.Conn.SetDeadline(time.Now().Add(testTimeout))
 				c.Send("Q.ASK", fmt.Sprintf("%016x", n), fmt.Sprintf("id-%d-%d", n, i), "c=look,t=p,d=30000,units=1,spread=2,first=0")
 				got, err := c.Read()
 				if err != nil || !strings.HasPrefix(got, "-BUSY") {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -19,12 +19,12 @@
 // The descriptors that a gateway may hold are parted between clients and servers; the rest is for the
 // listener, discovery, peers and the runtime.
 const (
-	leastSockets   = 64
-	reserveSockets = 32
+	minSockets      = 64
+	reservedSockets = 32
 )
 
-// sockets are a share of those that may be parted.
-func sockets(all int, share float64) int { return int(float64(all-reserveSockets) * share) }
+// descriptorShare are a share of those that may be parted.
+func descriptorShare(all int, share float64) int { return int(float64(all-reservedSockets) * share) }
 
 // Reload is what a running gateway takes anew.
 type Reload struct {
@@ -54,72 +54,72 @@
 	switch {
 	case cfg.Member != nil:
 		l.peers = cfg.Member
-		wg.Go(func() { cfg.Member.Serve(inner, l.door) })
+		wg.Go(func() { cfg.Member.Serve(inner, l.core) })
 	case cfg.PeerListen.IsValid():
-		peers, err := openPeers(cfg.PeerListen, cfg.Peers)
+		peers, err := openPeerSocket(cfg.PeerListen, cfg.Peers)
 		if err != nil {
 			return err
 		}
 		l.peers = peers
 		defer peers.conn.Close()
-		wg.Go(func() { peers.read(l.peerMessage, log) })
+		wg.Go(func() { peers.receive(l.postPeerMessage, log) })
 	}
 	moves := make(chan netip.AddrPort)
-	wg.Go(func() { takeReloads(inner, reloads, moves, l) })
-	wg.Go(func() { follow(inner, cfg.Discovery, moves, l.news, log) })
+	wg.Go(func() { forwardReloads(inner, reloads, moves, l) })
+	wg.Go(func() { watchDiscovery(inner, cfg.Discovery, moves, l.postServers, log) })
 	for _, f := range cfg.Frontends {
-		l.fronts++
+		l.accepting++
 		wg.Go(func() {
-			f.Serve(inner, l.door)
-			l.in.post(func() { l.fronts-- }) // behind the connections that it took
+			f.Serve(inner, l.core)
+			l.inbox.post(func() { l.accepting-- }) // behind the connections that it took
 		})
 	}
 	if cfg.Member == nil {
-		l.in.post(l.readyOnce)
+		l.inbox.post(l.notifyReady)
 	}
 	wg.Go(func() {
 		select {
 		case <-ctx.Done():
-			l.in.post(l.stop)
+			l.inbox.post(l.stop)
 		case <-inner.Done():
 		}
 	})
 	l.run()
-	l.in.close()
-	return l.closeFronts()
+	l.inbox.close()
+	return l.closeFrontends()
 }
 
-// peerMessage and news hand on what other goroutines were told.
-func (l *loop) peerMessage(from int, text string) {
-	l.in.post(func() { l.feed(decide.PeerMessage{From: from, Text: text}) })
+// postPeerMessage and news hand on what other goroutines were told.
+func (l *eventLoop) postPeerMessage(from int, text string) {
+	l.inbox.post(func() { l.enqueue(decide.PeerMessage{From: from, Text: text}) })
 }
 
-func (l *loop) news(kind decide.ListKind, list ServerList) {
-	l.in.post(func() { l.fleet(kind, list) })
+func (l *eventLoop) postServers(kind decide.ListKind, list ServerList) {
+	l.inbox.post(func() { l.updateServers(kind, list) })
 }
 
-// readyOnce tells that the gateway takes requests.
-func (l *loop) readyOnce() {
+// notifyReady tells that the gateway takes requests.
+func (l *eventLoop) notifyReady() {
 	if ready := l.cfg.OnReady; ready != nil {
 		l.cfg.OnReady = nil
-		ready(l.door)
+		ready(l.core)
 	}
 }
 
-// closeFronts has nothing new come.
-func (l *loop) closeFronts() (err error) {
+// closeFrontends has nothing new come.
+func (l *eventLoop) closeFrontends() (err error) {
 	for _, f := range l.cfg.Frontends {
 		err = errors.Join(err, f.Close())
 	}
 	return err
 }
 
-// takeReloads hands reloads on until the context ends.
-func takeReloads(ctx context.Context, reloads <-chan Reload, moves chan<- netip.AddrPort, l *loop) {
+// forwardReloads hands reloads on until the context ends.
+func forwardReloads(ctx context.Context, reloads <-chan Reload, moves chan<- netip.AddrPort, l *eventLoop) {
 	for {
 		select {
 		case r := <-reloads:
-			l.in.post(func() { l.retune(r) })
+			l.inbox.post(func() { l.reload(r) })
 			select {
 			case moves <- r.Discovery:
 			case <-ctx.Done():
@@ -131,12 +131,12 @@
 	}
 }
 
-// retune takes other values for what operators may set. Open connections go by them from their next command on.
-func (l *loop) retune(r Reload) {
+// reload takes other values for what operators may set. Open connections go by them from their next command on.
+func (l *eventLoop) reload(r Reload) {
 	if r.Tuning != nil {
-		l.tune.Store(r.Tuning)
-		l.pool.retune()
-		l.reroute(r.Routes)
+		l.tuning.Store(r.Tuning)
+		l.pool.applyTuning()
+		l.setRoutes(r.Routes)
 	}
 	if r.Applied != nil {
 		close(r.Applied)
@@ -144,38 +144,38 @@
 }
 
 // stop begins the end of the gateway.
-func (l *loop) stop() {
+func (l *eventLoop) stop() {
 	now := l.clock.Now()
 	l.log.Info("stopping", "open", len(l.requests))
-	t := l.tune.Load().Stop
-	l.at(now+t.Accept, func() {
+	t := l.tuning.Load().Stop
+	l.schedule(now+t.Accept, func() {
 		for _, f := range l.cfg.Frontends {
-			f.Finish(time.Now().Add(t.LastCall))
+			f.DrainBacklog(time.Now().Add(t.LastCall))
 		}
 		l.closing = true
-		close(l.closed)
-		for _, c := range l.connections() {
+		close(l.closingCh)
+		for _, c := range l.clientConns() {
 			c.Drain()
 		}
 	})
-	l.at(now+max(t.Longest, l.longestWait()+t.Accept+t.LastCall), func() {
-		for _, c := range l.connections() {
+	l.schedule(now+max(t.Longest, l.maxWait()+t.Accept+t.LastCall), func() {
+		for _, c := range l.clientConns() {
 			c.Close()
 		}
 	})
 }
 
-// connections are the clients', in the order in which they came.
-func (l *loop) connections() []ClientConn {
+// clientConns are the clients', in the order in which they came.
+func (l *eventLoop) clientConns() []ClientConn {
 	return slices.SortedFunc(maps.Keys(l.clients), func(a, b ClientConn) int { return cmp.Compare(l.clients[a], l.clients[b]) })
 }
 
-// longestWait is how long a client may wait for an answer.
-func (l *loop) longestWait() (longest time.Duration) {
+// maxWait is how long a client may wait for an answer.
+func (l *eventLoop) maxWait() (longest time.Duration) {
 	for _, k := range l.cfg.Settings.Decide.Classes {
 		wait := k.Deadline
 		if wait <= 0 {
-			wait = waitMost
+			wait = defaultMaxWait
 		}
 		longest = max(longest, wait)
 	}
@@ -183,4 +183,4 @@
 }
 
 // finished reports that the gateway is stopping and owes nothing: no client is left, and none waits to be accepted.
-func (l *loop) finished() bool { return l.closing && len(l.clients) == 0 && l.fronts == 0 }
+func (l *eventLoop) finished() bool { return l.closing && len(l.clients) == 0 && l.accepting == 0 }
--- a/internal/gateway/serverlist.go
+++ b/internal/gateway/serverlist.go
@@ -27,7 +27,7 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-func (e *ServerEntry) state() (decide.State, error) {
+func (e *ServerEntry) parseState() (decide.State, error) {
 	switch e.State {
 	case "up":
 		return decide.Serving, nil
@@ -39,9 +39,9 @@
 	return decide.Gone, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
 }
 
-// check reports the first entry that can't be used. A list is taken whole or not at all. Among changes a server may come more
+// validate reports the first entry that can't be used. A list is taken whole or not at all. Among changes a server may come more
 // than once: they count in their order.
-func (l *ServerList) check() error {
+func (l *ServerList) validate() error {
 	first := make(map[string]int, len(l.Servers))
 	for i := range l.Servers {
 		e := &l.Servers[i]
@@ -52,7 +52,7 @@
 			return fmt.Errorf("servers[%d] and servers[%d] have the same id %q", at, i, e.ID)
 		}
 		first[e.ID] = i
-		state, err := e.state()
+		state, err := e.parseState()
 		if err != nil {
 			return fmt.Errorf("servers[%d]: %w", i, err)
 		}
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// server is the entry in the module's words. The loop's clock counts from the Unix epoch, as start times do.
-func (e *ServerEntry) server() decide.Server {
-	state, err := e.state()
+// toServer is the entry in the module's words. The loop's clock counts from the Unix epoch, as start times do.
+func (e *ServerEntry) toServer() decide.Server {
+	state, err := e.parseState()
 	if err != nil {
 		state = decide.Gone // unreachable for a checked list
 	}
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -14,7 +14,7 @@
 )
 
 // Only messages of at most 256 bytes from a known gateway are taken.
-func TestPeers(t *testing.T) {
+func TestPeerSocket(t *testing.T) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	stranger, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	defer known.Close()
 	addr := func(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
-	p, err := openPeers(local, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(known)})
+	p, err := openPeerSocket(local, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(known)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,17 +36,17 @@
 		text string
 	}
 	got := make(chan datagram, 4)
-	go p.read(func(from int, text string) { got <- datagram{from, text} }, slog.New(slog.DiscardHandler))
+	go p.receive(func(from int, text string) { got <- datagram{from, text} }, slog.New(slog.DiscardHandler))
 	defer p.conn.Close()
 	for _, m := range []struct {
 		from *net.UDPConn
 		text string
-	}{{stranger, "hi"}, {known, strings.Repeat("x", datagramMost+1)}, {known, strings.Repeat("y", datagramMost)}} {
+	}{{stranger, "hi"}, {known, strings.Repeat("x", maxDatagramSize+1)}, {known, strings.Repeat("y", maxDatagramSize)}} {
 		if _, err := m.from.WriteToUDPAddrPort([]byte(m.text), addr(p.conn)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if d := <-got; d.from != 1 || d.text != strings.Repeat("y", datagramMost) {
+	if d := <-got; d.from != 1 || d.text != strings.Repeat("y", maxDatagramSize) {
 		t.Errorf("got %d bytes from %d", len(d.text), d.from)
 	}
 	if err := p.Send(1, "hello"); err != nil {
@@ -61,25 +61,25 @@
 			t.Errorf("a message to gateway %d was sent", to)
 		}
 	}
-	if p.Send(1, strings.Repeat("x", datagramMost+1)) == nil {
+	if p.Send(1, strings.Repeat("x", maxDatagramSize+1)) == nil {
 		t.Error("a message that is too long was sent")
 	}
 }
 
 // What a peer sends must never stop the module.
-func TestGarbageFromPeers(t *testing.T) {
-	l, _ := still(t, 1)
-	before := l.core
+func TestInvalidPeerMessages(t *testing.T) {
+	l, _ := newTestLoop(t, 1)
+	before := l.decider
 	for _, s := range []string{"", "e", "e0000", "x0000", "x", "x0000" + strings.Repeat("0", 13), "ezzzz!", "e0000ABC", "e0000" + strings.Repeat("_", 13), strings.Repeat("\xff", 256)} {
-		l.feed(decide.PeerMessage{From: 1, Text: s})
-		l.drainTodo()
+		l.enqueue(decide.PeerMessage{From: 1, Text: s})
+		l.processPending()
 	}
-	if l.core != before {
+	if l.decider != before {
 		t.Error("the module panicked")
 	}
 }
 
-const sample = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const sampleConfig = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:7946",
 "peers":["127.0.0.1:7946","127.0.0.2:7946"],"known":{"version":41,"full":true,"servers":[
 {"id":"s-5","addr":"127.0.0.1:5","zone":"a","kind":"m2","cell":3,"state":"up","weight":1.0,"started_ms":0}]},"settings":SETTINGS}`
@@ -94,7 +94,7 @@
 		env := map[string]string{"GW_CONFIG": path, "GW_LISTEN": "127.0.0.9:1"}
 		return LoadConfig(func(name string) string { return env[name] })
 	}
-	c, err := load(sample)
+	c, err := load(sampleConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 		`SETTINGS|{}`:                                      "Classes is empty",
 	} {
 		from, to, _ := strings.Cut(edit, "|")
-		if _, err := load(strings.Replace(sample, from, to, 1)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := load(strings.Replace(sampleConfig, from, to, 1)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line with %q", to, err, want)
 		}
 	}
@@ -131,7 +131,7 @@
 
 // What counts at a reload is the file: the environment of a running process can't change, and GW_DISCOVERY
 // would hold the gateway to its first address.
-func TestReloadReadsTheFile(t *testing.T) {
+func TestReloadReadsConfigFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.9:1"}
 	write := func(text string) {
@@ -141,7 +141,7 @@
 		}
 	}
 	getenv := func(name string) string { return env[name] }
-	write(sample)
+	write(sampleConfig)
 	if c, err := LoadConfig(getenv); err != nil || c.Discovery.String() != "127.0.0.9:1" {
 		t.Errorf("at the start: %v, %v", c.Discovery, err)
 	}
--- a/internal/gateway/use_test.go
+++ b/internal/gateway/use_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestFiguresAreReadStrictly: what a node tells settles buckets, so what can't be meant must tell nothing.
-func TestFiguresAreReadStrictly(t *testing.T) {
+// TestParseUsage: what a node tells settles buckets, so what can't be meant must tell nothing.
+func TestParseUsage(t *testing.T) {
 	cfg := SmallConfig(t, time.Second, nil) // units of 8 at the most
 	cfg.Settings.Decide.SettledLater, cfg.Settings.Decide.MeterPeriod = true, time.Second
-	for figures, want := range map[string]use{
+	for figures, want := range map[string]usage{
 		"used=86,units=3":        {86, 3},
 		"units=0.5":              {0, 0.5},
 		"units=8":                {0, 8},
@@ -37,28 +37,28 @@
 		"units=3 ,used=86":       {},
 		strings.Repeat(",", 100): {},
 	} {
-		if got := cfg.readUse([]byte(figures)); got != want {
+		if got := cfg.parseUsage([]byte(figures)); got != want {
 			t.Errorf("%q: got %+v, want %+v", figures, got, want)
 		}
 	}
 	cfg.Settings.Decide.SettledLater = false
-	if got := cfg.readUse([]byte("used=86,units=3")); got != (use{86, 0}) {
+	if got := cfg.parseUsage([]byte("used=86,units=3")); got != (usage{86, 0}) {
 		t.Errorf("where units are told up front: got %+v", got)
 	}
 	cfg.Settings.Decide.MeterPeriod = 0
-	if got := cfg.readUse([]byte("used=86,units=3")); got != (use{}) {
+	if got := cfg.parseUsage([]byte("used=86,units=3")); got != (usage{}) {
 		t.Errorf("where nothing is settled or metered: got %+v", got)
 	}
 }
 
-// FuzzFigures: whatever a node tells, a bucket is never moved by more than the largest request.
-func FuzzFigures(f *testing.F) {
+// FuzzParseUsage: whatever a node tells, a bucket is never moved by more than the largest request.
+func FuzzParseUsage(f *testing.F) {
 	f.Add([]byte("used=86,units=3"))
 	f.Add([]byte("units=1.5,used=,x=y"))
 	var cfg Config
 	cfg.Settings.Decide.SettledLater, cfg.Settings.Decide.MeterPeriod, cfg.Settings.Decide.MaxUnits = true, time.Second, 8
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if u := cfg.readUse(b); u.units < 0 || u.units > 8 || u.units != u.units || u.metered < 0 || u.metered > usedMost {
+		if u := cfg.parseUsage(b); u.units < 0 || u.units > 8 || u.units != u.units || u.metered < 0 || u.metered > maxUsedPercent {
 			t.Errorf("%q: %+v", b, u)
 		}
 	})
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stallsMost bounds how long a peer that takes a little again and again may hold a connection.
-const stallsMost = 15
+// maxWriteSteps bounds how long a peer that takes a little again and again may hold a connection.
+const maxWriteSteps = 15
 
 // Writer writes to a connection without making the loop wait: the kernel takes what it can at once, and a goroutine with a time
 // limit writes what a slow peer leaves.
@@ -74,17 +74,17 @@
 // WriteAsync writes the rest from a goroutine of its own, within a time, and then lets the loop call done. The time limit ends with
 // the write: one left on the connection would have a later Try fail, which goes by the connection's deadlines too.
 func (o *Writer) WriteAsync(rest []byte, within time.Duration, d *Core, done func(error)) {
-	o.finish(rest, within, 1, d, done)
+	o.writeAsync(rest, within, 1, d, done)
 }
 
 // WriteAsyncUntilStall is Finish for a peer that may be slow: it is given up when it has taken nothing for stall, or has not taken all in
 // stallsMost times that.
 func (o *Writer) WriteAsyncUntilStall(rest []byte, stall time.Duration, d *Core, done func(error)) {
-	o.finish(rest, stall, stallsMost, d, done)
+	o.writeAsync(rest, stall, maxWriteSteps, d, done)
 }
 
-// finish writes in so many steps at most. Each has its time, and each but the last has to bring something forward.
-func (o *Writer) finish(rest []byte, within time.Duration, steps int, d *Core, done func(error)) {
+// writeAsync writes in so many steps at most. Each has its time, and each but the last has to bring something forward.
+func (o *Writer) writeAsync(rest []byte, within time.Duration, steps int, d *Core, done func(error)) {
 	o.busy = true
 	go func() {
 		var err error
@@ -123,14 +123,14 @@
 			err = o.conn.SetReadDeadline(time.Now().Add(within))
 		}
 		if err == nil {
-			o.awaitEnd()
+			o.awaitPeerClose()
 		}
 		d.Post(done)
 	}()
 }
 
-// awaitEnd waits until the peer has closed its side with nothing left unread, the connection has failed, or its read deadline passes.
-func (o *Writer) awaitEnd() {
+// awaitPeerClose waits until the peer has closed its side with nothing left unread, the connection has failed, or its read deadline passes.
+func (o *Writer) awaitPeerClose() {
 	_ = o.raw.Read(func(fd uintptr) (ended bool) { // that time is up is no fault here
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/gateway/writer_test.go
+++ b/internal/gateway/writer_test.go
@@ -54,19 +54,19 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// finish runs Writer.Finish as the loop does, and waits for what it tells.
-func finish(t *testing.T, o *Writer, rest []byte, within time.Duration) error {
+// writeAsync runs Writer.Finish as the loop does, and waits for what it tells.
+func writeAsync(t *testing.T, o *Writer, rest []byte, within time.Duration) error {
 	t.Helper()
 	return await(func(d *Core, done func(error)) { o.WriteAsync(rest, within, d, done) })
 }
 
 // await begins what ends in the loop, and waits for that.
 func await(begin func(d *Core, done func(error))) error {
-	l := &loop{in: newInbox()}
+	l := &eventLoop{inbox: newInbox()}
 	told := make(chan error, 1)
 	begin(&Core{l}, func(err error) { told <- err })
-	<-l.in.ready
-	for _, do := range l.in.take(nil) {
+	<-l.inbox.ready
+	for _, do := range l.inbox.take(nil) {
 		do()
 	}
 	return <-told
@@ -79,7 +79,7 @@
 	near, far := connectedPair(t)
 	conn := &deadlineConn{TCPConn: near}
 	o := NewWriter(conn)
-	if err := finish(t, o, []byte("slow"), time.Hour); err != nil {
+	if err := writeAsync(t, o, []byte("slow"), time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	if last := conn.lastDeadline(); !last.IsZero() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestTryFailsByAnOldDeadline holds what the mend rests on: a raw write fails once a deadline of its connection has passed.
-func TestTryFailsByAnOldDeadline(t *testing.T) {
+// TestTryWriteFailsAfterDeadline holds what the mend rests on: a raw write fails once a deadline of its connection has passed.
+func TestTryWriteFailsAfterDeadline(t *testing.T) {
 	leaks.Check(t)
 	near, _ := connectedPair(t)
 	if err := near.SetWriteDeadline(time.Unix(1, 0)); err != nil {
@@ -127,9 +127,9 @@
 	return n, nil
 }
 
-// TestSlowReaderIsServed: a client that takes its answers slowly has them; one that takes nothing for the time of a write is given up,
+// TestWriteAsyncToSlowReader: a client that takes its answers slowly has them; one that takes nothing for the time of a write is given up,
 // and so is one that takes a little for ever.
-func TestSlowReaderIsServed(t *testing.T) {
+func TestWriteAsyncToSlowReader(t *testing.T) {
 	leaks.Check(t)
 	for name, x := range map[string]struct {
 		takes   []int
@@ -140,7 +140,7 @@
 		"slowly":             {[]int{30, 30, 30, 10}, 100, false},
 		"a part, then stops": {[]int{30, 0, 70}, 30, true},
 		"nothing":            {nil, 0, true},
-		"a byte at a time":   {slices.Repeat([]int{1}, 100), stallsMost, true},
+		"a byte at a time":   {slices.Repeat([]int{1}, 100), maxWriteSteps, true},
 	} {
 		c := &slowConn{takes: x.takes}
 		err := await(func(d *Core, done func(error)) {
@@ -151,7 +151,7 @@
 		}
 	}
 	c := &slowConn{takes: []int{30, 30, 30, 10}}
-	if err := finish(t, NewWriter(c), make([]byte, 100), time.Second); err == nil || c.took != 30 {
+	if err := writeAsync(t, NewWriter(c), make([]byte, 100), time.Second); err == nil || c.took != 30 {
 		t.Errorf("a write with one time for all took %d bytes, error %v", c.took, err)
 	}
 }
