--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -15,34 +15,34 @@
 }
 
 // submit takes a request that a front has read whole. It returns nil if the request has its ending already.
-func (l *eventLoop) submit(from Responder, v *Request) *requestState {
+func (l *eventLoop) submit(responder Responder, v *Request) *requestState {
 	if err := v.validate(&l.cfg); err != nil {
-		from.Respond(Response{Kind: Rejected, Reason: err.Error()})
+		responder.Respond(Response{Kind: Rejected, Reason: err.Error()})
 		return nil
 	}
-	cap := l.cfg.Settings.OpenCap
-	if !l.mayAcceptRequests() || l.requestBytes+v.size() > l.maxRequestBytes() || (cap > 0 && len(l.requests) >= cap) {
-		from.Respond(Response{Kind: Refused, RetryAfter: l.cfg.Settings.Decide.Limits.MaxRetryAfter})
+	maxOpen := l.cfg.Settings.OpenCap
+	if !l.mayAcceptRequests() || l.requestBytes+v.size() > l.maxRequestBytes() || (maxOpen > 0 && len(l.requests) >= maxOpen) {
+		responder.Respond(Response{Kind: Refused, RetryAfter: l.cfg.Settings.Decide.Limits.MaxRetryAfter})
 		return nil
 	}
 	if l.recovery != nil {
 		if ok, after := l.recovery.admit(v); !ok {
-			from.Respond(Response{Kind: Refused, RetryAfter: after})
+			responder.Respond(Response{Kind: Refused, RetryAfter: after})
 			return nil
 		}
 	}
 	if _, open := l.clientIDs[v.ID]; open { // two of one id must never meet one another's answer
-		from.Respond(Response{Kind: Rejected, Reason: "a request with this id is open", DuplicateID: true})
+		responder.Respond(Response{Kind: Rejected, Reason: "a request with this id is open", DuplicateID: true})
 		return nil
 	}
 	l.nextID++
-	r := &requestState{id: strconv.FormatUint(l.nextID, 36), seq: l.nextID, responder: from, values: v}
+	r := &requestState{id: strconv.FormatUint(l.nextID, 36), seq: l.nextID, responder: responder, values: v}
 	if !l.enterRoute(r) {
-		advice := r.routes.Route(r.route).Advice
-		if advice == 0 {
-			advice = l.cfg.Settings.Decide.Limits.MaxRetryAfter
+		retryAfter := r.routes.Route(r.route).Advice
+		if retryAfter == 0 {
+			retryAfter = l.cfg.Settings.Decide.Limits.MaxRetryAfter
 		}
-		from.Respond(Response{Kind: Refused, RetryAfter: advice})
+		responder.Respond(Response{Kind: Refused, RetryAfter: retryAfter})
 		return nil
 	}
 	l.requests[r.id] = r
@@ -92,12 +92,12 @@
 }
 
 // respond gives a request its final respond, once.
-func (l *eventLoop) respond(r *requestState, e Response) {
+func (l *eventLoop) respond(r *requestState, resp Response) {
 	if r.done {
 		return
 	}
 	l.finish(r)
-	r.responder.Respond(e)
+	r.responder.Respond(resp)
 }
 
 // abandon ends a request whose client has gone away.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -52,7 +52,7 @@
 
 // completeAttempt passes a value on and ends its attempt. The first good answer of a request settles its units: those of others are
 // called off by then.
-func (l *eventLoop) completeAttempt(a *attemptState, value, figures []byte) {
+func (l *eventLoop) completeAttempt(a *attemptState, value, usageText []byte) {
 	if r := a.req; r.routes != nil {
 		now := l.clock.Now()
 		r.routes.Answered(r.route, r.values.Class, now-a.startedAt, now)
@@ -61,5 +61,5 @@
 		l.recovery.countAnswer(a.req.values.Units)
 	}
 	l.respond(a.req, Response{Kind: Served, Value: value})
-	l.endAttemptWithUsage(a, decide.OK, l.cfg.parseUsage(figures))
+	l.endAttemptWithUsage(a, decide.OK, l.cfg.parseUsage(usageText))
 }
--- a/internal/gateway/back.go
+++ b/internal/gateway/back.go
@@ -11,13 +11,13 @@
 // Backend reaches nodes by a protocol of its own. Which nodes, discovery's kind tells (Config.Backs).
 type Backend interface {
 	// NewTransport is asked for a node at an address, by the loop.
-	NewTransport(d *Core, p *Endpoint) Transport
+	NewTransport(core *Core, endpoint *Endpoint) Transport
 }
 
 // Transport carries attempts to one node at one address. Its methods are called by the loop.
 type Transport interface {
-	Start(t *Attempt)  // it must tell how the try ended, once, unless GiveUp comes first
-	Cancel(t *Attempt) // nothing of it is waited for any more, and nothing of it may be written from now on
+	Start(a *Attempt)  // it must tell how the try ended, once, unless GiveUp comes first
+	Cancel(a *Attempt) // nothing of it is waited for any more, and nothing of it may be written from now on
 	Drain()            // the connections that are there or being made take nothing new, and close once nothing is open on them
 
 	// OldestIdle is since when the connection has stood that has stood idle for longest; false: none is idle.
@@ -31,7 +31,7 @@
 // The results.
 const (
 	NoLocalCapacity AttemptResult = iota + 1 // nothing went out, for want of something here
-	NotSent                                  // no connection came up, or it broke before the last byte was handed over
+	NotFullySent                             // no connection came up, or it broke before the last byte was handed over
 	RefusedByNode                            // the node said that it did not begin it
 	ConnectionLost                           // the connection, or its part in it, broke after the last byte
 	BadResponse                              // the node answered, with an error or with what is no answer
@@ -40,11 +40,11 @@
 // outcome is the one table of what may have run, for all protocols: after NoRoom, NeverLeft and TurnedAway nothing has, after
 // the others it may. RESP2 tells TurnedAway by -BUSY; HTTP/2 by REFUSED_STREAM, by GOAWAY with a lower last stream (RFC 9113,
 // 8.7), or by an answer that promises it.
-func (f AttemptResult) outcome() decide.Outcome {
-	switch f {
+func (r AttemptResult) outcome() decide.Outcome {
+	switch r {
 	case NoLocalCapacity:
 		return decide.NotSent
-	case NotSent:
+	case NotFullySent:
 		return decide.NoConnection
 	case RefusedByNode:
 		return decide.Rejected
@@ -62,30 +62,30 @@
 }
 
 // Addr is host:port.
-func (n *Endpoint) Addr() string { return n.addr }
+func (e *Endpoint) Addr() string { return e.addr }
 
 // ReserveConn counts a connection that is to be made. It reports false if there is no room for it.
-func (n *Endpoint) ReserveConn() bool {
-	if n.pool.conns >= n.pool.connLimit() {
-		n.pool.evictIdle()
+func (e *Endpoint) ReserveConn() bool {
+	if e.pool.conns >= e.pool.connLimit() {
+		e.pool.evictIdle()
 	}
-	if n.server.conns >= n.pool.maxConnsPerServer || n.pool.conns >= n.pool.connLimit() {
+	if e.server.conns >= e.pool.maxConnsPerServer || e.pool.conns >= e.pool.connLimit() {
 		return false
 	}
-	n.server.conns++
-	n.pool.conns++
+	e.server.conns++
+	e.pool.conns++
 	return true
 }
 
 // Dial makes a connection that was taken, within the time for connecting or a shorter one, and lets the loop call done.
-func (n *Endpoint) Dial(d *Core, within time.Duration, done func(net.Conn, error)) {
-	within, addr := min(within, n.ConnectTimeout()), n.addr
+func (e *Endpoint) Dial(core *Core, within time.Duration, done func(net.Conn, error)) {
+	within, addr := min(within, e.ConnectTimeout()), e.addr
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
 		defer cancel()
 		dialer := net.Dialer{KeepAlive: -1}
 		conn, err := dialer.DialContext(ctx, "tcp", addr)
-		d.Post(func() { done(conn, err) })
+		core.Post(func() { done(conn, err) })
 	}()
 }
 
@@ -94,23 +94,23 @@
 	if err != nil && isLocalFailure(err) {
 		return NoLocalCapacity
 	}
-	return NotSent
+	return NotFullySent
 }
 
 // ReleaseConn counts a connection off.
-func (n *Endpoint) ReleaseConn() { n.pool.releaseConn(n.server) }
+func (e *Endpoint) ReleaseConn() { e.pool.releaseConn(e.server) }
 
 // OverLimit reports that there are more connections than there may be, as a reload has lowered the bound: one that falls idle is to
 // be closed.
-func (n *Endpoint) OverLimit() bool {
-	return n.pool.conns > n.pool.maxConns || n.server.conns > n.pool.maxConnsPerServer
+func (e *Endpoint) OverLimit() bool {
+	return e.pool.conns > e.pool.maxConns || e.server.conns > e.pool.maxConnsPerServer
 }
 
 // ConnectTimeout is how long the making of a connection may take.
-func (n *Endpoint) ConnectTimeout() time.Duration { return n.pool.connectTimeout }
+func (e *Endpoint) ConnectTimeout() time.Duration { return e.pool.connectTimeout }
 
 // IdleTimeout is how long a connection may stand idle, well within the time after which nodes may close it; 0: for ever.
-func (n *Endpoint) IdleTimeout() time.Duration { return n.pool.idleTimeout }
+func (e *Endpoint) IdleTimeout() time.Duration { return e.pool.idleTimeout }
 
 // Attempt is one attempt, for a transport.
 type Attempt struct {
@@ -121,44 +121,44 @@
 }
 
 // Request are the request's. Patience and Came are not for the node: Left is what it may take.
-func (t *Attempt) Request() *Request { return t.state.req.values }
+func (a *Attempt) Request() *Request { return a.state.req.values }
 
 // RemainingTime is how long it will be waited for.
-func (t *Attempt) RemainingTime() time.Duration { return t.state.deadline - t.loop.clock.Now() }
+func (a *Attempt) RemainingTime() time.Duration { return a.state.deadline - a.loop.clock.Now() }
 
 // Revalidate looks again before the first byte, as all may have changed while a connection was made: the attempt may have been
 // called off or its request answered, its node may drain or have moved, and the time in which nodes know its key may be over. If it reports false, the try has ended.
-func (t *Attempt) Revalidate() bool {
-	switch a := t.state; {
-	case a.ended:
+func (a *Attempt) Revalidate() bool {
+	switch s := a.state; {
+	case s.ended:
 		return false
-	case a.req.done:
-		t.loop.endAttempt(a, decide.Cancelled)
+	case s.req.done:
+		a.loop.endAttempt(s, decide.Cancelled)
 		return false
-	case a.server.entry.State != decide.Serving, a.writeBy > 0 && t.loop.clock.Now() >= a.writeBy:
-		t.loop.endAttempt(a, decide.NoConnection)
+	case s.server.entry.State != decide.Serving, s.writeBy > 0 && a.loop.clock.Now() >= s.writeBy:
+		a.loop.endAttempt(s, decide.NoConnection)
 		return false
 	}
 	return true
 }
 
 // MarkConnected tells that it has a connection: a time-out from now on is the node's.
-func (t *Attempt) MarkConnected() { t.state.connected = true }
+func (a *Attempt) MarkConnected() { a.state.connected = true }
 
 // MarkFullySent tells that the last byte may have been handed over.
-func (t *Attempt) MarkFullySent() { t.state.fullySent = true }
+func (a *Attempt) MarkFullySent() { a.state.fullySent = true }
 
 // Succeed ends it with a node's value, and with what the node told of its use, as "used=86,units=3"; nil: nothing.
-func (t *Attempt) Succeed(value, figures []byte) {
-	if !t.state.ended {
-		t.loop.completeAttempt(t.state, value, figures)
+func (a *Attempt) Succeed(value, usage []byte) {
+	if !a.state.ended {
+		a.loop.completeAttempt(a.state, value, usage)
 	}
 }
 
 // Fail ends it. What broke before it was whole never left.
-func (t *Attempt) Fail(f AttemptResult) {
-	if f == ConnectionLost && !t.state.fullySent {
-		f = NotSent
+func (a *Attempt) Fail(result AttemptResult) {
+	if result == ConnectionLost && !a.state.fullySent {
+		result = NotFullySent
 	}
-	t.loop.endAttempt(t.state, f.outcome())
+	a.loop.endAttempt(a.state, result.outcome())
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -34,7 +34,7 @@
 	Routes         []*route.Route     // proven by Prove; none: the module's own bounds hold
 	Frontends      []Frontend         // by which clients come
 	Member         FleetMember        // of a fleet; nil: the settings tell the gateway's number, and all others are there
-	OnReady        func(d *Core)      // called once, when the gateway takes requests and, in a fleet, has a place; nil: nobody asks
+	OnReady        func(core *Core)   // called once, when the gateway takes requests and, in a fleet, has a place; nil: nobody asks
 	DefaultBackend Backend            // by which nodes are reached
 	BackendsByKind map[string]Backend // by which nodes of a kind are reached in its place
 	Recovery       *RecoveryConfig    // how it comes back after a loss of power; nil: with nothing known and all let in
--- a/internal/gateway/core.go
+++ b/internal/gateway/core.go
@@ -23,56 +23,56 @@
 }
 
 // Core is what its fronts and backs see.
-func (c *Stepper) Core() *Core { return c.l.core }
+func (s *Stepper) Core() *Core { return s.l.core }
 
 // Observe has every event of the decision module shown, with what the module wants done, before it is.
-func (c *Stepper) Observe(see func(decide.Event, []decide.Action)) { c.l.observer = see }
+func (s *Stepper) Observe(f func(decide.Event, []decide.Action)) { s.l.observer = f }
 
 // Wakeups is told when there is something for Step that another goroutine posted.
-func (c *Stepper) Wakeups() <-chan struct{} { return c.l.inbox.ready }
+func (s *Stepper) Wakeups() <-chan struct{} { return s.l.inbox.ready }
 
 // Step does what was posted and what is due, to the end of the turn.
-func (c *Stepper) Step() {
-	c.l.processPending()
-	c.l.runPosted()
-	c.l.fireTimers()
-	c.l.runDeferred()
+func (s *Stepper) Step() {
+	s.l.processPending()
+	s.l.runPosted()
+	s.l.fireTimers()
+	s.l.runDeferred()
 }
 
 // NextTimer is when something is due; false: nothing is.
-func (c *Stepper) NextTimer() (at time.Duration, any bool) {
-	if len(c.l.timers) == 0 {
+func (s *Stepper) NextTimer() (at time.Duration, any bool) {
+	if len(s.l.timers) == 0 {
 		return 0, false
 	}
-	return c.l.timers[0].at, true
+	return s.l.timers[0].at, true
 }
 
 // UpdateServers hands it a list of servers.
-func (c *Stepper) UpdateServers(kind decide.ListKind, list ServerList) {
-	c.l.updateServers(kind, list)
-	c.Step()
+func (s *Stepper) UpdateServers(kind decide.ListKind, list ServerList) {
+	s.l.updateServers(kind, list)
+	s.Step()
 }
 
 // DeliverMessage hands it a message of the gateway of that number.
-func (c *Stepper) DeliverMessage(from int, text string) {
-	c.l.enqueue(decide.PeerMessage{From: from, Text: text})
-	c.Step()
+func (s *Stepper) DeliverMessage(from int, text string) {
+	s.l.enqueue(decide.PeerMessage{From: from, Text: text})
+	s.Step()
 }
 
 // Reload hands it other values. Discovery is its owner's.
-func (c *Stepper) Reload(r Reload) {
-	c.l.reload(r)
-	c.Step()
+func (s *Stepper) Reload(r Reload) {
+	s.l.reload(r)
+	s.Step()
 }
 
 // Stop begins its end; it has come once Stopped.
-func (c *Stepper) Stop() {
-	c.l.stop()
-	c.Step()
+func (s *Stepper) Stop() {
+	s.l.stop()
+	s.Step()
 }
 
 // Stopped reports that it has stopped and owes nothing.
-func (c *Stepper) Stopped() bool { return c.l.finished() }
+func (s *Stepper) Stopped() bool { return s.l.finished() }
 
 // Stats are what it holds.
 type Stats struct {
@@ -85,7 +85,7 @@
 }
 
 // Stats tells them.
-func (c *Stepper) Stats() Stats {
-	l := c.l
+func (s *Stepper) Stats() Stats {
+	l := s.l
 	return Stats{len(l.requests), l.requestBytes, len(l.clients), len(l.pool.servers), l.pool.conns, len(l.timers)}
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -43,24 +43,24 @@
 	longCall     *call // is out beside short ones while discovery fails; nil: none
 }
 
-func newWatcher(addr netip.AddrPort, news func(decide.ListKind, ServerList), log *slog.Logger) *watcher {
+func newWatcher(addr netip.AddrPort, onUpdate func(decide.ListKind, ServerList), log *slog.Logger) *watcher {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: pollGrace}).DialContext,
 		MaxIdleConns: 1, DisableCompression: true}
 	return &watcher{client: &http.Client{Transport: transport}, url: "http://" + addr.String() + "/v1/servers",
-		wait: pollWait, grace: pollGrace, shortTimeout: shortCallTimeout, longTimeout: pollWait + pollGrace, onUpdate: news, log: &failureLog{log: log}}
+		wait: pollWait, grace: pollGrace, shortTimeout: shortCallTimeout, longTimeout: pollWait + pollGrace, onUpdate: onUpdate, log: &failureLog{log: log}}
 }
 
 // watchDiscovery watches discovery at an address, and from each move on at the new one. A move calls off what waits at
 // the old address and begins with the whole list of the new one, only after the old watcher has ended: versions
 // of the two tell nothing of each other, so their changes must never be mixed. Until the new one answers, the
 // list last told stays.
-func watchDiscovery(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, news func(decide.ListKind, ServerList), log *slog.Logger) {
+func watchDiscovery(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, onUpdate func(decide.ListKind, ServerList), log *slog.Logger) {
 	for ctx.Err() == nil {
-		at, cancel := context.WithCancel(ctx)
-		w, ended := newWatcher(addr, news, log), make(chan struct{})
+		watchCtx, cancel := context.WithCancel(ctx)
+		w, ended := newWatcher(addr, onUpdate, log), make(chan struct{})
 		go func() {
 			defer close(ended)
-			w.run(at)
+			w.run(watchCtx)
 		}()
 		select {
 		case addr = <-moves:
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -15,7 +15,7 @@
 // goroutine.
 type Frontend interface {
 	Listen(ctx context.Context) error
-	Serve(ctx context.Context, d *Core)
+	Serve(ctx context.Context, core *Core)
 	DrainBacklog(by time.Time) // takes the connections that wait to be accepted, until that time at most, and closes
 	Close() error
 }
@@ -30,28 +30,28 @@
 }
 
 // Responder is a request's place on a front. Ended is called by the loop once, possibly before Ask returns.
-type Responder interface{ Respond(e Response) }
+type Responder interface{ Respond(r Response) }
 
 // RequestHandle is an open request. The zero value is none: it has had its ending.
 type RequestHandle struct{ r *requestState }
 
 // Open reports that the handle is of a request.
-func (t RequestHandle) Open() bool { return t.r != nil }
+func (h RequestHandle) Open() bool { return h.r != nil }
 
 // Core is what fronts and backs see of the core. Post, Accept, Closing, Log, Now and Tuning may be called from any goroutine;
 // the others are for the loop's, in which what Post is given runs, and what At and Later are.
 type Core struct{ l *eventLoop }
 
 // Post lets the loop call a function. It waits while the loop's inbox is full.
-func (d *Core) Post(f func()) { d.l.inbox.post(f) }
+func (c *Core) Post(f func()) { c.l.inbox.post(f) }
 
 // postAccepted lets the loop take a connection that was accepted. Only so many are accepted ahead of the loop, which bounds the
 // descriptors: hundreds that come at once wait in the kernel. It reports false once the context has ended.
-func (d *Core) postAccepted(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
+func (c *Core) postAccepted(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
 	select {
-	case d.l.acceptSlots <- struct{}{}:
-		d.l.inbox.post(func() {
-			<-d.l.acceptSlots
+	case c.l.acceptSlots <- struct{}{}:
+		c.l.inbox.post(func() {
+			<-c.l.acceptSlots
 			take(conn)
 		})
 		return true
@@ -62,56 +62,56 @@
 }
 
 // Closing is closed when nothing new is taken any more.
-func (d *Core) Closing() <-chan struct{} { return d.l.closingCh }
+func (c *Core) Closing() <-chan struct{} { return c.l.closingCh }
 
 // Log is the gateway's.
-func (d *Core) Log() *slog.Logger { return d.l.log }
+func (c *Core) Log() *slog.Logger { return c.l.log }
 
 // Now is the core's time.
-func (d *Core) Now() time.Duration { return d.l.clock.Now() }
+func (c *Core) Now() time.Duration { return c.l.clock.Now() }
 
 // Tuning is what operators set.
-func (d *Core) Tuning() *tuning.Tuning { return d.l.tuning.Load() }
+func (c *Core) Tuning() *tuning.Tuning { return c.l.tuning.Load() }
 
 // Schedule calls a function at a time, unless it is called off.
-func (d *Core) Schedule(t time.Duration, do func()) (callOff func()) {
-	a := d.l.schedule(t, do)
-	return func() { d.l.cancelTimer(a) }
+func (c *Core) Schedule(t time.Duration, f func()) (cancel func()) {
+	a := c.l.schedule(t, f)
+	return func() { c.l.cancelTimer(a) }
 }
 
 // Defer calls a function at the end of the loop's turn.
-func (d *Core) Defer(do func()) { d.l.deferred = append(d.l.deferred, do) }
+func (c *Core) Defer(f func()) { c.l.deferred = append(c.l.deferred, f) }
 
 // AdmitConn counts a connection, and reports false if there is no room for it. One that comes while the gateway ends is drained
 // soon.
-func (d *Core) AdmitConn(c ClientConn) bool {
-	if !d.l.admitConn(c) {
+func (c *Core) AdmitConn(conn ClientConn) bool {
+	if !c.l.admitConn(conn) {
 		return false
 	}
-	if d.l.closing {
-		d.l.schedule(d.Now()+d.l.tuning.Load().Stop.LastCall, c.Drain)
+	if c.l.closing {
+		c.l.schedule(c.Now()+c.l.tuning.Load().Stop.LastCall, conn.Drain)
 	}
 	return true
 }
 
 // RemoveConn forgets a connection that was closed.
-func (d *Core) RemoveConn(c ClientConn) { delete(d.l.clients, c) }
+func (c *Core) RemoveConn(conn ClientConn) { delete(c.l.clients, conn) }
 
 // Submit takes a request into the core.
-func (d *Core) Submit(from Responder, v *Request) RequestHandle {
-	return RequestHandle{d.l.submit(from, v)}
+func (c *Core) Submit(responder Responder, v *Request) RequestHandle {
+	return RequestHandle{c.l.submit(responder, v)}
 }
 
 // ProcessPending has the module hear at once of what was asked and abandoned in this turn; otherwise it does when the call that the loop
 // makes returns. A front with many requests at hand calls it between them, so that each is held to what the one before left.
-func (d *Core) ProcessPending() { d.l.processPending() }
+func (c *Core) ProcessPending() { c.l.processPending() }
 
 // Abandon ends a request whose client has gone away.
-func (d *Core) Abandon(t RequestHandle) { d.l.abandon(t.r) }
+func (c *Core) Abandon(h RequestHandle) { c.l.abandon(h.r) }
 
 // Allowance is what the customer's bucket has room for now.
-func (d *Core) Allowance(customer, plan string) (decide.Allowance, bool) {
-	return d.l.decider.Allowance(d.Now(), customer, plan)
+func (c *Core) Allowance(customer, plan string) (decide.Allowance, bool) {
+	return c.l.decider.Allowance(c.Now(), customer, plan)
 }
 
 // admitConn counts a client's connection among the descriptors. It reports false if there is no room.
@@ -131,13 +131,13 @@
 // that have not asked yet in its place was measured: in a crowd of newcomers it is they who are about to ask.) If
 // all are owed answers nothing is closed, and the new one takes from the servers' share of descriptors.
 func (l *eventLoop) evictClient() {
-	var quiet ClientConn
+	var oldest ClientConn
 	for c, n := range l.clients {
-		if c.Idle() && (quiet == nil || c.LastUsed() < quiet.LastUsed() || c.LastUsed() == quiet.LastUsed() && n < l.clients[quiet]) {
-			quiet = c
+		if c.Idle() && (oldest == nil || c.LastUsed() < oldest.LastUsed() || c.LastUsed() == oldest.LastUsed() && n < l.clients[oldest]) {
+			oldest = c
 		}
 	}
-	if quiet != nil {
-		quiet.Drain()
+	if oldest != nil {
+		oldest.Drain()
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -54,7 +54,7 @@
 }
 
 // AcceptLoop takes connections until the listener is closed or has finished, or the context ends, and lets the loop call take for each.
-func (s *Listener) AcceptLoop(ctx context.Context, d *Core, take func(net.Conn)) {
+func (s *Listener) AcceptLoop(ctx context.Context, core *Core, take func(net.Conn)) {
 	for {
 		finishing := s.drainDeadline.Load() != 0
 		if finishing && !s.extendDeadline() {
@@ -64,7 +64,7 @@
 		conn, err := s.ln.Accept()
 		switch {
 		case err == nil:
-			if !d.postAccepted(ctx, conn, take) {
+			if !core.postAccepted(ctx, conn, take) {
 				return
 			}
 		case errors.Is(err, net.ErrClosed):
@@ -75,7 +75,7 @@
 				return
 			}
 		default:
-			d.l.acceptFailures.warn("accepting a connection", err)
+			core.l.acceptFailures.warn("accepting a connection", err)
 			sleep(ctx, acceptRetryDelay) // out of descriptors: some may be free then
 		}
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -148,9 +148,9 @@
 
 // cancelTimer takes an alarm back, if it has not rung. An alarm left to ring would hold what it is about until then: a
 // client's request for as long as the client would have waited.
-func (l *eventLoop) cancelTimer(a *timer) {
-	if a != nil && a.index >= 0 {
-		heap.Remove(&l.timers, a.index)
+func (l *eventLoop) cancelTimer(t *timer) {
+	if t != nil && t.index >= 0 {
+		heap.Remove(&l.timers, t.index)
 	}
 }
 
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -12,10 +12,10 @@
 type FleetMember interface {
 	PeerTransport
 	// Serve takes part until the context ends, and then leaves.
-	Serve(ctx context.Context, d *Core)
+	Serve(ctx context.Context, core *Core)
 	// IsCurrent reports that the standing of that number is the last one and still good: a process that stood still must not go by
 	// what it was told before. It may be called from any goroutine.
-	IsCurrent(n uint64) bool
+	IsCurrent(seq uint64) bool
 }
 
 // membership is what a gateway in a fleet was told.
@@ -27,16 +27,16 @@
 }
 
 // SetMembership lets the loop take how the gateway stands in its fleet. Standings are counted.
-func (d *Core) SetMembership(s fleet.Assignment, n uint64) {
-	d.Post(func() { d.l.setMembership(s, n) })
+func (c *Core) SetMembership(s fleet.Assignment, seq uint64) {
+	c.Post(func() { c.l.setMembership(s, seq) })
 }
 
 // DeliverMessage lets the loop take a message of the gateway in that place.
-func (d *Core) DeliverMessage(from int, text string) { d.l.postPeerMessage(from, text) }
+func (c *Core) DeliverMessage(from int, text string) { c.l.postPeerMessage(from, text) }
 
-func (l *eventLoop) setMembership(s fleet.Assignment, n uint64) {
+func (l *eventLoop) setMembership(s fleet.Assignment, seq uint64) {
 	was := l.membership
-	l.membership.seq, l.membership.number = n, s.Slot
+	l.membership.seq, l.membership.number = seq, s.Slot
 	if s.Slot < 0 {
 		return // what is open goes on by the number that it had
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -47,7 +47,7 @@
 
 // receive hands on the messages of known gateways until the socket is closed. What comes from elsewhere or is
 // too long is dropped: anyone may send to the port.
-func (p *peerSocket) receive(hand func(from int, text string), log *slog.Logger) {
+func (p *peerSocket) receive(deliver func(from int, text string), log *slog.Logger) {
 	buf := make([]byte, maxDatagramSize+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -62,6 +62,6 @@
 		if !ok || n > maxDatagramSize {
 			continue
 		}
-		hand(rank, string(buf[:n]))
+		deliver(rank, string(buf[:n]))
 	}
 }
--- a/internal/gateway/power.go
+++ b/internal/gateway/power.go
@@ -79,11 +79,11 @@
 func (p *recoverer) throughputToSave(now time.Duration) float64 {
 	p.decay(now)
 	since := now - p.joinedAt
-	seen := 1 - math.Exp(-max(since, time.Second).Seconds()/throughputTimeConstant.Seconds()) // of a steady rate, so soon after the beginning
+	reached := 1 - math.Exp(-max(since, time.Second).Seconds()/throughputTimeConstant.Seconds()) // of a steady rate, so soon after the beginning
 	if p.service.Phase() < recovery.Full || since < throughputTimeConstant {
-		return max(p.throughput/seen, p.belief.Own)
+		return max(p.throughput/reached, p.belief.Own)
 	}
-	return p.throughput / seen
+	return p.throughput / reached
 }
 
 func (p *recoverer) decay(now time.Duration) {
@@ -173,10 +173,10 @@
 }
 
 // DeliverRecoverySnapshot lets the loop take what another member told of the time before.
-func (d *Core) DeliverRecoverySnapshot(w recovery.Word) {
-	d.Post(func() {
-		if d.l.recovery != nil {
-			d.l.recovery.receiveSnapshot(w)
+func (c *Core) DeliverRecoverySnapshot(w recovery.Word) {
+	c.Post(func() {
+		if c.l.recovery != nil {
+			c.l.recovery.receiveSnapshot(w)
 		}
 	})
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -48,13 +48,13 @@
 		return err
 	}
 	var wg sync.WaitGroup
-	inner, cancel := context.WithCancel(context.Background()) // discovery goes on while the gateway drains
+	bgCtx, cancel := context.WithCancel(context.Background()) // discovery goes on while the gateway drains
 	defer wg.Wait()
 	defer cancel()
 	switch {
 	case cfg.Member != nil:
 		l.peers = cfg.Member
-		wg.Go(func() { cfg.Member.Serve(inner, l.core) })
+		wg.Go(func() { cfg.Member.Serve(bgCtx, l.core) })
 	case cfg.PeerListen.IsValid():
 		peers, err := openPeerSocket(cfg.PeerListen, cfg.Peers)
 		if err != nil {
@@ -65,12 +65,12 @@
 		wg.Go(func() { peers.receive(l.postPeerMessage, log) })
 	}
 	moves := make(chan netip.AddrPort)
-	wg.Go(func() { forwardReloads(inner, reloads, moves, l) })
-	wg.Go(func() { watchDiscovery(inner, cfg.Discovery, moves, l.postServers, log) })
+	wg.Go(func() { forwardReloads(bgCtx, reloads, moves, l) })
+	wg.Go(func() { watchDiscovery(bgCtx, cfg.Discovery, moves, l.postServers, log) })
 	for _, f := range cfg.Frontends {
 		l.accepting++
 		wg.Go(func() {
-			f.Serve(inner, l.core)
+			f.Serve(bgCtx, l.core)
 			l.inbox.post(func() { l.accepting-- }) // behind the connections that it took
 		})
 	}
@@ -81,7 +81,7 @@
 		select {
 		case <-ctx.Done():
 			l.inbox.post(l.stop)
-		case <-inner.Done():
+		case <-bgCtx.Done():
 		}
 	})
 	l.run()
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -18,9 +18,9 @@
 // parseUsage reads figures on use as both protocols transport them, such as "used=86,units=3": each name once, names that are not
 // known left unread. Figures that can't be read tell nothing and do the value no harm: a node must not bend a bucket by them,
 // so units are held to the most that a request may count for. What the settings do not provide for is not read at all.
-func (c *Config) parseUsage(figures []byte) (u usage) {
+func (c *Config) parseUsage(text []byte) (u usage) {
 	set := &c.Settings.Decide
-	if len(figures) == 0 || !set.SettledLater && set.MeterPeriod == 0 {
+	if len(text) == 0 || !set.SettledLater && set.MeterPeriod == 0 {
 		return usage{}
 	}
 	units := set.MaxUnits
@@ -29,7 +29,7 @@
 	}
 	for more := true; more; {
 		var pair []byte
-		pair, figures, more = bytes.Cut(figures, []byte(","))
+		pair, text, more = bytes.Cut(text, []byte(","))
 		name, value, ok := bytes.Cut(pair, []byte("="))
 		switch {
 		case !ok:
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -21,21 +21,21 @@
 
 // NewWriter makes one. A connection that is not the kernel's own, such as a TLS one, only has Finish.
 func NewWriter(c net.Conn) *Writer {
-	o := &Writer{conn: c}
+	w := &Writer{conn: c}
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			o.raw = raw
+			w.raw = raw
 		}
 	}
-	return o
+	return w
 }
 
 // TryWrite writes what the kernel takes at once. Taking nothing is no error.
-func (o *Writer) TryWrite(b []byte) (n int, err error) {
-	if o.raw == nil {
+func (w *Writer) TryWrite(b []byte) (n int, err error) {
+	if w.raw == nil {
 		return 0, nil
 	}
-	opErr := o.raw.Write(func(fd uintptr) bool {
+	opErr := w.raw.Write(func(fd uintptr) bool {
 		for n < len(b) {
 			var m int
 			m, err = syscall.Write(int(fd), b[n:])
@@ -56,12 +56,12 @@
 
 // ReceiveQueueEmpty reports whether the connection is open and nothing has come on it that was not read. Where that can't be seen, it
 // reports false.
-func (o *Writer) ReceiveQueueEmpty() bool {
-	if o.raw == nil {
+func (w *Writer) ReceiveQueueEmpty() bool {
+	if w.raw == nil {
 		return false
 	}
 	var err error
-	opErr := o.raw.Control(func(fd uintptr) {
+	opErr := w.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
@@ -69,40 +69,40 @@
 }
 
 // Busy reports that Finish has not ended.
-func (o *Writer) Busy() bool { return o.busy }
+func (w *Writer) Busy() bool { return w.busy }
 
 // WriteAsync writes the rest from a goroutine of its own, within a time, and then lets the loop call done. The time limit ends with
 // the write: one left on the connection would have a later Try fail, which goes by the connection's deadlines too.
-func (o *Writer) WriteAsync(rest []byte, within time.Duration, d *Core, done func(error)) {
-	o.writeAsync(rest, within, 1, d, done)
+func (w *Writer) WriteAsync(rest []byte, within time.Duration, core *Core, done func(error)) {
+	w.writeAsync(rest, within, 1, core, done)
 }
 
 // WriteAsyncUntilStall is Finish for a peer that may be slow: it is given up when it has taken nothing for stall, or has not taken all in
 // stallsMost times that.
-func (o *Writer) WriteAsyncUntilStall(rest []byte, stall time.Duration, d *Core, done func(error)) {
-	o.writeAsync(rest, stall, maxWriteSteps, d, done)
+func (w *Writer) WriteAsyncUntilStall(rest []byte, stall time.Duration, core *Core, done func(error)) {
+	w.writeAsync(rest, stall, maxWriteSteps, core, done)
 }
 
 // writeAsync writes in so many steps at most. Each has its time, and each but the last has to bring something forward.
-func (o *Writer) writeAsync(rest []byte, within time.Duration, steps int, d *Core, done func(error)) {
-	o.busy = true
+func (w *Writer) writeAsync(rest []byte, within time.Duration, steps int, core *Core, done func(error)) {
+	w.busy = true
 	go func() {
 		var err error
 		for ; steps > 0 && len(rest) > 0; steps-- {
-			if err = o.conn.SetWriteDeadline(time.Now().Add(within)); err != nil {
+			if err = w.conn.SetWriteDeadline(time.Now().Add(within)); err != nil {
 				break
 			}
 			n := 0
-			n, err = o.conn.Write(rest)
+			n, err = w.conn.Write(rest)
 			if rest = rest[n:]; err != nil && (n == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
 				break
 			}
 		}
 		if err == nil {
-			err = o.conn.SetWriteDeadline(time.Time{})
+			err = w.conn.SetWriteDeadline(time.Time{})
 		}
-		d.Post(func() {
-			o.busy = false
+		core.Post(func() {
+			w.busy = false
 			done(err)
 		})
 	}()
@@ -111,27 +111,27 @@
 // Shutdown tells the peer that nothing more is written, and lets the loop call done once the peer has closed its side too, or
 // has had so long to. Until then the connection takes what the peer still sends, so that no reset overtakes what was written; it is
 // not read.
-func (o *Writer) Shutdown(within time.Duration, d *Core, done func()) {
-	closer, ok := o.conn.(interface{ CloseWrite() error })
-	if !ok || o.raw == nil {
+func (w *Writer) Shutdown(within time.Duration, core *Core, done func()) {
+	closer, ok := w.conn.(interface{ CloseWrite() error })
+	if !ok || w.raw == nil {
 		done()
 		return
 	}
 	go func() {
 		err := closer.CloseWrite()
 		if err == nil {
-			err = o.conn.SetReadDeadline(time.Now().Add(within))
+			err = w.conn.SetReadDeadline(time.Now().Add(within))
 		}
 		if err == nil {
-			o.awaitPeerClose()
+			w.awaitPeerClose()
 		}
-		d.Post(done)
+		core.Post(done)
 	}()
 }
 
 // awaitPeerClose waits until the peer has closed its side with nothing left unread, the connection has failed, or its read deadline passes.
-func (o *Writer) awaitPeerClose() {
-	_ = o.raw.Read(func(fd uintptr) (ended bool) { // that time is up is no fault here
+func (w *Writer) awaitPeerClose() {
+	_ = w.raw.Read(func(fd uintptr) (ended bool) { // that time is up is no fault here
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		waits := errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
--- a/internal/resp/back.go
+++ b/internal/resp/back.go
@@ -91,7 +91,7 @@
 	go c.read()
 	if retired != n.retired {
 		c.close()
-		t.Fail(gateway.NotSent)
+		t.Fail(gateway.NotFullySent)
 		return
 	}
 	if !t.Revalidate() {
@@ -99,7 +99,7 @@
 		return
 	}
 	if !c.write(t) {
-		t.Fail(gateway.NotSent)
+		t.Fail(gateway.NotFullySent)
 	}
 }
 
@@ -158,7 +158,7 @@
 	if err != nil {
 		c.close()
 		if n > 0 {
-			t.Fail(gateway.NotSent) // broken before the last byte
+			t.Fail(gateway.NotFullySent) // broken before the last byte
 		}
 		return n > 0
 	}
