--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -147,15 +147,15 @@
 	if w.failing && w.longCall == nil && w.longTimeout > 0 {
 		w.longCall = w.startCall(ctx, url, w.longTimeout)
 	}
-	quick := w.startCall(ctx, url, w.shortTimeout)
-	defer quick.end()
+	short := w.startCall(ctx, url, w.shortTimeout)
+	defer short.end()
 	if w.longCall == nil {
-		<-quick.ended
-		return quick.list, quick.err
+		<-short.ended
+		return short.list, short.err
 	}
 	select {
-	case <-quick.ended:
-		return quick.list, quick.err
+	case <-short.ended:
+		return short.list, short.err
 	case <-w.longCall.ended:
 		list, err := w.longCall.list, w.longCall.err
 		w.endLongCall()
--- a/internal/gateway/inbox.go
+++ b/internal/gateway/inbox.go
@@ -20,12 +20,12 @@
 	return q
 }
 
-func (q *inbox) post(do func()) {
+func (q *inbox) post(f func()) {
 	q.mu.Lock()
 	for len(q.items) >= maxPosted && !q.closed {
 		q.notFull.Wait()
 	}
-	q.items = append(q.items, do)
+	q.items = append(q.items, f)
 	first := len(q.items) == 1
 	q.mu.Unlock()
 	if first {
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -31,37 +31,37 @@
 }
 
 // UseSocket has it use a socket that listens already.
-func (s *Listener) UseSocket(ln net.Listener) { s.ln = ln }
+func (l *Listener) UseSocket(ln net.Listener) { l.ln = ln }
 
 // Listen opens it, unless it was given.
-func (s *Listener) Listen(ctx context.Context) (err error) {
-	if s.ln != nil {
-		close(s.ready)
+func (l *Listener) Listen(ctx context.Context) (err error) {
+	if l.ln != nil {
+		close(l.ready)
 		return nil
 	}
 	var lc net.ListenConfig
-	if s.ln, err = lc.Listen(ctx, "tcp", s.addr); err != nil {
-		return fmt.Errorf("%s: %w", s.name, err)
+	if l.ln, err = lc.Listen(ctx, "tcp", l.addr); err != nil {
+		return fmt.Errorf("%s: %w", l.name, err)
 	}
-	close(s.ready)
+	close(l.ready)
 	return nil
 }
 
 // Addr is where it listens. It waits until it does.
-func (s *Listener) Addr() net.Addr {
-	<-s.ready
-	return s.ln.Addr()
+func (l *Listener) Addr() net.Addr {
+	<-l.ready
+	return l.ln.Addr()
 }
 
 // AcceptLoop takes connections until the listener is closed or has finished, or the context ends, and lets the loop call take for each.
-func (s *Listener) AcceptLoop(ctx context.Context, core *Core, take func(net.Conn)) {
+func (l *Listener) AcceptLoop(ctx context.Context, core *Core, take func(net.Conn)) {
 	for {
-		finishing := s.drainDeadline.Load() != 0
-		if finishing && !s.extendDeadline() {
-			s.Close()
+		draining := l.drainDeadline.Load() != 0
+		if draining && !l.extendDeadline() {
+			l.Close()
 			return
 		}
-		conn, err := s.ln.Accept()
+		conn, err := l.ln.Accept()
 		switch {
 		case err == nil:
 			if !core.postAccepted(ctx, conn, take) {
@@ -70,8 +70,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if finishing { // no connection waits
-				s.Close()
+			if draining { // no connection waits
+				l.Close()
 				return
 			}
 		default:
@@ -82,26 +82,26 @@
 }
 
 // extendDeadline gives a listener that finishes the time for one more connection. It reports false if its time is over.
-func (s *Listener) extendDeadline() bool {
+func (l *Listener) extendDeadline() bool {
 	now := time.Now()
-	timed, ok := s.ln.(interface{ SetDeadline(time.Time) error })
-	return ok && now.UnixNano() < s.drainDeadline.Load() && timed.SetDeadline(now.Add(backlogIdleTimeout)) == nil
+	timed, ok := l.ln.(interface{ SetDeadline(time.Time) error })
+	return ok && now.UnixNano() < l.drainDeadline.Load() && timed.SetDeadline(now.Add(backlogIdleTimeout)) == nil
 }
 
 // DrainBacklog has Accept take the connections that the kernel has accepted and that wait, until that time at most, and close the listener. Closing
 // it with some of them in its queue would reset them, and with them the requests that their clients have sent.
-func (s *Listener) DrainBacklog(by time.Time) {
-	s.drainDeadline.Store(by.UnixNano())
-	timed, ok := s.ln.(interface{ SetDeadline(time.Time) error })
+func (l *Listener) DrainBacklog(by time.Time) {
+	l.drainDeadline.Store(by.UnixNano())
+	timed, ok := l.ln.(interface{ SetDeadline(time.Time) error })
 	if !ok || timed.SetDeadline(time.Unix(1, 0)) != nil { // wakes Accept
-		s.Close()
+		l.Close()
 	}
 }
 
 // Close ends it. One that is closed already stays so.
-func (s *Listener) Close() error {
-	if err := s.ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("%s: %w", s.name, err)
+func (l *Listener) Close() error {
+	if err := l.ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		return fmt.Errorf("%s: %w", l.name, err)
 	}
 	return nil
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -81,28 +81,28 @@
 }
 
 func (l *eventLoop) startDecider() error {
-	core, err := decide.New(l.cfg.Settings.Decide, l.cfg.Seed+int64(l.restarts))
+	decider, err := decide.New(l.cfg.Settings.Decide, l.cfg.Seed+int64(l.restarts))
 	if err != nil {
 		return fmt.Errorf("starting the decision module: %w", err)
 	}
-	l.decider = core
+	l.decider = decider
 	return nil
 }
 
 // run handles events until the gateway has stopped and owes nothing.
 func (l *eventLoop) run() {
-	timer := time.NewTimer(time.Hour)
-	defer timer.Stop()
+	wakeup := time.NewTimer(time.Hour)
+	defer wakeup.Stop()
 	for !l.finished() {
 		if len(l.timers) > 0 {
-			timer.Reset(l.timers[0].at - l.clock.Now())
+			wakeup.Reset(l.timers[0].at - l.clock.Now())
 		} else {
-			timer.Reset(time.Hour)
+			wakeup.Reset(time.Hour)
 		}
 		select {
 		case <-l.inbox.ready:
 			l.runPosted()
-		case <-timer.C:
+		case <-wakeup.C:
 		}
 		l.fireTimers()
 		l.runDeferred()
@@ -114,9 +114,9 @@
 // runPosted does what was posted.
 func (l *eventLoop) runPosted() {
 	l.batch = l.inbox.take(l.batch)
-	for i, do := range l.batch {
+	for i, f := range l.batch {
 		l.batch[i] = nil // what it holds can go
-		do()
+		f()
 		l.processPending()
 	}
 }
@@ -140,10 +140,10 @@
 	}
 }
 
-func (l *eventLoop) schedule(t time.Duration, do func()) *timer {
-	a := &timer{at: t, fn: do}
-	heap.Push(&l.timers, a)
-	return a
+func (l *eventLoop) schedule(t time.Duration, fn func()) *timer {
+	tm := &timer{at: t, fn: fn}
+	heap.Push(&l.timers, tm)
+	return tm
 }
 
 // cancelTimer takes an alarm back, if it has not rung. An alarm left to ring would hold what it is about until then: a
@@ -174,15 +174,15 @@
 // handle hands an event to the module. Should the module panic, every request still gets its one answer and
 // the gateway goes on as after a restart; without this a single bad event would lose all that is open.
 func (l *eventLoop) handle(ev decide.Event) (actions []decide.Action) {
-	core := l.decider
+	decider := l.decider
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error("the decision module panicked", "panic", p, "stack", string(debug.Stack()))
-			l.restart(core)
+			l.restart(decider)
 		}
 	}()
 	l.decidedAt = l.clock.Now()
-	actions = core.Handle(l.decidedAt, ev)
+	actions = decider.Handle(l.decidedAt, ev)
 	if l.observer != nil {
 		l.observer(ev, actions)
 	}
@@ -226,9 +226,9 @@
 			l.respond(r, Response{Kind: Failed, Reason: "failed", TimedOut: r.timedOut()})
 		}
 	case decide.SetTimer:
-		core := l.decider
+		decider := l.decider
 		l.schedule(a.At, func() {
-			if core == l.decider { // else it was set before a restart
+			if decider == l.decider { // else it was set before a restart
 				l.enqueue(decide.TimerFired{Token: a.Token})
 			}
 		})
--- a/internal/gateway/mailbox.go
+++ b/internal/gateway/mailbox.go
@@ -15,12 +15,12 @@
 func NewMailbox[T any]() Mailbox[T] { return Mailbox[T]{values: make(chan T, 1)} }
 
 // TrySend gives the reader a value. It reports false if one that was handed before still waits, or the mailbox has ended.
-func (b *Mailbox[T]) TrySend(v T) bool {
-	if b.closed {
+func (m *Mailbox[T]) TrySend(v T) bool {
+	if m.closed {
 		return false
 	}
 	select {
-	case b.values <- v:
+	case m.values <- v:
 		return true
 	default:
 		return false
@@ -28,15 +28,15 @@
 }
 
 // Close has the reader stop once it has taken what was handed. Ending it again changes nothing.
-func (b *Mailbox[T]) Close() {
-	if !b.closed {
-		b.closed = true
-		close(b.values)
+func (m *Mailbox[T]) Close() {
+	if !m.closed {
+		m.closed = true
+		close(m.values)
 	}
 }
 
 // Receive takes the next value, in the reader's goroutine. It reports false once the mailbox has ended.
-func (b *Mailbox[T]) Receive() (v T, going bool) {
-	v, going = <-b.values
-	return v, going
+func (m *Mailbox[T]) Receive() (v T, ok bool) {
+	v, ok = <-m.values
+	return v, ok
 }
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -35,14 +35,14 @@
 func (c *Core) DeliverMessage(from int, text string) { c.l.postPeerMessage(from, text) }
 
 func (l *eventLoop) setMembership(s fleet.Assignment, seq uint64) {
-	was := l.membership
+	prev := l.membership
 	l.membership.seq, l.membership.number = seq, s.Slot
 	if s.Slot < 0 {
 		return // what is open goes on by the number that it had
 	}
 	l.membership.term, l.membership.assigned = s.Term, true
 	e := decide.MembershipUpdate{Rank: s.Slot, Isolated: s.Isolated, Peers: make([]decide.PeerStatus, len(s.Holders)),
-		RankReassigned: was.assigned && (s.Slot != l.rank || s.Term != was.term)}
+		RankReassigned: prev.assigned && (s.Slot != l.rank || s.Term != prev.term)}
 	for i, h := range s.Holders {
 		switch {
 		case h.Name == "" || h.State == fleet.Left:
--- a/internal/gateway/recovery.go
+++ b/internal/gateway/recovery.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	maxChangedPerUpdate    = 4096             // customers that one Note takes: the loop copies them
+	maxChangedPerSave    = 4096             // customers that one Note takes: the loop copies them
 	throughputTimeConstant = 10 * time.Second // memory of what is answered
 	peerSnapshotWindow     = 5 * time.Second  // from its place on, a member still learns from others' words
 )
@@ -68,7 +68,7 @@
 		}
 		p.join(1) // without a fleet there is nobody to wait for
 	}
-	p.changed = p.l.decider.AppendChanged(p.changed[:0], maxChangedPerUpdate)
+	p.changed = p.l.decider.AppendChanged(p.changed[:0], maxChangedPerSave)
 	p.Store.Note(p.changed, p.throughputToSave(now), p.l.decider.WarmServerRate())
 	if note := p.service.Tick(now); note != "" {
 		p.reportPhase(note)
--- a/internal/gateway/timer.go
+++ b/internal/gateway/timer.go
@@ -29,21 +29,21 @@
 
 type timerHeap []*timer
 
-func (a timerHeap) Len() int           { return len(a) }
-func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a timerHeap) Swap(i, j int) {
-	a[i], a[j] = a[j], a[i]
-	a[i].index, a[j].index = i, j
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (a *timerHeap) Push(x any) {
-	x.(*timer).index = len(*a)
-	*a = append(*a, x.(*timer))
+func (h *timerHeap) Push(x any) {
+	x.(*timer).index = len(*h)
+	*h = append(*h, x.(*timer))
 }
-func (a *timerHeap) Pop() any {
-	old := *a
+func (h *timerHeap) Pop() any {
+	old := *h
 	n := len(old) - 1
 	x := old[n]
 	old[n], x.index = nil, -1
-	*a = old[:n]
+	*h = old[:n]
 	return x
 }
