--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -4,9 +4,9 @@
 	"sloepick/decide"
 )
 
-// This file has what becomes of an attempt.
+// This file holds the life cycle of an attempt.
 
-// startAttempt starts an attempt.
+// startAttempt starts an attempt that the decision module has requested.
 func (l *eventLoop) startAttempt(s decide.SendAttempt) {
 	r := l.requests[s.ID]
 	if r == nil {
@@ -27,7 +27,7 @@
 	l.pool.start(a)
 }
 
-// endAttempt tells the module how an attempt endAttempt.
+// endAttempt reports the outcome of an attempt to the decision module.
 func (l *eventLoop) endAttempt(a *attemptState, o decide.Outcome) {
 	l.endAttemptWithUsage(a, o, usage{})
 }
@@ -50,8 +50,8 @@
 	l.release(r)
 }
 
-// completeAttempt passes a value on and ends its attempt. The first good answer of a request settles its units: those of others are
-// called off by then.
+// completeAttempt sends a server's value to the client and ends the attempt. Only the first successful attempt
+// of a request settles the units: all others have been cancelled by then.
 func (l *eventLoop) completeAttempt(a *attemptState, value, usageText []byte) {
 	if r := a.req; r.routes != nil {
 		now := l.clock.Now()
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -8,38 +8,40 @@
 	"sloepick/decide"
 )
 
-// Backend reaches nodes by a protocol of its own. Which nodes, discovery's kind tells (Config.Backs).
+// Backend connects to nodes over one protocol. A node's kind, as reported by discovery, selects the backend
+// (see Config.BackendsByKind).
 type Backend interface {
-	// NewTransport is asked for a node at an address, by the loop.
+	// NewTransport returns the transport for the node at an address. It is called on the event loop.
 	NewTransport(core *Core, endpoint *Endpoint) Transport
 }
 
-// Transport carries attempts to one node at one address. Its methods are called by the loop.
+// Transport sends attempts to one node at one address. Its methods are called on the event loop.
 type Transport interface {
-	Start(a *Attempt)  // it must tell how the try ended, once, unless GiveUp comes first
-	Cancel(a *Attempt) // nothing of it is waited for any more, and nothing of it may be written from now on
-	Drain()            // the connections that are there or being made take nothing new, and close once nothing is open on them
+	Start(a *Attempt)  // must report the result once, by Succeed or Fail, unless Cancel is called first
+	Cancel(a *Attempt) // no result is expected any more, and nothing more of the request may be written
+	Drain()            // open and pending connections accept no new attempts, and close when their last attempt ends
 
-	// OldestIdle is since when the connection has stood that has stood idle for longest; false: none is idle.
+	// OldestIdle returns since when the longest idle connection has been idle; false: no connection is idle.
 	OldestIdle() (since time.Duration, any bool)
 	EvictIdle() // closes that connection
 }
 
-// AttemptResult is what became of an attempt that was not served, in no protocol's words.
+// AttemptResult is the protocol-independent result of an attempt that did not succeed.
 type AttemptResult int
 
-// The results.
+// Results of failed attempts.
 const (
-	NoLocalCapacity AttemptResult = iota + 1 // nothing went out, for want of something here
-	NotFullySent                             // no connection came up, or it broke before the last byte was handed over
-	RefusedByNode                            // the node said that it did not begin it
-	ConnectionLost                           // the connection, or its part in it, broke after the last byte
-	BadResponse                              // the node answered, with an error or with what is no answer
+	NoLocalCapacity AttemptResult = iota + 1 // nothing was sent, for lack of a local resource
+	NotFullySent                             // no connection was established, or it failed before the last byte was sent
+	RefusedByNode                            // the node reported that it did not start processing the request
+	ConnectionLost                           // the connection or stream failed after the last byte was sent
+	BadResponse                              // the node answered with an error or an invalid response
 )
 
-// outcome is the one table of what may have run, for all protocols: after NoRoom, NeverLeft and TurnedAway nothing has, after
-// the others it may. RESP2 tells TurnedAway by -BUSY; HTTP/2 by REFUSED_STREAM, by GOAWAY with a lower last stream (RFC 9113,
-// 8.7), or by an answer that promises it.
+// outcome maps results to outcomes, for all protocols. It decides whether a request may have been executed:
+// after NoLocalCapacity, NotFullySent and RefusedByNode it was not, after the others it may have been. RESP2
+// signals RefusedByNode by -BUSY; HTTP/2 by REFUSED_STREAM, by GOAWAY with a lower last stream id (RFC 9113,
+// 8.7), or by a response that states it.
 func (r AttemptResult) outcome() decide.Outcome {
 	switch r {
 	case NoLocalCapacity:
@@ -54,17 +56,17 @@
 	return decide.Error
 }
 
-// Endpoint is a node as its transport sees it: connections to it are counted with all others.
+// Endpoint is a node as seen by its transport. Its connections count towards the gateway's limits.
 type Endpoint struct {
 	pool   *pool
 	server *upstream
 	addr   string
 }
 
-// Addr is host:port.
+// Addr returns the node's address as host:port.
 func (e *Endpoint) Addr() string { return e.addr }
 
-// ReserveConn counts a connection that is to be made. It reports false if there is no room for it.
+// ReserveConn counts a connection that is about to be made. It reports false if a connection limit is reached.
 func (e *Endpoint) ReserveConn() bool {
 	if e.pool.conns >= e.pool.connLimit() {
 		e.pool.evictIdle()
@@ -77,7 +79,8 @@
 	return true
 }
 
-// Dial makes a connection that was taken, within the time for connecting or a shorter one, and lets the loop call done.
+// Dial makes a connection that ReserveConn has counted, within the connect timeout or a shorter time, and then
+// calls done on the event loop.
 func (e *Endpoint) Dial(core *Core, within time.Duration, done func(net.Conn, error)) {
 	within, addr := min(within, e.ConnectTimeout()), e.addr
 	go func() {
@@ -89,7 +92,8 @@
 	}()
 }
 
-// DialFailureResult is what becomes of an attempt whose connection was not made, or came up to a node that is not there any more (nil).
+// DialFailureResult is the result of an attempt whose connection could not be established, or (err is nil) was
+// established to a node that has drained or moved since.
 func DialFailureResult(err error) AttemptResult {
 	if err != nil && isLocalFailure(err) {
 		return NoLocalCapacity
@@ -97,37 +101,41 @@
 	return NotFullySent
 }
 
-// ReleaseConn counts a connection off.
+// ReleaseConn stops counting a connection.
 func (e *Endpoint) ReleaseConn() { e.pool.releaseConn(e.server) }
 
-// OverLimit reports that there are more connections than there may be, as a reload has lowered the bound: one that falls idle is to
-// be closed.
+// OverLimit reports that there are more connections than allowed, because a reload has lowered the limit. A
+// connection that becomes idle must then be closed.
 func (e *Endpoint) OverLimit() bool {
 	return e.pool.conns > e.pool.maxConns || e.server.conns > e.pool.maxConnsPerServer
 }
 
-// ConnectTimeout is how long the making of a connection may take.
+// ConnectTimeout returns the time limit for establishing a connection.
 func (e *Endpoint) ConnectTimeout() time.Duration { return e.pool.connectTimeout }
 
-// IdleTimeout is how long a connection may stand idle, well within the time after which nodes may close it; 0: for ever.
+// IdleTimeout returns how long a connection may stay idle, which is well below the time after which nodes may
+// close it; 0: no limit.
 func (e *Endpoint) IdleTimeout() time.Duration { return e.pool.idleTimeout }
 
-// Attempt is one attempt, for a transport.
+// Attempt is one attempt as seen by its transport.
 type Attempt struct {
 	loop          *eventLoop
 	state         *attemptState
-	transport     Transport // that it was started by: a node that has moved has another; nil: by none
-	TransportData any       // the transport's own
+	transport     Transport // the transport that started it (a node that moves gets a new one); nil: not started
+	TransportData any       // for use by the transport
 }
 
-// Request are the request's. Patience and Came are not for the node: Left is what it may take.
+// Request returns the request. ClientTimeout and ReceivedAt are not meant for the node; RemainingTime is the
+// time it has.
 func (a *Attempt) Request() *Request { return a.state.req.values }
 
-// RemainingTime is how long it will be waited for.
+// RemainingTime returns how much longer the gateway waits for the result.
 func (a *Attempt) RemainingTime() time.Duration { return a.state.deadline - a.loop.clock.Now() }
 
-// Revalidate looks again before the first byte, as all may have changed while a connection was made: the attempt may have been
-// called off or its request answered, its node may drain or have moved, and the time in which nodes know its key may be over. If it reports false, the try has ended.
+// Revalidate checks, before the first byte is sent, that the attempt is still needed. While a connection was
+// established, the attempt may have been cancelled or its request answered, the node may have started draining
+// or moved, or the time for which nodes remember the request's key may have run out. If Revalidate reports
+// false, the attempt has ended.
 func (a *Attempt) Revalidate() bool {
 	switch s := a.state; {
 	case s.ended:
@@ -142,20 +150,22 @@
 	return true
 }
 
-// MarkConnected tells that it has a connection: a time-out from now on is the node's.
+// MarkConnected records that the attempt has a connection. A timeout from now on is attributed to the node.
 func (a *Attempt) MarkConnected() { a.state.connected = true }
 
-// MarkFullySent tells that the last byte may have been handed over.
+// MarkFullySent records that the last byte may have been sent.
 func (a *Attempt) MarkFullySent() { a.state.fullySent = true }
 
-// Succeed ends it with a node's value, and with what the node told of its use, as "used=86,units=3"; nil: nothing.
+// Succeed ends the attempt with a node's value and the usage it reported, such as "used=86,units=3"; nil: no
+// usage.
 func (a *Attempt) Succeed(value, usage []byte) {
 	if !a.state.ended {
 		a.loop.completeAttempt(a.state, value, usage)
 	}
 }
 
-// Fail ends it. What broke before it was whole never left.
+// Fail ends the attempt with a result. A connection lost before the request was fully sent counts as
+// NotFullySent.
 func (a *Attempt) Fail(result AttemptResult) {
 	if result == ConnectionLost && !a.state.fullySent {
 		result = NotFullySent
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,6 +1,6 @@
-// Package gateway is the real gateway: the decision module of package decide on sockets. One goroutine, the
-// loop, owns the module and all tables; the goroutines of connections, discovery and peers only read, and
-// hand what they read to the loop. The loop writes without ever waiting for a peer.
+// Package gateway is the core of the gateway: it connects the decision module of package decide to sockets. A
+// single goroutine, the event loop, owns the decision module and all tables. The goroutines for connections,
+// discovery and peers only read, and post what they have read to the event loop, which never blocks on a write.
 package gateway
 
 import (
@@ -17,7 +17,7 @@
 	"sloepick/internal/tuning"
 )
 
-// Config is what one gateway is told at its start.
+// Config configures a gateway.
 type Config struct {
 	Name           string
 	Listen         netip.AddrPort
@@ -26,21 +26,21 @@
 	Cores          float64
 	MemoryMB       int
 	Sockets        int
-	PeerListen     netip.AddrPort   // the zero value: no messages
-	Peers          []netip.AddrPort // by the gateways' numbers
-	KnownServers   ServerList       // as this gateway last had it
+	PeerListen     netip.AddrPort   // zero: peer messages are disabled
+	Peers          []netip.AddrPort // by gateway number
+	KnownServers   ServerList       // the last list of servers known to this gateway
 	Settings       settings.Settings
-	Tuning         tuning.Tuning      // the zero value: what holds without an operator file
-	Routes         []*route.Route     // proven by Prove; none: the module's own bounds hold
-	Frontends      []Frontend         // by which clients come
-	Member         FleetMember        // of a fleet; nil: the settings tell the gateway's number, and all others are there
-	OnReady        func(core *Core)   // called once, when the gateway takes requests and, in a fleet, has a place; nil: nobody asks
-	DefaultBackend Backend            // by which nodes are reached
-	BackendsByKind map[string]Backend // by which nodes of a kind are reached in its place
-	Recovery       *RecoveryConfig    // how it comes back after a loss of power; nil: with nothing known and all let in
+	Tuning         tuning.Tuning      // zero: tuning.Default
+	Routes         []*route.Route     // checked by ValidateRoutes; empty: the limits of the settings apply
+	Frontends      []Frontend         // accept clients
+	Member         FleetMember        // nil: not in a fleet; the settings give the gateway number, all peers count as present
+	OnReady        func(core *Core)   // called once, when the gateway accepts requests; may be nil
+	DefaultBackend Backend            // connects to nodes whose kind is not in BackendsByKind
+	BackendsByKind map[string]Backend // by kind of node
+	Recovery       *RecoveryConfig    // after a power loss; nil: starts without saved state, admits all requests
 }
 
-// fileConfig is the form of the configuration file.
+// fileConfig is the format of the configuration file.
 type fileConfig struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -57,8 +57,8 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the environment and the file that it names. The environment's own words for name,
-// address and discovery win over the file's, as they are the platform's.
+// LoadConfig reads the environment and the file that GW_CONFIG names. GW_NAME, GW_LISTEN and GW_DISCOVERY
+// override the file, because the platform sets them.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -84,9 +84,9 @@
 	return c, nil
 }
 
-// LoadDiscoveryAddr reads the file again and returns the address of discovery that stands in it. The environment's
-// GW_DISCOVERY does not count here: it can't change while the process runs, so it would hold a gateway to the
-// address of its start.
+// LoadDiscoveryAddr reads the file again and returns the address of discovery in it. GW_DISCOVERY is ignored:
+// the environment of a running process cannot change, so it would tie the gateway to the address it was started
+// with.
 func LoadDiscoveryAddr(getenv func(string) string) (netip.AddrPort, error) {
 	c, err := LoadConfig(func(name string) string {
 		if name == "GW_DISCOVERY" {
@@ -133,7 +133,7 @@
 	return c, f.parsePeers(&c)
 }
 
-// parsePeers reads the addresses between gateways, which are needed only where messages are allowed.
+// parsePeers parses the addresses for peer messages, which are required only if peer messages are enabled.
 func (f *fileConfig) parsePeers(c *Config) error {
 	d := c.Settings.Decide
 	if !d.Limits.PeerMessages || f.PeerListen == "" {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// ValidateRoutes holds routes to the settings of a platform and to this gateway's own margins.
+// ValidateRoutes checks routes against the settings of a platform and this gateway's time margins.
 func (c *Config) ValidateRoutes(routes []*route.Route) sloe.Diags {
 	if len(routes) == 0 {
 		return nil
@@ -164,7 +164,7 @@
 	return route.Prove(routes, &c.Settings.Decide, route.Margins{Answer: deadlineMargin, Window: deadlineMargin})
 }
 
-// class finds a class of the settings.
+// class returns the class of that name, or nil.
 func (c *Config) class(name string) *decide.Class {
 	for i := range c.Settings.Decide.Classes {
 		if k := &c.Settings.Decide.Classes[i]; k.Name == name {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// backendFor is how nodes of a kind are reached.
+// backendFor returns the backend for a kind of node.
 func (c *Config) backendFor(kind string) Backend {
 	if b := c.BackendsByKind[kind]; b != nil {
 		return b
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	pollWait            = 4 * time.Second        // a watch waits so long for news ...
-	pollGrace           = 500 * time.Millisecond // ... and is given up so long after: discovery that is down says nothing
-	shortCallTimeout    = 250 * time.Millisecond // a call that need not wait is given up after this; another one is out for longer meanwhile
+	pollWait            = 4 * time.Second        // how long a long poll waits for changes
+	pollGrace           = 500 * time.Millisecond // a long poll times out this much later: discovery that is down may not answer at all
+	shortCallTimeout    = 250 * time.Millisecond // timeout of a call that doesn't wait for changes
 	retryDelay          = 50 * time.Millisecond
-	maxOlderAnswers     = 3       // answers in a row of a version older than the one held, after which discovery has begun to count anew
-	maxListSize         = 8 << 20 // bytes of a list
+	maxOlderAnswers     = 3       // in a row, after which discovery is taken to have restarted its version count
+	maxListSize         = 8 << 20 // bytes
 	sameFailureInterval = 30 * time.Second
 	failureInterval     = time.Second
 )
 
-// watcher follows discovery.
+// watcher fetches the list of servers and its changes from discovery.
 type watcher struct {
 	client       *http.Client
 	url          string
-	wait         time.Duration // of a watch
-	grace        time.Duration // past its wait a call is given up
-	shortTimeout time.Duration // a call that does not wait is given up
-	longTimeout  time.Duration // the patient one is given up; 0: there is none
+	wait         time.Duration // of a long poll
+	grace        time.Duration // timeout of a long poll beyond its wait
+	shortTimeout time.Duration // timeout of a call without waiting
+	longTimeout  time.Duration // timeout of longCall; 0: no long call is made
 	onUpdate     func(decide.ListKind, ServerList)
 	log          *failureLog
-	version      uint64 // of the list that is held
-	hasList      bool   // there is one
-	olderAnswers int    // answers of older versions in a row
+	version      uint64 // of the current list
+	hasList      bool   // a list has been received
+	olderAnswers int    // consecutive answers with an older version
 	failing      bool
-	longCall     *call // is out beside short ones while discovery fails; nil: none
+	longCall     *call // in progress beside the short calls while discovery fails; nil: none
 }
 
 func newWatcher(addr netip.AddrPort, onUpdate func(decide.ListKind, ServerList), log *slog.Logger) *watcher {
@@ -50,10 +50,10 @@
 		wait: pollWait, grace: pollGrace, shortTimeout: shortCallTimeout, longTimeout: pollWait + pollGrace, onUpdate: onUpdate, log: &failureLog{log: log}}
 }
 
-// watchDiscovery watches discovery at an address, and from each move on at the new one. A move calls off what waits at
-// the old address and begins with the whole list of the new one, only after the old watcher has ended: versions
-// of the two tell nothing of each other, so their changes must never be mixed. Until the new one answers, the
-// list last told stays.
+// watchDiscovery watches discovery at an address, and after each move at the new address. On a move it cancels
+// the pending calls at the old address, waits until the old watcher has ended, and requests the whole list from
+// the new address: the version numbers of two instances are unrelated, so their changes must never be mixed.
+// Until the new address answers, the last list stays in effect.
 func watchDiscovery(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, onUpdate func(decide.ListKind, ServerList), log *slog.Logger) {
 	for ctx.Err() == nil {
 		watchCtx, cancel := context.WithCancel(ctx)
@@ -71,10 +71,10 @@
 	}
 }
 
-// run asks for the whole list and then watches for changes until the context ends. The next call goes out as
-// soon as the last one is answered, so that the watch goes on. A watch can't tell discovery that is down from
-// a fleet that does not change, so after a failure short calls, which are answered at once, find out when
-// discovery is back. Without them a gateway would learn of a drain only seconds after that, and go on sending.
+// run requests the whole list and then long-polls for changes until the context ends, each call directly after
+// the last one. A long poll cannot tell discovery that is down from a fleet without changes. Therefore, after a
+// failure, short calls, which are answered at once, detect when discovery is back. Without them, the gateway
+// would learn of a draining server only seconds later and keep sending to it.
 func (w *watcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	defer w.endLongCall()
@@ -96,12 +96,12 @@
 		w.failing = false
 		w.deliver(list)
 		if !list.Full && len(list.Servers) == 0 && time.Since(called) < retryDelay {
-			sleep(ctx, retryDelay) // discovery that does not wait must not be asked without end
+			sleep(ctx, retryDelay) // limits the rate of calls if discovery answers long polls at once
 		}
 	}
 }
 
-// fetchNext makes the call that is due.
+// fetchNext makes the next call.
 func (w *watcher) fetchNext(ctx context.Context) (ServerList, error) {
 	switch {
 	case !w.hasList:
@@ -116,9 +116,9 @@
 	return fmt.Sprintf("%s?after=%d&wait_ms=%d", w.url, w.version, wait.Milliseconds())
 }
 
-// call is one that runs beside others.
+// call is an HTTP call that runs in a goroutine of its own.
 type call struct {
-	ended  chan struct{} // closed once list and err stand
+	ended  chan struct{} // closed once list and err are set
 	cancel context.CancelFunc
 	list   ServerList
 	err    error
@@ -134,15 +134,15 @@
 	return c
 }
 
-// end calls it off and waits until nothing of it runs.
+// end cancels the call and waits until its goroutine has ended.
 func (c *call) end() {
 	c.cancel()
 	<-c.ended
 }
 
-// fetchShort makes a call that need not wait. While discovery fails a patient one of the same question is out beside the fetchShort ones:
-// fetchShort calls tell at once that a silent discovery is back, and the patient one takes the answer of a slow discovery, which
-// would never answer in a fetchShort one's time.
+// fetchShort makes a call that does not wait for changes. While discovery fails, a long call with the same
+// query runs in parallel. Short calls notice at once that a silent discovery is back; the long call receives
+// the answer of a slow discovery, which would never answer within the timeout of a short call.
 func (w *watcher) fetchShort(ctx context.Context, url string) (ServerList, error) {
 	if w.failing && w.longCall == nil && w.longTimeout > 0 {
 		w.longCall = w.startCall(ctx, url, w.longTimeout)
@@ -170,29 +170,30 @@
 	}
 }
 
-// checkVersion reports why a list that can be read is not taken. Discovery that falls behind itself could tell that a server that drains is
-// up; one that has begun to count anew says the same again and again.
+// checkVersion returns an error if a valid list must not be used. An instance of discovery that lags behind
+// could report a draining server as up, so older versions are rejected. An instance that has restarted its
+// version count sends older versions repeatedly, and is accepted after maxOlderAnswers.
 func (w *watcher) checkVersion(list *ServerList) error {
 	switch {
 	case !list.Full && !w.hasList:
-		return errors.New("changes to a list that this gateway does not hold")
+		return errors.New("received changes before the first whole list")
 	case !w.hasList || list.Version >= w.version:
 		w.olderAnswers = 0
 		return nil
 	case !list.Full:
 		if w.olderAnswers++; w.olderAnswers >= maxOlderAnswers {
-			w.hasList, w.olderAnswers = false, 0 // it is asked for the whole list, which counts as the first
+			w.hasList, w.olderAnswers = false, 0 // request the whole list, which is then accepted as if it were the first
 		}
-		return fmt.Errorf("changes of version %d, older than version %d of the list that is held", list.Version, w.version)
+		return fmt.Errorf("changes of version %d, older than version %d of the current list", list.Version, w.version)
 	}
 	if w.olderAnswers++; w.olderAnswers < maxOlderAnswers {
-		return fmt.Errorf("a whole list of version %d, older than version %d that is held", list.Version, w.version)
+		return fmt.Errorf("a whole list of version %d, older than version %d of the current list", list.Version, w.version)
 	}
 	w.olderAnswers = 0
 	return nil
 }
 
-// deliver hands on a list.
+// deliver passes a list on.
 func (w *watcher) deliver(list ServerList) {
 	kind := decide.ListDelta
 	if list.Full {
@@ -210,7 +211,7 @@
 	var list ServerList
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return list, fmt.Errorf("making a call: %w", err)
+		return list, fmt.Errorf("creating the request: %w", err)
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
@@ -233,13 +234,13 @@
 	return list, list.validate()
 }
 
-// failureLog tells failures that come again and again without filling the log: another one after nextFailure, the same one after
-// sameFailure.
+// failureLog limits the rate of warnings: a different failure is logged again after failureInterval, the same
+// failure after sameFailureInterval.
 type failureLog struct {
 	log        *slog.Logger
 	last       string
 	at         time.Time
-	suppressed int // that were not told since
+	suppressed int // number of failures since the last one logged
 }
 
 func (f *failureLog) warn(what string, err error) {
@@ -252,7 +253,7 @@
 	f.last, f.at, f.suppressed = text, time.Now(), 0
 }
 
-// sleep waits, or less if the context ends.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -10,43 +10,47 @@
 	"sloepick/internal/tuning"
 )
 
-// Frontend takes clients in by a protocol of its own. Listen comes first, in the goroutine of the start; Serve takes
-// connections, in one of its own, until the front has finished or is closed; Finish and Close may come more than once, from any
-// goroutine.
+// Frontend accepts clients over one protocol. Listen is called first, during startup. Serve accepts
+// connections, in a goroutine of its own, until the backlog is drained or the frontend is closed. DrainBacklog
+// and Close may be called repeatedly and from any goroutine.
 type Frontend interface {
 	Listen(ctx context.Context) error
 	Serve(ctx context.Context, core *Core)
-	DrainBacklog(by time.Time) // takes the connections that wait to be accepted, until that time at most, and closes
+	DrainBacklog(by time.Time) // accepts pending connections, until that time at most, and then closes the listener
 	Close() error
 }
 
-// ClientConn is a client's connection of any protocol, as the core counts it among the descriptors. Its methods are called by
-// the loop.
+// ClientConn is a client's connection over any protocol. The core counts it towards the descriptor limit and
+// calls its methods on the event loop.
 type ClientConn interface {
-	Idle() bool              // nothing is owed on it, so that it may be drained to make room
-	LastUsed() time.Duration // when it was last answered, or came
-	Drain()                  // takes what has come, answers all, and ends
-	Close()                  // ends at once; what is open on it is abandoned
+	Idle() bool              // no response is owed on it, so it may be drained to make room for another one
+	LastUsed() time.Duration // when it was last answered; if it never was, when it was accepted
+	Drain()                  // reads what has arrived, answers everything and closes
+	Close()                  // closes at once and abandons open requests
 }
 
-// Responder is a request's place on a front. Ended is called by the loop once, possibly before Ask returns.
+// Responder receives the response to a request. Respond is called once, on the event loop, possibly before
+// Submit returns.
 type Responder interface{ Respond(r Response) }
 
-// RequestHandle is an open request. The zero value is none: it has had its ending.
+// RequestHandle identifies an open request. The zero value identifies none: the request has been answered.
 type RequestHandle struct{ r *requestState }
 
-// Open reports that the handle is of a request.
+// Open reports whether the handle identifies a request.
 func (h RequestHandle) Open() bool { return h.r != nil }
 
-// Core is what fronts and backs see of the core. Post, Accept, Closing, Log, Now and Tuning may be called from any goroutine;
-// the others are for the loop's, in which what Post is given runs, and what At and Later are.
+// Core is the interface of the gateway's core for frontends, backends and fleet members. Post, Closing, Log,
+// Now, Tuning, SetMembership, DeliverMessage and DeliverRecoverySnapshot may be called from any goroutine. All
+// other methods must be called on the event loop, which also runs the functions given to Post, Schedule and
+// Defer.
 type Core struct{ l *eventLoop }
 
-// Post lets the loop call a function. It waits while the loop's inbox is full.
+// Post runs a function on the event loop. It blocks while the inbox of the event loop is full.
 func (c *Core) Post(f func()) { c.l.inbox.post(f) }
 
-// postAccepted lets the loop take a connection that was accepted. Only so many are accepted ahead of the loop, which bounds the
-// descriptors: hundreds that come at once wait in the kernel. It reports false once the context has ended.
+// postAccepted passes an accepted connection to the event loop. Only a limited number of connections is
+// accepted before the event loop has counted them: this bounds the number of descriptors, and a burst of
+// connections waits in the kernel. It reports false if the context has ended.
 func (c *Core) postAccepted(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
 	select {
 	case c.l.acceptSlots <- struct{}{}:
@@ -61,29 +65,29 @@
 	}
 }
 
-// Closing is closed when nothing new is taken any more.
+// Closing returns a channel that is closed when the gateway accepts no new connections any more.
 func (c *Core) Closing() <-chan struct{} { return c.l.closingCh }
 
-// Log is the gateway's.
+// Log returns the gateway's logger.
 func (c *Core) Log() *slog.Logger { return c.l.log }
 
-// Now is the core's time.
+// Now returns the current time of the gateway's clock.
 func (c *Core) Now() time.Duration { return c.l.clock.Now() }
 
-// Tuning is what operators set.
+// Tuning returns the current tuning values.
 func (c *Core) Tuning() *tuning.Tuning { return c.l.tuning.Load() }
 
-// Schedule calls a function at a time, unless it is called off.
+// Schedule calls a function at a given time, unless it is cancelled before.
 func (c *Core) Schedule(t time.Duration, f func()) (cancel func()) {
 	a := c.l.schedule(t, f)
 	return func() { c.l.cancelTimer(a) }
 }
 
-// Defer calls a function at the end of the loop's turn.
+// Defer calls a function at the end of the current turn of the event loop.
 func (c *Core) Defer(f func()) { c.l.deferred = append(c.l.deferred, f) }
 
-// AdmitConn counts a connection, and reports false if there is no room for it. One that comes while the gateway ends is drained
-// soon.
+// AdmitConn counts a client's connection and reports false if there is no room for it. A connection that is
+// admitted during shutdown is drained soon after.
 func (c *Core) AdmitConn(conn ClientConn) bool {
 	if !c.l.admitConn(conn) {
 		return false
@@ -94,27 +98,28 @@
 	return true
 }
 
-// RemoveConn forgets a connection that was closed.
+// RemoveConn removes a connection that was closed.
 func (c *Core) RemoveConn(conn ClientConn) { delete(c.l.clients, conn) }
 
-// Submit takes a request into the core.
+// Submit submits a request to the core.
 func (c *Core) Submit(responder Responder, v *Request) RequestHandle {
 	return RequestHandle{c.l.submit(responder, v)}
 }
 
-// ProcessPending has the module hear at once of what was asked and abandoned in this turn; otherwise it does when the call that the loop
-// makes returns. A front with many requests at hand calls it between them, so that each is held to what the one before left.
+// ProcessPending passes pending events, such as requests submitted or abandoned in this turn, to the decision
+// module at once, instead of when the current function on the event loop returns. A frontend with several
+// requests at hand calls it after each, so that each one is checked against the quota left by the one before.
 func (c *Core) ProcessPending() { c.l.processPending() }
 
-// Abandon ends a request whose client has gone away.
+// Abandon ends a request whose client has disconnected.
 func (c *Core) Abandon(h RequestHandle) { c.l.abandon(h.r) }
 
-// Allowance is what the customer's bucket has room for now.
+// Allowance returns what is left of the customer's quota.
 func (c *Core) Allowance(customer, plan string) (decide.Allowance, bool) {
 	return c.l.decider.Allowance(c.Now(), customer, plan)
 }
 
-// admitConn counts a client's connection among the descriptors. It reports false if there is no room.
+// admitConn counts a client's connection towards the descriptor limit. It reports false if there is no room.
 func (l *eventLoop) admitConn(c ClientConn) bool {
 	if len(l.clients) >= descriptorShare(l.cfg.Sockets, l.tuning.Load().Clients.Descriptors) {
 		l.evictClient()
@@ -127,9 +132,10 @@
 	return true
 }
 
-// evictClient makes room for a new connection by closing the one that has been quiet for longest. (Closing those
-// that have not asked yet in its place was measured: in a crowd of newcomers it is they who are about to ask.) If
-// all are owed answers nothing is closed, and the new one takes from the servers' share of descriptors.
+// evictClient makes room for a new connection by draining the one that has been idle for longest. Connections
+// without a request so far are not preferred, because during a surge of new clients those are about to send
+// one. If answers are owed on all connections, nothing is closed, and the new connection uses the servers'
+// share of the descriptors.
 func (l *eventLoop) evictClient() {
 	var oldest ClientConn
 	for c, n := range l.clients {
--- a/internal/gateway/inbox.go
+++ b/internal/gateway/inbox.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// inbox holds what other goroutines have the loop do until the loop takes all of them in one wake-up. Whoever posts to a full one waits, so
-// that peers who send faster than the loop works wait in the kernel and not in memory. The loop never posts.
+// inbox queues functions that other goroutines post to the event loop, which takes all of them at each wake-up.
+// Posting to a full inbox blocks, so that input that arrives faster than the event loop runs waits in the
+// kernel instead of in memory. The event loop itself never posts.
 type inbox struct {
 	mu      sync.Mutex
 	notFull sync.Cond
@@ -12,7 +13,7 @@
 	ready   chan struct{}
 }
 
-const maxPosted = 1024 // calls: far more than a turn of the loop brings, and some MB if all are large
+const maxPosted = 1024 // far more functions than arrive in one turn, and a few MB if all of them are large
 
 func newInbox() *inbox {
 	q := &inbox{ready: make(chan struct{}, 1)}
@@ -36,7 +37,7 @@
 	}
 }
 
-// close lets those who wait go on: nothing is taken any more.
+// close unblocks waiting posters. The inbox is not read any more.
 func (q *inbox) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -44,7 +45,7 @@
 	q.notFull.Broadcast()
 }
 
-// take returns what has come in; spare is a former batch whose memory is used again.
+// take returns all posted functions. spare is a previous batch, whose memory is reused.
 func (q *inbox) take(spare []func()) []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	acceptRetryDelay   = 10 * time.Millisecond // after an accept that failed, as when descriptors are short
-	backlogIdleTimeout = 5 * time.Millisecond  // a listener that finishes closes when no connection has come for so long
+	acceptRetryDelay   = 10 * time.Millisecond // after a failed accept, for example when descriptors are exhausted
+	backlogIdleTimeout = 5 * time.Millisecond  // a draining listener closes when no connection arrives for this long
 )
 
-// Listener is a front's socket, for fronts to embed.
+// Listener is a TCP listener, for embedding in frontends.
 type Listener struct {
-	name  string // in errors
+	name  string // for error messages
 	addr  string
 	ln    net.Listener
-	ready chan struct{} // closed when ln is there
-	// drainDeadline is when it closes at the latest, in nanoseconds of Unix time; 0: it does not drainDeadline yet.
+	ready chan struct{} // closed when ln is set
+	// Deadline for draining the backlog, in nanoseconds of Unix time; 0: not draining.
 	drainDeadline *atomic.Int64
 }
 
-// NewListener makes one that does not listen yet. The name stands in its errors.
+// NewListener creates a listener that is not open yet. The name is for error messages.
 func NewListener(name, addr string) Listener {
 	return Listener{name: name, addr: addr, ready: make(chan struct{}), drainDeadline: &atomic.Int64{}}
 }
 
-// UseSocket has it use a socket that listens already.
+// UseSocket sets a socket that is already listening.
 func (l *Listener) UseSocket(ln net.Listener) { l.ln = ln }
 
-// Listen opens it, unless it was given.
+// Listen opens the listener, unless UseSocket has set a socket.
 func (l *Listener) Listen(ctx context.Context) (err error) {
 	if l.ln != nil {
 		close(l.ready)
@@ -47,13 +47,14 @@
 	return nil
 }
 
-// Addr is where it listens. It waits until it does.
+// Addr returns the address of the listener. It blocks until Listen has been called.
 func (l *Listener) Addr() net.Addr {
 	<-l.ready
 	return l.ln.Addr()
 }
 
-// AcceptLoop takes connections until the listener is closed or has finished, or the context ends, and lets the loop call take for each.
+// AcceptLoop accepts connections until the listener is closed or drained, or the context ends, and calls take
+// with each of them on the event loop.
 func (l *Listener) AcceptLoop(ctx context.Context, core *Core, take func(net.Conn)) {
 	for {
 		draining := l.drainDeadline.Load() != 0
@@ -70,35 +71,37 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if draining { // no connection waits
+			if draining { // the backlog is empty
 				l.Close()
 				return
 			}
 		default:
-			core.l.acceptFailures.warn("accepting a connection", err)
-			sleep(ctx, acceptRetryDelay) // out of descriptors: some may be free then
+			core.l.acceptFailures.warn("accepting a connection failed", err)
+			sleep(ctx, acceptRetryDelay) // descriptors may have been exhausted; some may be free by then
 		}
 	}
 }
 
-// extendDeadline gives a listener that finishes the time for one more connection. It reports false if its time is over.
+// extendDeadline gives a draining listener the time to accept one more connection. It reports false if the time
+// for draining is over.
 func (l *Listener) extendDeadline() bool {
 	now := time.Now()
 	timed, ok := l.ln.(interface{ SetDeadline(time.Time) error })
 	return ok && now.UnixNano() < l.drainDeadline.Load() && timed.SetDeadline(now.Add(backlogIdleTimeout)) == nil
 }
 
-// DrainBacklog has Accept take the connections that the kernel has accepted and that wait, until that time at most, and close the listener. Closing
-// it with some of them in its queue would reset them, and with them the requests that their clients have sent.
+// DrainBacklog makes AcceptLoop accept the connections that are waiting in the kernel's accept queue, until the
+// deadline at most, and then close the listener. Closing it with connections in the queue would reset these and
+// lose the requests that their clients have already sent.
 func (l *Listener) DrainBacklog(by time.Time) {
 	l.drainDeadline.Store(by.UnixNano())
 	timed, ok := l.ln.(interface{ SetDeadline(time.Time) error })
-	if !ok || timed.SetDeadline(time.Unix(1, 0)) != nil { // wakes Accept
+	if !ok || timed.SetDeadline(time.Unix(1, 0)) != nil { // wakes AcceptLoop
 		l.Close()
 	}
 }
 
-// Close ends it. One that is closed already stays so.
+// Close closes the listener. It may be called repeatedly.
 func (l *Listener) Close() error {
 	if err := l.ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("%s: %w", l.name, err)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -16,7 +16,7 @@
 	"sloepick/internal/tuning"
 )
 
-// eventLoop owns the decision module and all that changes. Only its own goroutine touches it.
+// eventLoop owns the decision module and all mutable state. Only its own goroutine accesses it.
 type eventLoop struct {
 	cfg            Config
 	log            *slog.Logger
@@ -24,37 +24,39 @@
 	core           *Core
 	decider        *decide.Gateway
 	inbox          *inbox
-	peers          PeerTransport // nil where messages are not allowed
+	peers          PeerTransport // nil: peer messages are disabled
 	timers         timerHeap
 	pending        []decide.Event
-	decidedAt      time.Duration // when the module was last asked: times that it tells count from then
+	decidedAt      time.Duration // when the decision module was last called; timeouts in its actions count from then
 	requests       map[string]*requestState
-	clientIDs      map[string]struct{} // of the requests that are owed an answer, as their clients named them
+	clientIDs      map[string]struct{} // ids of the unanswered requests, as chosen by the clients
 	nextID         uint64
 	pool           pool
-	clients        map[ClientConn]uint64 // by when they came
+	clients        map[ClientConn]uint64 // with a sequence number in order of acceptance
 	connSeq        uint64
-	tuning         *atomic.Pointer[tuning.Tuning] // stored by the loop, read by the goroutines of connections too
+	tuning         *atomic.Pointer[tuning.Tuning] // written by the event loop, read by other goroutines as well
 	routes         *route.Table                   // nil: none
-	acceptSlots    chan struct{}                  // holds one for each connection that was taken and is not counted yet
-	accepting      int                            // that still accept
+	acceptSlots    chan struct{}                  // holds one element for each accepted connection that is not counted yet
+	accepting      int                            // number of frontends that still accept connections
 	acceptFailures *failureLog
-	requestBytes   int           // bytes of the commands of open requests
-	batch          []func()      // of the inbox, as it was taken last
-	deferred       []func()      // to be done once the turn's events are handled
-	closingCh      chan struct{} // closed when nothing new is taken
+	requestBytes   int           // held by open requests
+	batch          []func()      // last batch of the inbox, for reuse
+	deferred       []func()      // to be called at the end of the turn
+	closingCh      chan struct{} // closed when the gateway accepts no new connections any more
 	closing        bool
 	membership     membership // in a fleet
-	rank           int        // that the module goes by
+	rank           int        // this gateway's number, as known to the decision module
 	restarts       int
 	observer       func(decide.Event, []decide.Action) // nil: none
-	recovery       *recoverer                          // nil: off
+	recovery       *recoverer                          // nil: disabled
 }
 
 const (
-	deadlineMargin = 10 * time.Millisecond // an answer leaves so long before the client stops waiting: it
-	// covers the way from the client, whose clock began when it sent the request, and the way back
-	overdueGrace = 5 * time.Millisecond // past its end, a request that the module left open is failed
+	// A response is sent this long before the client stops waiting. It covers both network directions, because the
+	// client's time starts when it sends the request.
+	deadlineMargin = 10 * time.Millisecond
+	// A request that the decision module leaves open past its deadline is failed after this time.
+	overdueGrace = 5 * time.Millisecond
 )
 
 func newLoop(cfg Config, clock Clock, log *slog.Logger) (*eventLoop, error) {
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// run handles events until the gateway has stopped and owes nothing.
+// run handles events until the gateway has stopped and all requests are answered.
 func (l *eventLoop) run() {
 	wakeup := time.NewTimer(time.Hour)
 	defer wakeup.Stop()
@@ -111,17 +113,18 @@
 	l.processPending()
 }
 
-// runPosted does what was posted.
+// runPosted runs the posted functions.
 func (l *eventLoop) runPosted() {
 	l.batch = l.inbox.take(l.batch)
 	for i, f := range l.batch {
-		l.batch[i] = nil // what it holds can go
+		l.batch[i] = nil // releases what the function references
 		f()
 		l.processPending()
 	}
 }
 
-// runDeferred does what waits for the end of a turn, such as writing all answers of a connection at once.
+// runDeferred runs the functions that were deferred to the end of the turn, such as writing all responses of a
+// connection at once.
 func (l *eventLoop) runDeferred() {
 	for i := 0; i < len(l.deferred); i++ {
 		l.deferred[i]()
@@ -131,7 +134,7 @@
 	l.deferred = l.deferred[:0]
 }
 
-// fireTimers makes the calls that are due.
+// fireTimers calls the functions of due timers.
 func (l *eventLoop) fireTimers() {
 	now := l.clock.Now()
 	for len(l.timers) > 0 && l.timers[0].at <= now {
@@ -146,22 +149,22 @@
 	return tm
 }
 
-// cancelTimer takes an alarm back, if it has not rung. An alarm left to ring would hold what it is about until then: a
-// client's request for as long as the client would have waited.
+// cancelTimer cancels a timer that has not fired. An obsolete timer would keep the objects it references in
+// memory until it fires: a client's request for as long as the client would have waited.
 func (l *eventLoop) cancelTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// enqueue queues an event for the module. What an action brings about at once waits until the actions before it
-// are carried out.
+// enqueue queues an event for the decision module. Events that result from an action are handled after the
+// remaining actions of the current event.
 func (l *eventLoop) enqueue(ev decide.Event) { l.pending = append(l.pending, ev) }
 
 func (l *eventLoop) processPending() {
 	for i := 0; i < len(l.pending); i++ {
 		if l.pending[i] == nil {
-			continue // dropped by a restart
+			continue // removed by a restart
 		}
 		for _, a := range l.handle(l.pending[i]) {
 			l.perform(a)
@@ -171,13 +174,14 @@
 	l.pending = l.pending[:0]
 }
 
-// handle hands an event to the module. Should the module panic, every request still gets its one answer and
-// the gateway goes on as after a restart; without this a single bad event would lose all that is open.
+// handle passes an event to the decision module. If the module panics, every open request still gets a
+// response, and the gateway continues with a new module. Without this, a single bad event would lose all open
+// requests.
 func (l *eventLoop) handle(ev decide.Event) (actions []decide.Action) {
 	decider := l.decider
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error("the decision module panicked", "panic", p, "stack", string(debug.Stack()))
+			l.log.Error("decision module panicked; restarting it", "panic", p, "stack", string(debug.Stack()))
 			l.restart(decider)
 		}
 	}()
@@ -195,7 +199,7 @@
 	}
 	l.restarts++
 	if err := l.startDecider(); err != nil {
-		l.log.Error("no new decision module", "err", err) // the settings were good before
+		l.log.Error("restarting the decision module failed", "err", err) // the settings were valid at startup
 		return
 	}
 	for _, r := range slices.SortedFunc(maps.Values(l.requests), func(a, b *requestState) int { return cmp.Compare(a.seq, b.seq) }) {
@@ -204,11 +208,11 @@
 			l.pool.cancel(a)
 		}
 	}
-	clear(l.pending) // all of it was about what is over
+	clear(l.pending) // these events refer to requests that are now closed
 	l.enqueue(decide.ServerListUpdate{Kind: decide.ListFull, Servers: l.pool.snapshot()})
 }
 
-// perform carries out what the module wants.
+// perform carries out an action of the decision module.
 func (l *eventLoop) perform(a decide.Action) {
 	switch a := a.(type) {
 	case decide.SendAttempt:
@@ -228,7 +232,7 @@
 	case decide.SetTimer:
 		decider := l.decider
 		l.schedule(a.At, func() {
-			if decider == l.decider { // else it was set before a restart
+			if decider == l.decider { // otherwise the timer was set before a restart
 				l.enqueue(decide.TimerFired{Token: a.Token})
 			}
 		})
@@ -237,16 +241,16 @@
 			return
 		}
 		if err := l.peers.Send(a.To, a.Text); err != nil {
-			l.log.Debug("a message was not sent", "err", err) // as if lost
+			l.log.Debug("sending a message to a peer failed", "err", err) // treated like a lost message
 		}
 	case decide.Log:
 		l.log.Info(a.Text)
 	default:
-		l.log.Error("the module wants what this gateway does not do", "action", fmt.Sprintf("%T", a))
+		l.log.Error("unsupported action of the decision module", "action", fmt.Sprintf("%T", a))
 	}
 }
 
-// updateServers takes a list of servers.
+// updateServers applies a list of servers from discovery.
 func (l *eventLoop) updateServers(kind decide.ListKind, list ServerList) {
 	u := decide.ServerListUpdate{Kind: kind, Version: list.Version}
 	listed := map[string]bool{}
--- a/internal/gateway/mailbox.go
+++ b/internal/gateway/mailbox.go
@@ -1,20 +1,20 @@
 package gateway
 
-// Mailbox is how a connection's reader waits for the loop: the loop hands a value on, the reader takes it. It holds one. Hand and
-// End are the loop's, in whatever order they come; Wait is the reader's.
+// Mailbox passes values from the event loop to the goroutine that reads a connection. It holds one value.
+// TrySend and Close are called on the event loop, in any order; Receive is called by the reader.
 //
-// A connection ends once, in the loop, by its own close: that alone closes its socket, ends its mailbox and gives its
-// descriptor back. Whoever still calls into it, the rest of a piece that it sent, an ending, an alarm, a writer that is done,
-// finds it closed, changes nothing and takes no request in.
+// A connection ends once, on the event loop, in its own close method, the only place that closes its socket,
+// closes its mailbox and releases its descriptor. Anything that calls into it afterwards, such as the rest of
+// the input, a response, a timer or a completed write, finds it closed, changes nothing and submits no request.
 type Mailbox[T any] struct {
 	values chan T
 	closed bool
 }
 
-// NewMailbox makes one that holds nothing.
+// NewMailbox returns an empty mailbox.
 func NewMailbox[T any]() Mailbox[T] { return Mailbox[T]{values: make(chan T, 1)} }
 
-// TrySend gives the reader a value. It reports false if one that was handed before still waits, or the mailbox has ended.
+// TrySend puts a value into the mailbox. It reports false if the mailbox still holds a value or is closed.
 func (m *Mailbox[T]) TrySend(v T) bool {
 	if m.closed {
 		return false
@@ -27,7 +27,8 @@
 	}
 }
 
-// Close has the reader stop once it has taken what was handed. Ending it again changes nothing.
+// Close ends the reader's loop once it has received the value in the mailbox, if any. It may be called
+// repeatedly.
 func (m *Mailbox[T]) Close() {
 	if !m.closed {
 		m.closed = true
@@ -35,7 +36,8 @@
 	}
 }
 
-// Receive takes the next value, in the reader's goroutine. It reports false once the mailbox has ended.
+// Receive waits for the next value, in the reader's goroutine. It reports false once the mailbox is closed and
+// empty.
 func (m *Mailbox[T]) Receive() (v T, ok bool) {
 	v, ok = <-m.values
 	return v, ok
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -7,38 +7,39 @@
 	"sloepick/internal/fleet"
 )
 
-// FleetMember takes part in a fleet for the gateway: it tells by the Door how the gateway stands, and carries the module's messages
-// from place to place.
+// FleetMember is the gateway's membership in a fleet: it reports the state of the membership to the Core and
+// delivers the decision module's messages between gateways.
 type FleetMember interface {
 	PeerTransport
-	// Serve takes part until the context ends, and then leaves.
+	// Serve takes part in the fleet until the context ends, and then leaves it.
 	Serve(ctx context.Context, core *Core)
-	// IsCurrent reports that the standing of that number is the last one and still good: a process that stood still must not go by
-	// what it was told before. It may be called from any goroutine.
+	// IsCurrent reports that the membership with that sequence number is the latest one and has not expired: a
+	// process that was suspended must not rely on an old membership. It may be called from any goroutine.
 	IsCurrent(seq uint64) bool
 }
 
-// membership is what a gateway in a fleet was told.
+// membership is the state of this gateway's membership in its fleet.
 type membership struct {
-	number   int // below 0: it may let nothing in
+	number   int // this gateway's number; negative: it may not admit requests
 	term     uint64
-	seq      uint64 // of the standing
-	assigned bool   // a place before
+	seq      uint64 // sequence number of the update
+	assigned bool   // it has had a gateway number before
 }
 
-// SetMembership lets the loop take how the gateway stands in its fleet. Standings are counted.
+// SetMembership updates the state of the gateway's membership in its fleet. seq is the sequence number of the
+// update.
 func (c *Core) SetMembership(s fleet.Assignment, seq uint64) {
 	c.Post(func() { c.l.setMembership(s, seq) })
 }
 
-// DeliverMessage lets the loop take a message of the gateway in that place.
+// DeliverMessage delivers a message from the gateway with that number.
 func (c *Core) DeliverMessage(from int, text string) { c.l.postPeerMessage(from, text) }
 
 func (l *eventLoop) setMembership(s fleet.Assignment, seq uint64) {
 	prev := l.membership
 	l.membership.seq, l.membership.number = seq, s.Slot
 	if s.Slot < 0 {
-		return // what is open goes on by the number that it had
+		return // open requests continue under the previous number
 	}
 	l.membership.term, l.membership.assigned = s.Term, true
 	e := decide.MembershipUpdate{Rank: s.Slot, Isolated: s.Isolated, Peers: make([]decide.PeerStatus, len(s.Holders)),
@@ -65,7 +66,7 @@
 	l.notifyReady()
 }
 
-// mayAcceptRequests reports that the gateway has a place, or needs none.
+// mayAcceptRequests reports that the gateway has a current gateway number, or needs none.
 func (l *eventLoop) mayAcceptRequests() bool {
 	return l.cfg.Member == nil || l.membership.number >= 0 && l.cfg.Member.IsCurrent(l.membership.seq)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -10,12 +10,13 @@
 
 const maxDatagramSize = 256 // bytes of a message between gateways
 
-// PeerTransport transport messages to the other gateways, by their numbers. Tell never waits; what it sends may be lost.
+// PeerTransport sends messages to the other gateways, identified by their numbers. Send never blocks; messages
+// may be lost.
 type PeerTransport interface {
 	Send(to int, text string) error
 }
 
-// peerSocket is the socket to the other gateways.
+// peerSocket exchanges messages with the other gateways over UDP.
 type peerSocket struct {
 	conn  *net.UDPConn
 	addrs []netip.AddrPort
@@ -34,19 +35,19 @@
 	return p, nil
 }
 
-// Send sends a message to a gateway by its number. It may be lost, as any datagram.
+// Send sends a message to a gateway. Like any datagram, it may be lost.
 func (p *peerSocket) Send(to int, text string) error {
 	if to < 0 || to >= len(p.addrs) || len(text) > maxDatagramSize {
 		return fmt.Errorf("message of %d bytes to gateway %d can't be sent", len(text), to)
 	}
 	if _, err := p.conn.WriteToUDPAddrPort([]byte(text), p.addrs[to]); err != nil {
-		return fmt.Errorf("telling gateway %d: %w", to, err)
+		return fmt.Errorf("sending to gateway %d: %w", to, err)
 	}
 	return nil
 }
 
-// receive hands on the messages of known gateways until the socket is closed. What comes from elsewhere or is
-// too long is dropped: anyone may send to the port.
+// receive passes on messages of known gateways until the socket is closed. Messages from other senders and
+// oversized messages are dropped, because anyone can send to the port.
 func (p *peerSocket) receive(deliver func(from int, text string), log *slog.Logger) {
 	buf := make([]byte, maxDatagramSize+1)
 	for {
@@ -55,7 +56,7 @@
 			return
 		}
 		if err != nil {
-			log.Debug("reading from peers", "err", err) // such as a refusal by a peer that is down
+			log.Debug("reading from the peer socket failed", "err", err) // for example because a peer that is down refused a message
 			continue
 		}
 		rank, ok := p.ranks[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -11,8 +11,8 @@
 	"sloepick/decide"
 )
 
-// maxTimerDelay is how late the loop may come to a time-out, when the core was busy elsewhere. From so much on, what the server
-// said may lie unread, and the time-out says nothing of the server.
+// maxTimerDelay is the delay of the event loop, for example on a busy machine, up to which a timeout is
+// attributed to the server. With a longer delay, the server's response may be waiting unread.
 const maxTimerDelay = 20 * time.Millisecond
 
 // upstream is one server.
@@ -20,19 +20,19 @@
 	id        string
 	addr      string
 	entry     decide.Server
-	conns     int       // open or being made
-	transport Transport // to the address at which it is; nil until it has had one
+	conns     int       // open or being established
+	transport Transport // to the current address; nil until the server has had one
 }
 
-// pool keeps the servers and counts the connections to them.
+// pool holds the servers and counts the connections to them.
 type pool struct {
 	l                 *eventLoop
 	servers           map[string]*upstream
-	conns             int // open or being made, of all servers
+	conns             int // to all servers, open or being established
 	maxConns          int
 	connectTimeout    time.Duration
 	idleTimeout       time.Duration
-	maxConnsPerServer int // connections to one server, open or being made
+	maxConnsPerServer int // open or being established
 }
 
 func newPool(l *eventLoop, cfg Config) pool {
@@ -41,7 +41,8 @@
 	return p
 }
 
-// applyTuning takes the values that operators may set. Connections over a lower bound go as they fall idle.
+// applyTuning applies the current tuning values. Connections over a lowered limit are closed when they become
+// idle.
 func (p *pool) applyTuning() {
 	t := &p.l.tuning.Load().Nodes
 	p.maxConns = descriptorShare(p.l.cfg.Sockets, t.Descriptors)
@@ -49,7 +50,8 @@
 	p.maxConnsPerServer = t.Connections
 }
 
-// update takes an entry of the list. The id is the server; its address and its process may change, and with them its transport.
+// update applies an entry of the server list. The id identifies the server; its address and its process may
+// change, and then it gets a new transport.
 func (p *pool) update(e decide.Server, addr string) {
 	s := p.servers[e.ID]
 	if s == nil {
@@ -62,7 +64,7 @@
 	moved := s.addr != addr || s.entry.Started != e.Started
 	s.entry = e
 	if e.State != decide.Gone && (moved || s.transport == nil) {
-		s.drain() // it leads to a process that is gone
+		s.drain() // it leads to a process that no longer exists
 		s.addr = addr
 		s.transport = p.l.cfg.backendFor(e.Kind).NewTransport(p.l.core, &Endpoint{p, s, addr})
 	}
@@ -78,20 +80,20 @@
 	}
 }
 
-// removeIfGone drops a server that is gone once no connection leads to it. Fleets renew their machines under new ids,
-// so without this the table would grow for as long as the gateway runs.
+// removeIfGone removes a server from the table once it is gone and has no connections left. Fleets replace
+// their machines under new ids, so without this the table would grow for as long as the gateway runs.
 func (p *pool) removeIfGone(s *upstream) {
 	if s.entry.State == decide.Gone && s.conns == 0 {
 		delete(p.servers, s.id)
 	}
 }
 
-// sorted are the servers in the order of ids.
+// sorted returns all servers, sorted by id.
 func (p *pool) sorted() []*upstream {
 	return slices.SortedFunc(maps.Values(p.servers), func(a, b *upstream) int { return cmp.Compare(a.id, b.id) })
 }
 
-// removeUnlisted takes that a whole list leaves servers out.
+// removeUnlisted marks servers that are missing from a whole list as gone.
 func (p *pool) removeUnlisted(listed map[string]bool) {
 	for _, s := range p.sorted() {
 		if !listed[s.id] {
@@ -102,7 +104,7 @@
 	}
 }
 
-// snapshot is the list as last told, in the order of ids.
+// snapshot returns the current list of servers, sorted by id.
 func (p *pool) snapshot() (list []decide.Server) {
 	for _, s := range p.sorted() {
 		list = append(list, s.entry)
@@ -110,7 +112,7 @@
 	return list
 }
 
-// start hands an attempt to its server's transport.
+// start passes an attempt to the transport of its server.
 func (p *pool) start(a *attemptState) {
 	s := a.server
 	if s == nil || s.entry.State != decide.Serving {
@@ -121,12 +123,13 @@
 	s.transport.Start(&a.handle)
 }
 
-// connLimit is how many connections there may be, of all servers: clients over their share take from it.
+// connLimit is the current limit of connections to all servers together. Clients beyond their share of the
+// descriptors lower it.
 func (p *pool) connLimit() int {
 	return min(p.maxConns, p.l.cfg.Sockets-reservedSockets-len(p.l.clients))
 }
 
-// evictIdle closes the connection that has stood idle for longest.
+// evictIdle closes the connection that has been idle for longest.
 func (p *pool) evictIdle() {
 	var oldest *upstream
 	var since time.Duration
@@ -144,15 +147,15 @@
 	}
 }
 
-// releaseConn counts a connection that is no more, or was never made.
+// releaseConn stops counting a connection that was closed or could not be established.
 func (p *pool) releaseConn(s *upstream) {
 	s.conns--
 	p.conns--
 	p.removeIfGone(s)
 }
 
-// expire ends an attempt whose time is up. One that has no connection yet never ran. If the loop itself comes
-// late, the server is not to blame: the attempt is called off.
+// expire ends an attempt that has timed out. Without a connection, the request was not executed. If the event
+// loop itself is late, the timeout is not attributed to the server, and the attempt counts as cancelled.
 func (p *pool) expire(a *attemptState) {
 	o := decide.TimedOut
 	switch {
@@ -164,14 +167,14 @@
 	p.abort(a, o)
 }
 
-// expireUnwritten gives up an attempt whose last byte was not written in time. It never ran.
+// expireUnwritten cancels an attempt that was not fully sent in time, so that it was not executed.
 func (p *pool) expireUnwritten(a *attemptState) {
 	if !a.fullySent {
 		p.abort(a, decide.NoConnection)
 	}
 }
 
-// cancel stops waiting for an attempt. Whether it ran is not known once its request may have been written.
+// cancel cancels an attempt. It is unknown whether the request was executed if it may have been fully sent.
 func (p *pool) cancel(a *attemptState) { p.abort(a, decide.Cancelled) }
 
 func (p *pool) abort(a *attemptState, o decide.Outcome) {
@@ -184,8 +187,8 @@
 	p.l.endAttempt(a, o)
 }
 
-// isLocalFailure reports whether a connection was not made for want of something on this machine. The server must
-// not be held to be bad for it.
+// isLocalFailure reports whether a connection failed for lack of a local resource. Such a failure must not
+// count against the server.
 func isLocalFailure(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
--- a/internal/gateway/recovery.go
+++ b/internal/gateway/recovery.go
@@ -8,47 +8,49 @@
 	"sloepick/internal/recovery"
 )
 
-// StateStore keeps what outlives the process. Its methods never wait for a disk.
+// StateStore saves the state that must survive a restart. Its methods never wait for a disk.
 type StateStore interface {
-	// Note takes customers whose buckets changed, the units that are answered a second, and the usual requests a second that a
-	// warm node is sent.
+	// Note saves the changed buckets of customers, the units answered per second, and the usual number of
+	// requests per second sent to a warm node.
 	Note(changed []decide.BucketSnapshot, work, sends float64)
-	// Heard takes what is known of other members.
+	// Heard saves what is known of the other members.
 	Heard(seen map[string]recovery.Seen)
-	// Open tells that what is believed has been taken: from now on images are this process's. kept: by the disk's own.
+	// Open is called when the restored state is in use: saved images describe the state of this process from
+	// now on. kept reports that this state comes from the store's own image.
 	Open(kept bool)
 }
 
-// RecoveryConfig is how a gateway comes back after a loss of power.
+// RecoveryConfig configures the recovery after a power loss.
 type RecoveryConfig struct {
-	Start        *recovery.Start // with what the disk held
+	Start        *recovery.Start // with the content of the disk
 	Service      recovery.ServiceConfig
 	Store        StateStore
-	SaveInterval time.Duration // from one Note to the next
+	SaveInterval time.Duration // between calls to Store.Note
 	Clock        func() recovery.Clock
-	OnPhase      func(recovery.Phase) // is told each phase; nil: nobody asks
+	OnPhase      func(recovery.Phase) // is called with each new phase; may be nil
 }
 
 const (
-	maxChangedPerSave    = 4096             // customers that one Note takes: the loop copies them
-	throughputTimeConstant = 10 * time.Second // memory of what is answered
-	peerSnapshotWindow     = 5 * time.Second  // from its place on, a member still learns from others' words
+	maxChangedPerSave      = 4096             // customers per call to Store.Note, because the event loop copies them
+	throughputTimeConstant = 10 * time.Second // time constant of the average of units answered
+	peerSnapshotWindow     = 5 * time.Second  // after joining, how long snapshots of other members are used to restore buckets
 )
 
-// recoverer is what the loop keeps of it. nil: nothing is kept, and all is let in at once.
+// recoverer is the event loop's state of the recovery. nil: nothing is saved, and all requests are admitted
+// from the start.
 type recoverer struct {
 	*RecoveryConfig
 	l            *eventLoop
 	service      *recovery.Service
 	joinedAt     time.Duration
 	belief       recovery.Belief
-	throughput   float64 // units answered a second, faded
+	throughput   float64 // units answered per second, as an exponential average
 	throughputAt time.Duration
 	changed      []decide.BucketSnapshot
 	phase        recovery.Phase
 }
 
-// newRecoverer begins with the disk judged.
+// newRecoverer starts a recovery. The state on the disk has been checked by then.
 func (l *eventLoop) newRecoverer(cfg *RecoveryConfig) *recoverer {
 	now := l.clock.Now()
 	p := &recoverer{RecoveryConfig: cfg, l: l, service: recovery.NewService(cfg.Service), throughputAt: now}
@@ -58,7 +60,7 @@
 	return p
 }
 
-// tick keeps what changed, and moves the phases on.
+// tick saves the changed state and advances the phases.
 func (p *recoverer) tick() {
 	now := p.l.clock.Now()
 	p.l.schedule(now+p.SaveInterval, p.tick)
@@ -66,7 +68,7 @@
 		if p.l.cfg.Member != nil {
 			return
 		}
-		p.join(1) // without a fleet there is nobody to wait for
+		p.join(1) // without a fleet there are no other members to wait for
 	}
 	p.changed = p.l.decider.AppendChanged(p.changed[:0], maxChangedPerSave)
 	p.Store.Note(p.changed, p.throughputToSave(now), p.l.decider.WarmServerRate())
@@ -75,11 +77,13 @@
 	}
 }
 
-// throughputToSave is what is answered a second. While service returns it is what was answered before, if that is more: power may be lost again.
+// throughputToSave returns the units answered per second. During recovery, and shortly after joining, it is at
+// least the throughput from before the power loss, because power may fail again.
 func (p *recoverer) throughputToSave(now time.Duration) float64 {
 	p.decay(now)
 	since := now - p.joinedAt
-	reached := 1 - math.Exp(-max(since, time.Second).Seconds()/throughputTimeConstant.Seconds()) // of a steady rate, so soon after the beginning
+	// The part of a constant rate that the average has reached in the time since joining.
+	reached := 1 - math.Exp(-max(since, time.Second).Seconds()/throughputTimeConstant.Seconds())
 	if p.service.Phase() < recovery.Full || since < throughputTimeConstant {
 		return max(p.throughput/reached, p.belief.Own)
 	}
@@ -91,7 +95,7 @@
 	p.throughputAt = now
 }
 
-// reportPhase puts a phase that was reached into the log.
+// reportPhase logs the current phase and calls OnPhase.
 func (p *recoverer) reportPhase(note string) {
 	p.phase = p.service.Phase()
 	p.l.log.Info("power: "+p.phase.String(), "note", note)
@@ -100,7 +104,7 @@
 	}
 }
 
-// join takes what is believed, as the gateway has its place among so many members that are back.
+// join restores the state when the gateway has its number in the fleet and that many members are alive.
 func (p *recoverer) join(alive int) {
 	p.service.Alive(alive)
 	if p.service.Phase() >= recovery.Met {
@@ -119,8 +123,9 @@
 	p.Store.Heard(p.Start.Seen())
 }
 
-// receiveSnapshot takes another member's word. Long after the start only last lives are learned from it: what it knows of customers is told by
-// the module's own messages.
+// receiveSnapshot processes the recovery snapshot of another member. In full service, or after
+// peerSnapshotWindow, it only records the last incarnations of members: from then on the decision module's own
+// messages carry what is known of customers.
 func (p *recoverer) receiveSnapshot(w recovery.Word) {
 	if !p.Start.Hear(w) {
 		return
@@ -136,7 +141,7 @@
 	}
 }
 
-// countAnswer counts the units of a request that was served.
+// countAnswer counts the units of a successful request.
 func (p *recoverer) countAnswer(units float64) {
 	now := p.l.clock.Now()
 	p.decay(now)
@@ -144,7 +149,7 @@
 	p.service.Answered(now, units)
 }
 
-// updateNodes tells the phases of the nodes that serve.
+// updateNodes passes the start times of the serving nodes to the recovery service.
 func (p *recoverer) updateNodes(kind decide.ListKind) {
 	if kind == decide.ListFailed {
 		return
@@ -158,7 +163,7 @@
 	p.service.Nodes(kind != decide.ListStale, starts)
 }
 
-// admit reports whether it is a request's turn, and else when to return.
+// admit reports whether a request may be admitted in the current phase and, if not, when to retry.
 func (p *recoverer) admit(v *Request) (ok bool, after time.Duration) {
 	if p.service.Phase() == recovery.Full {
 		return true, 0
@@ -172,7 +177,7 @@
 	return p.service.Admit(p.l.clock.Now(), ask)
 }
 
-// DeliverRecoverySnapshot lets the loop take what another member told of the time before.
+// DeliverRecoverySnapshot delivers what another member knows of the time before the power loss.
 func (c *Core) DeliverRecoverySnapshot(w recovery.Word) {
 	c.Post(func() {
 		if c.l.recovery != nil {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -10,39 +10,40 @@
 	"sloepick/internal/route"
 )
 
-// Bounds on a request's values, whatever protocol they come by.
+// Limits on the values of a request, for all protocols.
 const (
-	MaxPayloadSize  = 64 << 10    // bytes of a body, and of a node's value
+	MaxPayloadSize  = 64 << 10    // bytes of a body and of a node's value
 	maxIDSize       = 128         // bytes of a request's id
 	maxKeySize      = 64          // bytes of an idempotency key
-	defaultMaxWait  = time.Minute // where its class has no deadline
-	defaultMaxUnits = 1 << 10     // where the settings name no most
+	defaultMaxWait  = time.Minute // if the class has no deadline
+	defaultMaxUnits = 1 << 10     // if the settings set no maximum
 	maxCustomer     = 1<<33 - 1
 )
 
-// Request are a request's, in no protocol's words. Once the core has them they are not changed.
+// Request is a request in protocol-independent form. It must not be changed once it is submitted.
 type Request struct {
 	Customer, ID, Class, Plan, Key string
-	ClientTimeout                  time.Duration // of the client, from Came on
+	ClientTimeout                  time.Duration // the client waits this long, counted from ReceivedAt
 	Units                          float64
-	GatewayCount, FirstGateway     int // the customer's set; Spread 0: not told
+	GatewayCount, FirstGateway     int // of the customer; GatewayCount 0: unknown
 	ClientRetry, Write             bool
 	Body                           []byte
 	ReceivedAt                     time.Duration
-	Native                         any // the request as its own protocol has it, for a back of that protocol; nil: no more than this
-	NativeSize                     int // bytes that Native holds beyond this
+	Native                         any // the original request, for a backend of the same protocol; nil: none
+	NativeSize                     int // bytes that Native holds in addition
 
-	maxWait time.Duration // of its class: no client waits longer
+	maxWait time.Duration // maximum of ClientTimeout for the class
 }
 
-// size is how many bytes it holds while it is open.
+// size is the memory, in bytes, that an open request holds.
 func (v *Request) size() int {
 	return len(v.Customer) + len(v.ID) + len(v.Class) + len(v.Plan) + len(v.Key) + len(v.Body) + v.NativeSize
 }
 
-// validate holds a request's values to the settings. What passes is counted as the customer's demand, told to
-// peers and sent to servers, so a value that no usual client sends, in a usual customer's name, must end here:
-// it would bend that customer's share, or be held against the server that turns it away.
+// validate checks the values of a request against the settings. A valid request counts as the customer's
+// demand, which is shared with peers, and is sent to servers. Values that no ordinary client sends must
+// therefore be rejected here: they would distort the customer's share, or count against the server that rejects
+// them.
 func (v *Request) validate(cfg *Config) error {
 	if n, err := strconv.ParseUint(v.Customer, 16, 64); err != nil || len(v.Customer) != 16 || n > maxCustomer {
 		return errors.New("the customer is not 16 hex digits, below 2^33")
@@ -70,7 +71,7 @@
 		return errors.New("k is too long")
 	case len(v.Body) > MaxPayloadSize:
 		return fmt.Errorf("the body is over %d bytes", MaxPayloadSize)
-	case v.ClientTimeout <= 0 || v.ClientTimeout >= v.maxWait+time.Millisecond: // whole milliseconds, so it may be rounded up
+	case v.ClientTimeout <= 0 || v.ClientTimeout >= v.maxWait+time.Millisecond: // whole milliseconds, so it may have been rounded up
 		return errors.New("d is out of range")
 	case v.Units < 1 || v.Units > units:
 		return errors.New("units are out of range")
@@ -80,50 +81,51 @@
 	return nil
 }
 
-// event is the request as the module is told of it, but for its bounds.
+// event is the request as an event for the decision module, without its bounds.
 func (r *requestState) event() decide.Request {
 	v := r.values
 	return decide.Request{ID: r.id, Class: v.Class, Plan: v.Plan, Customer: v.Customer, Units: v.Units,
 		GatewayCount: v.GatewayCount, FirstGateway: v.FirstGateway, ClientRetry: v.ClientRetry, Write: v.Write}
 }
 
-// ResponseKind is how a request ended.
+// ResponseKind is the kind of a response.
 type ResponseKind int
 
-// The kinds of endings.
+// Kinds of responses.
 const (
 	Served   ResponseKind = iota + 1
-	Refused               // it never ran: trying again does no harm
-	Failed                // nothing is promised
-	Rejected              // the request itself can't be taken
+	Refused               // safe to retry: not executed, or its class is safe
+	Failed                // may have been executed
+	Rejected              // the request is invalid
 )
 
-// Response is how a request ended for its client, in no protocol's words. A front makes its bytes of it.
+// Response is a response in protocol-independent form. The frontend encodes it.
 type Response struct {
 	Kind          ResponseKind
-	Value         []byte        // of Served: as a node gave it
-	RetryAfter    time.Duration // of Refused: when to come again; 0: no advice
-	QuotaExceeded bool          // of Refused: the customer's quota has no room
-	TimedOut      bool          // of Failed: time was up
-	DuplicateID   bool          // of Rejected: a request with its id is open
-	Reason        string        // of Failed and Rejected
+	Value         []byte        // if Served: the node's value, unchanged
+	RetryAfter    time.Duration // if Refused: when to retry; 0: not specified
+	QuotaExceeded bool          // if Refused: because the customer's quota is exhausted
+	TimedOut      bool          // if Failed: because the deadline has passed
+	DuplicateID   bool          // if Rejected: because a request with the same id is open
+	Reason        string        // if Failed or Rejected
 }
 
-// requestState is a client's requestState until its final answer is given and nothing of it is out.
+// requestState is a client's request, from its submission until it is answered and has no attempts in progress.
 type requestState struct {
-	id             string // the module's; a client's own ids may come twice
-	seq            uint64 // counts them
+	id             string // assigned by the event loop, because ids chosen by clients may repeat
+	seq            uint64 // sequence number
 	responder      Responder
 	values         *Request
 	attempts       []*attemptState
 	overdueTimer   *timer
-	activeAttempts int          // attempts that have not ended
-	routes         *route.Table // the table that its route stands in; nil: it has none
+	activeAttempts int          // attempts in progress
+	routes         *route.Table // the table that contains its route; nil: no route
 	route          int
 	done           bool
 }
 
-// timedOut reports whether a request that failed did so for want of time: its last attempt was still out, or timed out.
+// timedOut reports whether a failed request failed for lack of time: its last attempt was in progress or timed
+// out.
 func (r *requestState) timedOut() bool {
 	if len(r.attempts) == 0 {
 		return false
@@ -132,18 +134,18 @@
 	return !a.ended || a.outcome == decide.TimedOut
 }
 
-// attemptState is one try at one server.
+// attemptState is one attempt at one server.
 type attemptState struct {
 	req                 *requestState
 	index               int
-	server              *upstream // nil: unknown to this gateway
+	server              *upstream // nil: not in this gateway's server list
 	startedAt, deadline time.Duration
-	writeBy             time.Duration // the last byte must be written by then; 0: there is no such time
+	writeBy             time.Duration // the last byte must be written by then; 0: no limit
 	expiryTimer         *timer
-	writeTimer          *timer // at writeBy
+	writeTimer          *timer // fires at writeBy
 	handle              Attempt
-	connected           bool // its transport has put it on a connection
+	connected           bool // it is assigned to a connection
 	fullySent           bool // the last byte may have been written
 	ended               bool
-	outcome             decide.Outcome // once it is over
+	outcome             decide.Outcome // valid once it has ended
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -16,26 +16,26 @@
 	"sloepick/internal/tuning"
 )
 
-// The descriptors that a gateway may hold are parted between clients and servers; the rest is for the
-// listener, discovery, peers and the runtime.
+// The descriptors of a gateway are divided between clients and servers. The reserve is for the listener,
+// discovery, peers and the runtime.
 const (
 	minSockets      = 64
 	reservedSockets = 32
 )
 
-// descriptorShare are a share of those that may be parted.
+// descriptorShare returns a share of the descriptors that are not reserved.
 func descriptorShare(all int, share float64) int { return int(float64(all-reservedSockets) * share) }
 
-// Reload is what a running gateway takes anew.
+// Reload holds values that can change while a gateway runs.
 type Reload struct {
-	Discovery netip.AddrPort  // where it is from then on; its whole list is asked for, moved or not
-	Tuning    *tuning.Tuning  // nil: as it was
-	Routes    []*route.Route  // with Tuning: proven by Config.Prove
-	Applied   chan<- struct{} // closed, if not nil, when the values count
+	Discovery netip.AddrPort  // the address of discovery; the whole list is requested again even if it is unchanged
+	Tuning    *tuning.Tuning  // nil: unchanged
+	Routes    []*route.Route  // only applied together with Tuning; checked by Config.ValidateRoutes
+	Applied   chan<- struct{} // closed, if not nil, once the values are in effect
 }
 
-// Run serves until the context ends; then it takes what still comes for a moment, answers all that it has
-// taken, and returns. What comes over reloads counts from then on.
+// Run serves until the context ends. It then accepts connections for a short time longer, answers all requests
+// and returns. It applies the values received from reloads.
 func Run(ctx context.Context, cfg Config, reloads <-chan Reload, log *slog.Logger) error {
 	for _, f := range cfg.Frontends {
 		if err := f.Listen(ctx); err != nil {
@@ -48,7 +48,7 @@
 		return err
 	}
 	var wg sync.WaitGroup
-	bgCtx, cancel := context.WithCancel(context.Background()) // discovery goes on while the gateway drains
+	bgCtx, cancel := context.WithCancel(context.Background()) // discovery stays active while the gateway drains
 	defer wg.Wait()
 	defer cancel()
 	switch {
@@ -71,7 +71,7 @@
 		l.accepting++
 		wg.Go(func() {
 			f.Serve(bgCtx, l.core)
-			l.inbox.post(func() { l.accepting-- }) // behind the connections that it took
+			l.inbox.post(func() { l.accepting-- }) // after the connections that it accepted
 		})
 	}
 	if cfg.Member == nil {
@@ -89,7 +89,7 @@
 	return l.closeFrontends()
 }
 
-// postPeerMessage and news hand on what other goroutines were told.
+// postPeerMessage and postServers pass input from other goroutines to the event loop.
 func (l *eventLoop) postPeerMessage(from int, text string) {
 	l.inbox.post(func() { l.enqueue(decide.PeerMessage{From: from, Text: text}) })
 }
@@ -98,7 +98,7 @@
 	l.inbox.post(func() { l.updateServers(kind, list) })
 }
 
-// notifyReady tells that the gateway takes requests.
+// notifyReady calls OnReady, once.
 func (l *eventLoop) notifyReady() {
 	if ready := l.cfg.OnReady; ready != nil {
 		l.cfg.OnReady = nil
@@ -106,7 +106,7 @@
 	}
 }
 
-// closeFrontends has nothing new come.
+// closeFrontends closes all frontends.
 func (l *eventLoop) closeFrontends() (err error) {
 	for _, f := range l.cfg.Frontends {
 		err = errors.Join(err, f.Close())
@@ -114,7 +114,7 @@
 	return err
 }
 
-// forwardReloads hands reloads on until the context ends.
+// forwardReloads passes reloads on until the context ends.
 func forwardReloads(ctx context.Context, reloads <-chan Reload, moves chan<- netip.AddrPort, l *eventLoop) {
 	for {
 		select {
@@ -131,7 +131,7 @@
 	}
 }
 
-// reload takes other values for what operators may set. Open connections go by them from their next command on.
+// reload applies new tuning values and routes. Open connections use them from their next request on.
 func (l *eventLoop) reload(r Reload) {
 	if r.Tuning != nil {
 		l.tuning.Store(r.Tuning)
@@ -143,7 +143,7 @@
 	}
 }
 
-// stop begins the end of the gateway.
+// stop starts the shutdown.
 func (l *eventLoop) stop() {
 	now := l.clock.Now()
 	l.log.Info("stopping", "open", len(l.requests))
@@ -165,12 +165,12 @@
 	})
 }
 
-// clientConns are the clients', in the order in which they came.
+// clientConns returns the client connections, in order of acceptance.
 func (l *eventLoop) clientConns() []ClientConn {
 	return slices.SortedFunc(maps.Keys(l.clients), func(a, b ClientConn) int { return cmp.Compare(l.clients[a], l.clients[b]) })
 }
 
-// maxWait is how long a client may wait for an answer.
+// maxWait is the maximum time that a client may wait for a response.
 func (l *eventLoop) maxWait() (longest time.Duration) {
 	for _, k := range l.cfg.Settings.Decide.Classes {
 		wait := k.Deadline
@@ -182,5 +182,5 @@
 	return longest
 }
 
-// finished reports that the gateway is stopping and owes nothing: no client is left, and none waits to be accepted.
+// finished reports that the shutdown is complete: no client is connected, and none is waiting to be accepted.
 func (l *eventLoop) finished() bool { return l.closing && len(l.clients) == 0 && l.accepting == 0 }
--- a/internal/gateway/serverlist.go
+++ b/internal/gateway/serverlist.go
@@ -8,14 +8,14 @@
 	"sloepick/decide"
 )
 
-// ServerList is discovery's form of a list of servers.
+// ServerList is a list of servers in the format of discovery.
 type ServerList struct {
 	Version uint64        `json:"version"`
 	Full    bool          `json:"full"`
 	Servers []ServerEntry `json:"servers"`
 }
 
-// ServerEntry is a server as discovery tells it.
+// ServerEntry is one server in the format of discovery.
 type ServerEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -39,8 +39,8 @@
 	return decide.Gone, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
 }
 
-// validate reports the first entry that can't be used. A list is taken whole or not at all. Among changes a server may come more
-// than once: they count in their order.
+// validate returns an error for the first invalid entry. A list is used completely or not at all. A list of
+// changes may contain a server more than once; its entries are applied in order.
 func (l *ServerList) validate() error {
 	first := make(map[string]int, len(l.Servers))
 	for i := range l.Servers {
@@ -63,11 +63,12 @@
 	return nil
 }
 
-// toServer is the entry in the module's words. The loop's clock counts from the Unix epoch, as start times do.
+// toServer converts the entry for the decision module. Start times count from the Unix epoch, like the
+// gateway's clock.
 func (e *ServerEntry) toServer() decide.Server {
 	state, err := e.parseState()
 	if err != nil {
-		state = decide.Gone // unreachable for a checked list
+		state = decide.Gone // unreachable for a valid list
 	}
 	return decide.Server{ID: e.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: state,
 		Started: time.Duration(e.StartedMS) * time.Millisecond, Weight: e.Weight}
--- a/internal/gateway/submit.go
+++ b/internal/gateway/submit.go
@@ -7,14 +7,15 @@
 	"sloepick/internal/route"
 )
 
-// This file has what becomes of a request, from its being taken in to its one final answer.
+// This file holds the life cycle of a request: from its submission to its single final response.
 
-// maxRequestBytes is how many bytes the commands of open requests may take.
+// maxRequestBytes is the memory limit, in bytes, for the contents of all open requests together.
 func (l *eventLoop) maxRequestBytes() int {
 	return int(float64(l.cfg.MemoryMB<<20) * l.tuning.Load().Clients.Held)
 }
 
-// submit takes a request that a front has read whole. It returns nil if the request has its ending already.
+// submit admits a request that a frontend has read completely. It returns nil if the request was answered at
+// once.
 func (l *eventLoop) submit(responder Responder, v *Request) *requestState {
 	if err := v.validate(&l.cfg); err != nil {
 		responder.Respond(Response{Kind: Rejected, Reason: err.Error()})
@@ -31,7 +32,7 @@
 			return nil
 		}
 	}
-	if _, open := l.clientIDs[v.ID]; open { // two of one id must never meet one another's answer
+	if _, open := l.clientIDs[v.ID]; open { // two requests with the same id must never receive each other's response
 		responder.Respond(Response{Kind: Rejected, Reason: "a request with this id is open", DuplicateID: true})
 		return nil
 	}
@@ -59,7 +60,7 @@
 	return r
 }
 
-// setRoutes takes routes in place of the former ones. Requests that are open keep what they began with.
+// setRoutes replaces the route table. Open requests keep the route they started with.
 func (l *eventLoop) setRoutes(routes []*route.Route) {
 	l.routes = nil
 	if len(routes) > 0 {
@@ -67,7 +68,8 @@
 	}
 }
 
-// enterRoute finds a request's route and takes it in. It reports false if the route has no room.
+// enterRoute matches a request to a route and counts it there. It reports false if the route is at its limit of
+// open requests.
 func (l *eventLoop) enterRoute(r *requestState) bool {
 	if l.routes == nil {
 		return true
@@ -80,18 +82,18 @@
 	return l.routes.Begin(n)
 }
 
-// failOverdue fails a request that the module has not ended in time. The client must get its one answer before
-// it stops waiting, whatever became of the request.
+// failOverdue fails a request that the decision module has not ended in time. The client must get its response
+// before it stops waiting, whatever state the module has the request in.
 func (l *eventLoop) failOverdue(r *requestState) {
 	if r.done {
 		return
 	}
-	l.log.Error("a request was left open past its deadline", "class", r.values.Class, "attempts", len(r.attempts))
+	l.log.Error("request still open past its deadline; failing it", "class", r.values.Class, "attempts", len(r.attempts))
 	l.respond(r, Response{Kind: Failed, Reason: "failed", TimedOut: true})
 	l.enqueue(decide.ClientDisconnected{ID: r.id})
 }
 
-// respond gives a request its final respond, once.
+// respond gives a request its final response, at most once.
 func (l *eventLoop) respond(r *requestState, resp Response) {
 	if r.done {
 		return
@@ -100,7 +102,7 @@
 	r.responder.Respond(resp)
 }
 
-// abandon ends a request whose client has gone away.
+// abandon ends a request whose client has disconnected.
 func (l *eventLoop) abandon(r *requestState) {
 	if r.done {
 		return
@@ -120,7 +122,7 @@
 	l.release(r)
 }
 
-// release forgets a request that is over.
+// release removes a request from the table once it is answered and has no attempts in progress.
 func (l *eventLoop) release(r *requestState) {
 	if r.done && r.activeAttempts == 0 {
 		delete(l.requests, r.id)
--- a/internal/gateway/timer.go
+++ b/internal/gateway/timer.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Clock is the time that a core goes by: since the Unix epoch, as servers' start times are told by it. It never runs backwards.
-// Its one method may be called from any goroutine.
+// Clock provides the current time as a duration since the Unix epoch, the same origin as the servers' start
+// times. It must never run backwards. Now may be called from any goroutine.
 type Clock interface{ Now() time.Duration }
 
-// monotonicClock tells the time since the Unix epoch. It reads the wall monotonicClock once, and goes by the monotonic monotonicClock from then on, so it never runs backwards.
+// monotonicClock implements Clock. It reads the wall clock once and advances by the monotonic clock from then
+// on, so it never runs backwards.
 type monotonicClock struct {
 	start time.Time
 	epoch time.Duration
@@ -20,11 +21,11 @@
 // Now implements Clock.
 func (c monotonicClock) Now() time.Duration { return c.epoch + time.Since(c.start) }
 
-// timer is a call that is due at a time.
+// timer is a function to be called at a given time.
 type timer struct {
 	at    time.Duration
 	fn    func()
-	index int // in the heap, or -1
+	index int // in the heap; -1 if it is not in the heap
 }
 
 type timerHeap []*timer
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// usage is what a node tells of a request beside its value. The zero value tells nothing.
+// usage is what a node reports about a request in addition to its value. The zero value reports nothing.
 type usage struct {
-	metered int     // 1 + the customer's use by all gateways, in percent of its rate, over a period that is past; 0: not told
-	units   float64 // that the request really took; 0: not told
+	metered int     // 1 + the customer's usage at all gateways in a past period, in percent of its rate; 0: not reported
+	units   float64 // units actually consumed by the request; 0: not reported
 }
 
-const maxUsedPercent = 1 << 20 // of a metered use: ten thousand times the rate, beyond all that happens
+const maxUsedPercent = 1 << 20 // ten thousand times the rate, beyond any realistic usage
 
-// parseUsage reads figures on use as both protocols transport them, such as "used=86,units=3": each name once, names that are not
-// known left unread. Figures that can't be read tell nothing and do the value no harm: a node must not bend a bucket by them,
-// so units are held to the most that a request may count for. What the settings do not provide for is not read at all.
+// parseUsage parses the usage in a node's response, such as "used=86,units=3", which has the same format in all
+// protocols. Each name may occur once; unknown names are ignored. Invalid usage is ignored as a whole and does
+// not invalidate the value. Units are limited to the maximum of a request, so that a node cannot distort a
+// bucket. Usage that the settings do not provide for is ignored.
 func (c *Config) parseUsage(text []byte) (u usage) {
 	set := &c.Settings.Decide
 	if len(text) == 0 || !set.SettledLater && set.MeterPeriod == 0 {
@@ -57,11 +58,12 @@
 	return u
 }
 
-const maxNumber = 1 << 20 // of any number of a request's or a node's: larger ones are beyond all settings
+const maxNumber = 1 << 20 // beyond the range of all settings
 
 var errNumber = errors.New("not a plain number, or out of range")
 
-// ParseNumber reads plain digits, with a point at most: no sign, exponent or word such as 'inf'.
+// ParseNumber parses decimal digits with an optional point. It accepts no sign, exponent or special value such
+// as 'inf'.
 func ParseNumber(s string) (float64, error) {
 	if strings.Trim(s, "0123456789.") != "" {
 		return 0, errNumber
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// maxWriteSteps bounds how long a peer that takes a little again and again may hold a connection.
+// maxWriteSteps limits how long a peer that reads only a little at a time can hold a connection.
 const maxWriteSteps = 15
 
-// Writer writes to a connection without making the loop wait: the kernel takes what it can at once, and a goroutine with a time
-// limit writes what a slow peer leaves.
+// Writer writes to a connection without blocking the event loop. It writes at once what the kernel accepts; a
+// goroutine with a time limit writes the rest if the peer is slow.
 type Writer struct {
 	conn net.Conn
-	raw  syscall.RawConn // nil: the kernel does not take bytes as they are; all goes by Finish
+	raw  syscall.RawConn // nil: no direct access to the socket, so that all data goes through WriteAsync
 	busy bool            // a goroutine is writing
 }
 
-// NewWriter makes one. A connection that is not the kernel's own, such as a TLS one, only has Finish.
+// NewWriter creates a Writer. On a connection that is not a plain socket, such as TLS, only WriteAsync writes.
 func NewWriter(c net.Conn) *Writer {
 	w := &Writer{conn: c}
 	if sc, ok := c.(syscall.Conn); ok {
@@ -30,7 +30,7 @@
 	return w
 }
 
-// TryWrite writes what the kernel takes at once. Taking nothing is no error.
+// TryWrite writes as much as the kernel accepts at once. Writing nothing is not an error.
 func (w *Writer) TryWrite(b []byte) (n int, err error) {
 	if w.raw == nil {
 		return 0, nil
@@ -46,7 +46,7 @@
 				break
 			}
 		}
-		return true // never wait
+		return true // never block
 	})
 	if errors.Is(err, syscall.EAGAIN) {
 		err = nil
@@ -54,8 +54,8 @@
 	return n, errors.Join(opErr, err)
 }
 
-// ReceiveQueueEmpty reports whether the connection is open and nothing has come on it that was not read. Where that can't be seen, it
-// reports false.
+// ReceiveQueueEmpty reports that the connection is open and holds no unread data. It reports false if this
+// cannot be determined.
 func (w *Writer) ReceiveQueueEmpty() bool {
 	if w.raw == nil {
 		return false
@@ -68,22 +68,24 @@
 	return opErr == nil && errors.Is(err, syscall.EAGAIN)
 }
 
-// Busy reports that Finish has not ended.
+// Busy reports that an asynchronous write is in progress.
 func (w *Writer) Busy() bool { return w.busy }
 
-// WriteAsync writes the rest from a goroutine of its own, within a time, and then lets the loop call done. The time limit ends with
-// the write: one left on the connection would have a later Try fail, which goes by the connection's deadlines too.
+// WriteAsync writes the rest in a goroutine, within a time limit, and then calls done on the event loop. It
+// clears the write deadline afterwards: TryWrite is subject to the connection's deadlines, and a leftover
+// deadline would make it fail later.
 func (w *Writer) WriteAsync(rest []byte, within time.Duration, core *Core, done func(error)) {
 	w.writeAsync(rest, within, 1, core, done)
 }
 
-// WriteAsyncUntilStall is Finish for a peer that may be slow: it is given up when it has taken nothing for stall, or has not taken all in
-// stallsMost times that.
+// WriteAsyncUntilStall is WriteAsync for a peer that may be slow. It fails if the peer accepts no data for the
+// duration stall, or has not accepted all data after maxWriteSteps times stall.
 func (w *Writer) WriteAsyncUntilStall(rest []byte, stall time.Duration, core *Core, done func(error)) {
 	w.writeAsync(rest, stall, maxWriteSteps, core, done)
 }
 
-// writeAsync writes in so many steps at most. Each has its time, and each but the last has to bring something forward.
+// writeAsync writes in at most that many steps, each with its own time limit. Every step but the last must make
+// progress.
 func (w *Writer) writeAsync(rest []byte, within time.Duration, steps int, core *Core, done func(error)) {
 	w.busy = true
 	go func() {
@@ -108,9 +110,9 @@
 	}()
 }
 
-// Shutdown tells the peer that nothing more is written, and lets the loop call done once the peer has closed its side too, or
-// has had so long to. Until then the connection takes what the peer still sends, so that no reset overtakes what was written; it is
-// not read.
+// Shutdown closes the connection for writing and calls done on the event loop once the peer has closed its
+// side, or after a time limit. Until then the connection stays open for incoming data, which is not read, so
+// that a reset does not overtake the data already written.
 func (w *Writer) Shutdown(within time.Duration, core *Core, done func()) {
 	closer, ok := w.conn.(interface{ CloseWrite() error })
 	if !ok || w.raw == nil {
@@ -129,9 +131,10 @@
 	}()
 }
 
-// awaitPeerClose waits until the peer has closed its side with nothing left unread, the connection has failed, or its read deadline passes.
+// awaitPeerClose waits until the peer has closed its side with no unread data left, the connection has failed,
+// or the read deadline passes.
 func (w *Writer) awaitPeerClose() {
-	_ = w.raw.Read(func(fd uintptr) (ended bool) { // that time is up is no fault here
+	_ = w.raw.Read(func(fd uintptr) (ended bool) { // a timeout is not an error here
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		waits := errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
