--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -30,20 +30,20 @@
 	"sloepick/internal/tuning"
 )
 
-var scriptLength = flag.Int("acts", 2, "acts of each script of TestConnectionsEndOnce, 5 at most")
+var scriptLength = flag.Int("acts", 2, "number of actions in each script of TestConnectionsEndOnce, at most 5")
 
 const (
-	endTimeout   = 20 * time.Second // no run waits for it to pass
-	maxOpen      = 2                // requests: the third of a piece is refused at once
+	endTimeout   = 20 * time.Second // no run waits this long
+	maxOpen      = 2                // requests; the third one of a chunk is refused at once
 	testCustomer = "00000000b4d65521"
 )
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now atomic.Int64 }
 
 func (h *manualClock) Now() time.Duration { return time.Duration(h.now.Load()) }
 
-// manualBackend is a node that answers when the test says so.
+// manualBackend is a backend whose node answers when the test says so.
 type manualBackend struct {
 	attempts []*gateway.Attempt
 	served   int
@@ -66,7 +66,8 @@
 	p.attempts = slices.DeleteFunc(p.attempts, func(o *gateway.Attempt) bool { return o == t })
 }
 
-// scenario is one core with a front, a client of it, and an audit of what the core does for its requests.
+// scenario is a core with a frontend and a client, and an audit of what the core does for the client's
+// requests.
 type scenario struct {
 	t          *testing.T
 	core       *gateway.Stepper
@@ -76,16 +77,16 @@
 	addr       string
 	client     net.Conn
 	ended      map[string]bool
-	clientGone map[string]bool // their clients
+	clientGone map[string]bool // requests whose client has disconnected
 	mu         sync.Mutex
 	received   bytes.Buffer
-	stop       func() // as SIGTERM does, once
+	stop       func() // like SIGTERM; later calls do nothing
 }
 
-// protocol is a front with the pieces that its clients send.
+// protocol is a frontend and the input that its clients send.
 type protocol struct {
 	front   func(ln net.Listener) gateway.Frontend
-	chunk   func() (b []byte, answers int) // some commands: one rejected at once, two good, one too many
+	chunk   func() (b []byte, answers int) // several commands: one rejected at once, two valid, one over the limit
 	answers func(got []byte) int
 }
 
@@ -148,7 +149,7 @@
 	}
 }
 
-// askH2 asks by HTTP/2; ids longer than a letter are of a class that there is not.
+// askH2 sends requests by HTTP/2. Requests with ids longer than one letter have an unknown class.
 func askH2(c *wire.Conn, ids ...string) {
 	for _, id := range ids {
 		class := "look"
@@ -165,7 +166,8 @@
 	return newRunWithBackend(t, p, plan, slow, nil, "127.0.0.1:1")
 }
 
-// newRunWithBackend is one whose node is at an address, reached by a back; nil: the puppet.
+// newRunWithBackend returns a scenario whose node is at an address and connected to by a backend; nil:
+// manualBackend.
 func newRunWithBackend(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, back gateway.Backend, node string) *scenario {
 	set, err := settings.Parse(testbed.MinimalSettings(30 * time.Second))
 	if err != nil {
@@ -211,7 +213,7 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	if slow { // it reads nothing, and its kernel takes little
+	if slow { // it reads nothing, and its receive buffer is small
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		return c
 	}
@@ -230,32 +232,34 @@
 	return c
 }
 
-// audit holds what is to hold for every request: it comes from a connection that is there, it ends once, and nothing goes out for it after that.
+// audit checks the invariants of every request: it comes from an open connection, it ends once, and nothing is
+// sent for it afterwards.
 func (r *scenario) audit(e decide.Event, actions []decide.Action) {
 	end := func(id, how string) {
 		if r.ended[id] {
-			r.t.Errorf("%s a second time: %s", id, how)
+			r.t.Errorf("%s ended a second time: %s", id, how)
 		}
 		r.ended[id] = true
 	}
 	switch e := e.(type) {
 	case decide.Request:
 		if _, known := r.ended[e.ID]; known {
-			r.t.Errorf("%s came twice", e.ID)
+			r.t.Errorf("%s submitted twice", e.ID)
 		}
 		r.ended[e.ID] = false
 		if r.plan.FirstClosed() {
-			r.t.Errorf("%s is taken from a connection that is closed", e.ID)
+			r.t.Errorf("%s submitted from a closed connection", e.ID)
 		}
 	case decide.ClientDisconnected:
 		if r.clientGone[e.ID] {
-			r.t.Errorf("%s is told a second time to have no client", e.ID)
+			r.t.Errorf("%s: client disconnected a second time", e.ID)
 		}
-		// Of two that the module ends at once the first one's answer may show that nobody is there for the second.
+		// Of two requests that the module ends together, the response to the first may reveal that the client
+		// of the second is gone.
 		r.clientGone[e.ID], r.ended[e.ID] = true, true
 	case decide.AttemptEnded:
 		if e.Outcome == decide.OK {
-			r.ended[e.ID] = true // once more if a second copy is answered
+			r.ended[e.ID] = true // a second time if a hedged request is answered as well
 		}
 	}
 	for _, a := range actions {
@@ -266,13 +270,13 @@
 			end(a.ID, "failed")
 		case decide.SendAttempt:
 			if r.ended[a.ID] {
-				r.t.Errorf("%s goes out after its end", a.ID)
+				r.t.Errorf("%s sent after its end", a.ID)
 			}
 		}
 	}
 }
 
-// pump steps until nothing was posted for a moment.
+// pump steps until nothing has been posted for a moment.
 func (r *scenario) pump() {
 	for r.core.Step(); ; r.core.Step() {
 		select {
@@ -283,7 +287,7 @@
 	}
 }
 
-// answer answers all that is open with so many bytes.
+// answer answers all attempts in progress with a value of that size.
 func (r *scenario) answer(size int) {
 	for len(r.backend.attempts) > 0 {
 		t := r.backend.attempts[0]
@@ -294,15 +298,15 @@
 	r.core.Step()
 }
 
-// checkNothingLeft holds that where no client is there nothing is open.
+// checkNothingLeft checks that nothing is open if no client is connected.
 func (r *scenario) checkNothingLeft() {
 	r.pump()
 	if f := r.core.Stats(); f.Clients == 0 && (f.RequestBytes > 0 || len(r.backend.attempts) > 0) {
-		r.t.Errorf("no client is there, and %+v, %d attempts", f, len(r.backend.attempts))
+		r.t.Errorf("no client is connected, but %+v, %d attempts", f, len(r.backend.attempts))
 	}
 }
 
-// actions are what may happen to a connection with requests on it.
+// actions are the events that may happen to a connection with open requests.
 var actions = map[string]func(r *scenario){
 	"answer": func(r *scenario) { r.answer(60 << 10) },
 	"reset": func(r *scenario) {
@@ -311,7 +315,7 @@
 	},
 	"half-close": func(r *scenario) { r.client.(*net.TCPConn).CloseWrite() },
 	"term":       func(r *scenario) { r.stop() },
-	"evict": func(r *scenario) { // newcomers until there is no room
+	"evict": func(r *scenario) { // new clients until there is no room
 		for range 40 {
 			c, err := net.Dial("tcp", r.addr)
 			if err != nil {
@@ -323,7 +327,7 @@
 	},
 }
 
-// scripts are all orders of so many different acts.
+// scripts returns all sequences of up to that many different actions.
 func scripts(most int) (all [][]string) {
 	names := []string{"answer", "reset", "half-close", "term", "evict"}
 	all = [][]string{nil}
@@ -341,10 +345,12 @@
 	return all
 }
 
-// TestConnectionsEndOnce plays on both fronts every order of some acts (answers, a reset, a half-close, SIGTERM, newcomers that want room)
-// after a piece with many commands, with a client that reads and one that does not, and fails in each the nth read, write, look, deadline, close and accept of its
-// connections, for all n that come about. Whatever happens: no request is taken from a connection that is closed, each ends once, nothing goes out for it
-// after that, no connection, request or byte is left, and nothing panics. Where nothing fails and the client stays, all its commands are answered.
+// TestConnectionsEndOnce runs, on both frontends, every sequence of some actions (responses, a reset, a
+// half-close, SIGTERM, new clients that need room) after a chunk of several commands, with a client that reads
+// and one that does not. In each, it fails the nth read, write, look, deadline, close and accept of the
+// connections, for every n that occurs. In all cases no request is accepted from a closed connection, each
+// request ends once and nothing is sent for it afterwards, no connection, request or byte is left over, and
+// nothing panics. If nothing fails and the client stays, all of its commands are answered.
 func TestConnectionsEndOnce(t *testing.T) {
 	for name, p := range protocols(t) {
 		for _, script := range scripts(*scriptLength) {
@@ -358,7 +364,8 @@
 	}
 }
 
-// failEach plays with nothing that fails, and with the nth operation of each kind failing, for all n that come about, up to most.
+// failEach runs a script without a failure, and then with the nth operation of each kind failing, for every n
+// that occurs, up to most.
 func failEach(t *testing.T, last faultconn.Op, most int, play func(t *testing.T, plan *faultconn.Injector)) {
 	for op := faultconn.None; op <= last && !t.Failed(); op++ {
 		for n := 1; n <= most; n++ {
@@ -378,7 +385,7 @@
 	r.client.Write(b)
 	r.checkNothingLeft()
 	for end := time.Now().Add(endTimeout); plan.Op == faultconn.None && r.core.Stats().Requests < maxOpen && time.Now().Before(end); {
-		r.pump() // a late machine may not have read the piece: a connection without a request gives way to newcomers
+		r.pump() // on a slow machine the chunk may be unread, and a connection without requests is evicted for new clients
 	}
 	for _, s := range script {
 		actions[s](r)
@@ -390,7 +397,7 @@
 		var n int
 		for end := time.Now().Add(endTimeout); n != commands && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			r.pump()
-			actions["answer"](r) // what came late
+			actions["answer"](r) // attempts that started late
 			r.mu.Lock()
 			n = p.answers(r.received.Bytes())
 			r.mu.Unlock()
@@ -405,7 +412,7 @@
 	r.shutDown()
 }
 
-// shutDown ends the client and the gateway, and holds that nothing is left.
+// shutDown closes the client, stops the gateway, and checks that nothing is left.
 func (r *scenario) shutDown() {
 	t := r.t
 	r.client.Close()
@@ -413,21 +420,22 @@
 	for end := time.Now().Add(endTimeout); !r.core.Stopped() || r.plan.OpenConns() > 0 || r.core.Stats().Requests > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
-			t.Fatalf("it does not end: %+v, %d connections are not closed", r.core.Stats(), r.plan.OpenConns())
+			t.Fatalf("shutdown not complete: %+v, %d connections not closed", r.core.Stats(), r.plan.OpenConns())
 		}
 	}
 	if f := r.core.Stats(); f.RequestBytes != 0 || f.Clients != 0 {
-		t.Errorf("left: %+v", f)
+		t.Errorf("left over: %+v", f)
 	}
 	for id, ended := range r.ended {
 		if !ended {
-			t.Errorf("%s has no ending", id)
+			t.Errorf("%s has not ended", id)
 		}
 	}
 }
 
-// FuzzConnections plays scripts of a connection: bytes in pieces of any size, answers, cuts, resets, times, and a failing operation. It holds what
-// TestConnectionsEndOnce does. Without -fuzz its seeds are played.
+// FuzzConnections runs random scripts on a connection: chunks of any size, responses, resets, half-closes,
+// passing time and a failing operation. It checks the same as TestConnectionsEndOnce. Without -fuzz it runs its
+// seed corpus.
 func FuzzConnections(f *testing.F) {
 	for name := range protocols(f) {
 		f.Add(name == "HTTP/2", byte(faultconn.Write), byte(1), []byte{0, 200, 2, 5})
@@ -446,7 +454,7 @@
 		left := b
 		for i := 0; i < min(len(script), 40); i++ {
 			switch script[i] % 8 {
-			case 0: // so many of the piece's bytes; behind its end it comes again
+			case 0: // a part of the chunk; after its end it starts again
 				if i++; i < len(script) {
 					k := min(int(script[i])*4, len(left))
 					r.client.Write(left[:k])
@@ -454,7 +462,7 @@
 						left = b
 					}
 				}
-			case 1: // bytes of the script's own
+			case 1: // bytes of the script itself
 				r.client.Write(script[i:])
 			case 2:
 				actions["answer"](r)
@@ -477,8 +485,9 @@
 	})
 }
 
-// TestHTTP2RequestAfterConnectionFailure: a client gives no window, so that its answers pile up to the limit; then it sends a piece whose first request is
-// rejected, which ends the connection, and the next must not be taken in.
+// TestHTTP2RequestAfterConnectionFailure: a client grants no window, so that its responses accumulate up to the
+// limit. It then sends a chunk whose first request is rejected, which ends the connection; the next request of
+// the chunk must not be accepted.
 func TestHTTP2RequestAfterConnectionFailure(t *testing.T) {
 	r := newRun(t, protocols(t)["HTTP/2"], &faultconn.Injector{}, false)
 	c := wire.NewClient(wire.DefaultLimits(), 0)
@@ -494,7 +503,7 @@
 		r.client.Write(bytes.Clone(c.Out()))
 		for end := time.Now().Add(endTimeout); len(r.backend.attempts) == 0; r.pump() {
 			if time.Now().After(end) {
-				t.Fatal("the request did not come to its node")
+				t.Fatal("the request did not reach its node")
 			}
 		}
 		size := min(left, 60<<10)
@@ -507,11 +516,11 @@
 	for end := time.Now().Add(endTimeout); r.core.Stats().Clients > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
-			t.Fatal("the connection does not end")
+			t.Fatal("the connection is not closed")
 		}
 	}
 	if len(r.ended) != before || len(r.backend.attempts) > 0 {
-		t.Errorf("%d requests were taken, want %d", len(r.ended), before)
+		t.Errorf("%d requests accepted, want %d", len(r.ended), before)
 	}
 	r.shutDown()
 }
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -10,19 +10,20 @@
 	"sloepick/internal/tuning"
 )
 
-const longDeadline = 30 * time.Second // an aim that no test reaches
+const longDeadline = 30 * time.Second // a deadline that no test reaches
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now time.Duration }
 
 func (h *manualClock) Now() time.Duration { return h.now }
 
-// fakeBackend is a back without connections: it keeps the tries that are out, and what became of its nodes.
+// fakeBackend is a backend without connections. It records the attempts in progress and what happens to its
+// nodes.
 type fakeBackend struct {
 	attempts  []*Attempt
 	cancelled []*Attempt
 	drained   int
-	idle      map[string]time.Duration // by address
+	idle      map[string]time.Duration // start of the idle time, by address
 	evicted   []string
 }
 
@@ -54,7 +55,7 @@
 	n.endpoint.ReleaseConn()
 }
 
-// newTestLoop is a loop that a test drives by hand, with so many servers.
+// newTestLoop returns an event loop that the test steps itself, with that many servers.
 func newTestLoop(t *testing.T, servers int) (*eventLoop, *fakeBackend) {
 	t.Helper()
 	var list []ServerEntry
@@ -76,7 +77,7 @@
 	l.runDeferred()
 }
 
-// responseRecorder keeps the endings of a request.
+// responseRecorder records the responses to a request.
 type responseRecorder struct{ responses []Response }
 
 func (a *responseRecorder) Respond(e Response) { a.responses = append(a.responses, e) }
@@ -85,7 +86,7 @@
 	return &Request{Customer: "00000000b4d65521", ID: id, Class: "look", Plan: "p", ClientTimeout: longDeadline, Units: 1, GatewayCount: 2, ReceivedAt: time.Hour}
 }
 
-// submitRequest puts a request into the loop.
+// submitRequest submits a request to the event loop.
 func submitRequest(l *eventLoop, id string) (*responseRecorder, RequestHandle) {
 	a := &responseRecorder{}
 	t := l.core.Submit(a, testRequest(id))
@@ -96,30 +97,30 @@
 func (a *responseRecorder) want(t *testing.T, kind ResponseKind, why string) {
 	t.Helper()
 	if len(a.responses) != 1 || a.responses[0].Kind != kind || a.responses[0].Reason != why {
-		t.Errorf("the client got %+v, want one of kind %d, %q", a.responses, kind, why)
+		t.Errorf("got responses %+v, want one of kind %d with reason %q", a.responses, kind, why)
 	}
 }
 
-// A module that panics must cost no client its answer.
+// If the decision module panics, every open request still gets a response.
 func TestPanicAnswersAll(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	first, _ := submitRequest(l, "one")
 	second, _ := submitRequest(l, "two")
-	broken := &decide.Gateway{} // not made by New
+	broken := &decide.Gateway{} // not created by decide.New, so it panics
 	l.decider = broken
 	l.enqueue(decide.ServerListUpdate{Servers: []decide.Server{{ID: "s"}}})
 	l.processPending()
 	if l.decider == broken || len(l.requests) != 0 || len(w.cancelled) != 2 {
-		t.Errorf("%d requests are open, %d attempts given up, new module %v", len(l.requests), len(w.cancelled), l.decider != broken)
+		t.Errorf("%d requests open, %d attempts cancelled, new decision module %v", len(l.requests), len(w.cancelled), l.decider != broken)
 	}
 	first.want(t, Failed, "internal error")
 	second.want(t, Failed, "internal error")
 	if _, handle := submitRequest(l, "three"); len(handle.r.attempts) != 1 {
-		t.Error("the new module sends nothing")
+		t.Error("the new decision module sends no attempt")
 	}
 }
 
-// A request that the module forgot is failed before its client stops waiting, once.
+// A request that the decision module has lost is failed before its client stops waiting, and only once.
 func TestOverdueRequestIsFailed(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	a, handle := submitRequest(l, "id")
@@ -128,11 +129,11 @@
 	l.processPending()
 	a.want(t, Failed, "failed")
 	if len(l.requests) != 0 {
-		t.Errorf("%d requests are still known", len(l.requests))
+		t.Errorf("%d requests left in the table", len(l.requests))
 	}
 }
 
-// Whatever a node does, the answer leaves before the client stops waiting, and nothing follows it.
+// Even if a node never answers, the client gets its response before it stops waiting, and nothing after it.
 func TestSilentNodeIsAnsweredByDeadline(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	a, _ := submitRequest(l, "id")
@@ -140,16 +141,16 @@
 	w.attempts[0].MarkFullySent()
 	l.advance(longDeadline - deadlineMargin)
 	if len(a.responses) != 1 {
-		t.Fatalf("%d answers at the deadline", len(a.responses))
+		t.Fatalf("got %d responses at the deadline, want 1", len(a.responses))
 	}
 	w.attempts[0].Succeed([]byte("late"), nil)
 	l.advance(time.Minute)
 	if len(a.responses) != 1 || len(l.requests) != 0 {
-		t.Errorf("%d answers, %d requests", len(a.responses), len(l.requests))
+		t.Errorf("%d responses, %d requests left", len(a.responses), len(l.requests))
 	}
 }
 
-// Over the bound of open requests, or of the memory that they hold, a request is refused at once.
+// A request beyond the limit of open requests, or of the memory for them, is refused at once.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	for name, fill := range map[string]func(l *eventLoop){
 		"open": func(l *eventLoop) { l.cfg.Settings.OpenCap = 1 },
@@ -165,8 +166,9 @@
 	}
 }
 
-// What the settings do not allow ends at the gateway. It would be counted and told as the customer's demand, or
-// rewrite its set, or be turned away by a server and held against that.
+// Values that the settings do not allow are rejected by the gateway. Otherwise they would be counted and
+// reported to peers as the customer's demand, change the customer's set of gateways, or be rejected by a server
+// and count against it.
 func TestRequestIsValidatedAgainstSettings(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	try := func(change func(v *Request)) error {
@@ -204,12 +206,13 @@
 		"body":          func(v *Request) { v.Body = make([]byte, MaxPayloadSize+1) },
 	} {
 		if try(change) == nil {
-			t.Errorf("%s passes", name)
+			t.Errorf("%s: invalid request accepted", name)
 		}
 	}
 }
 
-// A second request with an id that is open meets nobody's answer; once the first is over the id is free.
+// A second request with the id of an open request is rejected and never gets the response of the first. Once
+// the first one is answered, the id can be used again.
 func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	first, _ := submitRequest(l, "id")
@@ -221,11 +224,11 @@
 	l.processPending()
 	first.want(t, Served, "")
 	if _, third := submitRequest(l, "id"); !third.Open() {
-		t.Error("the id is not free")
+		t.Error("the id cannot be used again")
 	}
 }
 
-// fakeClient is a connection that owes something or not.
+// fakeClient is a connection that is idle or not.
 type fakeClient struct {
 	idle            bool
 	lastUsed        time.Duration
@@ -237,24 +240,25 @@
 func (c *fakeClient) Drain()                  { c.drained++ }
 func (c *fakeClient) Close()                  { c.closed++ }
 
-// Clients and servers together stay within the descriptors, and a client over the last of them is sent away.
+// Connections of clients and to servers together stay within the descriptor limit; a client beyond it is
+// rejected.
 func TestDescriptorsAreBounded(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	most := l.cfg.Sockets - minSockets
 	for range most {
-		if !l.core.AdmitConn(&fakeClient{}) { // owed an answer, so not to be evicted
-			t.Fatal("a client that there is room for is turned away")
+		if !l.core.AdmitConn(&fakeClient{}) { // not idle, so it cannot be evicted
+			t.Fatal("connection rejected although there is room for it")
 		}
 	}
 	if room := l.pool.connLimit(); room+len(l.clients)+reservedSockets > l.cfg.Sockets || room < 1 {
 		t.Errorf("room for %d connections to servers beside %d clients", room, len(l.clients))
 	}
 	if l.core.AdmitConn(&fakeClient{}) || len(l.clients) != most {
-		t.Errorf("one more is taken: %d", len(l.clients))
+		t.Errorf("connection over the limit accepted: %d", len(l.clients))
 	}
 }
 
-// Where room is needed the connection that has been quiet for longest goes, and not one that is owed an answer.
+// The connection that has been idle for longest is evicted, never one that is owed a response.
 func TestLongestIdleClientIsEvicted(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	old, young, owed := &fakeClient{idle: true, lastUsed: 5}, &fakeClient{idle: true, lastUsed: 9}, &fakeClient{lastUsed: 1}
@@ -267,7 +271,7 @@
 	}
 }
 
-// Connections to servers are bounded, and the one idle for longest gives way.
+// Connections to servers are limited; at the limit, the one that has been idle for longest is closed.
 func TestConnectionsAreBounded(t *testing.T) {
 	l, w := newTestLoop(t, 2)
 	s := l.pool.servers["s-0"]
@@ -276,7 +280,7 @@
 		full()
 		a := &attemptState{req: &requestState{id: "r"}, server: s}
 		if l.pool.start(a); !a.ended || a.outcome != decide.NotSent {
-			t.Errorf("%s: a connection over the bound is made", name)
+			t.Errorf("limit %s: connection over the limit opened", name)
 		}
 	}
 	w.idle = map[string]time.Duration{"127.0.0.1:1": 9, "127.0.0.1:2": 5}
@@ -284,12 +288,12 @@
 	l.pool.conns, s.conns, other.conns = l.pool.maxConns, 1, 1
 	a := &attemptState{req: &requestState{id: "r"}, server: s}
 	if l.pool.start(a); a.ended || len(w.evicted) != 1 || w.evicted[0] != "127.0.0.1:2" {
-		t.Errorf("evicted: %v, over %v", w.evicted, a.ended)
+		t.Errorf("evicted: %v, attempt ended: %v", w.evicted, a.ended)
 	}
 }
 
-// A time-out that the loop comes to late, as the core was busy, is not the server's; one before there is a connection never
-// ran.
+// A timeout that the event loop handles late, because the machine was busy, is not attributed to the server. A
+// timeout without a connection counts as not executed.
 func TestDelayedTimeoutIsNotBlamedOnServer(t *testing.T) {
 	for _, c := range []struct {
 		placed bool
@@ -308,7 +312,7 @@
 	}
 }
 
-// The one table of what may have run, and the one exception: what broke before it was whole never left.
+// Each result maps to an outcome; a connection lost before the request was fully sent counts as not sent.
 func TestOutcomeOfResult(t *testing.T) {
 	for _, c := range []struct {
 		result AttemptResult
@@ -322,12 +326,12 @@
 		a.fullySent = c.whole
 		w.attempts[0].Fail(c.result)
 		if a.outcome != c.want {
-			t.Errorf("result %d, whole %v: outcome %v, want %v", c.result, c.whole, a.outcome, c.want)
+			t.Errorf("result %d, fully sent %v: outcome %v, want %v", c.result, c.whole, a.outcome, c.want)
 		}
 	}
 }
 
-// A flood of events waits with those who send them, and ends with the gateway.
+// Posting to a full inbox blocks, and closing the inbox unblocks the posters.
 func TestInboxIsBounded(t *testing.T) {
 	q := newInbox()
 	done := make(chan struct{})
@@ -339,18 +343,19 @@
 	}()
 	<-q.ready
 	if n := len(q.take(nil)); n > maxPosted {
-		t.Errorf("%d events at once, want %d at most", n, maxPosted)
+		t.Errorf("%d functions in one batch, want at most %d", n, maxPosted)
 	}
 	q.close()
 	<-done
 }
 
-// What is over is let go at once: its alarms would hold it for as long as its client would have waited.
+// A finished request is released at once. Otherwise its timers would keep it in memory for as long as its
+// client would have waited.
 func TestFinishedRequestReleasesTimers(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	before := len(l.timers)
 	_, handle := submitRequest(l, "id")
-	timers := 0 // the module's own, which name what they are about and don't hold it
+	timers := 0 // timers of the decision module, which hold no reference to the request
 	for _, a := range l.timers[before:] {
 		if a != handle.r.overdueTimer && a != handle.r.attempts[0].expiryTimer {
 			timers++
@@ -359,26 +364,26 @@
 	l.core.Abandon(handle)
 	l.processPending()
 	if len(l.timers) != before+timers || len(l.requests) != 0 || len(l.clientIDs) != 0 || l.requestBytes != 0 {
-		t.Errorf("%d alarms, want %d; %d requests, %d ids, %d bytes", len(l.timers), before+timers, len(l.requests), len(l.clientIDs), l.requestBytes)
+		t.Errorf("%d timers, want %d; %d requests, %d ids, %d bytes left", len(l.timers), before+timers, len(l.requests), len(l.clientIDs), l.requestBytes)
 	}
 }
 
-// A server that is gone is forgotten once no connection leads to it, not before.
+// A server that is gone is removed from the table once no connection to it is left, and not before.
 func TestGoneServerIsRemoved(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	_, handle := submitRequest(l, "id")
 	l.updateServers(decide.ListFull, ServerList{Version: 2, Full: true})
 	if len(l.pool.servers) != 1 || w.drained != 1 {
-		t.Errorf("%d servers with an attempt out, %d retired", len(l.pool.servers), w.drained)
+		t.Errorf("%d servers with an attempt in progress, %d drained", len(l.pool.servers), w.drained)
 	}
 	l.pool.cancel(handle.r.attempts[0])
 	l.updateServers(decide.ListDelta, ServerList{Version: 3, Servers: []ServerEntry{{ID: "never", State: "removed"}}})
 	if len(l.pool.servers) != 0 {
-		t.Errorf("%d servers are kept", len(l.pool.servers))
+		t.Errorf("%d servers left in the table", len(l.pool.servers))
 	}
 }
 
-// A server that moves or starts anew has another transport, and the old one takes nothing more.
+// A server that moves or restarts gets a new transport, and the old one is drained.
 func TestMovedServerGetsNewTransport(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	for i, e := range []ServerEntry{{Addr: "127.0.0.1:9", State: "up"}, {Addr: "127.0.0.1:9", State: "up", StartedMS: 7}} {
@@ -386,17 +391,17 @@
 		e.ID = "s-0"
 		l.updateServers(decide.ListDelta, ServerList{Version: uint64(2 + i), Servers: []ServerEntry{e}})
 		if l.pool.servers["s-0"].transport == before || w.drained != i+1 {
-			t.Errorf("%+v: the transport stays, %d retired", e, w.drained)
+			t.Errorf("%+v: transport not replaced, or drained %d times", e, w.drained)
 		}
 	}
 	before := l.pool.servers["s-0"].transport
 	l.updateServers(decide.ListDelta, ServerList{Version: 4, Servers: []ServerEntry{{ID: "s-0", Addr: "127.0.0.1:9", State: "draining", StartedMS: 7}}})
 	if l.pool.servers["s-0"].transport != before || w.drained != 3 {
-		t.Errorf("draining: %d retired", w.drained)
+		t.Errorf("draining server: transport replaced, or drained %d times", w.drained)
 	}
 }
 
-// New values hold for what is begun from then on, and nothing that is in use is taken away.
+// New values apply to what starts after the reload; connections in use are not closed.
 func TestReloadAppliesTuning(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	_, handle := submitRequest(l, "id")
@@ -409,22 +414,22 @@
 	l.reload(Reload{Tuning: &next, Applied: taken})
 	<-taken
 	if a.ended || len(w.cancelled) != 0 {
-		t.Error("an attempt that is out was ended")
+		t.Error("reload ended an attempt in progress")
 	}
 	if l.pool.maxConns != before/2 || l.pool.idleTimeout != idleFor/2 || l.maxRequestBytes() != held/25 {
-		t.Errorf("most %d of %d, idle for %v of %v, held %d of %d", l.pool.maxConns, before, l.pool.idleTimeout, idleFor, l.maxRequestBytes(), held)
+		t.Errorf("connection limit %d (was %d), idle timeout %v (was %v), request bytes %d (was %d)", l.pool.maxConns, before, l.pool.idleTimeout, idleFor, l.maxRequestBytes(), held)
 	}
 	second := &attemptState{req: &requestState{id: "r"}, server: a.server}
 	if l.pool.start(second); !second.ended {
-		t.Error("a second connection to the node is made")
+		t.Error("second connection to the node opened over the limit")
 	}
 	l.reload(Reload{})
 	if l.pool.maxConnsPerServer != 1 {
-		t.Error("a reload without values changed them")
+		t.Error("a reload without values changed the limits")
 	}
 }
 
-// However short the stop may be, it is not shorter than clients wait.
+// The shutdown takes at least as long as a client may wait, even if Stop.Longest is shorter.
 func TestStopIsNeverShorterThanClientsWait(t *testing.T) {
 	l, _ := newTestLoop(t, 0)
 	c := &fakeClient{}
@@ -433,15 +438,15 @@
 	short.Stop.Longest, short.Stop.Accept, short.Stop.LastCall = time.Second, 0, 0
 	l.tuning.Store(&short)
 	l.stop()
-	if l.advance(29 * time.Second); c.drained != 1 || c.closed != 0 { // the classes' 30 s
-		t.Errorf("drained %d times, ended %d times", c.drained, c.closed)
+	if l.advance(29 * time.Second); c.drained != 1 || c.closed != 0 { // the deadline of the classes is 30 s
+		t.Errorf("drained %d times, closed %d times", c.drained, c.closed)
 	}
 	if l.advance(time.Second); c.closed != 1 {
-		t.Error("a connection that is never answered holds the gateway")
+		t.Error("connection without an answer not closed")
 	}
 }
 
-// The core under its owner's hands: a request goes out, is answered, and the end owes nothing.
+// A request is sent and answered under a Stepper, and the shutdown completes with nothing left.
 func TestStepper(t *testing.T) {
 	cfg, w, clock := SmallConfig(t, longDeadline, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", State: "up", Weight: 1}}), &fakeBackend{}, &manualClock{time.Hour}
 	cfg.DefaultBackend = w
@@ -469,7 +474,7 @@
 	for !c.Stopped() {
 		at, any := c.NextTimer()
 		if !any {
-			t.Fatal("nothing is due, and it has not stopped")
+			t.Fatal("no timer is set, and the gateway has not stopped")
 		}
 		clock.now = at
 		c.Step()
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -15,11 +15,11 @@
 	"sloepick/internal/testbed/leaks"
 )
 
-// The tests here force one order of two events that can cross in the core, whatever the protocol. docs/design/crossings.md lists
-// them.
+// Each test here forces one order of two concurrent events in the core, independent of the protocol.
+// docs/design/crossings.md lists them.
 
-// TestUnwrittenRetryIsCancelled: a repeat of a keyed request that is not written whole when servers may forget its key is given up,
-// as one that never ran; one that is written is waited for.
+// TestUnwrittenRetryIsCancelled: a retry of a keyed request that is not fully sent when servers may forget its
+// key is cancelled, as not executed. One that is fully sent is waited for.
 func TestUnwrittenRetryIsCancelled(t *testing.T) {
 	for name, written := range map[string]bool{"written": true, "not written": false} {
 		cfg := SmallConfig(t, longDeadline, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", Zone: "a", State: "up", Weight: 1}})
@@ -47,7 +47,7 @@
 		}
 		l.advance(time.Second)
 		if over := w.attempts[1].state.ended; over == written || len(w.cancelled) > 0 == written {
-			t.Errorf("%s: over %v, %d given up", name, over, len(w.cancelled))
+			t.Errorf("%s: ended %v, %d cancelled", name, over, len(w.cancelled))
 		}
 		if !written && (w.attempts[1].state.outcome != decide.NoConnection || len(a.responses) != 1 || a.responses[0].Kind != Failed) {
 			t.Errorf("%s: outcome %v, the client got %+v", name, w.attempts[1].state.outcome, a.responses)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestAbsentServerStillAnswers: a server that a whole list leaves out is gone, also where it still answers: what it was sent before
-// is answered, and nothing new goes to it.
+// TestAbsentServerStillAnswers: a server missing from a whole list counts as gone even if it still answers.
+// Requests already sent to it are answered; no new ones are sent.
 func TestAbsentServerStillAnswers(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	first, _ := submitRequest(l, "one")
@@ -70,23 +70,23 @@
 	second, _ := submitRequest(l, "two")
 	second.want(t, Refused, "")
 	if len(w.attempts) != 1 || w.drained == 0 {
-		t.Errorf("%d attempts, retired %d times", len(w.attempts), w.drained)
+		t.Errorf("%d attempts, drained %d times", len(w.attempts), w.drained)
 	}
 }
 
-// TestAttemptToServerJustDrained: the module wants an attempt at a server whose list has changed in the same turn: it is not
-// made, and counts as one that never ran.
+// TestAttemptToServerJustDrained: the decision module requests an attempt at a server that started draining in
+// the same turn. The attempt is not sent and counts as not executed.
 func TestAttemptToServerJustDrained(t *testing.T) {
 	l, w := newTestLoop(t, 1)
-	l.pool.servers["s-0"].entry.State = decide.Draining // the core has heard, the module has not
+	l.pool.servers["s-0"].entry.State = decide.Draining // known to the core, but not to the decision module yet
 	a, _ := submitRequest(l, "one")
 	if a.want(t, Refused, ""); len(w.attempts) != 0 {
 		t.Errorf("%d attempts", len(w.attempts))
 	}
 }
 
-// TestCancelledAttemptIsNotSent: an attempt that was given up, as its connection was being made, is not written when that comes up, though
-// its request is still open.
+// TestCancelledAttemptIsNotSent: an attempt that is cancelled while its connection is being established is
+// not sent once the connection is up, even if its request is still open.
 func TestCancelledAttemptIsNotSent(t *testing.T) {
 	l, w := newTestLoop(t, 1)
 	a, handle := submitRequest(l, "id")
@@ -96,12 +96,12 @@
 		t.Fatalf("the request has ended: %+v", a.responses)
 	}
 	if first.Revalidate() {
-		t.Error("it is wanted")
+		t.Error("a cancelled attempt is still valid")
 	}
 	l.processPending()
 }
 
-// TestRequestLostByDeciderIsAnswered: whatever became of a request in the module, its client has an answer at its time.
+// TestRequestLostByDeciderIsAnswered: a request that the decision module has lost is answered at its deadline.
 func TestRequestLostByDeciderIsAnswered(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	a, _ := submitRequest(l, "id")
@@ -112,19 +112,21 @@
 	}
 }
 
-// TestPanicAfterTheAnswer: a request that has its answer, and an attempt still out, gets no second one when the module panics.
+// TestPanicAfterTheAnswer: an answered request with an attempt in progress gets no second response when the
+// decision module panics.
 func TestPanicAfterTheAnswer(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	a, handle := submitRequest(l, "id")
 	l.respond(handle.r, Response{Kind: Served, Value: []byte("v")})
 	l.restart(l.decider)
 	if a.want(t, Served, ""); len(l.requests) > 0 && l.requests["1"].activeAttempts == 0 {
-		t.Error("the request is kept")
+		t.Error("finished request left in the table")
 	}
 }
 
-// TestOldWatcherDeliversBeforeMove: what the former address of discovery has said as the gateway moves to another one counts before the
-// new one's whole list, however long the loop takes to hear it, though it is of a higher version.
+// TestOldWatcherDeliversBeforeMove: an update from the old address of discovery that is in delivery during a
+// move is applied before the new address's whole list, however slow the event loop is and although its version
+// is higher.
 func TestOldWatcherDeliversBeforeMove(t *testing.T) {
 	leaks.Check(t)
 	former := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
@@ -149,7 +151,7 @@
 	told, moves, changed, goOn := make(chan uint64, 64), make(chan netip.AddrPort), make(chan struct{}), make(chan struct{})
 	first := true
 	hear := func(_ decide.ListKind, list ServerList) {
-		if list.Version == 42 && first { // the loop is slow to hear of this one
+		if list.Version == 42 && first { // the event loop is slow to accept this one
 			first = false
 			close(changed)
 			<-goOn
@@ -164,7 +166,7 @@
 	}()
 	<-changed
 	moves <- at(next)
-	time.Sleep(50 * time.Millisecond) // in which the new one's list would come
+	time.Sleep(50 * time.Millisecond) // enough for the new address's list to arrive, if it were requested already
 	close(goOn)
 	var versions []uint64
 	for len(versions) == 0 || versions[len(versions)-1] != 2 {
@@ -173,11 +175,11 @@
 	cancel()
 	<-ended
 	if versions[0] != 41 || len(versions) < 3 || versions[1] != 42 || len(told) > 0 {
-		t.Errorf("told were the versions %v, and %d behind them", versions, len(told))
+		t.Errorf("received versions %v, and %d more", versions, len(told))
 	}
 }
 
-// steppingClock is a clock that moves on each time it is read.
+// steppingClock is a clock that advances each time it is read.
 type steppingClock struct {
 	now  time.Duration
 	step time.Duration
@@ -188,8 +190,9 @@
 	return h.now
 }
 
-// TestLoopDelayBetweenDecisionAndSend: the loop is held up between the module's decision and the attempt, by more than the time
-// after which a request that was left open is failed. The attempt ends by the time that the module meant, so the request ends by the module.
+// TestLoopDelayBetweenDecisionAndSend: the event loop is delayed between the module's decision and the start of
+// the attempt, by more than overdueGrace. The attempt still times out as the module intended, so that the
+// module ends the request before failOverdue does.
 func TestLoopDelayBetweenDecisionAndSend(t *testing.T) {
 	cfg, w, clock := SmallConfig(t, longDeadline, []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", State: "up", Weight: 1}}), &fakeBackend{}, &steppingClock{now: time.Hour}
 	cfg.DefaultBackend = w
@@ -202,12 +205,12 @@
 	clock.step = 0
 	attempt := handle.r.attempts[0]
 	if attempt.deadline >= handle.r.overdueTimer.at {
-		t.Errorf("the attempt ends %v behind the time at which its request is failed", attempt.deadline-handle.r.overdueTimer.at)
+		t.Errorf("the attempt times out %v after its request is failed", attempt.deadline-handle.r.overdueTimer.at)
 	}
 	attempt.connected, attempt.fullySent = true, true
 	clock.now = handle.r.overdueTimer.at
 	l.fireTimers()
 	if len(a.responses) != 1 || a.responses[0].Kind != Refused {
-		t.Errorf("the client got %+v, want a refusal: the class is safe to repeat", a.responses)
+		t.Errorf("got responses %+v, want a refusal, because the class is safe", a.responses)
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -19,16 +19,16 @@
 	"sloepick/internal/testbed/leaks"
 )
 
-// A watch that is silent is given up and made again, and the next call goes on from the version last told.
-// Without the bound a gateway would wait for ever on discovery that went down with the call in hand; with a
-// watch instead of short calls it would learn that discovery is back only when that watch is over.
+// A long poll without an answer times out and is repeated, starting from the last received version. Without the
+// timeout, the gateway would wait forever if discovery went down during a call. With long polls instead of
+// short calls after a failure, it would learn that discovery is back only when the long poll ends.
 func TestWatcherRecoversFromSilence(t *testing.T) {
 	leaks.Check(t)
 	calls := make(chan string, 16)
 	n := 0
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		calls <- req.URL.RawQuery
-		n++ // calls come one after the other
+		n++ // calls are sequential
 		switch n {
 		case 1:
 			fmt.Fprint(w, `{"version":41,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"up","cell":3,"started_ms":7}]}`)
@@ -53,7 +53,7 @@
 	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(kind decide.ListKind, list ServerList) {
 		select {
 		case news <- told{kind, list}:
-		default: // the last case goes on answering
+		default: // the handler's default case keeps sending updates
 		}
 	}, slog.New(slog.DiscardHandler))
 	w.wait, w.grace, w.shortTimeout, w.longTimeout = 10*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond, 0
@@ -66,14 +66,14 @@
 	}
 	first, second := <-news, <-news
 	if s := first.list.Servers[0].toServer(); first.kind != decide.ListFull || s.State != decide.Serving || s.Started != 7*time.Millisecond || s.Cell != 3 {
-		t.Errorf("first told %+v", first)
+		t.Errorf("first update: %+v", first)
 	}
 	if s := second.list.Servers[0].toServer(); second.kind != decide.ListDelta || s.State != decide.Draining {
-		t.Errorf("then told %+v", second)
+		t.Errorf("second update: %+v", second)
 	}
 }
 
-// watcherHarness is a watcher of a discovery that a test answers for, and what it is told.
+// watcherHarness runs a watcher against a handler of the test and records the lists it delivers and its log.
 type watcherHarness struct {
 	*watcher
 	received chan ServerList
@@ -104,7 +104,7 @@
 	return l
 }
 
-// Write takes what is logged.
+// Write records log output.
 func (l *watcherHarness) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,14 +117,14 @@
 	return l.text.String()
 }
 
-// next is the list that is told next.
+// next returns the next list delivered.
 func (l *watcherHarness) next(t *testing.T) ServerList {
 	t.Helper()
 	select {
 	case list := <-l.received:
 		return list
 	case <-time.After(20 * time.Second):
-		t.Fatal("no list is told")
+		t.Fatal("no list received")
 		panic("unreachable")
 	}
 }
@@ -133,8 +133,8 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s","addr":"127.0.0.1:1","state":%q}]}`, version, full, state)
 }
 
-// TestSlowDiscoveryIsAnswered: discovery that takes longer than a short call may, for each call, is heard all the same, by the call
-// that is out beside the short ones; and once it answers in time there is one call at a time again.
+// TestSlowDiscoveryIsAnswered: a discovery that always takes longer than the timeout of a short call is still
+// used, by means of the long call beside the short ones. Once the long call is answered, it is not kept.
 func TestSlowDiscoveryIsAnswered(t *testing.T) {
 	leaks.Check(t)
 	var out, most atomic.Int32
@@ -145,7 +145,7 @@
 		select {
 		case <-release:
 			fmt.Fprint(rw, listJSON(1, true, "up"))
-		case <-req.Context().Done(): // given up
+		case <-req.Context().Done(): // timed out
 		}
 	}))
 	defer w.Close()
@@ -157,37 +157,37 @@
 	defer cancel()
 	first, err := watcher.fetchNext(ctx)
 	if err == nil || first.Full {
-		t.Fatalf("a call that takes too long gave %+v", first)
+		t.Fatalf("got %+v from a call past its timeout", first)
 	}
 	watcher.failing = true
 	for range 5 {
 		if _, err := watcher.fetchNext(ctx); !errors.Is(err, context.DeadlineExceeded) {
-			t.Fatalf("a short call ended as %v", err)
+			t.Fatalf("short call: got error %v, want a timeout", err)
 		}
 	}
 	patient := watcher.longCall
 	if patient == nil {
-		t.Fatal("no call is patient")
+		t.Fatal("no long call in progress")
 	}
 	close(release)
 	<-patient.ended
-	for range 100 { // a short call may end by its time in the same moment
+	for range 100 { // a short call may time out at the same moment
 		list, err := watcher.fetchNext(ctx)
 		if err == nil && list.Full {
 			break
 		}
 	}
 	if watcher.longCall == patient {
-		t.Error("the patient call's answer was not taken")
+		t.Error("the long call's answer was not used")
 	}
 	watcher.endLongCall()
-	if most.Load() > 3 { // two, and one that is just given up
+	if most.Load() > 3 { // two, and one that is just being cancelled
 		t.Errorf("%d calls at once", most.Load())
 	}
 }
 
-// TestBadListKeepsLastGoodList: whatever discovery says that is no list, or not a newer one, is an error in the log that tells where,
-// and the next good list counts.
+// TestBadListKeepsLastGoodList: an invalid or older list is logged as an error that gives the position of the
+// fault, and the next valid list is used.
 func TestBadListKeepsLastGoodList(t *testing.T) {
 	leaks.Check(t)
 	for name, tc := range map[string]struct{ body, logged string }{
@@ -214,10 +214,10 @@
 				}
 			})
 			if got := l.next(t); got.Version != 1 {
-				t.Errorf("first told %+v", got)
+				t.Errorf("first update: %+v", got)
 			}
 			if got := l.next(t); got.Version != 3 {
-				t.Errorf("then told %+v", got)
+				t.Errorf("second update: %+v", got)
 			}
 			if !strings.Contains(l.logged(), tc.logged) {
 				t.Errorf("logged %q, want %q", l.logged(), tc.logged)
@@ -226,7 +226,7 @@
 	}
 }
 
-// TestIndentedListIsParsed: lists may come indented.
+// TestIndentedListIsParsed: lists may be indented JSON.
 func TestIndentedListIsParsed(t *testing.T) {
 	leaks.Check(t)
 	l := startWatcher(t, func(rw http.ResponseWriter, req *http.Request) {
@@ -237,12 +237,12 @@
 		}
 	})
 	if got := l.next(t); got.Version != 7 || len(got.Servers) != 1 {
-		t.Errorf("told %+v", got)
+		t.Errorf("got list %+v", got)
 	}
 }
 
-// TestDiscoveryVersionReset: discovery that has lost its count says older whole lists only, or older changes. After some in a row it
-// is believed.
+// TestDiscoveryVersionReset: a discovery that has restarted its version count sends only older whole lists or
+// older changes. After several in a row they are accepted.
 func TestDiscoveryVersionReset(t *testing.T) {
 	leaks.Check(t)
 	for name, full := range map[string]bool{"whole lists": true, "changes": false} {
@@ -257,13 +257,13 @@
 			})
 			l.next(t)
 			if got := l.next(t); got.Version != 2 || !got.Full || n.Load() <= maxOlderAnswers {
-				t.Errorf("told %+v after %d calls", got, n.Load())
+				t.Errorf("got list %+v after %d calls", got, n.Load())
 			}
 		})
 	}
 }
 
-// TestRepeatedServerInChanges: among changes a server may stand twice.
+// TestRepeatedServerInChanges: a list of changes may contain a server twice.
 func TestRepeatedServerInChanges(t *testing.T) {
 	leaks.Check(t)
 	l := ServerList{Servers: []ServerEntry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}, {ID: "s", State: "removed"}}}
@@ -271,11 +271,11 @@
 		t.Error(err)
 	}
 	if l.Full = true; l.validate() == nil {
-		t.Error("a whole list with one server twice passes")
+		t.Error("whole list with a repeated server accepted")
 	}
 }
 
-// TestFailureLog: failures that come again and again are counted, not told.
+// TestFailureLog: repeated failures are counted instead of logged.
 func TestFailureLog(t *testing.T) {
 	leaks.Check(t)
 	var out strings.Builder
@@ -285,20 +285,20 @@
 		f.warn("failing", errors.New("other"))
 	}
 	if n := strings.Count(out.String(), "\n"); n != 1 {
-		t.Errorf("%d lines", n)
+		t.Errorf("%d lines logged", n)
 	}
 	f.at = f.at.Add(-failureInterval)
 	f.warn("failing", errors.New("same"))
 	if n := strings.Count(out.String(), "\n"); n != 1 {
-		t.Errorf("the same failure is told again after %v", failureInterval)
+		t.Errorf("the same failure is logged again after %v", failureInterval)
 	}
 	f.warn("failing", errors.New("other"))
 	if !strings.Contains(out.String(), "err=other untold=2000") {
-		t.Errorf("another failure is not told: %s", out.String())
+		t.Errorf("another failure is not logged: %s", out.String())
 	}
 	f.at = f.at.Add(-sameFailureInterval)
 	f.warn("failing", errors.New("other"))
 	if n := strings.Count(out.String(), "\n"); n != 3 {
-		t.Errorf("the same failure is not told after %v", sameFailureInterval)
+		t.Errorf("the same failure is not logged after %v", sameFailureInterval)
 	}
 }
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -8,7 +8,8 @@
 	"sloepick/internal/testbed"
 )
 
-// SmallConfig is that of a gateway on the small platform, for tests inside and outside of this package.
+// SmallConfig returns the configuration of a gateway on the small platform, for tests inside and outside of
+// this package.
 func SmallConfig(t *testing.T, aim time.Duration, servers []ServerEntry) Config {
 	t.Helper()
 	set, err := settings.Parse(testbed.MinimalSettings(aim))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,7 +10,7 @@
 	"sloepick/internal/gateway"
 )
 
-// A request goes on as the client sent it, but for the time that is left.
+// A request is forwarded as the client sent it, except for the remaining time.
 func TestRequestIsForwarded(t *testing.T) {
 	b := newFakeServer(t)
 	c := newTestGateway(t, longDeadline, b).dial(t)
@@ -25,13 +25,13 @@
 	d, tail, _ := strings.Cut(rest, ",")
 	if ms, err := strconv.Atoi(d); before != "c=book,t=p," || tail != "k=77,units=1,spread=2,first=0" ||
 		err != nil || ms < 1 || ms >= 30000 {
-		t.Errorf("the server got the list %q", x.args[3])
+		t.Errorf("the server got the options %q", x.args[3])
 	}
 	x.answer(t, served("slot 4"))
 	c.want("$slot 4")
 }
 
-// Answers come in the order of the commands, whoever is answered first.
+// Responses are sent in the order of the commands, whichever request is answered first.
 func TestPipelinedAnswersKeepOrder(t *testing.T) {
 	b := newFakeServer(t)
 	c := newTestGateway(t, longDeadline, b).dial(t)
@@ -64,13 +64,13 @@
 			t.Errorf("%q: got %q, want an error", words, got)
 		}
 	}
-	c.sendSafe("good") // the connection lives
+	c.sendSafe("good") // the connection is still usable
 	b.next(t).answer(t, served("v"))
 	c.want("$v")
 }
 
-// Broken framing and values over 64 KiB get an error and an end, and never a panic: the parsing library
-// indexes out of range on lengths below nothing or near the largest number.
+// Invalid framing and values over 64 KiB get an error and the end of the connection, and never cause a panic:
+// the parsing library indexes out of range on negative lengths and on lengths near the largest integer.
 func TestBrokenFramingEndsTheConnection(t *testing.T) {
 	r := newTestGateway(t, longDeadline, newFakeServer(t))
 	for name, raw := range map[string]string{
@@ -84,7 +84,7 @@
 			t.Errorf("%s: got %q, want a protocol error", name, got)
 		}
 		if got := c.read(); strings.HasPrefix(got, "-") || strings.HasPrefix(got, "+") {
-			t.Errorf("%s: got %q, want the end", name, got)
+			t.Errorf("%s: got %q, want the end of the connection", name, got)
 		}
 	}
 	c := r.dial(t)
@@ -92,7 +92,7 @@
 	c.want("+PONG")
 }
 
-// A request that may have run at one cell must not run at another, and gets no promise.
+// A keyed request that may have run at one cell must not run at another, and its failure promises nothing.
 func TestKeyedRequestStaysInItsCell(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
 	c := newTestGateway(t, longDeadline, a, b).dial(t)
@@ -119,13 +119,13 @@
 	}
 }
 
-// What never ran may be refused, and the client is told when to come back.
+// A request that was not executed is refused, with the time to retry after.
 func TestUnexecutedRequestIsRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close() // connections are refused
+	ln.Close() // so that connections are refused
 	for name, b := range map[string]*fakeServer{"busy": newFakeServer(t), "refused": {addr: ln.Addr().String()}} {
 		c := newTestGateway(t, longDeadline, b).dial(t)
 		c.sendKeyed("id-1")
@@ -139,12 +139,12 @@
 			}()
 		}
 		if got := c.read(); !strings.HasPrefix(got, "-BUSY ") {
-			t.Errorf("%s: got %q, want a refusal with advice", name, got)
+			t.Errorf("%s: got %q, want a refusal with a retry time", name, got)
 		}
 	}
 }
 
-// A failed safe request is tried again, and one that breaks late is too.
+// A failed safe request is retried, also if its connection was lost after it was sent.
 func TestSafeRequestIsRetried(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
 	c := newTestGateway(t, longDeadline, a, b).dial(t)
@@ -156,7 +156,7 @@
 		case x = <-b.commands:
 		}
 		switch {
-		case x.args == nil: // the broken connection's end
+		case x.args == nil: // the end of the lost connection
 		case i == 0:
 			x.conn.Close()
 		default:
@@ -167,7 +167,8 @@
 	}
 }
 
-// A silent server must not hold a request past its time, and the attempt is given up by its connection's end.
+// A silent server does not hold a request past its deadline; the attempt is cancelled by closing its
+// connection.
 func TestSilentServer(t *testing.T) {
 	b := newFakeServer(t)
 	c := newTestGateway(t, 300*time.Millisecond, b).dial(t)
@@ -183,7 +184,7 @@
 	}
 }
 
-// A client that leaves takes its request with it: work that nobody waits for is called off.
+// When a client disconnects, its request is cancelled, because nobody waits for the result.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	b := newFakeServer(t)
 	c := newTestGateway(t, longDeadline, b).dial(t)
@@ -195,7 +196,7 @@
 	}
 }
 
-// A server that drains gets nothing new, over an idle connection neither.
+// A draining server gets no new requests, not even on an idle connection.
 func TestDrainedServerGetsNothing(t *testing.T) {
 	a := newFakeServer(t)
 	r := newTestGateway(t, longDeadline, a)
@@ -205,7 +206,7 @@
 	x.answer(t, served("v"))
 	c.want("$v")
 	r.discovery.set(gateway.ServerList{Version: 2, Full: true, Servers: entries("draining", a)})
-	if x := a.next(t); x.args != nil { // told: the idle connection is closed
+	if x := a.next(t); x.args != nil { // the list has arrived: the idle connection is closed
 		t.Fatalf("the server got %q", x.args)
 	}
 	c.sendSafe("id-2")
@@ -217,7 +218,7 @@
 	}
 }
 
-// A stopping gateway still takes what comes for a moment, answers all that it has, and ends without error.
+// A stopping gateway accepts connections for a short time, answers all requests and ends without an error.
 func TestStopAnswersEverything(t *testing.T) {
 	b := newFakeServer(t)
 	r := newTestGateway(t, longDeadline, b)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	testTimeout  = 20 * time.Second // for what must come; no test waits for it to pass
-	longDeadline = 30 * time.Second // an aim that no test reaches
+	testTimeout  = 20 * time.Second // for what must happen; no test waits this long
+	longDeadline = 30 * time.Second // a deadline that no test reaches
 )
 
-// fakeServer is a server under a test's control: it hands over each command with its connection.
+// fakeServer is a server controlled by the test: it passes on each command with its connection.
 type fakeServer struct {
 	addr     string
 	commands chan received
@@ -40,7 +40,7 @@
 	}
 	t.Cleanup(func() {
 		closed := make(chan struct{})
-		go func() { // some may wait to hand over what no test took
+		go func() { // some handlers may be blocked on commands that no test has received
 			for {
 				select {
 				case <-b.commands:
@@ -50,7 +50,7 @@
 			}
 		}()
 		s.Close()
-		close(closed) // b.got stays open: a test's own reader would spin on it
+		close(closed) // commands stays open, because a test's own reader would spin on a closed channel
 	})
 	b.addr = s.Addr()
 	return b
@@ -62,7 +62,7 @@
 	case x := <-b.commands:
 		return x
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came to the server")
+		t.Fatal("no command received by the server")
 		panic("unreachable")
 	}
 }
@@ -74,13 +74,13 @@
 	}
 }
 
-// fakeDiscovery is discovery under a test's control.
+// fakeDiscovery is a discovery service controlled by the test.
 type fakeDiscovery struct {
 	*testbed.Discovery
 	calls chan string
 }
 
-// newFakeDiscovery starts discovery with a list and tells its address.
+// newFakeDiscovery starts a discovery service with a list and returns it with its address.
 func newFakeDiscovery(t *testing.T, list gateway.ServerList) (*fakeDiscovery, netip.AddrPort) {
 	t.Helper()
 	d, err := testbed.NewDiscovery(list.Version, list)
@@ -105,7 +105,7 @@
 	return all
 }
 
-// testGateway is a gateway at work.
+// testGateway is a running gateway.
 type testGateway struct {
 	addr      string
 	discovery *fakeDiscovery
@@ -119,7 +119,7 @@
 	return startTestGateway(t, gateway.SmallConfig(t, aim, entries("up", backends...)))
 }
 
-// startTestGateway starts a gateway with a configuration, but for its discovery.
+// startTestGateway starts a gateway with a configuration, in which it sets the discovery address.
 func startTestGateway(t *testing.T, cfg gateway.Config) *testGateway {
 	t.Helper()
 	r := &testGateway{reloads: make(chan gateway.Reload), done: make(chan error, 1)}
@@ -168,7 +168,7 @@
 	}
 }
 
-// read returns a whole answer: a line, or the value of a bulk string after a '$'.
+// read returns a whole response: a line, or the value of a bulk string after a '$'.
 func (c *testClient) read() string {
 	c.t.Helper()
 	got, err := c.Read()
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -12,8 +12,8 @@
 	"sloepick/internal/testbed/leaks"
 )
 
-// TestBacklogIsDrained: connections that the kernel has accepted, and that wait in the listener's queue when it finishes, are
-// taken; then the listener closes.
+// TestBacklogIsDrained: connections waiting in the kernel's accept queue when the listener drains are accepted,
+// and then the listener closes.
 func TestBacklogIsDrained(t *testing.T) {
 	leaks.Check(t)
 	t.Run("before it accepts", func(t *testing.T) { testBacklogIsDrained(t, false) })
@@ -21,7 +21,7 @@
 }
 
 func testBacklogIsDrained(t *testing.T, woken bool) {
-	const waiting = 100 // more than are taken ahead of the loop
+	const waiting = 100 // more than are accepted ahead of the event loop
 	l, _ := newTestLoop(t, 0)
 	s := NewListener("test", "127.0.0.1:0")
 	if err := s.Listen(t.Context()); err != nil {
@@ -35,7 +35,7 @@
 		}
 		defer c.Close()
 	}
-	if woken { // as by Finish, in the moment after Accept has looked whether to finish
+	if woken { // like DrainBacklog, just after AcceptLoop has checked whether it is draining
 		if err := s.ln.(*net.TCPListener).SetDeadline(time.Unix(1, 0)); err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 	if woken {
 		select {
 		case <-ended:
-			t.Fatal("it ended with connections in its queue")
+			t.Fatal("AcceptLoop ended with connections in the backlog")
 		case <-time.After(20 * time.Millisecond):
 		}
 		s.DrainBacklog(time.Now().Add(time.Minute))
@@ -67,15 +67,15 @@
 		l.runPosted()
 	}
 	if taken != waiting {
-		t.Errorf("%d of %d connections were taken", taken, waiting)
+		t.Errorf("%d of %d connections accepted", taken, waiting)
 	}
 	if c, err := net.Dial("tcp", s.Addr().String()); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("listener still open")
 	}
 }
 
-// TestDrainBacklogWakesAccept: a listener at which nobody waits closes at once.
+// TestDrainBacklogWakesAccept: a listener with an empty accept queue closes at once.
 func TestDrainBacklogWakesAccept(t *testing.T) {
 	leaks.Check(t)
 	l, _ := newTestLoop(t, 0)
@@ -88,16 +88,17 @@
 		defer close(ended)
 		s.AcceptLoop(t.Context(), l.core, func(net.Conn) {})
 	}()
-	time.Sleep(20 * time.Millisecond) // it waits by then; if it comes later, it has nothing to wake from
+	time.Sleep(20 * time.Millisecond) // AcceptLoop is blocked by then; if it is slower, it needs no wake-up
 	s.DrainBacklog(time.Now().Add(time.Minute))
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it waits for a connection")
+		t.Fatal("AcceptLoop still waits for a connection")
 	}
 }
 
-// TestDrainBacklogHasDeadline: connections that come without end don't keep a listener open past its time.
+// TestDrainBacklogHasDeadline: a steady stream of new connections does not keep a listener open past its
+// deadline.
 func TestDrainBacklogHasDeadline(t *testing.T) {
 	leaks.Check(t)
 	s := NewListener("test", "127.0.0.1:0")
@@ -107,11 +108,11 @@
 	defer s.Close()
 	s.DrainBacklog(time.Now().Add(-time.Second))
 	if s.extendDeadline() {
-		t.Error("it goes on")
+		t.Error("accepts connections past the deadline")
 	}
 }
 
-// slowFrontend is a front that takes its last connection once it is told to finish.
+// slowFrontend is a frontend that accepts its last connection after it was told to drain.
 type slowFrontend struct {
 	finish chan struct{}
 	conn   net.Conn
@@ -123,14 +124,15 @@
 func (f *slowFrontend) Close() error                 { return nil }
 func (f *slowFrontend) Serve(ctx context.Context, d *Core) {
 	<-f.finish
-	time.Sleep(10 * time.Millisecond) // as long as the loop takes to see that no client is left
+	time.Sleep(10 * time.Millisecond) // enough for the event loop to see that no client is left
 	d.postAccepted(ctx, f.conn, func(c net.Conn) {
 		f.taken.Store(true)
 		c.Close()
 	})
 }
 
-// TestStopWaitsForTheLastAccept: a gateway without clients does not end while a front still takes what waits at its listener.
+// TestStopWaitsForTheLastAccept: a gateway without clients does not end while a frontend is still accepting the
+// connections in its backlog.
 func TestStopWaitsForTheLastAccept(t *testing.T) {
 	leaks.Check(t)
 	near, far := connectedPair(t)
@@ -144,7 +146,7 @@
 		t.Fatal(err)
 	}
 	if !f.taken.Load() {
-		t.Error("a connection that was accepted is lost")
+		t.Error("accepted connection lost")
 	}
 	if _, err := io.ReadAll(far); err != nil {
 		t.Errorf("the client got %v", err)
--- a/internal/gateway/mailbox_test.go
+++ b/internal/gateway/mailbox_test.go
@@ -2,21 +2,22 @@
 
 import "testing"
 
-// TestMailbox: it holds one value, what was handed before the end is still taken, and nothing handed after it does harm.
+// TestMailbox: a mailbox holds one value, a value sent before Close is still received, and sending after Close
+// has no effect.
 func TestMailbox(t *testing.T) {
 	b := NewMailbox[int]()
 	if !b.TrySend(1) || b.TrySend(2) {
-		t.Error("it does not hold one")
+		t.Error("the mailbox does not hold exactly one value")
 	}
 	b.Close()
 	b.Close()
 	if b.TrySend(3) {
-		t.Error("it is handed on after its end")
+		t.Error("value accepted after Close")
 	}
 	if v, going := b.Receive(); v != 1 || !going {
-		t.Errorf("the reader gets %d, %v", v, going)
+		t.Errorf("received %d, %v", v, going)
 	}
 	if _, going := b.Receive(); going {
-		t.Error("the reader goes on")
+		t.Error("Receive succeeds on a closed, empty mailbox")
 	}
 }
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -18,7 +18,7 @@
 	"sloepick/internal/testbed/faultconn"
 )
 
-// nodeProtocol is a node's protocol: it answers what it reads until something fails.
+// nodeProtocol is the node's side of a protocol: it answers requests until something fails.
 type nodeProtocol struct {
 	back  gateway.Backend
 	serve func(c net.Conn) error
@@ -70,7 +70,7 @@
 	}
 }
 
-// nodeActions are what may happen to a node with requests on their way to it.
+// nodeActions are the events that may happen to a node with requests on their way to it.
 var nodeActions = map[string]func(r *scenario, list gateway.ServerList){
 	"more": func(r *scenario, _ gateway.ServerList) { r.client.Write(r.chunkAgain()) },
 	"drain": func(r *scenario, list gateway.ServerList) {
@@ -86,7 +86,7 @@
 	"time":          func(r *scenario, _ gateway.ServerList) { r.clock.now.Add(int64(2 * time.Second)) },
 }
 
-// chunkAgain is the piece once more, with other ids.
+// chunkAgain returns the chunk with other ids.
 func (r *scenario) chunkAgain() []byte {
 	b, _ := protocols(r.t)["RESP2"].chunk()
 	for id, other := range map[string]string{"a": "x", "b": "y", "c": "z"} {
@@ -95,9 +95,10 @@
 	return b
 }
 
-// TestNodesEndOnce plays on both backs every order of two acts (more requests, a drain, a move, the client's reset, SIGTERM, time) after a piece with
-// many commands, and has the node reset its connection, or never take it, at its nth read, write, close or accept, for all n that come about. It holds
-// what TestConnectionsEndOnce does, and that no connection to the node is left.
+// TestNodesEndOnce runs, on both backends, every sequence of two actions (more requests, a drain, a move, a
+// reset by the client, SIGTERM, passing time) after a chunk of several commands, and fails the nth read, write,
+// close or accept of the node, for every n that occurs; the node then resets its connection or does not accept
+// it. It checks the same as TestConnectionsEndOnce, and that no connection to the node is left.
 func TestNodesEndOnce(t *testing.T) {
 	for name, side := range nodeProtocols() {
 		for first := range nodeActions {
@@ -153,7 +154,7 @@
 	for end := time.Now().Add(endTimeout); r.core.Stats().ServerConns > 0 || plan.OpenConns() > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
 		if time.Now().After(end) {
-			t.Fatalf("%d connections to the node are counted, %d open", r.core.Stats().ServerConns, plan.OpenConns())
+			t.Fatalf("connections to the node: %d counted, %d open, want none", r.core.Stats().ServerConns, plan.OpenConns())
 		}
 	}
 }
--- a/internal/gateway/peers_config_test.go
+++ b/internal/gateway/peers_config_test.go
@@ -13,7 +13,7 @@
 	"sloepick/internal/testbed"
 )
 
-// Only messages of at most 256 bytes from a known gateway are taken.
+// Only messages of at most 256 bytes from known gateways are accepted.
 func TestPeerSocket(t *testing.T) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	stranger, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
@@ -58,15 +58,15 @@
 	}
 	for _, to := range []int{-1, 2} {
 		if p.Send(to, "x") == nil {
-			t.Errorf("a message to gateway %d was sent", to)
+			t.Errorf("message to unknown gateway %d sent", to)
 		}
 	}
 	if p.Send(1, strings.Repeat("x", maxDatagramSize+1)) == nil {
-		t.Error("a message that is too long was sent")
+		t.Error("oversized message sent")
 	}
 }
 
-// What a peer sends must never stop the module.
+// Invalid messages from peers must not cause the decision module to panic.
 func TestInvalidPeerMessages(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
 	before := l.decider
@@ -75,7 +75,7 @@
 		l.processPending()
 	}
 	if l.decider != before {
-		t.Error("the module panicked")
+		t.Error("the decision module panicked")
 	}
 }
 
@@ -124,13 +124,13 @@
 	}
 	for _, env := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		if _, err := LoadConfig(func(string) string { return env }); err == nil {
-			t.Errorf("GW_CONFIG %q passes", env)
+			t.Errorf("GW_CONFIG %q accepted", env)
 		}
 	}
 }
 
-// What counts at a reload is the file: the environment of a running process can't change, and GW_DISCOVERY
-// would hold the gateway to its first address.
+// A reload uses the file and ignores GW_DISCOVERY: the environment of a running process cannot change, so it
+// would tie the gateway to its first address.
 func TestReloadReadsConfigFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.9:1"}
@@ -143,13 +143,13 @@
 	getenv := func(name string) string { return env[name] }
 	write(sampleConfig)
 	if c, err := LoadConfig(getenv); err != nil || c.Discovery.String() != "127.0.0.9:1" {
-		t.Errorf("at the start: %v, %v", c.Discovery, err)
+		t.Errorf("at startup: %v, %v", c.Discovery, err)
 	}
 	if addr, err := LoadDiscoveryAddr(getenv); err != nil || addr.String() != "127.0.0.1:8500" {
 		t.Errorf("at a reload: %v, %v", addr, err)
 	}
 	write(`{"name"`)
 	if _, err := LoadDiscoveryAddr(getenv); err == nil {
-		t.Error("a broken file passes")
+		t.Error("invalid file accepted")
 	}
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -10,7 +10,7 @@
 	"sloepick/internal/gateway"
 )
 
-// wantCall waits for the next call that discovery gets and checks its query.
+// wantCall waits for the next call to discovery and checks its query.
 func (r *fakeDiscovery) wantCall(t *testing.T, query string) {
 	t.Helper()
 	if got := <-r.calls; !strings.HasPrefix(got, query) || (query == "" && got != "") {
@@ -18,7 +18,7 @@
 	}
 }
 
-// serveOne sends a request that is to be served by the server of that test.
+// serveOne sends a request that the given server answers.
 func serveOne(t *testing.T, c *testClient, id string, b *fakeServer) {
 	t.Helper()
 	c.sendSafe(id)
@@ -26,25 +26,25 @@
 	c.want("$" + id)
 }
 
-// A move calls off the watch at the old address at once, takes the whole list of the new one though its version
-// is lower, and goes on from there. Another move right behind it counts as much.
+// A move cancels the long poll at the old address at once, accepts the whole list of the new address although
+// its version is lower, and continues from there. A second move directly after it works in the same way.
 func TestDiscoveryMoves(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
 	r := newTestGateway(t, longDeadline, a)
 	c := r.dial(t)
 	serveOne(t, c, "id-1", a)
 	r.discovery.wantCall(t, "")
-	r.discovery.wantCall(t, "after=1&wait_ms=4000") // this one waits
+	r.discovery.wantCall(t, "after=1&wait_ms=4000") // a long poll
 	second, at2 := newFakeDiscovery(t, gateway.ServerList{Version: 9, Full: true, Servers: entries("draining", a)})
 	third, at3 := newFakeDiscovery(t, gateway.ServerList{Version: 0, Full: true, Servers: entries("up", b)})
 	r.reloads <- gateway.Reload{Discovery: at2}
-	r.reloads <- gateway.Reload{Discovery: at3} // the second may have been asked or not
+	r.reloads <- gateway.Reload{Discovery: at3} // the second address may have been called or not
 	third.wantCall(t, "")
-	third.wantCall(t, "after=0&wait_ms=4000") // so the list was taken
+	third.wantCall(t, "after=0&wait_ms=4000") // the list has been accepted
 	serveOne(t, c, "id-2", b)
 	third.set(gateway.ServerList{Version: 1, Servers: entries("draining", b)})
 	third.wantCall(t, "after=1&wait_ms=4000")
-	r.discovery.set(gateway.ServerList{Version: 2, Full: true, Servers: entries("up", b)}) // the old ones are not heard
+	r.discovery.set(gateway.ServerList{Version: 2, Full: true, Servers: entries("up", b)}) // the old addresses are ignored
 	second.set(gateway.ServerList{Version: 10, Full: true, Servers: entries("up", b)})
 	c.sendSafe("id-3")
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY") {
@@ -52,8 +52,8 @@
 	}
 }
 
-// While discovery is down at the new address the last list stays, and once it is up it is asked for its whole
-// list, though the move came long before.
+// While discovery at the new address is down, the last list stays in effect. Once it is up, the whole list is
+// requested, even if the move was long before.
 func TestDiscoveryMovesWhileDown(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
 	r := newTestGateway(t, longDeadline, a)
@@ -79,7 +79,7 @@
 	first := <-silent
 	serveOne(t, c, "id-1", a)
 	first.Close()
-	second := <-silent // it is asked again and again
+	second := <-silent // calls are repeated
 	second.Close()
 	up, at := newFakeDiscovery(t, gateway.ServerList{Version: 1, Full: true, Servers: entries("up", b)})
 	r.reloads <- gateway.Reload{Discovery: at}
@@ -88,8 +88,9 @@
 	serveOne(t, c, "id-2", b)
 }
 
-// TestStopTellsPeers guards against customers who have but their even parts at the others for as long as a restart
-// takes: the last thing that a stopping gateway does is to tell its peers.
+// TestStopTellsPeers: the last thing a stopping gateway does is to announce to its peers that it leaves.
+// Without this, customers would be limited to their even share at the other gateways for the duration of a
+// restart.
 func TestStopTellsPeers(t *testing.T) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
@@ -108,12 +109,12 @@
 	next := func() string {
 		n, err := peer.Read(buf)
 		if err != nil {
-			t.Fatalf("after %d words that it leaves: %v", leaves, err)
+			t.Fatalf("after %d leave messages: %v", leaves, err)
 		}
 		return string(buf[:n])
 	}
 	if m := next(); m[0] != 'e' {
-		t.Errorf("a gateway at work told %q", m)
+		t.Errorf("running gateway sent %q", m)
 	}
 	r.stop()
 	for leaves < 3 {
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -21,13 +21,14 @@
 	everything = failures | decide.NewOutcomeSet(decide.TimedOut, decide.Cancelled)
 )
 
-// newRoutedGateway is a gateway whose requests go by one route, held to the platform as at a start.
+// newRoutedGateway returns a gateway whose requests all match one route, validated as at startup.
 func newRoutedGateway(t *testing.T, rt route.Route, servers []gateway.ServerEntry) *testGateway {
 	t.Helper()
 	return newRoutedGatewayWithDeadline(t, longDeadline, rt, servers)
 }
 
-// newRoutedGatewayWithDeadline is such a gateway whose classes have an aim, from which the module guesses how long an answer takes.
+// newRoutedGatewayWithDeadline is newRoutedGateway with a latency aim for the classes, from which the decision
+// module estimates how long a response takes.
 func newRoutedGatewayWithDeadline(t *testing.T, aim time.Duration, rt route.Route, servers []gateway.ServerEntry) *testGateway {
 	t.Helper()
 	cfg := gateway.SmallConfig(t, aim, servers)
@@ -39,7 +40,7 @@
 	return startTestGateway(t, cfg)
 }
 
-// nextCommand takes the next command that comes to a server; ends of connections are passed over.
+// nextCommand returns the next command received by the server and skips closed connections.
 func (b *fakeServer) nextCommand(t *testing.T) received {
 	t.Helper()
 	for {
@@ -49,18 +50,18 @@
 	}
 }
 
-// wantNoCommand fails the test if a command has come that no test took. Ends of connections are passed over: when the end of an attempt
-// that was given up is read is the scheduler's.
+// wantNoCommand fails the test if there is a command that no test has received. Closed connections are skipped:
+// it depends on the scheduler when the end of a cancelled attempt is read.
 func (b *fakeServer) wantNoCommand(t *testing.T) {
 	t.Helper()
 	for len(b.commands) > 0 {
 		if x := <-b.commands; x.args != nil {
-			t.Errorf("the server got more: %q", x.args)
+			t.Errorf("the server got another command: %q", x.args)
 		}
 	}
 }
 
-// timeoutMS is the time that a server was timeoutMS it has, in ms.
+// timeoutMS returns the time, in ms, that the server was given for the request.
 func (x received) timeoutMS(t *testing.T) int {
 	t.Helper()
 	_, rest, _ := strings.Cut(x.args[3], ",d=")
@@ -72,8 +73,8 @@
 	return n
 }
 
-// Each attempt has its time and no more, there are as many as the route says, and then the client hears at once, with
-// the route's advice.
+// Each attempt gets at most the route's attempt timeout, there are at most as many attempts as the route
+// allows, and then the client is refused at once, with the route's retry advice.
 func TestRouteBoundsAttempts(t *testing.T) {
 	b := newFakeServer(t)
 	c := newRoutedGatewayWithDeadline(t, 10*time.Second, route.Route{Attempts: 3, Attempt: 400 * time.Millisecond, Whole: 10 * time.Second, Again: everything, BudgetFloor: 100,
@@ -81,14 +82,15 @@
 	c.sendSafe("id")
 	for range 3 {
 		if d := b.nextCommand(t).timeoutMS(t); d > 400 {
-			t.Errorf("an attempt was told to have %d ms", d)
+			t.Errorf("an attempt was given %d ms", d)
 		}
 	}
 	c.want("-BUSY 70")
 	b.wantNoCommand(t)
 }
 
-// A wait stands between attempts; while it lasts nothing goes out, and the client's leaving ends it.
+// The route's wait passes between attempts. During it nothing is sent, and a disconnect of the client ends the
+// request.
 func TestRouteWaitsBetweenAttempts(t *testing.T) {
 	b := newFakeServer(t)
 	r := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, Wait: 150 * time.Millisecond, Again: failures, BudgetFloor: 100}, entries("up", b))
@@ -113,7 +115,8 @@
 	}
 }
 
-// A second copy goes out after its time, the first whole answer is the client's, and the other attempt is given up.
+// A hedged request is sent after the route's delay, the client gets the first complete response, and the other
+// attempt is cancelled.
 func TestRouteSendsHedge(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
 	c := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, BudgetFloor: 100,
@@ -132,7 +135,7 @@
 	}
 }
 
-// A second copy of a keyed request stays in the group of the first, though that has no other server.
+// The hedge of a keyed request stays in the cell of the first attempt, even if that has no other server.
 func TestKeyedHedgeStaysInItsCell(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
 	c := newRoutedGateway(t, route.Route{Attempts: 2, Attempt: 400 * time.Millisecond, Whole: 20 * time.Second, BudgetFloor: 100,
@@ -144,25 +147,27 @@
 	case <-b.commands:
 		other = a
 	}
-	c.want("-ERR failed") // it may have run, so it is not refused
+	c.want("-ERR failed") // it may have been executed, so it is not refused
 	other.wantNoCommand(t)
 }
 
-// A patience shorter than one attempt cuts it: the answer leaves before the client stops waiting.
+// A client timeout shorter than an attempt limits the attempt: the response is sent before the client stops
+// waiting.
 func TestClientTimeoutShorterThanAttempt(t *testing.T) {
 	b := newFakeServer(t)
 	c := newRoutedGatewayWithDeadline(t, 300*time.Millisecond, route.Route{Attempts: 1, Attempt: 10 * time.Second, Whole: 20 * time.Second}, entries("up", b)).dial(t)
 	at := time.Now()
 	c.send("Q.ASK", customer, "id", "c=look,t=p,d=150,units=1,spread=2,first=0")
 	if d := b.nextCommand(t).timeoutMS(t); d > 140 {
-		t.Errorf("the server was told to have %d ms", d)
+		t.Errorf("the server was given %d ms", d)
 	}
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY") || time.Since(at) < 100*time.Millisecond {
 		t.Errorf("got %q after %v", got, time.Since(at))
 	}
 }
 
-// Over the route's bound of open requests a request is refused at once, and a place that is free is taken again.
+// A request beyond the route's limit of open requests is refused at once; a finished request makes room for
+// another one.
 func TestRouteBoundsOpenRequests(t *testing.T) {
 	b := newFakeServer(t)
 	r := newRoutedGateway(t, route.Route{Attempts: 1, Open: 1, Advice: 30 * time.Millisecond}, entries("up", b))
@@ -178,7 +183,8 @@
 	d.want("$3")
 }
 
-// A reload that tightens a route, or removes it, is for new requests; those that are open keep what they began with.
+// A reload that tightens or removes a route applies to new requests; open requests keep the route they started
+// with.
 func TestReloadOfRoutes(t *testing.T) {
 	for _, next := range map[string][]*route.Route{"tightened": {{Name: "r", Attempts: 1}}, "removed": nil} {
 		b := newFakeServer(t)
@@ -192,7 +198,7 @@
 		x.answer(t, "-ERR failed\r\n")
 		b.nextCommand(t).answer(t, served("again"))
 		c.want("$again")
-		d := r.dial(t) // the old table's place was given back to the old table
+		d := r.dial(t) // the old request was counted off the old table
 		d.sendSafe("new")
 		y := b.nextCommand(t)
 		y.answer(t, "-ERR failed\r\n")
@@ -205,8 +211,8 @@
 	}
 }
 
-// With every node failing fast, each group gets its first attempts x (1 + budget) at most, by the nodes' own tallies,
-// and every client one answer.
+// If every node fails fast, each cell gets at most its first attempts x (1 + budget), as counted by the nodes,
+// and every client gets one response.
 func TestRetryBudgetAtServers(t *testing.T) {
 	var mu sync.Mutex
 	firsts, all := map[int]int{}, map[int]int{}
@@ -214,7 +220,7 @@
 	var servers []gateway.ServerEntry
 	for i := range 4 {
 		s, err := testbed.NewScriptedNode(func(conn net.Conn, args []string) {
-			if len(args) < 3 { // the connection's end, or a stranger: a program beside this one may look for who had the port before
+			if len(args) < 3 { // a closed connection, or an unrelated program that looks for the previous owner of the port
 				return
 			}
 			mu.Lock()
@@ -257,12 +263,12 @@
 	}
 	wg.Wait()
 	if answered != 400 {
-		t.Errorf("%d answers", answered)
+		t.Errorf("got %d responses, want 400", answered)
 	}
 	for cell := range 2 {
 		if float64(all[cell]) > 1.2*float64(firsts[cell])+1e-9 || firsts[cell] == 0 {
-			// a request that went to one group first may be repeated at the other, by that group's budget
-			t.Errorf("group %d got %d attempts, %d of them first ones", cell, all[cell], firsts[cell])
+			// a request whose first attempt went to one cell may be retried at the other, on that cell's budget
+			t.Errorf("cell %d got %d attempts, %d of them first ones", cell, all[cell], firsts[cell])
 		}
 	}
 }
--- a/internal/gateway/usage_test.go
+++ b/internal/gateway/usage_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestParseUsage: what a node tells settles buckets, so what can't be meant must tell nothing.
+// TestParseUsage: usage reported by a node settles buckets, so invalid usage must be ignored.
 func TestParseUsage(t *testing.T) {
-	cfg := SmallConfig(t, time.Second, nil) // units of 8 at the most
+	cfg := SmallConfig(t, time.Second, nil) // at most 8 units per request
 	cfg.Settings.Decide.SettledLater, cfg.Settings.Decide.MeterPeriod = true, time.Second
 	for figures, want := range map[string]usage{
 		"used=86,units=3":        {86, 3},
@@ -43,15 +43,15 @@
 	}
 	cfg.Settings.Decide.SettledLater = false
 	if got := cfg.parseUsage([]byte("used=86,units=3")); got != (usage{86, 0}) {
-		t.Errorf("where units are told up front: got %+v", got)
+		t.Errorf("without settlement: got %+v", got)
 	}
 	cfg.Settings.Decide.MeterPeriod = 0
 	if got := cfg.parseUsage([]byte("used=86,units=3")); got != (usage{}) {
-		t.Errorf("where nothing is settled or metered: got %+v", got)
+		t.Errorf("without settlement and metering: got %+v", got)
 	}
 }
 
-// FuzzParseUsage: whatever a node tells, a bucket is never moved by more than the largest request.
+// FuzzParseUsage: whatever a node reports, a bucket is never charged more than the maximum of a request.
 func FuzzParseUsage(f *testing.F) {
 	f.Add([]byte("used=86,units=3"))
 	f.Add([]byte("units=1.5,used=,x=y"))
--- a/internal/gateway/writer_test.go
+++ b/internal/gateway/writer_test.go
@@ -13,7 +13,7 @@
 	"sloepick/internal/testbed/leaks"
 )
 
-// deadlineConn is a connection that tells the last write deadline it was given.
+// deadlineConn is a connection that records the last write deadline it was given.
 type deadlineConn struct {
 	*net.TCPConn
 	mu   sync.Mutex
@@ -33,7 +33,7 @@
 	return c.last
 }
 
-// connectedPair is a connection and its other end, both closed at the test's end.
+// connectedPair returns both ends of a connection; the test closes them at its end.
 func connectedPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,13 +54,13 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// writeAsync runs Writer.Finish as the loop does, and waits for what it tells.
+// writeAsync runs Writer.WriteAsync and returns the error passed to done.
 func writeAsync(t *testing.T, o *Writer, rest []byte, within time.Duration) error {
 	t.Helper()
 	return await(func(d *Core, done func(error)) { o.WriteAsync(rest, within, d, done) })
 }
 
-// await begins what ends in the loop, and waits for that.
+// await starts an operation that completes on the event loop, and waits for its completion.
 func await(begin func(d *Core, done func(error))) error {
 	l := &eventLoop{inbox: newInbox()}
 	told := make(chan error, 1)
@@ -72,8 +72,9 @@
 	return <-told
 }
 
-// TestWriteDeadlineEndsWithItsWrite: a limit that was set for one slow write must not end the connection at a later one. Try
-// goes by the connection's deadlines, so one left behind fails it long after the client has caught up.
+// TestWriteDeadlineEndsWithItsWrite: the deadline of one slow write must not fail a later one. TryWrite is
+// subject to the connection's deadlines, so a leftover deadline would fail it long after the client has caught
+// up.
 func TestWriteDeadlineEndsWithItsWrite(t *testing.T) {
 	leaks.Check(t)
 	near, far := connectedPair(t)
@@ -83,10 +84,10 @@
 		t.Fatal(err)
 	}
 	if last := conn.lastDeadline(); !last.IsZero() {
-		t.Errorf("the connection keeps the deadline %v of a write that is over", last)
+		t.Errorf("write deadline %v left after the write", last)
 	}
 	if n, err := o.TryWrite([]byte("next")); n != 4 || err != nil {
-		t.Errorf("the next write took %d bytes, error %v", n, err)
+		t.Errorf("next write: %d bytes, error %v", n, err)
 	}
 	got := make([]byte, 8)
 	if _, err := io.ReadFull(far, got); err != nil || string(got) != "slownext" {
@@ -94,7 +95,8 @@
 	}
 }
 
-// TestTryWriteFailsAfterDeadline holds what the mend rests on: a raw write fails once a deadline of its connection has passed.
+// TestTryWriteFailsAfterDeadline checks the premise of clearing the write deadline: a raw write fails once a
+// deadline of its connection has passed.
 func TestTryWriteFailsAfterDeadline(t *testing.T) {
 	leaks.Check(t)
 	near, _ := connectedPair(t)
@@ -106,7 +108,7 @@
 	}
 }
 
-// slowConn is a connection whose peer takes so many bytes in the time of each write.
+// slowConn is a connection whose peer accepts a given number of bytes in the time of each write.
 type slowConn struct {
 	net.Conn
 	takes []int
@@ -127,8 +129,8 @@
 	return n, nil
 }
 
-// TestWriteAsyncToSlowReader: a client that takes its answers slowly has them; one that takes nothing for the time of a write is given up,
-// and so is one that takes a little for ever.
+// TestWriteAsyncToSlowReader: a client that reads slowly gets its whole response. One that reads nothing during
+// the time of a write is given up, and so is one that keeps reading only a little at a time.
 func TestWriteAsyncToSlowReader(t *testing.T) {
 	leaks.Check(t)
 	for name, x := range map[string]struct {
@@ -147,11 +149,11 @@
 			NewWriter(c).WriteAsyncUntilStall(make([]byte, 100), time.Second, d, done)
 		})
 		if givenUp := errors.Is(err, os.ErrDeadlineExceeded); givenUp != x.givenUp || c.took != x.took || err != nil && !givenUp {
-			t.Errorf("%s: %d bytes were taken, error %v", name, c.took, err)
+			t.Errorf("%s: %d bytes accepted, error %v", name, c.took, err)
 		}
 	}
 	c := &slowConn{takes: []int{30, 30, 30, 10}}
 	if err := writeAsync(t, NewWriter(c), make([]byte, 100), time.Second); err == nil || c.took != 30 {
-		t.Errorf("a write with one time for all took %d bytes, error %v", c.took, err)
+		t.Errorf("write with a single time limit: %d bytes, error %v", c.took, err)
 	}
 }
