--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -85,9 +85,9 @@
 
 // protocol is a frontend and the input that its clients send.
 type protocol struct {
-	front   func(ln net.Listener) gateway.Frontend
-	chunk   func() (b []byte, answers int) // several commands: one rejected at once, two valid, one over the limit
-	answers func(got []byte) int
+	frontend func(ln net.Listener) gateway.Frontend
+	chunk    func() (b []byte, answers int) // several commands: one rejected at once, two valid, one over the limit
+	answers  func(got []byte) int
 }
 
 func protocols(t testing.TB) map[string]protocol {
@@ -100,7 +100,7 @@
 	}
 	return map[string]protocol{
 		"RESP2": {
-			front: func(ln net.Listener) gateway.Frontend {
+			frontend: func(ln net.Listener) gateway.Frontend {
 				f := resp.NewFront(netip.AddrPort{})
 				f.UseSocket(ln)
 				return f
@@ -120,7 +120,7 @@
 			},
 		},
 		"HTTP/2": {
-			front: func(ln net.Listener) gateway.Frontend {
+			frontend: func(ln net.Listener) gateway.Frontend {
 				f, err := h2.NewFront(h2.Listener{Name: "x", Streams: 100})
 				if err != nil {
 					t.Fatal(err)
@@ -162,13 +162,13 @@
 	}
 }
 
-func newRun(t *testing.T, p protocol, plan *faultconn.Injector, slow bool) *scenario {
-	return newRunWithBackend(t, p, plan, slow, nil, "127.0.0.1:1")
+func newScenario(t *testing.T, p protocol, plan *faultconn.Injector, slow bool) *scenario {
+	return newScenarioWithBackend(t, p, plan, slow, nil, "127.0.0.1:1")
 }
 
-// newRunWithBackend returns a scenario whose node is at an address and connected to by a backend; nil:
+// newScenarioWithBackend returns a scenario whose node is at an address and connected to by a backend; nil:
 // manualBackend.
-func newRunWithBackend(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, back gateway.Backend, node string) *scenario {
+func newScenarioWithBackend(t *testing.T, p protocol, plan *faultconn.Injector, slow bool, backend gateway.Backend, node string) *scenario {
 	set, err := settings.Parse(testbed.MinimalSettings(30 * time.Second))
 	if err != nil {
 		t.Fatal(err)
@@ -176,18 +176,18 @@
 	set.OpenCap = maxOpen
 	r := &scenario{t: t, plan: plan, ended: map[string]bool{}, clientGone: map[string]bool{}}
 	r.clock.now.Store(int64(time.Hour))
-	if back == nil {
-		back = &r.backend
+	if backend == nil {
+		backend = &r.backend
 	}
 	tune := tuning.Default()
-	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 100, Settings: set, Seed: 1, DefaultBackend: back, Tuning: tune,
+	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 100, Settings: set, Seed: 1, DefaultBackend: backend, Tuning: tune,
 		KnownServers: gateway.ServerList{Version: 1, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: node, Zone: "a", State: "up", Weight: 1}}}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.addr = ln.Addr().String()
-	front := p.front(faultconn.Listener{Listener: ln, Injector: plan})
+	front := p.frontend(faultconn.Listener{Listener: ln, Injector: plan})
 	cfg.Frontends = []gateway.Frontend{front}
 	if r.core, err = gateway.NewStepper(cfg, &r.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
@@ -328,10 +328,10 @@
 }
 
 // scripts returns all sequences of up to that many different actions.
-func scripts(most int) (all [][]string) {
+func scripts(maxLen int) (all [][]string) {
 	names := []string{"answer", "reset", "half-close", "term", "evict"}
 	all = [][]string{nil}
-	for from := 0; len(all[len(all)-1]) < most; {
+	for from := 0; len(all[len(all)-1]) < maxLen; {
 		to := len(all)
 		for _, s := range all[from:to] {
 			for _, n := range names {
@@ -366,11 +366,11 @@
 
 // failEach runs a script without a failure, and then with the nth operation of each kind failing, for every n
 // that occurs, up to most.
-func failEach(t *testing.T, last faultconn.Op, most int, play func(t *testing.T, plan *faultconn.Injector)) {
+func failEach(t *testing.T, last faultconn.Op, maxN int, run func(t *testing.T, plan *faultconn.Injector)) {
 	for op := faultconn.None; op <= last && !t.Failed(); op++ {
-		for n := 1; n <= most; n++ {
+		for n := 1; n <= maxN; n++ {
 			plan := &faultconn.Injector{Op: op, Nth: n}
-			t.Run(fmt.Sprintf("%v %d", op, n), func(t *testing.T) { play(t, plan) })
+			t.Run(fmt.Sprintf("%v %d", op, n), func(t *testing.T) { run(t, plan) })
 			if op == faultconn.None || !plan.Triggered() {
 				break
 			}
@@ -379,7 +379,7 @@
 }
 
 func runScript(t *testing.T, p protocol, plan *faultconn.Injector, script []string, slow bool) {
-	r := newRun(t, p, plan, slow)
+	r := newScenario(t, p, plan, slow)
 	b, commands := p.chunk()
 	r.pump()
 	r.client.Write(b)
@@ -449,7 +449,7 @@
 		}
 		p := protocols(t)[name]
 		plan := &faultconn.Injector{Op: faultconn.Op(op) % (faultconn.Accept + 1), Nth: 1 + int(n%8)}
-		r := newRun(t, p, plan, false)
+		r := newScenario(t, p, plan, false)
 		b, _ := p.chunk()
 		left := b
 		for i := 0; i < min(len(script), 40); i++ {
@@ -489,7 +489,7 @@
 // limit. It then sends a chunk whose first request is rejected, which ends the connection; the next request of
 // the chunk must not be accepted.
 func TestHTTP2RequestAfterConnectionFailure(t *testing.T) {
-	r := newRun(t, protocols(t)["HTTP/2"], &faultconn.Injector{}, false)
+	r := newScenario(t, protocols(t)["HTTP/2"], &faultconn.Injector{}, false)
 	c := wire.NewClient(wire.DefaultLimits(), 0)
 	var b bytes.Buffer
 	b.Write(bytes.Clone(c.Out()))
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -244,8 +244,8 @@
 // rejected.
 func TestDescriptorsAreBounded(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
-	most := l.cfg.Sockets - minSockets
-	for range most {
+	maxClients := l.cfg.Sockets - minSockets
+	for range maxClients {
 		if !l.core.AdmitConn(&fakeClient{}) { // not idle, so it cannot be evicted
 			t.Fatal("connection rejected although there is room for it")
 		}
@@ -253,7 +253,7 @@
 	if room := l.pool.connLimit(); room+len(l.clients)+reservedSockets > l.cfg.Sockets || room < 1 {
 		t.Errorf("room for %d connections to servers beside %d clients", room, len(l.clients))
 	}
-	if l.core.AdmitConn(&fakeClient{}) || len(l.clients) != most {
+	if l.core.AdmitConn(&fakeClient{}) || len(l.clients) != maxClients {
 		t.Errorf("connection over the limit accepted: %d", len(l.clients))
 	}
 }
@@ -261,13 +261,13 @@
 // The connection that has been idle for longest is evicted, never one that is owed a response.
 func TestLongestIdleClientIsEvicted(t *testing.T) {
 	l, _ := newTestLoop(t, 1)
-	old, young, owed := &fakeClient{idle: true, lastUsed: 5}, &fakeClient{idle: true, lastUsed: 9}, &fakeClient{lastUsed: 1}
-	for _, c := range []*fakeClient{young, old, owed} {
+	oldest, newest, busy := &fakeClient{idle: true, lastUsed: 5}, &fakeClient{idle: true, lastUsed: 9}, &fakeClient{lastUsed: 1}
+	for _, c := range []*fakeClient{newest, oldest, busy} {
 		l.core.AdmitConn(c)
 	}
 	l.evictClient()
-	if old.drained != 1 || young.drained+owed.drained != 0 {
-		t.Errorf("drained: old %d, young %d, owed %d", old.drained, young.drained, owed.drained)
+	if oldest.drained != 1 || newest.drained+busy.drained != 0 {
+		t.Errorf("drained: old %d, young %d, owed %d", oldest.drained, newest.drained, busy.drained)
 	}
 }
 
@@ -410,9 +410,9 @@
 	next.Nodes.Connections, next.Nodes.IdlePart, next.Nodes.Descriptors = 1, 6, 0.25
 	next.Clients.Held = 0.01
 	before, idleFor, held := l.pool.maxConns, l.pool.idleTimeout, l.maxRequestBytes()
-	taken := make(chan struct{})
-	l.reload(Reload{Tuning: &next, Applied: taken})
-	<-taken
+	applied := make(chan struct{})
+	l.reload(Reload{Tuning: &next, Applied: applied})
+	<-applied
 	if a.ended || len(w.cancelled) != 0 {
 		t.Error("reload ended an attempt in progress")
 	}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -148,34 +148,34 @@
 	at := func(s *httptest.Server) netip.AddrPort {
 		return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 	}
-	told, moves, changed, goOn := make(chan uint64, 64), make(chan netip.AddrPort), make(chan struct{}), make(chan struct{})
+	received, moves, changed, release := make(chan uint64, 64), make(chan netip.AddrPort), make(chan struct{}), make(chan struct{})
 	first := true
-	hear := func(_ decide.ListKind, list ServerList) {
+	onUpdate := func(_ decide.ListKind, list ServerList) {
 		if list.Version == 42 && first { // the event loop is slow to accept this one
 			first = false
 			close(changed)
-			<-goOn
+			<-release
 		}
-		told <- list.Version
+		received <- list.Version
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		watchDiscovery(ctx, at(former), moves, hear, slog.New(slog.DiscardHandler))
+		watchDiscovery(ctx, at(former), moves, onUpdate, slog.New(slog.DiscardHandler))
 	}()
 	<-changed
 	moves <- at(next)
 	time.Sleep(50 * time.Millisecond) // enough for the new address's list to arrive, if it were requested already
-	close(goOn)
+	close(release)
 	var versions []uint64
 	for len(versions) == 0 || versions[len(versions)-1] != 2 {
-		versions = append(versions, <-told)
+		versions = append(versions, <-received)
 	}
 	cancel()
 	<-ended
-	if versions[0] != 41 || len(versions) < 3 || versions[1] != 42 || len(told) > 0 {
-		t.Errorf("received versions %v, and %d more", versions, len(told))
+	if versions[0] != 41 || len(versions) < 3 || versions[1] != 42 || len(received) > 0 {
+		t.Errorf("received versions %v, and %d more", versions, len(received))
 	}
 }
 
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -45,14 +45,14 @@
 	defer web.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	type told struct {
+	type update struct {
 		kind decide.ListKind
 		list ServerList
 	}
-	news := make(chan told, 16)
+	updates := make(chan update, 16)
 	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(kind decide.ListKind, list ServerList) {
 		select {
-		case news <- told{kind, list}:
+		case updates <- update{kind, list}:
 		default: // the handler's default case keeps sending updates
 		}
 	}, slog.New(slog.DiscardHandler))
@@ -64,7 +64,7 @@
 			t.Errorf("call %q, want %q", got, want)
 		}
 	}
-	first, second := <-news, <-news
+	first, second := <-updates, <-updates
 	if s := first.list.Servers[0].toServer(); first.kind != decide.ListFull || s.State != decide.Serving || s.Started != 7*time.Millisecond || s.Cell != 3 {
 		t.Errorf("first update: %+v", first)
 	}
@@ -137,11 +137,11 @@
 // used, by means of the long call beside the short ones. Once the long call is answered, it is not kept.
 func TestSlowDiscoveryIsAnswered(t *testing.T) {
 	leaks.Check(t)
-	var out, most atomic.Int32
+	var calls, maxCalls atomic.Int32
 	release := make(chan struct{})
 	w := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
-		most.Store(max(most.Load(), out.Add(1)))
-		defer out.Add(-1)
+		maxCalls.Store(max(maxCalls.Load(), calls.Add(1)))
+		defer calls.Add(-1)
 		select {
 		case <-release:
 			fmt.Fprint(rw, listJSON(1, true, "up"))
@@ -149,8 +149,8 @@
 		}
 	}))
 	defer w.Close()
-	told := make(chan ServerList, 64)
-	watcher := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(w.URL, "http://")), func(_ decide.ListKind, list ServerList) { told <- list },
+	received := make(chan ServerList, 64)
+	watcher := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(w.URL, "http://")), func(_ decide.ListKind, list ServerList) { received <- list },
 		slog.New(slog.DiscardHandler))
 	watcher.shortTimeout, watcher.longTimeout = time.Millisecond, time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
@@ -165,24 +165,24 @@
 			t.Fatalf("short call: got error %v, want a timeout", err)
 		}
 	}
-	patient := watcher.longCall
-	if patient == nil {
+	longCall := watcher.longCall
+	if longCall == nil {
 		t.Fatal("no long call in progress")
 	}
 	close(release)
-	<-patient.ended
+	<-longCall.ended
 	for range 100 { // a short call may time out at the same moment
 		list, err := watcher.fetchNext(ctx)
 		if err == nil && list.Full {
 			break
 		}
 	}
-	if watcher.longCall == patient {
+	if watcher.longCall == longCall {
 		t.Error("the long call's answer was not used")
 	}
 	watcher.endLongCall()
-	if most.Load() > 3 { // two, and one that is just being cancelled
-		t.Errorf("%d calls at once", most.Load())
+	if maxCalls.Load() > 3 { // two, and one that is just being cancelled
+		t.Errorf("%d calls at once", maxCalls.Load())
 	}
 }
 
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -42,11 +42,11 @@
 	} else {
 		s.DrainBacklog(time.Now().Add(time.Minute))
 	}
-	taken, ended := 0, make(chan struct{})
+	accepted, ended := 0, make(chan struct{})
 	go func() {
 		defer close(ended)
 		s.AcceptLoop(t.Context(), l.core, func(c net.Conn) {
-			taken++
+			accepted++
 			c.Close()
 		})
 	}()
@@ -66,8 +66,8 @@
 		}
 		l.runPosted()
 	}
-	if taken != waiting {
-		t.Errorf("%d of %d connections accepted", taken, waiting)
+	if accepted != waiting {
+		t.Errorf("%d of %d connections accepted", accepted, waiting)
 	}
 	if c, err := net.Dial("tcp", s.Addr().String()); err == nil {
 		c.Close()
@@ -114,19 +114,19 @@
 
 // slowFrontend is a frontend that accepts its last connection after it was told to drain.
 type slowFrontend struct {
-	finish chan struct{}
-	conn   net.Conn
-	taken  atomic.Bool
+	draining chan struct{}
+	conn     net.Conn
+	accepted atomic.Bool
 }
 
 func (f *slowFrontend) Listen(context.Context) error { return nil }
-func (f *slowFrontend) DrainBacklog(time.Time)       { close(f.finish) }
+func (f *slowFrontend) DrainBacklog(time.Time)       { close(f.draining) }
 func (f *slowFrontend) Close() error                 { return nil }
 func (f *slowFrontend) Serve(ctx context.Context, d *Core) {
-	<-f.finish
+	<-f.draining
 	time.Sleep(10 * time.Millisecond) // enough for the event loop to see that no client is left
 	d.postAccepted(ctx, f.conn, func(c net.Conn) {
-		f.taken.Store(true)
+		f.accepted.Store(true)
 		c.Close()
 	})
 }
@@ -135,8 +135,8 @@
 // connections in its backlog.
 func TestStopWaitsForTheLastAccept(t *testing.T) {
 	leaks.Check(t)
-	near, far := connectedPair(t)
-	f := &slowFrontend{finish: make(chan struct{}), conn: near}
+	server, client := connectedPair(t)
+	f := &slowFrontend{draining: make(chan struct{}), conn: server}
 	cfg := SmallConfig(t, longDeadline, nil)
 	cfg.Frontends, cfg.DefaultBackend = []Frontend{f}, &fakeBackend{}
 	cfg.Tuning.Stop.Accept = 0
@@ -145,10 +145,10 @@
 	if err := Run(ctx, cfg, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	if !f.taken.Load() {
+	if !f.accepted.Load() {
 		t.Error("accepted connection lost")
 	}
-	if _, err := io.ReadAll(far); err != nil {
+	if _, err := io.ReadAll(client); err != nil {
 		t.Errorf("the client got %v", err)
 	}
 }
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -20,8 +20,8 @@
 
 // nodeProtocol is the node's side of a protocol: it answers requests until something fails.
 type nodeProtocol struct {
-	back  gateway.Backend
-	serve func(c net.Conn) error
+	backend gateway.Backend
+	serve   func(c net.Conn) error
 }
 
 func nodeProtocols() map[string]nodeProtocol {
@@ -139,7 +139,7 @@
 			}()
 		}
 	}()
-	r := newRunWithBackend(t, protocols(t)["RESP2"], &faultconn.Injector{}, false, side.back, ln.Addr().String())
+	r := newScenarioWithBackend(t, protocols(t)["RESP2"], &faultconn.Injector{}, false, side.backend, ln.Addr().String())
 	list := gateway.ServerList{Version: 2, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: ln.Addr().String(), Zone: "a", State: "up", Weight: 1}}}
 	b, _ := protocols(t)["RESP2"].chunk()
 	r.client.Write(b)
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -105,11 +105,11 @@
 	cfg.PeerListen = local
 	cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), peer.LocalAddr().(*net.UDPAddr).AddrPort()}
 	r := startTestGateway(t, cfg)
-	buf, leaves := make([]byte, 256), 0
+	buf, leaveMessages := make([]byte, 256), 0
 	next := func() string {
 		n, err := peer.Read(buf)
 		if err != nil {
-			t.Fatalf("after %d leave messages: %v", leaves, err)
+			t.Fatalf("after %d leave messages: %v", leaveMessages, err)
 		}
 		return string(buf[:n])
 	}
@@ -117,9 +117,9 @@
 		t.Errorf("running gateway sent %q", m)
 	}
 	r.stop()
-	for leaves < 3 {
+	for leaveMessages < 3 {
 		if m := next(); m[0] == 'x' {
-			leaves++
+			leaveMessages++
 		}
 	}
 	if err := <-r.done; err != nil {
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -192,9 +192,9 @@
 		c := r.dial(t)
 		c.sendSafe("old")
 		x := b.nextCommand(t)
-		taken, tune := make(chan struct{}), tuning.Default()
-		r.reloads <- gateway.Reload{Discovery: r.discovery.Addr(), Tuning: &tune, Routes: next, Applied: taken}
-		<-taken
+		applied, tune := make(chan struct{}), tuning.Default()
+		r.reloads <- gateway.Reload{Discovery: r.discovery.Addr(), Tuning: &tune, Routes: next, Applied: applied}
+		<-applied
 		x.answer(t, "-ERR failed\r\n")
 		b.nextCommand(t).answer(t, served("again"))
 		c.want("$again")
--- a/internal/gateway/writer_test.go
+++ b/internal/gateway/writer_test.go
@@ -34,7 +34,7 @@
 }
 
 // connectedPair returns both ends of a connection; the test closes them at its end.
-func connectedPair(t *testing.T) (near, far *net.TCPConn) {
+func connectedPair(t *testing.T) (server, client *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,13 +63,13 @@
 // await starts an operation that completes on the event loop, and waits for its completion.
 func await(begin func(d *Core, done func(error))) error {
 	l := &eventLoop{inbox: newInbox()}
-	told := make(chan error, 1)
-	begin(&Core{l}, func(err error) { told <- err })
+	result := make(chan error, 1)
+	begin(&Core{l}, func(err error) { result <- err })
 	<-l.inbox.ready
 	for _, do := range l.inbox.take(nil) {
 		do()
 	}
-	return <-told
+	return <-result
 }
 
 // TestWriteDeadlineEndsWithItsWrite: the deadline of one slow write must not fail a later one. TryWrite is
@@ -77,8 +77,8 @@
 // up.
 func TestWriteDeadlineEndsWithItsWrite(t *testing.T) {
 	leaks.Check(t)
-	near, far := connectedPair(t)
-	conn := &deadlineConn{TCPConn: near}
+	server, client := connectedPair(t)
+	conn := &deadlineConn{TCPConn: server}
 	o := NewWriter(conn)
 	if err := writeAsync(t, o, []byte("slow"), time.Hour); err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 		t.Errorf("next write: %d bytes, error %v", n, err)
 	}
 	got := make([]byte, 8)
-	if _, err := io.ReadFull(far, got); err != nil || string(got) != "slownext" {
+	if _, err := io.ReadFull(client, got); err != nil || string(got) != "slownext" {
 		t.Errorf("the other end read %q, error %v", got, err)
 	}
 }
@@ -99,11 +99,11 @@
 // deadline of its connection has passed.
 func TestTryWriteFailsAfterDeadline(t *testing.T) {
 	leaks.Check(t)
-	near, _ := connectedPair(t)
-	if err := near.SetWriteDeadline(time.Unix(1, 0)); err != nil {
+	server, _ := connectedPair(t)
+	if err := server.SetWriteDeadline(time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewWriter(near).TryWrite([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := NewWriter(server).TryWrite([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("got %v", err)
 	}
 }
