--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,9 +67,9 @@
 	if err != nil {
 		return err
 	}
-	clients := resp.NewFront(cfg.Listen)
+	clients := resp.NewFrontend(cfg.Listen)
 	give(sockets, clientsName, &clients.Listener)
-	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Back{}
+	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Backend{}
 	r := reloader{file: file, cfg: &cfg, getenv: getenv, log: log, level: &level, reloads: make(chan gateway.Reload)}
 	if file != "" {
 		var warnings sloe.Diags
@@ -81,7 +81,7 @@
 		level.Set(blocks.Level(r.now))
 		cfg.BackendsByKind = blocks.Backs(r.now)
 		for _, l := range blocks.Listeners(r.now) {
-			f, err := h2.NewFront(l)
+			f, err := h2.NewFrontend(l)
 			if err != nil {
 				return err
 			}
@@ -241,7 +241,7 @@
 	log     *slog.Logger
 	level   *slog.LevelVar
 	reloads chan gateway.Reload
-	fronts  []*h2.Front
+	fronts  []*h2.Frontend
 	manager *service.Manager
 	member  *gossip.Engine // nil: of no fleet
 	lock    *os.File       // of the state that is kept; held open for as long as the process lives
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -124,8 +124,8 @@
 	t.Helper()
 	r := &testGateway{reloads: make(chan gateway.Reload), done: make(chan error, 1)}
 	r.discovery, cfg.Discovery = newFakeDiscovery(t, cfg.KnownServers)
-	front := resp.NewFront(netip.MustParseAddrPort("127.0.0.1:0"))
-	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{front}, resp.Back{}
+	front := resp.NewFrontend(netip.MustParseAddrPort("127.0.0.1:0"))
+	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{front}, resp.Backend{}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	go func() { r.done <- gateway.Run(ctx, cfg, r.reloads, slog.New(slog.DiscardHandler)) }()
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -26,7 +26,7 @@
 
 func nodeProtocols() map[string]nodeProtocol {
 	return map[string]nodeProtocol{
-		"RESP2": {resp.Back{}, func(c net.Conn) error {
+		"RESP2": {resp.Backend{}, func(c net.Conn) error {
 			var buf []byte
 			b := make([]byte, 4<<10)
 			for {
@@ -47,11 +47,11 @@
 				}
 			}
 		}},
-		"HTTP/2": {h2.NewBack(h2.BackConfig{Streams: 100, Connections: 2, Ping: time.Second, Idle: time.Minute}), func(c net.Conn) error {
+		"HTTP/2": {h2.NewBackend(h2.BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: time.Second, IdleTimeout: time.Minute}), func(c net.Conn) error {
 			w := wire.NewServer(wire.DefaultLimits(), 0)
 			b := make([]byte, 4<<10)
 			for {
-				if out := w.Out(); len(out) > 0 {
+				if out := w.TakeOutput(); len(out) > 0 {
 					if _, err := c.Write(out); err != nil {
 						return err
 					}
@@ -61,7 +61,7 @@
 					return err
 				}
 				for _, e := range w.Feed(0, b[:n]) {
-					if e.Kind == wire.Asked {
+					if e.Kind == wire.RequestReceived {
 						w.Respond(e.Stream, 200, nil, []byte("v"))
 					}
 				}
