--- a/decide/admit.go
+++ b/decide/admit.go
@@ -34,7 +34,7 @@
 
 // storeHas reports that an even slice of the ceiling's store, empty at a start, has so many units.
 func storeHas(c *quota.Customer, units float64) bool {
-	return c.CeilingTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) >= units
+	return c.CeilingTokens+quota.UsableSlack*c.Plan.CeilingSlack/float64(c.GatewayCount) >= units
 }
 
 // roomOpen holds the cap on attempts out. Caps are small: parts of them, rounded up, are one too many in
@@ -56,7 +56,7 @@
 	if p := c.Plan; p.Rate > 0 {
 		wait = max(wait, (c.Level+c.Share*(units-p.Burst))/(c.Share*p.Rate))
 	}
-	slack, left := quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount), (1-quota.CoordinatorCeilingShare)/float64(c.GatewayCount)
+	slack, left := quota.UsableSlack*c.Plan.CeilingSlack/float64(c.GatewayCount), (1-quota.CoordinatorShare)/float64(c.GatewayCount)
 	switch slice := g.quota.CeilingShare(c); {
 	case c.Plan.CeilingRate == 0:
 	case slice > 0:
@@ -77,7 +77,7 @@
 // home grants from, by those that are cut off too: some may be cut off while homes grant to the others. The platform
 // spreads a customer under a ceiling so that half of its burst, so parted, holds a request.
 func (g *Gateway) roomAlone(c *quota.Customer, units float64) bool {
-	if c.Plan.CeilingRate > 0 && c.FallbackTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) < units {
+	if c.Plan.CeilingRate > 0 && c.FallbackTokens+quota.UsableSlack*c.Plan.CeilingSlack/float64(c.GatewayCount) < units {
 		return false
 	}
 	if g.quota.Isolated && !room(c, units) || !g.quota.Isolated && !g.loneRoom(c, units) {
--- a/decide/quota/book.go
+++ b/decide/quota/book.go
@@ -177,7 +177,7 @@
 	}
 	c.FirstGateway, c.GatewayCount = first%b.cfg.Gateways, spread
 	c.CeilingTokens = min(c.CeilingTokens, c.Plan.CeilingBurst/float64(c.GatewayCount))
-	c.FallbackTokens = min(c.FallbackTokens, (1-CoordinatorCeilingShare)*c.Plan.CeilingBurst/float64(c.GatewayCount))
+	c.FallbackTokens = min(c.FallbackTokens, (1-CoordinatorShare)*c.Plan.CeilingBurst/float64(c.GatewayCount))
 }
 
 // startFill is how many units of a customer's burst count as used when nothing is known of it.
--- a/decide/quota/part.go
+++ b/decide/quota/part.go
@@ -4,13 +4,13 @@
 
 // This gateway's part of a customer's quota, and its slice of a ceiling.
 const (
-	UsableSlackShare        = 0.9             // of the ceiling's slack is used: the rest is for rounding
-	CoordinatorCeilingShare = 0.5             // of a ceiling is kept by a customer's home, the rest by its set
-	partPrior               = 0.05            // seconds of the even slice mixed in: steadies rare askers
-	peerStale               = 1 * time.Second // a peer not heard for this long no longer settles buckets
-	meterStale              = 3 * time.Second // the meter is late; older totals say nothing
-	meterGrow               = 1.02            // of the factor on the part, a report ...
-	meterShrink             = 0.95            // ... while the metered total exceeds the rate
+	UsableSlack      = 0.9             // of the ceiling's slack is used: the rest is for rounding
+	CoordinatorShare = 0.5             // of a ceiling is kept by a customer's home, the rest by its set
+	partPrior        = 0.05            // seconds of the even slice mixed in: steadies rare askers
+	peerStale        = 1 * time.Second // a peer not heard for this long no longer settles buckets
+	meterStale       = 3 * time.Second // the meter is late; older totals say nothing
+	meterGrow        = 1.02            // of the factor on the part, a report ...
+	meterShrink      = 0.95            // ... while the metered total exceeds the rate
 )
 
 // Leak brings a customer's buckets, store and part up to now.
@@ -21,7 +21,7 @@
 	c.FleetLevel = max(0, c.FleetLevel-c.Plan.Rate*dt)
 	even, slice := 1/float64(c.GatewayCount), b.CeilingShare(c)
 	c.CeilingTokens = min(c.CeilingTokens+c.Plan.CeilingRate*slice*dt, c.Plan.CeilingBurst*slice)
-	left := (1 - CoordinatorCeilingShare) * even
+	left := (1 - CoordinatorShare) * even
 	c.FallbackTokens = min(c.FallbackTokens+c.Plan.CeilingRate*left*dt, c.Plan.CeilingBurst*left)
 	if b.Isolated {
 		c.Share = even
@@ -59,7 +59,7 @@
 	case b.Mesh:
 		return 1 / float64(c.GatewayCount)
 	case !b.Isolated && b.Coordinator(c.Key, 0) == b.Rank:
-		return CoordinatorCeilingShare
+		return CoordinatorShare
 	}
 	return 0
 }
