--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -100,11 +100,11 @@
 	return out
 }
 
-func bug(words string) any {
+func bug(message string) any {
 	return struct {
 		M     string `json:"m"`
 		Words string
-	}{"Bug", words}
+	}{"Bug", message}
 }
 
 func (h *host) start(i int, raw json.RawMessage) ([]any, error) {
--- a/decide/latencymodel/shape_test.go
+++ b/decide/latencymodel/shape_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestShapeOfTimes holds the line through units and times to what sites may tell: units as the work, the same for all
+// TestRelativeTime holds the line through units and times to what sites may tell: units as the work, the same for all
 // of a class, without bearing on it, or fewer for more work.
-func TestShapeOfTimes(t *testing.T) {
+func TestRelativeTime(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		units, time func(n int) float64
@@ -21,14 +21,14 @@
 		{"fewer for more", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return float64(2 - n%2) }, 8, 1},
 		{"steeper than in proportion", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return 0.1 + 1.8*float64(n%2) }, 0, MinRelativeTime},
 	} {
-		var s Linear
-		if got := s.RelativeTime(c.at); got != 1 {
+		var model Linear
+		if got := model.RelativeTime(c.at); got != 1 {
 			t.Errorf("%s: %v before any answer, want 1", c.name, got)
 		}
 		for n := range 2000 {
-			s.Add(c.units(n), c.time(n))
+			model.Add(c.units(n), c.time(n))
 		}
-		if got := s.RelativeTime(c.at); math.Abs(got-c.want) > 0.08*c.want {
+		if got := model.RelativeTime(c.at); math.Abs(got-c.want) > 0.08*c.want {
 			t.Errorf("%s: %v units take %.3f times the usual, want %.3f", c.name, c.at, got, c.want)
 		}
 	}
--- a/decide/peermsg/digits.go
+++ b/decide/peermsg/digits.go
@@ -8,18 +8,18 @@
 // MaxSize is how many bytes a message has at most.
 const MaxSize = 256
 
-const digits = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
+const alphabet = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
 
 func encode(b *strings.Builder, v uint64, n int) {
 	for i := n - 1; i >= 0; i-- {
-		b.WriteByte(digits[v>>(6*i)&63])
+		b.WriteByte(alphabet[v>>(6*i)&63])
 	}
 }
 
 // decode reads digits; ok is false if there are others.
 func decode(s string) (v uint64, ok bool) {
 	for i := 0; i < len(s); i++ {
-		d := strings.IndexByte(digits, s[i])
+		d := strings.IndexByte(alphabet, s[i])
 		if d < 0 {
 			return 0, false
 		}
--- a/decide/peermsg/totals.go
+++ b/decide/peermsg/totals.go
@@ -7,14 +7,14 @@
 
 // What peers tell all others: a head, and an entry for each customer of which something changed.
 const (
-	version      = "e" // messages that begin otherwise are not understood and dropped, but for
-	leaveVersion = "x" // one that a gateway sends as it stops: a head alone
-	headLen      = 5   // version; two digits each: epoch, number
-	entryLen     = 13  // customer of six digits, plan, used of two, asked of two, attempts out, level
-	levelSteps   = 30.0
+	totalsVersion   = "e" // messages that begin otherwise are not understood and dropped, but for
+	leaveVersion    = "x" // one that a gateway sends as it stops: a head alone
+	totalsHeaderLen = 5   // version; two digits each: epoch, number
+	entryLen        = 13  // customer of six digits, plan, used of two, asked of two, attempts out, level
+	levelSteps      = 30.0
 
-	MaxEntries     = (MaxSize - headLen) / entryLen // entries of a message
-	CounterModulus = 4096                           // a message's number, an epoch and a total wrap there
+	MaxEntries     = (MaxSize - totalsHeaderLen) / entryLen // entries of a message
+	CounterModulus = 4096                                   // a message's number, an epoch and a total wrap there
 )
 
 // Totals is such a message.
@@ -39,7 +39,7 @@
 	if t.Leaving {
 		b.WriteString(leaveVersion)
 	} else {
-		b.WriteString(version)
+		b.WriteString(totalsVersion)
 	}
 	encode(&b, uint64(t.Epoch), 2)
 	encode(&b, uint64(t.Seq), 2)
@@ -56,16 +56,16 @@
 
 // ParseTotals reads a message, its entries into the list that is handed in; ok is false if any of it is malformed.
 func ParseTotals(s string, list []Entry) (t Totals, ok bool) {
-	if len(s) < headLen || (len(s)-headLen)%entryLen != 0 {
+	if len(s) < totalsHeaderLen || (len(s)-totalsHeaderLen)%entryLen != 0 {
 		return t, false
 	}
-	t.Leaving = s[:1] == leaveVersion && len(s) == headLen
-	if _, ok = decode(s[1:]); !ok || (s[:1] != version && !t.Leaving) {
+	t.Leaving = s[:1] == leaveVersion && len(s) == totalsHeaderLen
+	if _, ok = decode(s[1:]); !ok || (s[:1] != totalsVersion && !t.Leaving) {
 		return Totals{}, false
 	}
-	head, _ := decode(s[1:headLen])
+	head, _ := decode(s[1:totalsHeaderLen])
 	t.Epoch, t.Seq, t.Entries = int(head>>12), int(head&4095), list[:0]
-	for s = s[headLen:]; s != ""; s = s[entryLen:] {
+	for s = s[totalsHeaderLen:]; s != ""; s = s[entryLen:] {
 		key, _ := decode(s[:6])
 		v, _ := decode(s[6:entryLen])
 		t.Entries = append(t.Entries, Entry{Key: key, Plan: int(v >> 36), Used: float64(v >> 24 & 4095),
--- a/decide/peermsg/word.go
+++ b/decide/peermsg/word.go
@@ -54,95 +54,95 @@
 	ReportAgeStep     = time.Second
 	MaxReportAgeSteps = 7 // times FloodAge: from that age on a flood is told no more
 
-	wordHead  = 10
-	sightLen  = 4 // server of three digits; class and level of one
-	unseen    = 6 // level of a sight for no answer; 7 for an error, under it doublings of firstX
-	firstX    = 0.35
-	floodLen  = 5    // key of four digits; age and part of one
-	floodStep = 0.75 // doublings between two levels of a told part
+	customerHeaderLen = 10
+	sampleLen         = 4 // server of three digits; class and level of one
+	levelUnsuccessful = 6 // level of a sight for no answer; 7 for an error, under it doublings of firstX
+	minRelativeTime   = 0.35
+	reportLen         = 5    // key of four digits; age and part of one
+	shareStep         = 0.75 // doublings between two levels of a told part
 )
 
-func (v ServerSample) encode(b *strings.Builder) {
-	level := min(unseen-1, max(0, math.Round(math.Log2(max(v.RelativeTime, firstX)/firstX))))
-	if v.NotOverload {
-		level = unseen + 1
-	} else if v.Unsuccessful {
-		level = unseen
+func (s ServerSample) encode(b *strings.Builder) {
+	level := min(levelUnsuccessful-1, max(0, math.Round(math.Log2(max(s.RelativeTime, minRelativeTime)/minRelativeTime))))
+	if s.NotOverload {
+		level = levelUnsuccessful + 1
+	} else if s.Unsuccessful {
+		level = levelUnsuccessful
 	}
-	encode(b, v.Server, 3)
-	encode(b, uint64(v.Class&7<<3|int(level)), 1)
+	encode(b, s.Server, 3)
+	encode(b, uint64(s.Class&7<<3|int(level)), 1)
 }
 
-func parseSight(s string) (v ServerSample, ok bool) {
+func parseSample(s string) (sample ServerSample, ok bool) {
 	d, ok := decode(s)
 	level := int(d & 7)
-	return ServerSample{Server: d >> 6, Class: int(d >> 3 & 7), RelativeTime: firstX * math.Exp2(float64(min(level, unseen-1))),
-		Unsuccessful: level >= unseen, NotOverload: level > unseen}, ok
+	return ServerSample{Server: d >> 6, Class: int(d >> 3 & 7), RelativeTime: minRelativeTime * math.Exp2(float64(min(level, levelUnsuccessful-1))),
+		Unsuccessful: level >= levelUnsuccessful, NotOverload: level > levelUnsuccessful}, ok
 }
 
-func (v OverQuotaReport) encode(now time.Duration, b *strings.Builder) {
-	level := min(7, max(0, math.Round(-math.Log2(max(v.AllowedShare, 1e-6))/floodStep)))
-	encode(b, v.Key, 4)
-	encode(b, uint64(min(MaxReportAgeSteps, (now-v.At)/ReportAgeStep))<<3|uint64(level), 1)
+func (r OverQuotaReport) encode(now time.Duration, b *strings.Builder) {
+	level := min(7, max(0, math.Round(-math.Log2(max(r.AllowedShare, 1e-6))/shareStep)))
+	encode(b, r.Key, 4)
+	encode(b, uint64(min(MaxReportAgeSteps, (now-r.At)/ReportAgeStep))<<3|uint64(level), 1)
 }
 
-func parseFlood(now time.Duration, s string) (v OverQuotaReport, ok bool) {
+func parseReport(now time.Duration, s string) (report OverQuotaReport, ok bool) {
 	d, ok := decode(s)
-	return OverQuotaReport{Key: d >> 6, AllowedShare: math.Exp2(-floodStep * float64(d&7)),
+	return OverQuotaReport{Key: d >> 6, AllowedShare: math.Exp2(-shareStep * float64(d&7)),
 		At: now - time.Duration(d>>3&7)*ReportAgeStep}, ok
 }
 
 // Encode is a word as it is sent: kind, key, plan and number, figures; behind a dot, sights; behind a comma, floods.
-func (w CustomerMessage) Encode(now time.Duration) string {
+func (m CustomerMessage) Encode(now time.Duration) string {
 	var b strings.Builder
-	b.WriteByte(w.Kind)
-	encode(&b, w.Key, 6)
-	encode(&b, uint64(w.Plan), 1)
-	encode(&b, w.RequestNo&4095, 2)
-	for _, x := range w.Values[:w.NumValues] {
-		encode(&b, uint64(min(4095, max(0, 2048+math.Round(x*StepsPerUnit)))), 2)
+	b.WriteByte(m.Kind)
+	encode(&b, m.Key, 6)
+	encode(&b, uint64(m.Plan), 1)
+	encode(&b, m.RequestNo&4095, 2)
+	for _, value := range m.Values[:m.NumValues] {
+		encode(&b, uint64(min(4095, max(0, 2048+math.Round(value*StepsPerUnit)))), 2)
 	}
-	if w.NumSamples > 0 {
+	if m.NumSamples > 0 {
 		b.WriteByte('.')
 	}
-	for _, v := range w.Samples[:w.NumSamples] {
-		v.encode(&b)
+	for _, sample := range m.Samples[:m.NumSamples] {
+		sample.encode(&b)
 	}
-	if w.NumReports > 0 {
+	if m.NumReports > 0 {
 		b.WriteByte(',')
 	}
-	for _, v := range w.Reports[:w.NumReports] {
-		v.encode(now, &b)
+	for _, report := range m.Reports[:m.NumReports] {
+		report.encode(now, &b)
 	}
 	return b.String()
 }
 
 // Parse reads a word that came now; ok is false if it is malformed.
-func Parse(now time.Duration, s string) (w CustomerMessage, ok bool) {
-	s, told, _ := strings.Cut(s, ",")
-	s, news, _ := strings.Cut(s, ".")
-	if len(news)%sightLen != 0 || len(news) > MaxSamples*sightLen ||
-		len(told)%floodLen != 0 || len(told) > MaxReports*floodLen {
-		return w, false
+func Parse(now time.Duration, s string) (m CustomerMessage, ok bool) {
+	s, reports, _ := strings.Cut(s, ",")
+	s, samples, _ := strings.Cut(s, ".")
+	if len(samples)%sampleLen != 0 || len(samples) > MaxSamples*sampleLen ||
+		len(reports)%reportLen != 0 || len(reports) > MaxReports*reportLen {
+		return m, false
 	}
-	if len(s) < wordHead || len(s)%2 != 0 || (len(s)-wordHead)/2 > len(w.Values) {
-		return w, false
+	if len(s) < customerHeaderLen || len(s)%2 != 0 || (len(s)-customerHeaderLen)/2 > len(m.Values) {
+		return m, false
 	}
-	head, ok := decode(s[1:wordHead])
-	w.Kind, w.Key, w.Plan, w.RequestNo = s[0], head>>18, int(head>>12&63), head&4095
-	for s = s[wordHead:]; s != "" && ok; s = s[2:] {
+	head, ok := decode(s[1:customerHeaderLen])
+	m.Kind, m.Key, m.Plan, m.RequestNo = s[0], head>>18, int(head>>12&63), head&4095
+	for s = s[customerHeaderLen:]; s != "" && ok; s = s[2:] {
 		var x uint64
 		x, ok = decode(s[:2])
-		w.Values[w.NumValues] = (float64(x) - 2048) / StepsPerUnit
-		w.NumValues++
+		m.Values[m.NumValues] = (float64(x) - 2048) / StepsPerUnit
+		m.NumValues++
 	}
-	for ; news != "" && ok; news = news[sightLen:] {
-		w.Samples[w.NumSamples], ok = parseSight(news[:sightLen])
-		w.NumSamples++
+	for ; samples != "" && ok; samples = samples[sampleLen:] {
+		m.Samples[m.NumSamples], ok = parseSample(samples[:sampleLen])
+		m.NumSamples++
 	}
-	for ; told != "" && ok; told = told[floodLen:] {
-		w.Reports[w.NumReports], ok = parseFlood(now, told[:floodLen])
-		w.NumReports++
+	for ; reports != "" && ok; reports = reports[reportLen:] {
+		m.Reports[m.NumReports], ok = parseReport(now, reports[:reportLen])
+		m.NumReports++
 	}
-	return w, ok
+	return m, ok
 }
--- a/decide/peermsg/word_test.go
+++ b/decide/peermsg/word_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestWordsComeBack: a word is read as it was written, within its steps; one that is spoilt anywhere is dropped whole.
-func TestWordsComeBack(t *testing.T) {
-	w := CustomerMessage{Kind: KindRequest, Key: 1<<36 - 1, RequestNo: 4095, Plan: 3, NumValues: 2, Values: [4]float64{-2, 0.5}, NumSamples: 1, Samples: [MaxSamples]ServerSample{{Server: 9, Class: 2, RelativeTime: 1.4, Unsuccessful: true}},
+// TestCustomerMessageRoundTrip: a word is read as it was written, within its steps; one that is spoilt anywhere is dropped whole.
+func TestCustomerMessageRoundTrip(t *testing.T) {
+	m := CustomerMessage{Kind: KindRequest, Key: 1<<36 - 1, RequestNo: 4095, Plan: 3, NumValues: 2, Values: [4]float64{-2, 0.5}, NumSamples: 1, Samples: [MaxSamples]ServerSample{{Server: 9, Class: 2, RelativeTime: 1.4, Unsuccessful: true}},
 		NumReports: 2, Reports: [MaxReports]OverQuotaReport{{Key: 5, AllowedShare: 0.3, At: time.Hour - 2*time.Second}, {Key: 6, AllowedShare: 1, At: time.Hour}}}
-	text := w.Encode(time.Hour)
+	text := m.Encode(time.Hour)
 	got, ok := Parse(time.Hour, text)
-	if !ok || got.Kind != KindRequest || got.Key != w.Key || got.RequestNo != w.RequestNo || got.Plan != 3 || got.NumValues != 2 || got.Values != w.Values ||
+	if !ok || got.Kind != KindRequest || got.Key != m.Key || got.RequestNo != m.RequestNo || got.Plan != 3 || got.NumValues != 2 || got.Values != m.Values ||
 		got.NumSamples != 1 || got.Samples[0].Server != 9 || got.Samples[0].Class != 2 || !got.Samples[0].Unsuccessful || got.Samples[0].NotOverload ||
 		got.NumReports != 2 || got.Reports[0].Key != 5 || math.Abs(got.Reports[0].AllowedShare-0.3) > 0.1 || got.Reports[0].At != time.Hour-2*time.Second {
 		t.Errorf("%q: %v, %+v", text, ok, got)
@@ -21,15 +21,15 @@
 	if len(text) > MaxSize {
 		t.Errorf("%d bytes", len(text))
 	}
-	for _, spoilt := range []string{"", text + "0", text + "00000", text[:20] + "!!!!!", text[:9], strings.Replace(text, "...", "!", 1)[1:]} {
-		if _, ok := Parse(time.Hour, spoilt); ok {
-			t.Errorf("%q was taken", spoilt)
+	for _, malformed := range []string{"", text + "0", text + "00000", text[:20] + "!!!!!", text[:9], strings.Replace(text, "...", "!", 1)[1:]} {
+		if _, ok := Parse(time.Hour, malformed); ok {
+			t.Errorf("%q was taken", malformed)
 		}
 	}
 }
 
-// TestTotalsComeBack: totals are read as they were written, wrapped; steps go over the wrap and back.
-func TestTotalsComeBack(t *testing.T) {
+// TestTotalsRoundTrip: totals are read as they were written, wrapped; steps go over the wrap and back.
+func TestTotalsRoundTrip(t *testing.T) {
 	m := Totals{Epoch: 4095, Seq: 7}
 	for i := range MaxEntries {
 		m.Entries = append(m.Entries, Entry{Key: uint64(i), Plan: i, Used: 4090 + float64(i), Requested: float64(i), Open: 60 + i, Level: 1})
@@ -47,9 +47,9 @@
 	if up, down := Delta(4090, 3), Delta(3, 4090); up != 9 || down != -9 {
 		t.Errorf("steps over the wrap: %v and %v", up, down)
 	}
-	for _, spoilt := range []string{"", text[1:], text + "0", "x" + text[1:], text[:len(text)-1] + "!", "Z" + text[1:]} {
-		if _, ok := ParseTotals(spoilt, nil); ok {
-			t.Errorf("%q was taken", spoilt)
+	for _, malformed := range []string{"", text[1:], text + "0", "x" + text[1:], text[:len(text)-1] + "!", "Z" + text[1:]} {
+		if _, ok := ParseTotals(malformed, nil); ok {
+			t.Errorf("%q was taken", malformed)
 		}
 	}
 }
--- a/decide/quota/book.go
+++ b/decide/quota/book.go
@@ -19,11 +19,11 @@
 const (
 	RateTimeConstant = 2 * time.Second  // memory of asked units: long against gaps, short against shifts
 	InitialFill      = 0.5              // of the mark: level after a start, as the past is unknown
-	forgetAfter      = 10 * time.Second // a customer that is as new is forgotten this long after its last use ...
-	toldFor          = 5 * time.Second  // ... well after peers cease to count on from its totals
-	sweepLeast       = 4                // customers are looked at, at each beat ...
-	sweepBeats       = 32               // ... and that part of all
-	tiny             = 1e-9             // units: no bucket is so small
+	idleExpiry       = 10 * time.Second // a customer that is as new is forgotten this long after its last use ...
+	totalsValidFor   = 5 * time.Second  // ... well after peers cease to count on from its totals
+	minSweep         = 4                // customers are looked at, at each beat ...
+	sweepDivisor     = 32               // ... and that part of all
+	minBurst         = 1e-9             // units: no bucket is so small
 )
 
 // Plan describes the quota of each customer on it, over all gateways together.
@@ -58,28 +58,28 @@
 	Samples   RecentSamples // rides along with words
 	OverQuota OverQuotaReports
 
-	cfg       Config
-	tell      func(to int, text string)
-	rng       *rand.Rand
-	started   time.Duration
-	customers map[uint64]*Customer
-	queue     []*Customer // customers in the order of first sight, to sweep the idle
-	peers     []peer
-	epoch     int
-	away      []bool      // by number: not there; nil: all are
-	leaked    float64     // seconds for which the buckets of strangers have leaked since they may have been half full
-	changed   []*Customer // whose buckets changed since Changed was last called
+	cfg           Config
+	send          func(to int, text string)
+	rng           *rand.Rand
+	started       time.Duration
+	customers     map[uint64]*Customer
+	sweepQueue    []*Customer // customers in the order of first sight, to sweep the idle
+	peers         []peer
+	epoch         int
+	inactive      []bool      // by number: not there; nil: all are
+	leakedSeconds float64     // seconds for which the buckets of strangers have leaked since they may have been half full
+	changed       []*Customer // whose buckets changed since Changed was last called
 }
 
 // New returns a book that knows only its configuration. It hands its messages to tell, and draws the number of its life
 // from rng.
-func New(cfg Config, rng *rand.Rand, tell func(to int, text string)) *Tracker {
-	b := &Tracker{Rank: cfg.Rank, cfg: cfg, tell: tell, rng: rng, customers: map[uint64]*Customer{}}
-	if b.Mesh = b.tellsAll(); b.Mesh && cfg.PeersAllowed {
-		b.peers = make([]peer, cfg.Gateways)
+func New(cfg Config, rng *rand.Rand, send func(to int, text string)) *Tracker {
+	t := &Tracker{Rank: cfg.Rank, cfg: cfg, send: send, rng: rng, customers: map[uint64]*Customer{}}
+	if t.Mesh = t.canMesh(); t.Mesh && cfg.PeersAllowed {
+		t.peers = make([]peer, cfg.Gateways)
 	}
-	b.epoch = rng.Intn(peermsg.CounterModulus)
-	return b
+	t.epoch = rng.Intn(peermsg.CounterModulus)
+	return t
 }
 
 // Start tells a book when its gateway started.
@@ -106,20 +106,20 @@
 	RetryWait                  float64       // seconds that the home lets refused ones wait
 	OverShare                  float64       // part of its latest requests that its quota did not bear: see Watch
 
-	at, last                     time.Duration // of the last leak, of the last use or word of it
-	settled                      time.Duration // the level follows what peers told up to then
-	usedSum, askedSum, askedTold float64
-	used                         Rate
-	metered, factor              float64 // what the meter last told, units a second; factor on the part by it
-	meteredAt                    time.Duration
-	told                         []told
-	queued                       []bool
-	given, untold                float64 // units that this home granted, modulo words.GivenWrap; not told to the other yet
-	twinGiven                    float64 // what the other home last told
-	twinKnown                    bool
-	homes                        [MaxCoordinators]int16 // as they were when it was last asked of this home
-	noted                        bool                   // it is among those that changed
-	recalled                     bool                   // what is known of it is from before the start
+	updatedAt, lastUsed                      time.Duration // of the last leak, of the last use or word of it
+	settledAt                                time.Duration // the level follows what peers told up to then
+	usedTotal, requestedTotal, requestedSent float64
+	usedRate                                 Rate
+	meteredRate, meterFactor                 float64 // what the meter last told, units a second; factor on the part by it
+	meteredAt                                time.Duration
+	byPeer                                   []peerTotals
+	queued                                   []bool
+	grantTotal, unsentGrants                 float64 // units that this home granted, modulo words.GivenWrap; not told to the other yet
+	otherGrantTotal                          float64 // what the other home last told
+	otherGrantKnown                          bool
+	coordinators                             [MaxCoordinators]int16 // as they were when it was last asked of this home
+	inChanged                                bool                   // it is among those that changed
+	restored                                 bool                   // what is known of it is from before the start
 }
 
 // Grant is what a home let one gateway pass on.
@@ -133,19 +133,19 @@
 
 // Rate is a sum of units that fades with PartMemory; its value is in units a second.
 type Rate struct {
-	v  float64
-	at time.Duration
+	value     float64
+	updatedAt time.Duration
 }
 
 // Add adds units.
 func (r *Rate) Add(now time.Duration, units float64) {
-	r.v = r.Get(now) + units/RateTimeConstant.Seconds()
-	r.at = now
+	r.value = r.Get(now) + units/RateTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
 // Get is the value now.
 func (r *Rate) Get(now time.Duration) float64 {
-	return r.v * math.Exp(-(now-r.at).Seconds()/RateTimeConstant.Seconds())
+	return r.value * math.Exp(-(now-r.updatedAt).Seconds()/RateTimeConstant.Seconds())
 }
 
 // Find is a customer by its key, or nil if nothing is known of it.
@@ -154,40 +154,42 @@
 // Customer finds a customer by its key (see [peermsg.Key]), or makes it.
 func (b *Tracker) Customer(key uint64, planNo int) *Customer {
 	if c := b.customers[key]; c != nil {
-		c.last = b.Now
+		c.lastUsed = b.Now
 		return c
 	}
 	p := &b.cfg.Plans[planNo]
-	c := &Customer{Key: key, Plan: p, PlanNo: planNo, GatewayCount: b.cfg.Gateways, at: b.started, last: b.Now,
-		told: make([]told, len(b.peers)), queued: make([]bool, len(b.peers))}
-	c.Share, c.factor, c.TotalDemandAt = 1/float64(c.GatewayCount), 1, -RateTimeConstant
+	c := &Customer{Key: key, Plan: p, PlanNo: planNo, GatewayCount: b.cfg.Gateways, updatedAt: b.started, lastUsed: b.Now,
+		byPeer: make([]peerTotals, len(b.peers)), queued: make([]bool, len(b.peers))}
+	c.Share, c.meterFactor, c.TotalDemandAt = 1/float64(c.GatewayCount), 1, -RateTimeConstant
 	if !b.Mesh {
-		c.FleetLevel = b.startFill(p)
+		c.FleetLevel = b.initialLevel(p)
 	}
-	c.Level = c.Share * b.startFill(p) // leaks, and the store fills, from the start on
+	c.Level = c.Share * b.initialLevel(p) // leaks, and the store fills, from the start on
 	b.customers[key] = c
-	b.queue = append(b.queue, c)
+	b.sweepQueue = append(b.sweepQueue, c)
 	return c
 }
 
 // SetGateways tells which gateways a customer's requests come in through, where its request says so.
-func (b *Tracker) SetGateways(c *Customer, first, spread int) {
-	if spread <= 0 || spread > b.cfg.Gateways || (c.GatewayCount == spread && c.FirstGateway == first) {
+func (b *Tracker) SetGateways(c *Customer, first, count int) {
+	if count <= 0 || count > b.cfg.Gateways || (c.GatewayCount == count && c.FirstGateway == first) {
 		return
 	}
-	c.FirstGateway, c.GatewayCount = first%b.cfg.Gateways, spread
+	c.FirstGateway, c.GatewayCount = first%b.cfg.Gateways, count
 	c.CeilingTokens = min(c.CeilingTokens, c.Plan.CeilingBurst/float64(c.GatewayCount))
 	c.FallbackTokens = min(c.FallbackTokens, (1-CoordinatorShare)*c.Plan.CeilingBurst/float64(c.GatewayCount))
 }
 
-// startFill is how many units of a customer's burst count as used when nothing is known of it.
-func (b *Tracker) startFill(p *Plan) float64 { return max(0, InitialFill*p.Burst-b.leaked*p.Rate) }
+// initialLevel is how many units of a customer's burst count as used when nothing is known of it.
+func (b *Tracker) initialLevel(p *Plan) float64 {
+	return max(0, InitialFill*p.Burst-b.leakedSeconds*p.Rate)
+}
 
 // AddDemand notes that so many units were asked here; peers are told.
 func (b *Tracker) AddDemand(c *Customer, units float64) {
 	c.Demand.Add(b.Now, units)
-	if c.askedSum += units; c.askedSum-c.askedTold > askedStep*c.Plan.Burst {
-		c.askedTold = c.askedSum
+	if c.requestedTotal += units; c.requestedTotal-c.requestedSent > demandStep*c.Plan.Burst {
+		c.requestedSent = c.requestedTotal
 		b.QueueUpdate(c) // what was sent on is told at once, what was only asked by the step
 	}
 }
@@ -198,30 +200,30 @@
 	if b.Mesh {
 		c.FleetLevel += units
 	}
-	c.usedSum += units
-	c.used.Add(b.Now, units)
-	b.noteChange(c)
+	c.usedTotal += units
+	c.usedRate.Add(b.Now, units)
+	b.markChanged(c)
 	b.QueueUpdate(c)
 }
 
 // Sweep drops customers of whom nothing is left to know, a part of all at each beat. Most customers may come
 // once only, so it has to keep up with new ones however many there are.
 func (b *Tracker) Sweep() {
-	for n := min(len(b.queue), sweepLeast+len(b.queue)/sweepBeats); n > 0; n-- {
-		c := b.queue[0]
-		b.queue = b.queue[1:]
-		if b.asNew(c) {
+	for n := min(len(b.sweepQueue), minSweep+len(b.sweepQueue)/sweepDivisor); n > 0; n-- {
+		c := b.sweepQueue[0]
+		b.sweepQueue = b.sweepQueue[1:]
+		if b.sameAsNew(c) {
 			delete(b.customers, c.Key)
 			continue
 		}
-		b.queue = append(b.queue, c)
+		b.sweepQueue = append(b.sweepQueue, c)
 	}
 }
 
-// asNew reports whether a customer stands as one would that comes for the first time now: nothing out or to be
+// sameAsNew reports whether a customer stands as one would that comes for the first time now: nothing out or to be
 // told, buckets empty, store full.
-func (b *Tracker) asNew(c *Customer) bool {
-	if c.Open > 0 || c.noted || b.Now-c.last < forgetAfter || c.RefuseUntil > b.Now || slices.Contains(c.queued, true) {
+func (b *Tracker) sameAsNew(c *Customer) bool {
+	if c.Open > 0 || c.inChanged || b.Now-c.lastUsed < idleExpiry || c.RefuseUntil > b.Now || slices.Contains(c.queued, true) {
 		return false
 	}
 	b.Leak(c)
--- a/decide/quota/book_test.go
+++ b/decide/quota/book_test.go
@@ -9,74 +9,74 @@
 	"sloepick/decide/peermsg"
 )
 
-// three returns a book of three gateways that tell each other all, and what it has told.
-func three() (*Tracker, *[]string) {
-	var told []string
-	b := New(Config{Gateways: 3, PeersAllowed: true, PeerIntake: 40, Plans: []Plan{{Name: "wide", Rate: 1000, Burst: 3000}, {Name: "small", Rate: 3, Burst: 12}}},
-		rand.New(rand.NewSource(7)), func(_ int, text string) { told = append(told, text) })
-	b.Now = time.Hour
-	b.Start(b.Now)
-	return b, &told
+// newTestTracker returns a book of newTestTracker gateways that tell each other all, and what it has told.
+func newTestTracker() (*Tracker, *[]string) {
+	var sent []string
+	tracker := New(Config{Gateways: 3, PeersAllowed: true, PeerIntake: 40, Plans: []Plan{{Name: "wide", Rate: 1000, Burst: 3000}, {Name: "small", Rate: 3, Burst: 12}}},
+		rand.New(rand.NewSource(7)), func(_ int, text string) { sent = append(sent, text) })
+	tracker.Now = time.Hour
+	tracker.Start(tracker.Now)
+	return tracker, &sent
 }
 
-// TestCustomersWhoComeOnceAreForgotten: they are forgotten as fast as new ones come, and only when a new one would stand as they do.
-func TestCustomersWhoComeOnceAreForgotten(t *testing.T) {
-	b, _ := three()
-	most := 0
+// TestIdleCustomersAreRemoved: they are forgotten as fast as new ones come, and only when a new one would stand as they do.
+func TestIdleCustomersAreRemoved(t *testing.T) {
+	tracker, _ := newTestTracker()
+	maxCustomers := 0
 	for i := range 20000 { // 100 new ones a second
-		b.Now += 10 * time.Millisecond
-		c := b.Customer(uint64(i), 0)
-		b.Leak(c)
-		b.AddDemand(c, 1)
-		b.Charge(c, 1)
+		tracker.Now += 10 * time.Millisecond
+		c := tracker.Customer(uint64(i), 0)
+		tracker.Leak(c)
+		tracker.AddDemand(c, 1)
+		tracker.Charge(c, 1)
 		if i%2 == 0 { // so that all that changed is told
-			b.SendTotals()
+			tracker.SendTotals()
 		}
 		if i%10 == 0 {
-			b.Sweep()
+			tracker.Sweep()
 		}
-		most = max(most, len(b.customers))
+		maxCustomers = max(maxCustomers, len(tracker.customers))
 	}
-	if most > 2000 || len(b.queue) != len(b.customers) {
-		t.Errorf("%d customers were kept, want those of some seconds", most)
+	if maxCustomers > 2000 || len(tracker.sweepQueue) != len(tracker.customers) {
+		t.Errorf("%d customers were kept, want those of some seconds", maxCustomers)
 	}
-	c := b.Customer(1<<30, 1)
+	c := tracker.Customer(1<<30, 1)
 	c.Level, c.FleetLevel = 1000, 1000 // far from empty after the time
-	if b.Now += 2 * forgetAfter; b.asNew(c) {
+	if tracker.Now += 2 * idleExpiry; tracker.sameAsNew(c) {
 		t.Error("a customer in debt would be forgotten")
 	}
 }
 
-// TestNumberTakenAnewForgets: what was told to a number that is taken anew counts no more, nor what was told under it.
-func TestNumberTakenAnewForgets(t *testing.T) {
-	b, told := three()
-	b.ReceiveTotals(1, peermsg.Totals{Epoch: 1, Seq: 1, Entries: []peermsg.Entry{{Key: 5, Used: 9, Requested: 9}}}.Encode())
-	c := b.Customer(5, 0)
-	b.AddDemand(c, 900)
-	b.Charge(c, 900)
-	b.SetMembership(2, true, false, make([]PeerStatus, 3))
-	if b.peers[1].known || c.usedSum != 0 || c.told[1].have {
-		t.Errorf("peer known %v, used %v, told %v", b.peers[1].known, c.usedSum, c.told[1].have)
+// TestNewRankResetsPeerState: what was told to a number that is taken anew counts no more, nor what was told under it.
+func TestNewRankResetsPeerState(t *testing.T) {
+	tracker, sent := newTestTracker()
+	tracker.ReceiveTotals(1, peermsg.Totals{Epoch: 1, Seq: 1, Entries: []peermsg.Entry{{Key: 5, Used: 9, Requested: 9}}}.Encode())
+	c := tracker.Customer(5, 0)
+	tracker.AddDemand(c, 900)
+	tracker.Charge(c, 900)
+	tracker.SetMembership(2, true, false, make([]PeerStatus, 3))
+	if tracker.peers[1].known || c.usedTotal != 0 || c.byPeer[1].known {
+		t.Errorf("peer known %v, used %v, told %v", tracker.peers[1].known, c.usedTotal, c.byPeer[1].known)
 	}
-	b.Now += time.Second
-	b.SendTotals()
-	for _, text := range *told {
+	tracker.Now += time.Second
+	tracker.SendTotals()
+	for _, text := range *sent {
 		if m, ok := peermsg.ParseTotals(text, nil); !ok || m.Seq != 1 || len(m.Entries) != 0 {
 			t.Errorf("the number taken anew tells %+v first", m)
 		}
 	}
 }
 
-// FuzzHeard feeds the reader of peers' totals; whatever comes must neither panic nor make units negative.
-func FuzzHeard(f *testing.F) {
+// FuzzReceiveTotals feeds the reader of peers' totals; whatever comes must neither panic nor make units negative.
+func FuzzReceiveTotals(f *testing.F) {
 	f.Add(peermsg.Totals{Epoch: 1, Seq: 1, Entries: []peermsg.Entry{{Key: 1 << 35, Plan: 1, Used: 5, Requested: 5, Level: 0.2}}}.Encode())
 	f.Add(peermsg.Totals{Epoch: 4095, Seq: 4095}.Encode())
 	f.Add("b")
 	f.Add("e0102zzzz")
 	f.Fuzz(func(t *testing.T, text string) {
-		b, _ := three()
-		b.ReceiveTotals(1, text)
-		for _, c := range b.queue {
+		tracker, _ := newTestTracker()
+		tracker.ReceiveTotals(1, text)
+		for _, c := range tracker.sweepQueue {
 			if c.FleetLevel < 0 || math.IsNaN(c.FleetLevel) {
 				t.Errorf("whole bucket is %v", c.FleetLevel)
 			}
@@ -84,37 +84,37 @@
 	})
 }
 
-// TestFloodsAreTold: floods go from word to word, the newest sight of each counts, no more are kept than may be, what is old is
+// TestOverQuotaReportsAreForwarded: floods go from word to word, the newest sight of each counts, no more are kept than may be, what is old is
 // not told.
-func TestFloodsAreTold(t *testing.T) {
-	var f OverQuotaReports
-	for i := range 2 * floodsMost {
-		f.Add(peermsg.OverQuotaReport{Key: uint64(i), AllowedShare: 0.5, At: time.Hour})
+func TestOverQuotaReportsAreForwarded(t *testing.T) {
+	var reports OverQuotaReports
+	for i := range 2 * maxStoredReports {
+		reports.Add(peermsg.OverQuotaReport{Key: uint64(i), AllowedShare: 0.5, At: time.Hour})
 	}
-	if len(f.by) != floodsMost || len(f.ring) != floodsMost {
-		t.Fatalf("%d and %d kept, want %d", len(f.by), len(f.ring), floodsMost)
+	if len(reports.byKey) != maxStoredReports || len(reports.order) != maxStoredReports {
+		t.Fatalf("%d and %d kept, want %d", len(reports.byKey), len(reports.order), maxStoredReports)
 	}
-	f.Add(peermsg.OverQuotaReport{Key: floodsMost, AllowedShare: 0.1, At: time.Hour - time.Second})
-	if f.by[floodsMost].AllowedShare != 0.5 {
+	reports.Add(peermsg.OverQuotaReport{Key: maxStoredReports, AllowedShare: 0.1, At: time.Hour - time.Second})
+	if reports.byKey[maxStoredReports].AllowedShare != 0.5 {
 		t.Error("an older sight took a newer one's place")
 	}
 	seen := map[uint64]bool{}
-	for range floodsMost {
-		vs, n := f.tell(time.Hour+time.Second, 1<<30)
-		for _, v := range vs[:n] {
-			seen[v.Key] = true
+	for range maxStoredReports {
+		batch, n := reports.take(time.Hour+time.Second, 1<<30)
+		for _, report := range batch[:n] {
+			seen[report.Key] = true
 		}
 	}
-	if len(seen) != floodsMost {
-		t.Errorf("%d of %d told", len(seen), floodsMost)
+	if len(seen) != maxStoredReports {
+		t.Errorf("%d of %d told", len(seen), maxStoredReports)
 	}
-	if _, n := f.tell(time.Hour+peermsg.MaxReportAgeSteps*peermsg.ReportAgeStep, 1<<30); n != 0 {
+	if _, n := reports.take(time.Hour+peermsg.MaxReportAgeSteps*peermsg.ReportAgeStep, 1<<30); n != 0 {
 		t.Errorf("%d told that are old", n)
 	}
-	for range floodsMost {
-		f.tell(time.Hour+floodKept+1, 1<<30)
+	for range maxStoredReports {
+		reports.take(time.Hour+reportTTL+1, 1<<30)
 	}
-	if len(f.by)+len(f.ring) != 0 {
-		t.Errorf("%d and %d kept that nobody may believe", len(f.by), len(f.ring))
+	if len(reports.byKey)+len(reports.order) != 0 {
+		t.Errorf("%d and %d kept that nobody may believe", len(reports.byKey), len(reports.order))
 	}
 }
--- a/decide/quota/memory.go
+++ b/decide/quota/memory.go
@@ -15,50 +15,50 @@
 
 // Restore takes what is believed of the time before the start: of those known, as full as they are now; the buckets of all
 // others have leaked for so many seconds since they may have been half full.
-func (b *Tracker) Restore(known []BucketSnapshot, leaked float64) {
-	b.leaked = max(0, leaked)
+func (b *Tracker) Restore(known []BucketSnapshot, leakedSeconds float64) {
+	b.leakedSeconds = max(0, leakedSeconds)
 	for _, m := range known {
 		if m.Plan < 0 || m.Plan >= len(b.cfg.Plans) || math.IsNaN(m.Fill) {
 			continue
 		}
-		_, met := b.customers[m.Key]
+		_, exists := b.customers[m.Key]
 		c := b.Customer(m.Key, m.Plan)
-		if m.GatewayCount > 0 && m.GatewayCount <= b.cfg.Gateways && !met {
+		if m.GatewayCount > 0 && m.GatewayCount <= b.cfg.Gateways && !exists {
 			c.GatewayCount, c.FirstGateway = m.GatewayCount, m.FirstGateway%b.cfg.Gateways
 			c.Share = 1 / float64(c.GatewayCount)
 		}
-		if !met {
+		if !exists {
 			c.Level, c.FleetLevel = 0, 0
 		}
 		b.Leak(c)
-		full := min(max(m.Fill, 0), fillMost) * c.Plan.Burst
-		c.FleetLevel, c.Level = max(c.FleetLevel, full), max(c.Level, c.Share*full)
-		c.recalled = true
-		b.noteChange(c)
+		level := min(max(m.Fill, 0), maxFill) * c.Plan.Burst
+		c.FleetLevel, c.Level = max(c.FleetLevel, level), max(c.Level, c.Share*level)
+		c.restored = true
+		b.markChanged(c)
 	}
 }
 
-// noteChange marks that a customer's bucket is not as it was last taken.
-func (b *Tracker) noteChange(c *Customer) {
-	if b.cfg.TrackChanges && !c.noted && c.Plan.Rate > 0 {
-		c.noted = true
+// markChanged marks that a customer's bucket is not as it was last taken.
+func (b *Tracker) markChanged(c *Customer) {
+	if b.cfg.TrackChanges && !c.inChanged && c.Plan.Rate > 0 {
+		c.inChanged = true
 		b.changed = append(b.changed, c)
 	}
 }
 
 // AppendChanged appends to a list what changed since it was last taken, so many customers at most; the others wait for the next call.
 // There is nothing unless Config.Remember is set. Where customers have homes, their homes alone know how full they are.
-func (b *Tracker) AppendChanged(list []BucketSnapshot, most int) []BucketSnapshot {
-	n := min(most, len(b.changed))
+func (b *Tracker) AppendChanged(list []BucketSnapshot, limit int) []BucketSnapshot {
+	n := min(limit, len(b.changed))
 	for _, c := range b.changed[:n] {
-		c.noted = false
+		c.inChanged = false
 		if !b.Mesh && !b.Isolated && !b.IsCoordinator(c.Key, b.Rank) {
 			continue
 		}
 		b.Leak(c)
-		fill := c.FleetLevel / max(c.Plan.Burst, tiny)
+		fill := c.FleetLevel / max(c.Plan.Burst, minBurst)
 		if b.Isolated { // what others let in is not known: its own part tells
-			fill = max(fill, min(1, c.Level/max(c.Share*c.Plan.Burst, tiny)))
+			fill = max(fill, min(1, c.Level/max(c.Share*c.Plan.Burst, minBurst)))
 		}
 		list = append(list, BucketSnapshot{Key: c.Key, Plan: c.PlanNo, FirstGateway: c.FirstGateway, GatewayCount: c.GatewayCount, Fill: fill})
 	}
--- a/decide/quota/part.go
+++ b/decide/quota/part.go
@@ -6,46 +6,46 @@
 const (
 	UsableSlack      = 0.9             // of the ceiling's slack is used: the rest is for rounding
 	CoordinatorShare = 0.5             // of a ceiling is kept by a customer's home, the rest by its set
-	partPrior        = 0.05            // seconds of the even slice mixed in: steadies rare askers
-	peerStale        = 1 * time.Second // a peer not heard for this long no longer settles buckets
-	meterStale       = 3 * time.Second // the meter is late; older totals say nothing
-	meterGrow        = 1.02            // of the factor on the part, a report ...
+	priorDemandShare = 0.05            // seconds of the even slice mixed in: steadies rare askers
+	peerTimeout      = 1 * time.Second // a peer not heard for this long no longer settles buckets
+	meterTimeout     = 3 * time.Second // the meter is late; older totals say nothing
+	meterGrowth      = 1.02            // of the factor on the part, a report ...
 	meterShrink      = 0.95            // ... while the metered total exceeds the rate
 )
 
 // Leak brings a customer's buckets, store and part up to now.
 func (b *Tracker) Leak(c *Customer) {
-	dt := (b.Now - c.at).Seconds()
-	c.at = b.Now
+	dt := (b.Now - c.updatedAt).Seconds()
+	c.updatedAt = b.Now
 	c.Level = max(0, c.Level-c.Share*c.Plan.Rate*dt)
 	c.FleetLevel = max(0, c.FleetLevel-c.Plan.Rate*dt)
-	even, slice := 1/float64(c.GatewayCount), b.CeilingShare(c)
-	c.CeilingTokens = min(c.CeilingTokens+c.Plan.CeilingRate*slice*dt, c.Plan.CeilingBurst*slice)
-	left := (1 - CoordinatorShare) * even
-	c.FallbackTokens = min(c.FallbackTokens+c.Plan.CeilingRate*left*dt, c.Plan.CeilingBurst*left)
+	evenShare, ceilingShare := 1/float64(c.GatewayCount), b.CeilingShare(c)
+	c.CeilingTokens = min(c.CeilingTokens+c.Plan.CeilingRate*ceilingShare*dt, c.Plan.CeilingBurst*ceilingShare)
+	fallbackShare := (1 - CoordinatorShare) * evenShare
+	c.FallbackTokens = min(c.FallbackTokens+c.Plan.CeilingRate*fallbackShare*dt, c.Plan.CeilingBurst*fallbackShare)
 	if b.Isolated {
-		c.Share = even
+		c.Share = evenShare
 		return
 	}
-	own := c.Demand.Get(b.Now) + partPrior*c.Plan.Rate*even
+	ownDemand := c.Demand.Get(b.Now) + priorDemandShare*c.Plan.Rate*evenShare
 	if !b.Mesh && b.Now-c.TotalDemandAt < RateTimeConstant {
-		c.Share = min(1, max(even, own/max(own, c.TotalDemand)))
+		c.Share = min(1, max(evenShare, ownDemand/max(ownDemand, c.TotalDemand)))
 		return
 	}
-	all, oldest, kept := b.askedByAll(c, own)
-	c.Share = even
-	if oldest < 0 || all == 0 || (len(b.peers) == 0 && c.GatewayCount > 1) {
-		if c.metered > 0 && b.Now-c.meteredAt < meterStale {
-			c.Share = max(even, min(1, c.factor*c.used.Get(b.Now)/c.metered))
+	totalDemand, oldest, reserved := b.totalDemand(c, ownDemand)
+	c.Share = evenShare
+	if oldest < 0 || totalDemand == 0 || (len(b.peers) == 0 && c.GatewayCount > 1) {
+		if c.meteredRate > 0 && b.Now-c.meteredAt < meterTimeout {
+			c.Share = max(evenShare, min(1, c.meterFactor*c.usedRate.Get(b.Now)/c.meteredRate))
 		}
 		return
 	}
-	c.Share = max(even, own/all*(1-kept))
-	if b.Now-oldest >= peerStale {
+	c.Share = max(evenShare, ownDemand/totalDemand*(1-reserved))
+	if b.Now-oldest >= peerTimeout {
 		return // what the silent one lets in since is not known
 	}
-	if c.GatewayCount > 1 && oldest > c.settled {
-		if c.settled = oldest; all <= c.Plan.Rate {
+	if c.GatewayCount > 1 && oldest > c.settledAt {
+		if c.settledAt = oldest; totalDemand <= c.Plan.Rate {
 			c.Level = 0 // else all contend for what leaks: each takes its part alone
 		}
 		c.Level = max(c.Level, c.Share*c.FleetLevel)
@@ -67,14 +67,14 @@
 // RecordMetered takes what an answer tells of the customer's use, percent of its rate plus 1; it decides the part where peers are
 // silent.
 func (b *Tracker) RecordMetered(c *Customer, percent int) {
-	c.metered, c.meteredAt = float64(percent-1)/100*c.Plan.Rate, b.Now
-	c.factor = min(1, c.factor*meterGrow)
-	if c.metered > c.Plan.Rate {
-		c.factor *= meterShrink
+	c.meteredRate, c.meteredAt = float64(percent-1)/100*c.Plan.Rate, b.Now
+	c.meterFactor = min(1, c.meterFactor*meterGrowth)
+	if c.meteredRate > c.Plan.Rate {
+		c.meterFactor *= meterShrink
 	}
 }
 
-// inSet reports whether a customer's requests may come in through the gateway of that number.
-func (b *Tracker) inSet(c *Customer, rank int) bool {
+// servesCustomer reports whether a customer's requests may come in through the gateway of that number.
+func (b *Tracker) servesCustomer(c *Customer, rank int) bool {
 	return (rank-c.FirstGateway+b.cfg.Gateways)%b.cfg.Gateways < c.GatewayCount
 }
--- a/decide/quota/room.go
+++ b/decide/quota/room.go
@@ -20,15 +20,15 @@
 	if p.Rate <= 0 {
 		return Allowance{}, false
 	}
-	r := Allowance{Limit: int(p.Burst), Remaining: int(p.Burst), Window: seconds(p.Burst / p.Rate)}
+	a := Allowance{Limit: int(p.Burst), Remaining: int(p.Burst), Window: seconds(p.Burst / p.Rate)}
 	c := b.customers[key]
 	if c == nil || c.Share <= 0 {
-		return r, true
+		return a, true
 	}
-	level := max(0, c.Level-c.Share*p.Rate*(now-c.at).Seconds())
-	r.Remaining = int(max(0, math.Floor(p.Burst-level/c.Share)))
-	r.ResetIn = seconds(level / (c.Share * p.Rate))
-	return r, true
+	level := max(0, c.Level-c.Share*p.Rate*(now-c.updatedAt).Seconds())
+	a.Remaining = int(max(0, math.Floor(p.Burst-level/c.Share)))
+	a.ResetIn = seconds(level / (c.Share * p.Rate))
+	return a, true
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
