--- a/decide/quota/allowance.go
+++ b/decide/quota/allowance.go
@@ -15,13 +15,13 @@
 
 // Allowance reads a customer's bucket. It changes nothing. It reports false for a plan without a rate; a customer that is not
 // known here is told the bucket of one that was not seen for long.
-func (b *Tracker) Allowance(now time.Duration, key uint64, planNo int) (Allowance, bool) {
-	p := &b.cfg.Plans[planNo]
+func (t *Tracker) Allowance(now time.Duration, key uint64, planNo int) (Allowance, bool) {
+	p := &t.cfg.Plans[planNo]
 	if p.Rate <= 0 {
 		return Allowance{}, false
 	}
 	a := Allowance{Limit: int(p.Burst), Remaining: int(p.Burst), Window: seconds(p.Burst / p.Rate)}
-	c := b.customers[key]
+	c := t.customers[key]
 	if c == nil || c.Share <= 0 {
 		return a, true
 	}
--- a/decide/quota/overquota.go
+++ b/decide/quota/overquota.go
@@ -73,9 +73,9 @@
 
 // AllowedShare is the part of what a customer asks that its quota bears, as far as is known here; 1 where nothing is. A home
 // sees too much of it where gateways refuse many requests unasked, as they see themselves.
-func (b *Tracker) AllowedShare(c *Customer) float64 {
+func (t *Tracker) AllowedShare(c *Customer) float64 {
 	share := 1.0
-	if report, ok := b.OverQuota.byKey[c.Key&peermsg.CustomerKeyMask]; ok && b.Now-report.At < reportTTL {
+	if report, ok := t.OverQuota.byKey[c.Key&peermsg.CustomerKeyMask]; ok && t.Now-report.At < reportTTL {
 		share = report.AllowedShare
 	}
 	if local := 1 - c.OverShare; local < overQuotaThreshold {
@@ -86,12 +86,12 @@
 
 // RecordDecision keeps what part of a customer's requests its quota bears: as its home of those that it is asked about, elsewhere
 // of those that came here.
-func (b *Tracker) RecordDecision(c *Customer, withinQuota bool) {
+func (t *Tracker) RecordDecision(c *Customer, withinQuota bool) {
 	over := 1.0
 	if withinQuota {
 		over = 0
 	}
 	if c.OverShare += overShareGain * (over - c.OverShare); 1-c.OverShare < overQuotaThreshold {
-		b.OverQuota.Add(peermsg.OverQuotaReport{Key: c.Key & peermsg.CustomerKeyMask, AllowedShare: 1 - c.OverShare, At: b.Now})
+		t.OverQuota.Add(peermsg.OverQuotaReport{Key: c.Key & peermsg.CustomerKeyMask, AllowedShare: 1 - c.OverShare, At: t.Now})
 	}
 }
--- a/decide/quota/share.go
+++ b/decide/quota/share.go
@@ -14,34 +14,34 @@
 )
 
 // Leak brings a customer's buckets, store and part up to now.
-func (b *Tracker) Leak(c *Customer) {
-	dt := (b.Now - c.updatedAt).Seconds()
-	c.updatedAt = b.Now
+func (t *Tracker) Leak(c *Customer) {
+	dt := (t.Now - c.updatedAt).Seconds()
+	c.updatedAt = t.Now
 	c.Level = max(0, c.Level-c.Share*c.Plan.Rate*dt)
 	c.FleetLevel = max(0, c.FleetLevel-c.Plan.Rate*dt)
-	evenShare, ceilingShare := 1/float64(c.GatewayCount), b.CeilingShare(c)
+	evenShare, ceilingShare := 1/float64(c.GatewayCount), t.CeilingShare(c)
 	c.CeilingTokens = min(c.CeilingTokens+c.Plan.CeilingRate*ceilingShare*dt, c.Plan.CeilingBurst*ceilingShare)
 	fallbackShare := (1 - CoordinatorShare) * evenShare
 	c.FallbackTokens = min(c.FallbackTokens+c.Plan.CeilingRate*fallbackShare*dt, c.Plan.CeilingBurst*fallbackShare)
-	if b.Isolated {
+	if t.Isolated {
 		c.Share = evenShare
 		return
 	}
-	ownDemand := c.Demand.Get(b.Now) + priorDemandShare*c.Plan.Rate*evenShare
-	if !b.Mesh && b.Now-c.TotalDemandAt < RateTimeConstant {
+	ownDemand := c.Demand.Get(t.Now) + priorDemandShare*c.Plan.Rate*evenShare
+	if !t.Mesh && t.Now-c.TotalDemandAt < RateTimeConstant {
 		c.Share = min(1, max(evenShare, ownDemand/max(ownDemand, c.TotalDemand)))
 		return
 	}
-	totalDemand, oldest, reserved := b.totalDemand(c, ownDemand)
+	totalDemand, oldest, reserved := t.totalDemand(c, ownDemand)
 	c.Share = evenShare
-	if oldest < 0 || totalDemand == 0 || (len(b.peers) == 0 && c.GatewayCount > 1) {
-		if c.meteredRate > 0 && b.Now-c.meteredAt < meterTimeout {
-			c.Share = max(evenShare, min(1, c.meterFactor*c.usedRate.Get(b.Now)/c.meteredRate))
+	if oldest < 0 || totalDemand == 0 || (len(t.peers) == 0 && c.GatewayCount > 1) {
+		if c.meteredRate > 0 && t.Now-c.meteredAt < meterTimeout {
+			c.Share = max(evenShare, min(1, c.meterFactor*c.usedRate.Get(t.Now)/c.meteredRate))
 		}
 		return
 	}
 	c.Share = max(evenShare, ownDemand/totalDemand*(1-reserved))
-	if b.Now-oldest >= peerTimeout {
+	if t.Now-oldest >= peerTimeout {
 		return // what the silent one lets in since is not known
 	}
 	if c.GatewayCount > 1 && oldest > c.settledAt {
@@ -54,11 +54,11 @@
 
 // CeilingShare is the part of a customer's ceiling that this gateway keeps, beside what homes leave. A home that is cut off
 // from its fleet keeps none: the home that took its place does.
-func (b *Tracker) CeilingShare(c *Customer) float64 {
+func (t *Tracker) CeilingShare(c *Customer) float64 {
 	switch {
-	case b.Mesh:
+	case t.Mesh:
 		return 1 / float64(c.GatewayCount)
-	case !b.Isolated && b.Coordinator(c.Key, 0) == b.Rank:
+	case !t.Isolated && t.Coordinator(c.Key, 0) == t.Rank:
 		return CoordinatorShare
 	}
 	return 0
@@ -66,8 +66,8 @@
 
 // RecordMetered takes what an answer tells of the customer's use, percent of its rate plus 1; it decides the part where peers are
 // silent.
-func (b *Tracker) RecordMetered(c *Customer, percent int) {
-	c.meteredRate, c.meteredAt = float64(percent-1)/100*c.Plan.Rate, b.Now
+func (t *Tracker) RecordMetered(c *Customer, percent int) {
+	c.meteredRate, c.meteredAt = float64(percent-1)/100*c.Plan.Rate, t.Now
 	c.meterFactor = min(1, c.meterFactor*meterGrowth)
 	if c.meteredRate > c.Plan.Rate {
 		c.meterFactor *= meterShrink
@@ -75,6 +75,6 @@
 }
 
 // servesCustomer reports whether a customer's requests may come in through the gateway of that number.
-func (b *Tracker) servesCustomer(c *Customer, rank int) bool {
-	return (rank-c.FirstGateway+b.cfg.Gateways)%b.cfg.Gateways < c.GatewayCount
+func (t *Tracker) servesCustomer(c *Customer, rank int) bool {
+	return (rank-c.FirstGateway+t.cfg.Gateways)%t.cfg.Gateways < c.GatewayCount
 }
--- a/decide/quota/snapshot.go
+++ b/decide/quota/snapshot.go
@@ -15,53 +15,53 @@
 
 // Restore takes what is believed of the time before the start: of those known, as full as they are now; the buckets of all
 // others have leaked for so many seconds since they may have been half full.
-func (b *Tracker) Restore(known []BucketSnapshot, leakedSeconds float64) {
-	b.leakedSeconds = max(0, leakedSeconds)
+func (t *Tracker) Restore(known []BucketSnapshot, leakedSeconds float64) {
+	t.leakedSeconds = max(0, leakedSeconds)
 	for _, m := range known {
-		if m.Plan < 0 || m.Plan >= len(b.cfg.Plans) || math.IsNaN(m.Fill) {
+		if m.Plan < 0 || m.Plan >= len(t.cfg.Plans) || math.IsNaN(m.Fill) {
 			continue
 		}
-		_, exists := b.customers[m.Key]
-		c := b.Customer(m.Key, m.Plan)
-		if m.GatewayCount > 0 && m.GatewayCount <= b.cfg.Gateways && !exists {
-			c.GatewayCount, c.FirstGateway = m.GatewayCount, m.FirstGateway%b.cfg.Gateways
+		_, exists := t.customers[m.Key]
+		c := t.Customer(m.Key, m.Plan)
+		if m.GatewayCount > 0 && m.GatewayCount <= t.cfg.Gateways && !exists {
+			c.GatewayCount, c.FirstGateway = m.GatewayCount, m.FirstGateway%t.cfg.Gateways
 			c.Share = 1 / float64(c.GatewayCount)
 		}
 		if !exists {
 			c.Level, c.FleetLevel = 0, 0
 		}
-		b.Leak(c)
+		t.Leak(c)
 		level := min(max(m.Fill, 0), maxFill) * c.Plan.Burst
 		c.FleetLevel, c.Level = max(c.FleetLevel, level), max(c.Level, c.Share*level)
 		c.restored = true
-		b.markChanged(c)
+		t.markChanged(c)
 	}
 }
 
 // markChanged marks that a customer's bucket is not as it was last taken.
-func (b *Tracker) markChanged(c *Customer) {
-	if b.cfg.TrackChanges && !c.inChanged && c.Plan.Rate > 0 {
+func (t *Tracker) markChanged(c *Customer) {
+	if t.cfg.TrackChanges && !c.inChanged && c.Plan.Rate > 0 {
 		c.inChanged = true
-		b.changed = append(b.changed, c)
+		t.changed = append(t.changed, c)
 	}
 }
 
 // AppendChanged appends to a list what changed since it was last taken, so many customers at most; the others wait for the next call.
 // There is nothing unless Config.Remember is set. Where customers have homes, their homes alone know how full they are.
-func (b *Tracker) AppendChanged(list []BucketSnapshot, limit int) []BucketSnapshot {
-	n := min(limit, len(b.changed))
-	for _, c := range b.changed[:n] {
+func (t *Tracker) AppendChanged(list []BucketSnapshot, limit int) []BucketSnapshot {
+	n := min(limit, len(t.changed))
+	for _, c := range t.changed[:n] {
 		c.inChanged = false
-		if !b.Mesh && !b.Isolated && !b.IsCoordinator(c.Key, b.Rank) {
+		if !t.Mesh && !t.Isolated && !t.IsCoordinator(c.Key, t.Rank) {
 			continue
 		}
-		b.Leak(c)
+		t.Leak(c)
 		fill := c.FleetLevel / max(c.Plan.Burst, minBurst)
-		if b.Isolated { // what others let in is not known: its own part tells
+		if t.Isolated { // what others let in is not known: its own part tells
 			fill = max(fill, min(1, c.Level/max(c.Share*c.Plan.Burst, minBurst)))
 		}
 		list = append(list, BucketSnapshot{Key: c.Key, Plan: c.PlanNo, FirstGateway: c.FirstGateway, GatewayCount: c.GatewayCount, Fill: fill})
 	}
-	b.changed = b.changed[:copy(b.changed, b.changed[n:])]
+	t.changed = t.changed[:copy(t.changed, t.changed[n:])]
 	return list
 }
--- a/decide/quota/totals.go
+++ b/decide/quota/totals.go
@@ -38,78 +38,78 @@
 }
 
 // canMesh reports whether the intake lets every gateway tell every other often enough.
-func (b *Tracker) canMesh() bool {
-	return !b.cfg.PeersAllowed || intakeShare*b.cfg.PeerIntake >= minMeshRate*float64(b.cfg.Gateways-1)
+func (t *Tracker) canMesh() bool {
+	return !t.cfg.PeersAllowed || intakeShare*t.cfg.PeerIntake >= minMeshRate*float64(t.cfg.Gateways-1)
 }
 
 // TickInterval is the pace at which Beat is to be called.
-func (b *Tracker) TickInterval() time.Duration {
-	if !b.Mesh {
+func (t *Tracker) TickInterval() time.Duration {
+	if !t.Mesh {
 		return coordinatorTick
 	}
-	perS := intakeShare * b.cfg.PeerIntake / float64(max(1, b.cfg.Gateways-1))
+	perS := intakeShare * t.cfg.PeerIntake / float64(max(1, t.cfg.Gateways-1))
 	return time.Duration(float64(time.Second) / max(perS, 1))
 }
 
 // AnnounceLeave tells the peers that this gateway stops, so that they share its part at once.
-func (b *Tracker) AnnounceLeave() {
-	for i := range b.peers {
-		if i == b.Rank {
+func (t *Tracker) AnnounceLeave() {
+	for i := range t.peers {
+		if i == t.Rank {
 			continue
 		}
-		p := &b.peers[i]
+		p := &t.peers[i]
 		p.sentSeq = (p.sentSeq + 1) % peermsg.CounterModulus
-		text := peermsg.Totals{Epoch: b.epoch, Seq: p.sentSeq, Leaving: true}.Encode()
+		text := peermsg.Totals{Epoch: t.epoch, Seq: p.sentSeq, Leaving: true}.Encode()
 		for range leaveRepeats {
-			b.send(i, text)
+			t.send(i, text)
 		}
 	}
 }
 
 // QueueUpdate queues what is known of a customer for the other gateways of its set.
-func (b *Tracker) QueueUpdate(c *Customer) {
-	for i := range b.peers {
-		b.queueUpdateTo(c, i)
+func (t *Tracker) QueueUpdate(c *Customer) {
+	for i := range t.peers {
+		t.queueUpdateTo(c, i)
 	}
 }
 
-func (b *Tracker) queueUpdateTo(c *Customer, to int) {
-	if to != b.Rank && b.servesCustomer(c, to) && !c.queued[to] {
+func (t *Tracker) queueUpdateTo(c *Customer, to int) {
+	if to != t.Rank && t.servesCustomer(c, to) && !c.queued[to] {
 		c.queued[to] = true
-		b.peers[to].queue = append(b.peers[to].queue, c)
+		t.peers[to].queue = append(t.peers[to].queue, c)
 	}
 }
 
 // SendTotals tells each peer what changed.
-func (b *Tracker) SendTotals() {
-	for i := range b.peers {
-		p := &b.peers[i]
-		if i == b.Rank || (len(p.queue) == 0 && b.Now-p.sentAt < keepaliveInterval) {
+func (t *Tracker) SendTotals() {
+	for i := range t.peers {
+		p := &t.peers[i]
+		if i == t.Rank || (len(p.queue) == 0 && t.Now-p.sentAt < keepaliveInterval) {
 			continue
 		}
-		p.sentAt, p.sentSeq = b.Now, (p.sentSeq+1)%peermsg.CounterModulus
-		b.send(i, b.nextTotals(i, p))
+		p.sentAt, p.sentSeq = t.Now, (p.sentSeq+1)%peermsg.CounterModulus
+		t.send(i, t.nextTotals(i, p))
 	}
 }
 
-func (b *Tracker) nextTotals(to int, p *peer) string {
+func (t *Tracker) nextTotals(to int, p *peer) string {
 	var entries [peermsg.MaxEntries]peermsg.Entry
 	n := min(len(p.queue), len(entries))
 	for i, c := range p.queue[:n] {
 		c.queued[to] = false
-		c.lastUsed = b.Now
-		b.Leak(c)
+		c.lastUsed = t.Now
+		t.Leak(c)
 		entries[i] = peermsg.Entry{Key: c.Key, Plan: c.PlanNo, Used: c.usedTotal, Requested: c.requestedTotal, Open: c.Open,
 			Level: c.FleetLevel / max(c.Plan.Burst, 1)}
 	}
 	p.queue = slices.Delete(p.queue, 0, n)
-	return peermsg.Totals{Epoch: b.epoch, Seq: p.sentSeq, Entries: entries[:n]}.Encode()
+	return peermsg.Totals{Epoch: t.epoch, Seq: p.sentSeq, Entries: entries[:n]}.Encode()
 }
 
 // ReceiveTotals takes a peer's totals. Totals make lost and repeated messages harmless, the number makes late
 // ones so, the epoch a restart of the peer. What is malformed or from nobody is dropped.
-func (b *Tracker) ReceiveTotals(from int, text string) {
-	if !b.IsPeer(from) || len(b.peers) == 0 {
+func (t *Tracker) ReceiveTotals(from int, text string) {
+	if !t.IsPeer(from) || len(t.peers) == 0 {
 		return
 	}
 	var buffer [peermsg.MaxEntries]peermsg.Entry
@@ -117,7 +117,7 @@
 	if !ok {
 		return
 	}
-	p := &b.peers[from]
+	p := &t.peers[from]
 	if p.known && p.epoch == totals.Epoch && peermsg.Delta(float64(p.seq), float64(totals.Seq)) <= 0 {
 		return
 	}
@@ -125,45 +125,45 @@
 		return // a former life's word, late
 	}
 	if !p.known || p.epoch != totals.Epoch {
-		b.resetPeer(from, p)
+		t.resetPeer(from, p)
 	}
-	p.epoch, p.seq, p.known, p.receivedAt, p.left, p.unreachable = totals.Epoch, totals.Seq, true, b.Now, totals.Leaving, false
+	p.epoch, p.seq, p.known, p.receivedAt, p.left, p.unreachable = totals.Epoch, totals.Seq, true, t.Now, totals.Leaving, false
 	for i := range totals.Entries {
-		b.applyEntry(from, p, &totals.Entries[i])
+		t.applyEntry(from, p, &totals.Entries[i])
 	}
 }
 
 // IsPeer reports whether a number is another gateway's.
-func (b *Tracker) IsPeer(rank int) bool { return rank >= 0 && rank < b.cfg.Gateways && rank != b.Rank }
+func (t *Tracker) IsPeer(rank int) bool { return rank >= 0 && rank < t.cfg.Gateways && rank != t.Rank }
 
 // resetPeer meets a new life of a peer: its totals begin anew, and it is told all there is to tell.
-func (b *Tracker) resetPeer(from int, p *peer) {
+func (t *Tracker) resetPeer(from int, p *peer) {
 	p.startedLater = p.known
-	for _, c := range b.sweepQueue {
+	for _, c := range t.sweepQueue {
 		c.byPeer[from].known = false
-		b.queueUpdateTo(c, from)
+		t.queueUpdateTo(c, from)
 	}
 }
 
-func (b *Tracker) applyEntry(from int, p *peer, e *peermsg.Entry) {
-	if e.Plan >= len(b.cfg.Plans) {
+func (t *Tracker) applyEntry(from int, p *peer, e *peermsg.Entry) {
+	if e.Plan >= len(t.cfg.Plans) {
 		return
 	}
-	c := b.Customer(e.Key, e.Plan)
-	b.Leak(c)
+	c := t.Customer(e.Key, e.Plan)
+	t.Leak(c)
 	last := &c.byPeer[from]
 	switch {
 	case !last.known && p.startedLater:
 		last.used, last.requested = 0, 0
-	case !last.known || b.Now-last.receivedAt > totalsValidFor: // the peer may have forgotten the customer since, and count anew
+	case !last.known || t.Now-last.receivedAt > totalsValidFor: // the peer may have forgotten the customer since, and count anew
 		last.used, last.requested = e.Used, e.Requested
 		c.FleetLevel = max(c.FleetLevel, e.Level*c.Plan.Burst)
 	}
-	last.known, last.receivedAt = true, b.Now
+	last.known, last.receivedAt = true, t.Now
 	c.FleetLevel = max(0, c.FleetLevel+peermsg.Delta(last.used, e.Used))
-	last.demand.Add(b.Now, max(0, peermsg.Delta(last.requested, e.Requested)))
+	last.demand.Add(t.Now, max(0, peermsg.Delta(last.requested, e.Requested)))
 	last.used, last.requested, last.open = e.Used, e.Requested, e.Open
-	b.markChanged(c)
+	t.markChanged(c)
 }
 
 // totalDemand is what all gateways of a customer's set ask for it, this one so much, and since when all
@@ -171,11 +171,11 @@
 // its traffic comes here and the part grows by that; if it is cut off, both keep their parts as they were.
 // Without this, customers of a gateway that is down would have but the even parts of the others. A fleet
 // tells more: of one that is missing the even part is kept, in which it may be at work.
-func (b *Tracker) totalDemand(c *Customer, ownDemand float64) (total float64, oldest time.Duration, reserved float64) {
-	total, oldest = ownDemand, b.Now
-	for i := range b.peers {
-		p := &b.peers[i]
-		if i == b.Rank || !b.servesCustomer(c, i) || p.left {
+func (t *Tracker) totalDemand(c *Customer, ownDemand float64) (total float64, oldest time.Duration, reserved float64) {
+	total, oldest = ownDemand, t.Now
+	for i := range t.peers {
+		p := &t.peers[i]
+		if i == t.Rank || !t.servesCustomer(c, i) || p.left {
 			continue
 		}
 		if p.unreachable {
@@ -185,8 +185,8 @@
 		if !p.known {
 			return total, -1, reserved
 		}
-		asOf := b.Now
-		if b.Now-p.receivedAt >= peerTimeout {
+		asOf := t.Now
+		if t.Now-p.receivedAt >= peerTimeout {
 			asOf = p.receivedAt
 		}
 		total += c.byPeer[i].demand.Get(asOf) + priorDemandShare*c.Plan.Rate/float64(c.GatewayCount)
@@ -196,18 +196,18 @@
 }
 
 // OpenElsewhere is what the other gateways of a customer's set have out for it; not told if one is silent.
-func (b *Tracker) OpenElsewhere(c *Customer) (open int, known bool) {
-	for i := range b.peers {
-		p := &b.peers[i]
-		if i == b.Rank || !b.servesCustomer(c, i) || p.left {
+func (t *Tracker) OpenElsewhere(c *Customer) (open int, known bool) {
+	for i := range t.peers {
+		p := &t.peers[i]
+		if i == t.Rank || !t.servesCustomer(c, i) || p.left {
 			continue
 		}
-		if !p.known || p.unreachable || b.Now-p.receivedAt >= peerTimeout {
+		if !p.known || p.unreachable || t.Now-p.receivedAt >= peerTimeout {
 			return 0, false
 		}
-		if last := &c.byPeer[i]; last.known && b.Now-last.receivedAt < openTimeout {
+		if last := &c.byPeer[i]; last.known && t.Now-last.receivedAt < openTimeout {
 			open += last.open
 		}
 	}
-	return open, c.GatewayCount == 1 || len(b.peers) > 0
+	return open, c.GatewayCount == 1 || len(t.peers) > 0
 }
--- a/decide/quota/tracker.go
+++ b/decide/quota/tracker.go
@@ -83,7 +83,7 @@
 }
 
 // Start tells a book when its gateway started.
-func (b *Tracker) Start(now time.Duration) { b.started = now }
+func (t *Tracker) Start(now time.Duration) { t.started = now }
 
 // Customer is what is known of one: levels and parts hold as of the last call of [Tracker.Leak].
 type Customer struct {
@@ -149,84 +149,84 @@
 }
 
 // Find is a customer by its key, or nil if nothing is known of it.
-func (b *Tracker) Find(key uint64) *Customer { return b.customers[key] }
+func (t *Tracker) Find(key uint64) *Customer { return t.customers[key] }
 
 // Customer finds a customer by its key (see [peermsg.Key]), or makes it.
-func (b *Tracker) Customer(key uint64, planNo int) *Customer {
-	if c := b.customers[key]; c != nil {
-		c.lastUsed = b.Now
+func (t *Tracker) Customer(key uint64, planNo int) *Customer {
+	if c := t.customers[key]; c != nil {
+		c.lastUsed = t.Now
 		return c
 	}
-	p := &b.cfg.Plans[planNo]
-	c := &Customer{Key: key, Plan: p, PlanNo: planNo, GatewayCount: b.cfg.Gateways, updatedAt: b.started, lastUsed: b.Now,
-		byPeer: make([]peerTotals, len(b.peers)), queued: make([]bool, len(b.peers))}
+	p := &t.cfg.Plans[planNo]
+	c := &Customer{Key: key, Plan: p, PlanNo: planNo, GatewayCount: t.cfg.Gateways, updatedAt: t.started, lastUsed: t.Now,
+		byPeer: make([]peerTotals, len(t.peers)), queued: make([]bool, len(t.peers))}
 	c.Share, c.meterFactor, c.TotalDemandAt = 1/float64(c.GatewayCount), 1, -RateTimeConstant
-	if !b.Mesh {
-		c.FleetLevel = b.initialLevel(p)
+	if !t.Mesh {
+		c.FleetLevel = t.initialLevel(p)
 	}
-	c.Level = c.Share * b.initialLevel(p) // leaks, and the store fills, from the start on
-	b.customers[key] = c
-	b.sweepQueue = append(b.sweepQueue, c)
+	c.Level = c.Share * t.initialLevel(p) // leaks, and the store fills, from the start on
+	t.customers[key] = c
+	t.sweepQueue = append(t.sweepQueue, c)
 	return c
 }
 
 // SetGateways tells which gateways a customer's requests come in through, where its request says so.
-func (b *Tracker) SetGateways(c *Customer, first, count int) {
-	if count <= 0 || count > b.cfg.Gateways || (c.GatewayCount == count && c.FirstGateway == first) {
+func (t *Tracker) SetGateways(c *Customer, first, count int) {
+	if count <= 0 || count > t.cfg.Gateways || (c.GatewayCount == count && c.FirstGateway == first) {
 		return
 	}
-	c.FirstGateway, c.GatewayCount = first%b.cfg.Gateways, count
+	c.FirstGateway, c.GatewayCount = first%t.cfg.Gateways, count
 	c.CeilingTokens = min(c.CeilingTokens, c.Plan.CeilingBurst/float64(c.GatewayCount))
 	c.FallbackTokens = min(c.FallbackTokens, (1-CoordinatorShare)*c.Plan.CeilingBurst/float64(c.GatewayCount))
 }
 
 // initialLevel is how many units of a customer's burst count as used when nothing is known of it.
-func (b *Tracker) initialLevel(p *Plan) float64 {
-	return max(0, InitialFill*p.Burst-b.leakedSeconds*p.Rate)
+func (t *Tracker) initialLevel(p *Plan) float64 {
+	return max(0, InitialFill*p.Burst-t.leakedSeconds*p.Rate)
 }
 
 // AddDemand notes that so many units were asked here; peers are told.
-func (b *Tracker) AddDemand(c *Customer, units float64) {
-	c.Demand.Add(b.Now, units)
+func (t *Tracker) AddDemand(c *Customer, units float64) {
+	c.Demand.Add(t.Now, units)
 	if c.requestedTotal += units; c.requestedTotal-c.requestedSent > demandStep*c.Plan.Burst {
 		c.requestedSent = c.requestedTotal
-		b.QueueUpdate(c) // what was sent on is told at once, what was only asked by the step
+		t.QueueUpdate(c) // what was sent on is told at once, what was only asked by the step
 	}
 }
 
 // Charge fills the bucket by so many units, or empties it where they are below 0.
-func (b *Tracker) Charge(c *Customer, units float64) {
+func (t *Tracker) Charge(c *Customer, units float64) {
 	c.Level += units
-	if b.Mesh {
+	if t.Mesh {
 		c.FleetLevel += units
 	}
 	c.usedTotal += units
-	c.usedRate.Add(b.Now, units)
-	b.markChanged(c)
-	b.QueueUpdate(c)
+	c.usedRate.Add(t.Now, units)
+	t.markChanged(c)
+	t.QueueUpdate(c)
 }
 
 // Sweep drops customers of whom nothing is left to know, a part of all at each beat. Most customers may come
 // once only, so it has to keep up with new ones however many there are.
-func (b *Tracker) Sweep() {
-	for n := min(len(b.sweepQueue), minSweep+len(b.sweepQueue)/sweepDivisor); n > 0; n-- {
-		c := b.sweepQueue[0]
-		b.sweepQueue = b.sweepQueue[1:]
-		if b.sameAsNew(c) {
-			delete(b.customers, c.Key)
+func (t *Tracker) Sweep() {
+	for n := min(len(t.sweepQueue), minSweep+len(t.sweepQueue)/sweepDivisor); n > 0; n-- {
+		c := t.sweepQueue[0]
+		t.sweepQueue = t.sweepQueue[1:]
+		if t.sameAsNew(c) {
+			delete(t.customers, c.Key)
 			continue
 		}
-		b.sweepQueue = append(b.sweepQueue, c)
+		t.sweepQueue = append(t.sweepQueue, c)
 	}
 }
 
 // sameAsNew reports whether a customer stands as one would that comes for the first time now: nothing out or to be
 // told, buckets empty, store full.
-func (b *Tracker) sameAsNew(c *Customer) bool {
-	if c.Open > 0 || c.inChanged || b.Now-c.lastUsed < idleExpiry || c.RefuseUntil > b.Now || slices.Contains(c.queued, true) {
+func (t *Tracker) sameAsNew(c *Customer) bool {
+	if c.Open > 0 || c.inChanged || t.Now-c.lastUsed < idleExpiry || c.RefuseUntil > t.Now || slices.Contains(c.queued, true) {
 		return false
 	}
-	b.Leak(c)
+	t.Leak(c)
 	return (c.Plan.Rate == 0 || c.Level == 0 && c.FleetLevel == 0) &&
-		(c.Plan.CeilingRate == 0 || c.CeilingTokens >= c.Plan.CeilingBurst*b.CeilingShare(c))
+		(c.Plan.CeilingRate == 0 || c.CeilingTokens >= c.Plan.CeilingBurst*t.CeilingShare(c))
 }
