--- a/decide/quota/snapshot.go
+++ b/decide/quota/snapshot.go
@@ -17,21 +17,21 @@
 // others have leaked for so many seconds since they may have been half full.
 func (t *Tracker) Restore(known []BucketSnapshot, leakedSeconds float64) {
 	t.leakedSeconds = max(0, leakedSeconds)
-	for _, m := range known {
-		if m.Plan < 0 || m.Plan >= len(t.cfg.Plans) || math.IsNaN(m.Fill) {
+	for _, snapshot := range known {
+		if snapshot.Plan < 0 || snapshot.Plan >= len(t.cfg.Plans) || math.IsNaN(snapshot.Fill) {
 			continue
 		}
-		_, exists := t.customers[m.Key]
-		c := t.Customer(m.Key, m.Plan)
-		if m.GatewayCount > 0 && m.GatewayCount <= t.cfg.Gateways && !exists {
-			c.GatewayCount, c.FirstGateway = m.GatewayCount, m.FirstGateway%t.cfg.Gateways
+		_, exists := t.customers[snapshot.Key]
+		c := t.Customer(snapshot.Key, snapshot.Plan)
+		if snapshot.GatewayCount > 0 && snapshot.GatewayCount <= t.cfg.Gateways && !exists {
+			c.GatewayCount, c.FirstGateway = snapshot.GatewayCount, snapshot.FirstGateway%t.cfg.Gateways
 			c.Share = 1 / float64(c.GatewayCount)
 		}
 		if !exists {
 			c.Level, c.FleetLevel = 0, 0
 		}
 		t.Leak(c)
-		level := min(max(m.Fill, 0), maxFill) * c.Plan.Burst
+		level := min(max(snapshot.Fill, 0), maxFill) * c.Plan.Burst
 		c.FleetLevel, c.Level = max(c.FleetLevel, level), max(c.Level, c.Share*level)
 		c.restored = true
 		t.markChanged(c)
--- a/decide/quota/totals.go
+++ b/decide/quota/totals.go
@@ -47,8 +47,8 @@
 	if !t.Mesh {
 		return coordinatorTick
 	}
-	perS := intakeShare * t.cfg.PeerIntake / float64(max(1, t.cfg.Gateways-1))
-	return time.Duration(float64(time.Second) / max(perS, 1))
+	perSecond := intakeShare * t.cfg.PeerIntake / float64(max(1, t.cfg.Gateways-1))
+	return time.Duration(float64(time.Second) / max(perSecond, 1))
 }
 
 // AnnounceLeave tells the peers that this gateway stops, so that they share its part at once.
