--- a/decide/latencymodel/linear.go
+++ b/decide/latencymodel/linear.go
@@ -1,22 +1,22 @@
-// Package shape learns how the time of a class's answers goes with the units that its requests tell. Pure.
+// Package latencymodel learns how the time of a class's answers depends on the units of its requests. It does no I/O.
 package latencymodel
 
-// minGain is the minGain of what is known of a class's units and times: slow, as a site's units keep their meaning.
+// minGain is the least weight of a new answer in the averages: slow, as a site's units keep their meaning.
 const minGain = 0.01
 
-// MinRelativeTime bounds what a request is thought to save by being small: an answer takes its way there and back.
+// MinRelativeTime bounds what a request is expected to save by being small: every answer takes a network round trip.
 const MinRelativeTime = 0.1
 
-// Linear tells how the time of a class's answers goes with the units that its requests tell: a straight line through
-// the means, by least squares over answers that fade. Units may be the work itself, the same for all
-// of a class, or without bearing on it; where they are all the same, or where more of them take no longer, it is flat.
-// Times are told as multiples of the class's usual one, so that a slow fleet does not change the shape.
+// Linear models the time of a class's answers as a linear function of the units of its requests: a line through the means,
+// fitted by least squares with weights that decay. Units may be proportional to the work, the same for all requests of a
+// class, or unrelated to the work; where they are all the same, or more of them take no longer, the line is flat. Times are
+// multiples of the class's usual time, so that a slow fleet does not change the model.
 type Linear struct {
-	answers                                        float64 // answers seen
-	meanUnits, meanTime, unitsVariance, covariance float64 // means of units and of times; variance of units; covariance of both
+	answers                                        float64 // number of answers
+	meanUnits, meanTime, unitsVariance, covariance float64 // covariance of units and times
 }
 
-// Add takes an answer to a request of so many units that took so many times the usual time.
+// Add adds an answer to a request of the given units; time is a multiple of the usual time.
 func (m *Linear) Add(units, time float64) {
 	m.answers++
 	gain := max(minGain, 1/m.answers)
@@ -27,11 +27,12 @@
 	m.covariance += gain * ((1-gain)*du*dt - m.covariance)
 }
 
-// RelativeTime is the time of a request of so many units, in multiples of the usual one. It is never under Least.
+// RelativeTime returns the expected time of a request of the given units, as a multiple of the usual time. It is at least
+// MinRelativeTime.
 func (m *Linear) RelativeTime(units float64) float64 {
 	if m.unitsVariance < 1e-6 || m.covariance <= 0 || m.meanTime <= 0 || m.meanUnits <= 0 {
 		return 1
 	}
-	slope := min(m.covariance/m.unitsVariance, m.meanTime/m.meanUnits) // steeper would take less than no time at no units
+	slope := min(m.covariance/m.unitsVariance, m.meanTime/m.meanUnits) // a steeper line would give a negative time for no units
 	return max(MinRelativeTime, (m.meanTime+slope*(units-m.meanUnits))/m.meanTime)
 }
--- a/decide/peermsg/customer.go
+++ b/decide/peermsg/customer.go
@@ -6,60 +6,62 @@
 	"time"
 )
 
-// The kinds of word.
+// The kinds of a CustomerMessage.
 const (
-	KindRequest    = 'a' // a gateway asks a home for units: one figure
-	KindReply      = 'r' // the home answers: granted or not, units in the bucket, units a second asked by all, seconds to wait
-	KindSettle     = 'd' // the gateway tells the home how many units more it was
-	KindGrantTotal = 'g' // a home tells the other one what it granted in all, modulo GivenWrap
-	KindHandover   = 'h' // a home that stops tells the next one how full a bucket is, in bursts
+	KindRequest    = 'a' // a gateway requests units from a coordinator: one value
+	KindReply      = 'r' // the coordinator replies: granted or not, level in units, units per second requested by all, seconds to wait
+	KindSettle     = 'd' // the gateway tells the coordinator how many units more the request used
+	KindGrantTotal = 'g' // a coordinator tells the other one what it granted in total, modulo GrantTotalModulus
+	KindHandover   = 'h' // a coordinator that stops tells the next one how full a bucket is, in bursts
 )
 
-// CustomerMessage is what gateways and homes say to each other of one customer. Figures are told in steps of a [StepsPerUnit]-th.
+// CustomerMessage is a message about one customer, between gateways and coordinators. Values are encoded in steps of
+// 1/[StepsPerUnit].
 type CustomerMessage struct {
 	Kind            byte
-	Key, RequestNo  uint64 // of the customer, under 36 bits; of the question, under 12 bits
+	Key, RequestNo  uint64 // key of the customer, of 36 bits; number of the request for units, of 12 bits
 	Plan, NumValues int
-	Values          [4]float64 // N figures
+	Values          [4]float64 // of these, NumValues are set
 	NumSamples      int
 	Samples         [MaxSamples]ServerSample
 	NumReports      int
 	Reports         [MaxReports]OverQuotaReport
 }
 
-// ServerSample is how one request fared at a server: X times its class's usual time.
+// ServerSample is the result of one request at a server. The request took RelativeTime times its class's usual time.
 type ServerSample struct {
-	Server                    uint64 // its key, under ServerMask
+	Server                    uint64 // the server's key, masked by ServerKeyMask
 	Class                     int
 	RelativeTime              float64
-	Unsuccessful, NotOverload bool
+	Unsuccessful, NotOverload bool // no successful answer; the cause is no sign of overload
 }
 
-// OverQuotaReport is a customer that asks for more than its quota: that part of its requests is borne by it, as a home saw it At then.
+// OverQuotaReport says that a customer requests more than its quota: AllowedShare of its requests fits in the quota, as a
+// gateway measured it at the time At.
 type OverQuotaReport struct {
-	Key          uint64 // of the customer, under FloodMask
+	Key          uint64 // the customer's key, masked by CustomerKeyMask
 	AllowedShare float64
 	At           time.Duration
 }
 
-// Sizes and steps of a word.
+// Sizes and steps of a CustomerMessage.
 const (
-	StepsPerUnit      = 16        // of a told figure
-	GrantTotalModulus = 128       // totals of units wrap there
-	MaxSamples        = 3         // that a word carries: twice as many made the flow react to chance
-	MaxReports        = 2         // that a word carries
-	ServerKeyMask     = 1<<18 - 1 // of a server's key
-	CustomerKeyMask   = 1<<24 - 1 // of a customer's key
-	MaxClass          = 7         // number of the last class that a sight can name
+	StepsPerUnit      = 16        // resolution of a value
+	GrantTotalModulus = 128       // units; totals of granted units wrap there
+	MaxSamples        = 3         // in a message; with twice as many, the estimate of what the servers can take reacted to chance
+	MaxReports        = 2         // in a message
+	ServerKeyMask     = 1<<18 - 1 // bits of a server's key that a sample carries
+	CustomerKeyMask   = 1<<24 - 1 // bits of a customer's key that a report carries
+	MaxClass          = 7         // highest number of a class that a sample can carry
 	ReportAgeStep     = time.Second
-	MaxReportAgeSteps = 7 // times FloodAge: from that age on a flood is told no more
+	MaxReportAgeSteps = 7 // in ReportAgeStep; a report of this age is no longer forwarded
 
 	customerHeaderLen = 10
-	sampleLen         = 4 // server of three digits; class and level of one
-	levelUnsuccessful = 6 // level of a sight for no answer; 7 for an error, under it doublings of firstX
+	sampleLen         = 4 // server of three digits; class and level of one digit
+	levelUnsuccessful = 6 // unsuccessful; the next level: also no sign of overload; lower ones: doublings of minRelativeTime
 	minRelativeTime   = 0.35
-	reportLen         = 5    // key of four digits; age and part of one
-	shareStep         = 0.75 // doublings between two levels of a told part
+	reportLen         = 5    // key of four digits; age and share of one digit
+	shareStep         = 0.75 // halvings between two levels of a share
 )
 
 func (s ServerSample) encode(b *strings.Builder) {
@@ -76,8 +78,9 @@
 func parseSample(s string) (sample ServerSample, ok bool) {
 	d, ok := decode(s)
 	level := int(d & 7)
-	return ServerSample{Server: d >> 6, Class: int(d >> 3 & 7), RelativeTime: minRelativeTime * math.Exp2(float64(min(level, levelUnsuccessful-1))),
-		Unsuccessful: level >= levelUnsuccessful, NotOverload: level > levelUnsuccessful}, ok
+	return ServerSample{Server: d >> 6, Class: int(d >> 3 & 7),
+		RelativeTime: minRelativeTime * math.Exp2(float64(min(level, levelUnsuccessful-1))), Unsuccessful: level >= levelUnsuccessful,
+		NotOverload: level > levelUnsuccessful}, ok
 }
 
 func (r OverQuotaReport) encode(now time.Duration, b *strings.Builder) {
@@ -92,7 +95,8 @@
 		At: now - time.Duration(d>>3&7)*ReportAgeStep}, ok
 }
 
-// Encode is a word as it is sent: kind, key, plan and number, figures; behind a dot, sights; behind a comma, floods.
+// Encode returns the text of the message at time now: kind, key, plan, request number and values; after a dot, samples;
+// after a comma, reports.
 func (m CustomerMessage) Encode(now time.Duration) string {
 	var b strings.Builder
 	b.WriteByte(m.Kind)
@@ -117,7 +121,7 @@
 	return b.String()
 }
 
-// Parse reads a word that came now; ok is false if it is malformed.
+// Parse decodes a message received at time now; ok is false if it is malformed.
 func Parse(now time.Duration, s string) (m CustomerMessage, ok bool) {
 	s, reports, _ := strings.Cut(s, ",")
 	s, samples, _ := strings.Cut(s, ".")
--- a/decide/peermsg/totals.go
+++ b/decide/peermsg/totals.go
@@ -5,35 +5,35 @@
 	"strings"
 )
 
-// What peers tell all others: a head, and an entry for each customer of which something changed.
+// Totals are a header, and an entry for each customer whose totals changed.
 const (
-	totalsVersion   = "e" // messages that begin otherwise are not understood and dropped, but for
-	leaveVersion    = "x" // one that a gateway sends as it stops: a head alone
-	totalsHeaderLen = 5   // version; two digits each: epoch, number
-	entryLen        = 13  // customer of six digits, plan, used of two, asked of two, attempts out, level
+	totalsVersion   = "e" // a message that begins otherwise is rejected, except ...
+	leaveVersion    = "x" // ... the header alone that a gateway sends when it stops
+	totalsHeaderLen = 5   // version; two digits each: epoch, sequence number
+	entryLen        = 13  // key of six digits, plan, used of two, requested of two, open attempts, level
 	levelSteps      = 30.0
 
-	MaxEntries     = (MaxSize - totalsHeaderLen) / entryLen // entries of a message
-	CounterModulus = 4096                                   // a message's number, an epoch and a total wrap there
+	MaxEntries     = (MaxSize - totalsHeaderLen) / entryLen // entries of a message at most
+	CounterModulus = 4096                                   // sequence numbers, epochs and totals wrap there
 )
 
-// Totals is such a message.
+// Totals is a message with a gateway's totals for several customers.
 type Totals struct {
-	Epoch, Seq int  // the sender's life, and the message's number in it
-	Leaving    bool // the sender stops
+	Epoch, Seq int  // the sender's incarnation, and the number of the message in it
+	Leaving    bool // the sender stops; there are no entries
 	Entries    []Entry
 }
 
-// Entry is what the sender tells of a customer.
+// Entry is what the sender reports about one customer.
 type Entry struct {
 	Key             uint64
 	Plan            int
-	Used, Requested float64 // units that it has let in and was asked for in all; read, they wrap at NumbersOf
-	Open            int     // attempts that it has out; read, 63 at most
-	Level           float64 // of the customer's bucket, in bursts; read, 63/30 at most
+	Used, Requested float64 // total units that the sender admitted and was asked for; decoded, they wrap at CounterModulus
+	Open            int     // attempts in progress at the sender; decoded, 63 at most
+	Level           float64 // of the customer's bucket, in bursts; decoded, 63/30 at most
 }
 
-// Encode is the message as it is sent.
+// Encode returns the text of the message.
 func (t Totals) Encode() string {
 	var b strings.Builder
 	if t.Leaving {
@@ -54,7 +54,7 @@
 	return b.String()
 }
 
-// ParseTotals reads a message, its entries into the list that is handed in; ok is false if any of it is malformed.
+// ParseTotals decodes a message, and stores its entries in list from the start; ok is false if any of it is malformed.
 func ParseTotals(s string, list []Entry) (t Totals, ok bool) {
 	if len(s) < totalsHeaderLen || (len(s)-totalsHeaderLen)%entryLen != 0 {
 		return t, false
@@ -74,7 +74,7 @@
 	return t, true
 }
 
-// Delta is the step from one told total to a later one; totals wrap and may also fall a little.
+// Delta returns the difference between a total and a later one; totals wrap and may also fall a little.
 func Delta(from, to float64) float64 {
 	return float64((int(to)-int(from)+CounterModulus/2+CounterModulus)%CounterModulus - CounterModulus/2)
 }
--- a/decide/quota/allowance.go
+++ b/decide/quota/allowance.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Allowance is what a customer's bucket at this gateway has room for, told in whole units of the customer's own quota.
+// Allowance is what a customer's bucket at this gateway has room for, in whole units of the quota over all gateways.
 type Allowance struct {
-	Remaining int           // that one request could take now
-	Limit     int           // that the bucket takes when it is empty: the plan's burst
-	ResetIn   time.Duration // until it is empty again, if nothing is sent on
-	Window    time.Duration // in which an empty one's worth leaks
+	Remaining int           // units that one request could use now
+	Limit     int           // units that an empty bucket has room for: the plan's burst
+	ResetIn   time.Duration // time until the bucket is empty, if nothing else is admitted
+	Window    time.Duration // time in which a full bucket empties
 }
 
-// Allowance reads a customer's bucket. It changes nothing. It reports false for a plan without a rate; a customer that is not
-// known here is told the bucket of one that was not seen for long.
+// Allowance returns what a customer's bucket has room for, and changes nothing. It returns false for a plan without a rate. An
+// unknown customer's bucket counts as empty, like that of one not seen for long.
 func (t *Tracker) Allowance(now time.Duration, key uint64, planNo int) (Allowance, bool) {
 	p := &t.cfg.Plans[planNo]
 	if p.Rate <= 0 {
--- a/decide/quota/coordinator.go
+++ b/decide/quota/coordinator.go
@@ -9,20 +9,21 @@
 	"sloepick/decide/peermsg"
 )
 
-// MaxCoordinators. Where the intake is too small for telling everyone, a gateway's part of a mark is less than one request and what
-// it last heard is older than the bucket. There the bucket of the whole customer stands at its home.
+// Where the message intake is too small for totals to every gateway, a gateway's share of a burst is less than one request,
+// and peers' totals are older than the time in which a bucket empties. There one gateway, the customer's coordinator, keeps
+// the bucket for all gateways.
 const (
-	MaxCoordinators     = 2                          // of a customer; the second stands in for a silent first
-	GrantRetention      = 3 * time.Second            // a home knows for so long what it granted
-	FallbackFactor      = 4.0                        // of the even part is what passes at a gateway of a customer, where no home tells
-	grantSyncDemand     = 8.0                        // units a second that a customer asks: from there, or if it floods, its homes tell ...
-	grantSyncStep       = 0.2                        // ... each other what they grant, by this part of the burst
-	handoverIntakeShare = 0.5                        // of a second's intake of each other gateway is filled as a home hands its customers over
-	handoverRounding    = 0.5 / peermsg.StepsPerUnit // of a burst is told more, so that it is not rounded down
-	maxFill             = 4.0                        // bursts: true units may fill a bucket beyond its mark, but not this far
+	MaxCoordinators     = 2                          // of a customer; the second replaces a silent first
+	GrantRetention      = 3 * time.Second            // a coordinator remembers its decisions for this long
+	FallbackFactor      = 4.0                        // a gateway admits this many times its even share where no coordinator answers
+	grantSyncDemand     = 8.0                        // units per second: with this demand, or over the quota, coordinators send each other ...
+	grantSyncStep       = 0.2                        // ... their grant totals, in steps of this share of the burst
+	handoverIntakeShare = 0.5                        // of one second's intake of each other gateway is used for handing customers over
+	handoverRounding    = 0.5 / peermsg.StepsPerUnit // of a burst is added to a level handed over, so that it is not rounded down
+	maxFill             = 4.0                        // bursts: the most that a level is restored to or handed over with; settled units may exceed the burst
 )
 
-// Coordinator is the number of the nth gateway that keeps the customer's bucket, the same at every gateway.
+// Coordinator returns the rank of the customer's nth coordinator; it is the same at every gateway.
 func (t *Tracker) Coordinator(key uint64, n int) int {
 	first := t.nextActive(int(key % uint64(t.cfg.Gateways)))
 	if n == 0 {
@@ -35,12 +36,13 @@
 	return second
 }
 
-// IsCoordinator reports whether the gateway of that number is one of the customer's homes.
+// IsCoordinator reports whether the gateway with that rank is one of the customer's coordinators.
 func (t *Tracker) IsCoordinator(key uint64, rank int) bool {
 	return t.Coordinator(key, 0) == rank || t.Coordinator(key, 1) == rank
 }
 
-// CoordinatorCount is how many homes a customer has: under a ceiling one, as what a second one kept would be lacking elsewhere.
+// CoordinatorCount returns how many coordinators a customer has: one under a ceiling, as tokens that a second one kept would
+// be missing elsewhere.
 func CoordinatorCount(c *Customer) int {
 	if c.Plan.CeilingRate > 0 {
 		return 1
@@ -48,7 +50,8 @@
 	return MaxCoordinators
 }
 
-// BecomeCoordinator begins a bucket that another home kept until now: half full, with an empty store.
+// BecomeCoordinator prepares a bucket that another coordinator kept until now: filled to InitialFill at least, and without
+// ceiling tokens.
 func (t *Tracker) BecomeCoordinator(c *Customer) {
 	if t.inactive == nil {
 		return
@@ -56,7 +59,7 @@
 	current := [MaxCoordinators]int16{int16(t.Coordinator(c.Key, 0) + 1), int16(t.Coordinator(c.Key, 1) + 1)}
 	if previous := c.coordinators; previous != current {
 		if self := int16(t.Rank + 1); previous[0] != self && previous[1] != self {
-			if c.CeilingTokens = 0; !c.restored { // what a start recalled is as good as a home's bucket, wherever that was
+			if c.CeilingTokens = 0; !c.restored { // a restored level is as good as a coordinator's, whichever gateway that was
 				c.FleetLevel = max(c.FleetLevel, InitialFill*c.Plan.Burst)
 			}
 		}
@@ -64,8 +67,8 @@
 	}
 }
 
-// ChargeGrant charges at its home what it granted a customer, and tells the other home: who is not answered by one asks the
-// other, which would else give the quota a second time. Totals make lost words harmless.
+// ChargeGrant charges units that this coordinator granted, and tells the other coordinator: a gateway that gets no reply from
+// one asks the other, which would otherwise grant the quota a second time. Lost messages do no harm, as they carry totals.
 func (t *Tracker) ChargeGrant(c *Customer, units float64) {
 	c.FleetLevel += units
 	c.CeilingTokens -= units
@@ -84,7 +87,8 @@
 	}
 }
 
-// ReceiveGrantTotal takes what the other home granted in all. More than a burst at once is no step but a home that began anew.
+// ReceiveGrantTotal applies what the other coordinator has granted in total. A difference of more than a burst is no grant but
+// a coordinator that started over.
 func (t *Tracker) ReceiveGrantTotal(c *Customer, total float64) {
 	delta := math.Mod(total-c.otherGrantTotal+peermsg.GrantTotalModulus, peermsg.GrantTotalModulus)
 	if c.otherGrantKnown && delta <= c.Plan.Burst {
@@ -94,7 +98,7 @@
 	c.otherGrantTotal, c.otherGrantKnown = total, true
 }
 
-// Settle takes at a home how many units more than granted a request was, and that its attempt is over.
+// Settle applies, at a coordinator, how many units a request used beyond those granted, and that its attempt has ended.
 func (t *Tracker) Settle(c *Customer, from int, requestNo uint64, extraUnits float64) {
 	for i := range c.Grants {
 		if grant := &c.Grants[i]; grant.From == from && grant.RequestNo == requestNo && grant.OK {
@@ -105,7 +109,8 @@
 	}
 }
 
-// FillOverQuotaBuckets takes, as nobody was heard for a while, that who floods was let in by others meanwhile: its bucket is full.
+// FillOverQuotaBuckets fills the buckets of customers over their quota after a time without any message: other gateways may
+// have admitted them meanwhile.
 func (t *Tracker) FillOverQuotaBuckets() {
 	for _, c := range t.sweepQueue {
 		if 1-c.OverShare < overQuotaThreshold {
@@ -115,8 +120,8 @@
 	}
 }
 
-// HandOver tells those who keep the customers' buckets next, as this home stops for good, how full they are: the fullest first, and no
-// more than they take in. Else they would begin half full. It goes by what a fleet tells of who is there.
+// HandOver sends the levels of the buckets that this gateway coordinates to their next coordinators, as it stops for good: the
+// fullest first, and no more than those take in. Otherwise they would begin at InitialFill. It needs the fleet's membership.
 func (t *Tracker) HandOver() {
 	if t.Mesh || t.inactive == nil {
 		return
@@ -136,8 +141,8 @@
 	}
 }
 
-// ReceiveHandover takes what a home that stops tells of a customer: only ever to the fuller side. It is told before all know that
-// the home is gone, so whoever hears it takes it, in a fleet alone.
+// ReceiveHandover applies a level from a coordinator that stops: it only ever raises the customer's. The message comes before
+// all gateways know that the coordinator is gone, so every receiver applies it, but only if the fleet's membership is known.
 func (t *Tracker) ReceiveHandover(m *peermsg.CustomerMessage) {
 	if t.inactive == nil {
 		return
@@ -148,7 +153,7 @@
 	t.markChanged(c)
 }
 
-// Send sends a word about a customer, with what rides along.
+// Send sends a message about a customer, with the latest samples and reports.
 func (t *Tracker) Send(to int, kind byte, c *Customer, requestNo uint64, values ...float64) {
 	m := peermsg.CustomerMessage{Kind: kind, Key: c.Key, Plan: c.PlanNo, RequestNo: requestNo, NumValues: len(values)}
 	copy(m.Values[:], values)
@@ -157,13 +162,13 @@
 	t.send(to, m.Encode(t.Now))
 }
 
-// RecentSamples are the last few sights of own requests.
+// RecentSamples holds the latest few samples from this gateway's own requests.
 type RecentSamples struct {
 	samples [peermsg.MaxSamples]peermsg.ServerSample
 	count   int
 }
 
-// Add adds a sight; one that a word has no digit for is left out.
+// Add adds a sample; one whose class has no code in messages is left out.
 func (r *RecentSamples) Add(sample peermsg.ServerSample) {
 	if sample.Class > peermsg.MaxClass {
 		return
--- a/decide/quota/membership.go
+++ b/decide/quota/membership.go
@@ -2,18 +2,18 @@
 
 import "sloepick/decide/peermsg"
 
-// PeerStatus is whether the gateway of a number is there.
+// PeerStatus is the status of the gateway with a given rank.
 type PeerStatus int
 
-// The presences.
+// The statuses of a peer.
 const (
 	PeerActive      PeerStatus = iota
-	PeerUnreachable            // it may be at work, cut off, and keep its even part
-	PeerAbsent                 // nobody has the number, or who had it said goodbye
+	PeerUnreachable            // it may be working but cut off, and use its even share
+	PeerAbsent                 // nobody holds the rank, or its holder announced that it leaves
 )
 
-// SetMembership takes what the fleet has agreed on: whose part counts, who keeps a customer's bucket, and whether this gateway's
-// number is taken anew. What is of another fleet than the one that this gateway is configured for is dropped.
+// SetMembership applies what the fleet has agreed on: whose shares count, which gateways may coordinate customers, and
+// whether this gateway's rank is newly assigned to it. Membership of a fleet of another size than configured is ignored.
 func (t *Tracker) SetMembership(rank int, newRank, isolated bool, peers []PeerStatus) {
 	if len(peers) != t.cfg.Gateways || rank < 0 || rank >= t.cfg.Gateways {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// nextActive is the first number from one on at which a gateway is.
+// nextActive returns the first rank from i on, wrapping around, whose gateway is active.
 func (t *Tracker) nextActive(i int) int {
 	if t.inactive == nil {
 		return i
@@ -54,7 +54,8 @@
 	return i
 }
 
-// resetCeilings begins the stores of ceilings anew where they are slices of another size from now on. What homes said is over.
+// resetCeilings empties ceiling tokens where this gateway's share of ceilings has another size from now on, and drops the
+// refusals of coordinators.
 func (t *Tracker) resetCeilings() {
 	if t.Mesh {
 		return
@@ -65,8 +66,8 @@
 	}
 }
 
-// resetRank begins a number: what the peers said was for another one, and the buckets are as after a start, half full, as another may
-// have used this number until now.
+// resetRank starts over under a new rank. What peers sent was meant for another rank. Buckets are filled as after a start,
+// because another gateway may have used this rank until now.
 func (t *Tracker) resetRank() {
 	t.epoch = t.rng.Intn(peermsg.CounterModulus)
 	for i := range t.peers {
--- a/decide/quota/overquota.go
+++ b/decide/quota/overquota.go
@@ -6,24 +6,25 @@
 	"sloepick/decide/peermsg"
 )
 
-// Which customers ask for far more than their rate is known to their homes. Each word between gateways carries a few of
-// them on, so that every gateway knows most of them some seconds later and can do without the homes where it must: a
-// gateway that sees a customer's request now and then can't tell a flood from the only request of the day.
+// Only coordinators see which customers request far more than their rate. Each message between gateways forwards reports on
+// a few of them, so that every gateway knows most of them some seconds later, and can decide without coordinators where it
+// must: a gateway that gets a customer's request now and then can't tell whether it is one of a great many or the only one
+// of the day.
 const (
-	overQuotaThreshold = 0.75             // of its requests or less had room in its quota of late: a customer that is told of ...
-	overShareGain      = 0.15             // ... by a mean over some seven of them: fewer are chance
-	reportTTL          = 10 * time.Second // a flood is believed in for so long after a home saw it: floods last some seconds or longer
-	maxStoredReports   = 1024             // are kept: the longest known goes where there are more
+	overQuotaThreshold = 0.75             // a customer is reported if less than this share of its requests fits in its quota ...
+	overShareGain      = 0.15             // ... by a moving average over about seven requests: fewer would be chance
+	reportTTL          = 10 * time.Second // for which a report counts: customers stay over their quota for some seconds or longer
+	maxStoredReports   = 1024             // customers; with more, the one known longest is dropped
 )
 
-// OverQuotaReports are those that are known.
+// OverQuotaReports holds the reports that a gateway knows. The zero value is empty.
 type OverQuotaReports struct {
 	byKey     map[uint64]peermsg.OverQuotaReport
-	order     []uint64 // their keys, in the order in which they are told
+	order     []uint64 // customers' keys, in the order in which their reports are forwarded
 	nextIndex int
 }
 
-// Add takes a home's sight of one, here or told.
+// Add stores a report, made here or received, unless one as new is stored.
 func (r *OverQuotaReports) Add(report peermsg.OverQuotaReport) {
 	old, known := r.byKey[report.Key]
 	if known && old.At >= report.At {
@@ -42,8 +43,8 @@
 	r.byKey[report.Key] = report
 }
 
-// take is what the next word carries: first what is known of the customer that it is about. Those that are too old to be
-// believed are forgotten on the way.
+// take returns the reports that the next message carries, first that on the customer that it is about. Expired reports are
+// removed on the way.
 func (r *OverQuotaReports) take(now time.Duration, aboutKey uint64) (reports [peermsg.MaxReports]peermsg.OverQuotaReport, n int) {
 	if report, ok := r.byKey[aboutKey&peermsg.CustomerKeyMask]; ok && now-report.At < peermsg.MaxReportAgeSteps*peermsg.ReportAgeStep {
 		reports[0], n = report, 1
@@ -71,8 +72,8 @@
 	return reports, n
 }
 
-// AllowedShare is the part of what a customer asks that its quota bears, as far as is known here; 1 where nothing is. A home
-// sees too much of it where gateways refuse many requests unasked, as they see themselves.
+// AllowedShare returns the share of a customer's requests that fits in its quota, as far as known here; 1 if nothing is. A
+// coordinator overestimates it where gateways refuse many requests without asking, so this gateway's own average counts too.
 func (t *Tracker) AllowedShare(c *Customer) float64 {
 	share := 1.0
 	if report, ok := t.OverQuota.byKey[c.Key&peermsg.CustomerKeyMask]; ok && t.Now-report.At < reportTTL {
@@ -84,8 +85,8 @@
 	return share
 }
 
-// RecordDecision keeps what part of a customer's requests its quota bears: as its home of those that it is asked about, elsewhere
-// of those that came here.
+// RecordDecision updates the average share of a customer's requests that fits in its quota: a coordinator counts the requests
+// that it is asked about, another gateway those that arrive there.
 func (t *Tracker) RecordDecision(c *Customer, withinQuota bool) {
 	over := 1.0
 	if withinQuota {
--- a/decide/quota/share.go
+++ b/decide/quota/share.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// This gateway's part of a customer's quota, and its slice of a ceiling.
+// This gateway's share of a customer's quota, and of a ceiling.
 const (
-	UsableSlack      = 0.9             // of the ceiling's slack is used: the rest is for rounding
-	CoordinatorShare = 0.5             // of a ceiling is kept by a customer's home, the rest by its set
-	priorDemandShare = 0.05            // seconds of the even slice mixed in: steadies rare askers
-	peerTimeout      = 1 * time.Second // a peer not heard for this long no longer settles buckets
-	meterTimeout     = 3 * time.Second // the meter is late; older totals say nothing
-	meterGrowth      = 1.02            // of the factor on the part, a report ...
-	meterShrink      = 0.95            // ... while the metered total exceeds the rate
+	UsableSlack      = 0.9             // of the ceiling's slack is used: the rest covers rounding
+	CoordinatorShare = 0.5             // of a ceiling is kept by the customer's coordinator, the rest by its gateways together
+	priorDemandShare = 0.05            // of the even rate is added to demand: steadies the share of a customer with few requests
+	peerTimeout      = 1 * time.Second // a peer silent for this long no longer settles buckets
+	meterTimeout     = 3 * time.Second // metered use arrives late; after this long it says nothing
+	meterGrowth      = 1.02            // factor on meterFactor for each report ...
+	meterShrink      = 0.95            // ... and while the metered use exceeds the rate
 )
 
-// Leak brings a customer's buckets, store and part up to now.
+// Leak updates a customer's buckets, tokens and share to the current time.
 func (t *Tracker) Leak(c *Customer) {
 	dt := (t.Now - c.updatedAt).Seconds()
 	c.updatedAt = t.Now
@@ -42,18 +42,18 @@
 	}
 	c.Share = max(evenShare, ownDemand/totalDemand*(1-reserved))
 	if t.Now-oldest >= peerTimeout {
-		return // what the silent one lets in since is not known
+		return // what the silent peer has admitted since is unknown
 	}
 	if c.GatewayCount > 1 && oldest > c.settledAt {
 		if c.settledAt = oldest; totalDemand <= c.Plan.Rate {
-			c.Level = 0 // else all contend for what leaks: each takes its part alone
+			c.Level = 0 // else all compete for what leaks: each keeps to its share
 		}
 		c.Level = max(c.Level, c.Share*c.FleetLevel)
 	}
 }
 
-// CeilingShare is the part of a customer's ceiling that this gateway keeps, beside what homes leave. A home that is cut off
-// from its fleet keeps none: the home that took its place does.
+// CeilingShare returns the share of a customer's ceiling that this gateway keeps, apart from FallbackTokens. A coordinator
+// that is cut off from its fleet keeps none: its successor does.
 func (t *Tracker) CeilingShare(c *Customer) float64 {
 	switch {
 	case t.Mesh:
@@ -64,8 +64,8 @@
 	return 0
 }
 
-// RecordMetered takes what an answer tells of the customer's use, percent of its rate plus 1; it decides the part where peers are
-// silent.
+// RecordMetered records a customer's metered use from an answer, in percent of its rate plus 1. It determines the share as
+// long as peers' totals are missing.
 func (t *Tracker) RecordMetered(c *Customer, percent int) {
 	c.meteredRate, c.meteredAt = float64(percent-1)/100*c.Plan.Rate, t.Now
 	c.meterFactor = min(1, c.meterFactor*meterGrowth)
@@ -74,7 +74,7 @@
 	}
 }
 
-// servesCustomer reports whether a customer's requests may come in through the gateway of that number.
+// servesCustomer reports whether a customer's requests may arrive at the gateway with that rank.
 func (t *Tracker) servesCustomer(c *Customer, rank int) bool {
 	return (rank-c.FirstGateway+t.cfg.Gateways)%t.cfg.Gateways < c.GatewayCount
 }
--- a/decide/quota/snapshot.go
+++ b/decide/quota/snapshot.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// What of a gateway's knowledge may outlive its process. The caller takes what changed from time to time and keeps it; after a
-// start it hands back what it still believes, which counts as far as it is the worse for the customer.
+// Buckets can outlive the process: the caller regularly collects those that changed and saves them. After a start it passes
+// back those it still trusts, which set the level of a customer not seen since and only ever raise that of another.
 
-// BucketSnapshot is how full a customer's bucket was, as far as one gateway knew.
+// BucketSnapshot records how full a customer's bucket was, as far as one gateway knew.
 type BucketSnapshot struct {
-	Key                        uint64  // the customer's short name: 36 bits
-	Plan                       int     // number of its plan
-	FirstGateway, GatewayCount int     // of its gateways, as in a request; Spread 0: not told
-	Fill                       float64 // of the burst, by what all gateways together let in: 1 is full
+	Key                        uint64  // the customer's key, of 36 bits
+	Plan                       int     // index of its plan
+	FirstGateway, GatewayCount int     // its gateways, as in a request; GatewayCount 0: unknown
+	Fill                       float64 // share of the burst used by what all gateways admitted; 1 is full
 }
 
-// Restore takes what is believed of the time before the start: of those known, as full as they are now; the buckets of all
-// others have leaked for so many seconds since they may have been half full.
+// Restore applies what is known from before the start: the known customers' buckets, as full as they are now, and for how
+// many seconds the buckets of all others have leaked since they were at InitialFill at most.
 func (t *Tracker) Restore(known []BucketSnapshot, leakedSeconds float64) {
 	t.leakedSeconds = max(0, leakedSeconds)
 	for _, snapshot := range known {
@@ -38,7 +38,7 @@
 	}
 }
 
-// markChanged marks that a customer's bucket is not as it was last taken.
+// markChanged marks a customer's bucket as changed since AppendChanged last took it.
 func (t *Tracker) markChanged(c *Customer) {
 	if t.cfg.TrackChanges && !c.inChanged && c.Plan.Rate > 0 {
 		c.inChanged = true
@@ -46,8 +46,9 @@
 	}
 }
 
-// AppendChanged appends to a list what changed since it was last taken, so many customers at most; the others wait for the next call.
-// There is nothing unless Config.Remember is set. Where customers have homes, their homes alone know how full they are.
+// AppendChanged takes up to limit changed buckets and appends them to list; the others wait for the next call. It appends
+// nothing unless Config.TrackChanges is set. Where customers have coordinators, these alone know how full the buckets are, so
+// other gateways drop theirs.
 func (t *Tracker) AppendChanged(list []BucketSnapshot, limit int) []BucketSnapshot {
 	n := min(limit, len(t.changed))
 	for _, c := range t.changed[:n] {
@@ -57,10 +58,11 @@
 		}
 		t.Leak(c)
 		fill := c.FleetLevel / max(c.Plan.Burst, minBurst)
-		if t.Isolated { // what others let in is not known: its own part tells
+		if t.Isolated { // what others admit is unknown: this gateway's share is the estimate
 			fill = max(fill, min(1, c.Level/max(c.Share*c.Plan.Burst, minBurst)))
 		}
-		list = append(list, BucketSnapshot{Key: c.Key, Plan: c.PlanNo, FirstGateway: c.FirstGateway, GatewayCount: c.GatewayCount, Fill: fill})
+		list = append(list, BucketSnapshot{Key: c.Key, Plan: c.PlanNo, FirstGateway: c.FirstGateway, GatewayCount: c.GatewayCount,
+			Fill: fill})
 	}
 	t.changed = t.changed[:copy(t.changed, t.changed[n:])]
 	return list
--- a/decide/quota/totals.go
+++ b/decide/quota/totals.go
@@ -7,42 +7,42 @@
 	"sloepick/decide/peermsg"
 )
 
-// Telling everyone, where the intake lets it.
+// Totals are sent to every gateway where the message intake allows it.
 const (
-	intakeShare       = 0.8                    // of the stated intake is used by all peers together
-	minMeshRate       = 2.0                    // messages a second between any two: under it customers have homes
-	demandStep        = 0.25                   // of the burst: asked units that are worth telling
-	keepaliveInterval = 400 * time.Millisecond // an idle peer still says that it lives
-	coordinatorTick   = 100 * time.Millisecond // pace of the upkeep where there are homes
-	openTimeout       = 800 * time.Millisecond // attempts that a peer told count so long: later word may be lost
-	leaveRepeats      = 3                      // that it leaves is said so often, as messages may be lost
+	intakeShare       = 0.8                    // of a gateway's message intake is used by all its peers together
+	minMeshRate       = 2.0                    // messages per second between any two gateways; below it, customers have coordinators
+	demandStep        = 0.25                   // of the burst: requested units that are worth an update
+	keepaliveInterval = 400 * time.Millisecond // a gateway without updates still sends a message this often
+	coordinatorTick   = 100 * time.Millisecond // tick interval where customers have coordinators
+	openTimeout       = 800 * time.Millisecond // a peer's open attempts count for this long: a later message may be lost
+	leaveRepeats      = 3                      // number of times that a leave message is sent, as messages may be lost
 )
 
 type peer struct {
 	receivedAt, sentAt  time.Duration
 	epoch, seq, sentSeq int
-	known               bool // heard since this gateway started
-	left                bool // it told that it stops, or its number is vacant, and was not heard since
-	unreachable         bool // it is missing, and was not heard since
-	startedLater        bool // it started after this gateway, so all of its totals are news
+	known               bool // it sent a message since this gateway started
+	left                bool // it announced that it stops, or its rank is vacant, and it sent nothing since
+	unreachable         bool // the fleet reported it as unreachable, and it sent nothing since
+	startedLater        bool // it started after this gateway, so its totals count from zero
 	queue               []*Customer
 }
 
-// peerTotals is what one peer last said of a customer.
+// peerTotals is what one peer last reported about a customer.
 type peerTotals struct {
 	known           bool
 	receivedAt      time.Duration
 	used, requested float64
-	open            int // its attempts out
+	open            int // attempts in progress there
 	demand          Rate
 }
 
-// canMesh reports whether the intake lets every gateway tell every other often enough.
+// canMesh reports whether the message intake lets every gateway send to every other often enough.
 func (t *Tracker) canMesh() bool {
 	return !t.cfg.PeersAllowed || intakeShare*t.cfg.PeerIntake >= minMeshRate*float64(t.cfg.Gateways-1)
 }
 
-// TickInterval is the pace at which Beat is to be called.
+// TickInterval returns the interval at which SendTotals is to be called.
 func (t *Tracker) TickInterval() time.Duration {
 	if !t.Mesh {
 		return coordinatorTick
@@ -51,7 +51,7 @@
 	return time.Duration(float64(time.Second) / max(perSecond, 1))
 }
 
-// AnnounceLeave tells the peers that this gateway stops, so that they share its part at once.
+// AnnounceLeave tells the peers that this gateway stops, so that they take over its share at once.
 func (t *Tracker) AnnounceLeave() {
 	for i := range t.peers {
 		if i == t.Rank {
@@ -66,7 +66,7 @@
 	}
 }
 
-// QueueUpdate queues what is known of a customer for the other gateways of its set.
+// QueueUpdate queues a customer's totals for the other gateways at which its requests arrive.
 func (t *Tracker) QueueUpdate(c *Customer) {
 	for i := range t.peers {
 		t.queueUpdateTo(c, i)
@@ -80,7 +80,7 @@
 	}
 }
 
-// SendTotals tells each peer what changed.
+// SendTotals sends each peer the totals that changed, or every keepaliveInterval none, to show that this gateway is alive.
 func (t *Tracker) SendTotals() {
 	for i := range t.peers {
 		p := &t.peers[i]
@@ -106,8 +106,9 @@
 	return peermsg.Totals{Epoch: t.epoch, Seq: p.sentSeq, Entries: entries[:n]}.Encode()
 }
 
-// ReceiveTotals takes a peer's totals. Totals make lost and repeated messages harmless, the number makes late
-// ones so, the epoch a restart of the peer. What is malformed or from nobody is dropped.
+// ReceiveTotals applies a peer's totals. Lost and repeated messages do no harm because totals are cumulative, late ones
+// because of the sequence number, and a restart of the peer because of the epoch. Malformed messages, and those that are not
+// from a peer, are dropped.
 func (t *Tracker) ReceiveTotals(from int, text string) {
 	if !t.IsPeer(from) || len(t.peers) == 0 {
 		return
@@ -122,7 +123,7 @@
 		return
 	}
 	if totals.Leaving && p.known && p.epoch != totals.Epoch {
-		return // a former life's word, late
+		return // a late message from an earlier incarnation
 	}
 	if !p.known || p.epoch != totals.Epoch {
 		t.resetPeer(from, p)
@@ -133,10 +134,10 @@
 	}
 }
 
-// IsPeer reports whether a number is another gateway's.
+// IsPeer reports whether a rank is another gateway's.
 func (t *Tracker) IsPeer(rank int) bool { return rank >= 0 && rank < t.cfg.Gateways && rank != t.Rank }
 
-// resetPeer meets a new life of a peer: its totals begin anew, and it is told all there is to tell.
+// resetPeer handles a new incarnation of a peer: its totals start over, and it is sent those of all customers.
 func (t *Tracker) resetPeer(from int, p *peer) {
 	p.startedLater = p.known
 	for _, c := range t.sweepQueue {
@@ -155,7 +156,7 @@
 	switch {
 	case !last.known && p.startedLater:
 		last.used, last.requested = 0, 0
-	case !last.known || t.Now-last.receivedAt > totalsValidFor: // the peer may have forgotten the customer since, and count anew
+	case !last.known || t.Now-last.receivedAt > totalsValidFor: // the peer may have removed the customer since, and count from zero
 		last.used, last.requested = e.Used, e.Requested
 		c.FleetLevel = max(c.FleetLevel, e.Level*c.Plan.Burst)
 	}
@@ -166,11 +167,13 @@
 	t.markChanged(c)
 }
 
-// totalDemand is what all gateways of a customer's set ask for it, this one so much, and since when all
-// have been heard: below 0 if one never was. The last word of a peer that fell silent stands: if it died,
-// its traffic comes here and the part grows by that; if it is cut off, both keep their parts as they were.
-// Without this, customers of a gateway that is down would have but the even parts of the others. A fleet
-// tells more: of one that is missing the even part is kept, in which it may be at work.
+// totalDemand returns the demand of all gateways at which a customer's requests arrive, ownDemand being this one's; the time
+// of the oldest of their latest messages, below 0 if one never sent any; and the share reserved for unreachable peers.
+//
+// The last report of a peer that fell silent still counts: if the peer died, its traffic comes here and this gateway's share
+// grows with it; if it is cut off, both sides keep their shares. Otherwise customers of a gateway that is down would be left
+// with the even shares of the others. If the fleet reports a peer as unreachable, its even share is reserved, as it may be
+// working.
 func (t *Tracker) totalDemand(c *Customer, ownDemand float64) (total float64, oldest time.Duration, reserved float64) {
 	total, oldest = ownDemand, t.Now
 	for i := range t.peers {
@@ -195,7 +198,8 @@
 	return total, oldest, reserved
 }
 
-// OpenElsewhere is what the other gateways of a customer's set have out for it; not told if one is silent.
+// OpenElsewhere returns the number of a customer's attempts in progress at other gateways; it is not known if one of them is
+// silent.
 func (t *Tracker) OpenElsewhere(c *Customer) (open int, known bool) {
 	for i := range t.peers {
 		p := &t.peers[i]
--- a/decide/quota/tracker.go
+++ b/decide/quota/tracker.go
@@ -1,10 +1,11 @@
-// Package quota keeps what one gateway knows of the customers' quotas, and what gateways tell each other about them: with
-// a small fleet everyone's totals (peers.go), with a large one the bucket at a customer's homes (homes.go), the floods that
-// are told on (floods.go), what outlives a process (memory.go) and what a fleet's standing changes (standing.go). Whom to
-// let in is decided by its caller, from a customer's figures and from [Tracker.Leak], which tells this gateway's part.
+// Package quota tracks what one gateway knows about its customers' quotas and shares that knowledge with the other gateways.
+// In a small fleet every gateway sends its totals to every other one (totals.go). In a large one, coordinators keep each
+// customer's bucket (coordinator.go), and messages carry reports on customers over their quota (overquota.go). Buckets are
+// saved and restored across restarts (snapshot.go), and changes in the fleet's membership are applied (membership.go). The
+// caller decides whom to admit, from a customer's fields after [Tracker.Leak] has updated them.
 //
-// The package is pure: no I/O, no clock, no goroutine. A Book is not safe for concurrent use. Times are durations since an
-// origin of the caller's choice and never run backwards; units are those of the customers' plans.
+// The package does no I/O, reads no clock and starts no goroutine. A Tracker is not safe for concurrent use. Times are
+// durations since an origin of the caller's choice and never run backwards; units are those of the customers' plans.
 package quota
 
 import (
@@ -17,45 +18,47 @@
 )
 
 const (
-	RateTimeConstant = 2 * time.Second  // memory of asked units: long against gaps, short against shifts
-	InitialFill      = 0.5              // of the mark: level after a start, as the past is unknown
-	idleExpiry       = 10 * time.Second // a customer that is as new is forgotten this long after its last use ...
-	totalsValidFor   = 5 * time.Second  // ... well after peers cease to count on from its totals
-	minSweep         = 4                // customers are looked at, at each beat ...
-	sweepDivisor     = 32               // ... and that part of all
-	minBurst         = 1e-9             // units: no bucket is so small
+	RateTimeConstant = 2 * time.Second  // of a Rate: long against gaps between requests, short against shifts of traffic
+	InitialFill      = 0.5              // share of the burst that counts as used after a start, as earlier use is unknown
+	idleExpiry       = 10 * time.Second // a customer whose state equals a new one's is removed this long after its last use
+	// totalsValidFor is the age from which on a peer's totals of a customer are replaced, not counted from, as the peer may
+	// have removed the customer since. It is well below idleExpiry.
+	totalsValidFor = 5 * time.Second
+	minSweep       = 4    // customers that a Sweep examines, in addition to ...
+	sweepDivisor   = 32   // ... one in so many of all
+	minBurst       = 1e-9 // units; avoids a division by zero
 )
 
 // Plan describes the quota of each customer on it, over all gateways together.
 type Plan struct {
 	Name         string
-	Rate         float64 // units a second; 0 means no such quota
-	Burst        float64 // units at once
-	CeilingRate  float64 // hard ceiling, units a second; 0 means none
+	Rate         float64 // units per second; 0: no rate quota
+	Burst        float64 // units that may be used at once
+	CeilingRate  float64 // hard ceiling, units per second; 0: none
 	CeilingBurst float64
 	CeilingSlack float64
-	MaxOpen      int // attempts out at once; 0 means no such quota
+	MaxOpen      int // attempts in progress at once; 0: no limit
 	Price        float64
-	OverWorth    float64 // part of its worth that a request earns when sent on beyond the quota
-	OverCost     float64 // part of its worth that such a request costs
+	OverWorth    float64 // share of its worth that a request earns when sent beyond the quota
+	OverCost     float64 // share of its worth that such a request costs
 }
 
-// Config is what a Book is told when it starts.
+// Config configures a Tracker.
 type Config struct {
-	Rank, Gateways int // this gateway's number, from 0, and how many there are
+	Rank, Gateways int // this gateway's rank, from 0, and the number of gateways
 	Plans          []Plan
-	PeersAllowed   bool    // gateways may tell each other
-	PeerIntake     float64 // messages a second that a gateway takes in
-	TrackChanges   bool    // what changes is marked for Changed
+	PeersAllowed   bool    // gateways may send messages to each other
+	PeerIntake     float64 // messages per second that a gateway accepts
+	TrackChanges   bool    // changed customers are recorded for AppendChanged
 }
 
-// Tracker is what one gateway knows of the customers' quotas. Make it with New.
+// Tracker holds what one gateway knows about its customers' quotas. Create it with New.
 type Tracker struct {
-	Now       time.Duration // of the event that is handled
-	Rank      int           // this gateway's number
+	Now       time.Duration // time of the event being handled
+	Rank      int           // this gateway's rank in the fleet
 	Isolated  bool          // cut off from the fleet
-	Mesh      bool          // everyone tells everyone; else customers have homes
-	Samples   RecentSamples // rides along with words
+	Mesh      bool          // every gateway sends totals to every other; otherwise customers have coordinators
+	Samples   RecentSamples // sent along with messages about customers
 	OverQuota OverQuotaReports
 
 	cfg           Config
@@ -63,16 +66,16 @@
 	rng           *rand.Rand
 	started       time.Duration
 	customers     map[uint64]*Customer
-	sweepQueue    []*Customer // customers in the order of first sight, to sweep the idle
+	sweepQueue    []*Customer // customers in the order in which Sweep examines them
 	peers         []peer
 	epoch         int
-	inactive      []bool      // by number: not there; nil: all are
-	leakedSeconds float64     // seconds for which the buckets of strangers have leaked since they may have been half full
-	changed       []*Customer // whose buckets changed since Changed was last called
+	inactive      []bool      // by rank: no active gateway; nil: all are active
+	leakedSeconds float64     // seconds for which unknown customers' buckets have leaked since they were at InitialFill at most
+	changed       []*Customer // customers whose buckets changed since AppendChanged took them last
 }
 
-// New returns a book that knows only its configuration. It hands its messages to tell, and draws the number of its life
-// from rng.
+// New returns a Tracker that knows only its configuration. It passes outgoing messages to send, and draws the epoch that
+// identifies this incarnation to peers from rng.
 func New(cfg Config, rng *rand.Rand, send func(to int, text string)) *Tracker {
 	t := &Tracker{Rank: cfg.Rank, cfg: cfg, send: send, rng: rng, customers: map[uint64]*Customer{}}
 	if t.Mesh = t.canMesh(); t.Mesh && cfg.PeersAllowed {
@@ -82,76 +85,78 @@
 	return t
 }
 
-// Start tells a book when its gateway started.
+// Start sets the time at which the gateway started.
 func (t *Tracker) Start(now time.Duration) { t.started = now }
 
-// Customer is what is known of one: levels and parts hold as of the last call of [Tracker.Leak].
+// Customer is the state of one customer. Levels and shares are as of the last call of [Tracker.Leak].
 type Customer struct {
 	Key                        uint64
 	Plan                       *Plan
 	PlanNo                     int
-	FirstGateway, GatewayCount int     // its gateways: number of the first, and how many
-	Level, Share               float64 // of this gateway's bucket; its part of rate and mark
-	FleetLevel                 float64 // of the bucket that all gateways together fill, as far as told
+	FirstGateway, GatewayCount int     // gateways at which its requests arrive: rank of the first, and how many
+	Level, Share               float64 // level of this gateway's bucket; this gateway's share of rate and burst
+	FleetLevel                 float64 // level of the bucket that all gateways fill together, as far as known here
 	Demand                     Rate
-	Open                       int           // attempts out here
-	CeilingTokens              float64       // units of this gateway's slice of the ceiling
-	FallbackTokens             float64       // units of its slice of what homes leave of the ceiling
-	FallbackLevel              float64       // what passed here without a home's word, as a bucket ...
-	FallbackLevelAt            time.Duration // ... as it was then
-	FleetDemand                Rate          // units that all gateways ask of this home
-	TotalDemand                float64       // units a second that all gateways ask, as the home told ...
-	TotalDemandAt, RefuseUntil time.Duration // ... then; refused at once until then, by the home's word
-	Grants                     []Grant       // of the home
-	RetryWait                  float64       // seconds that the home lets refused ones wait
-	OverShare                  float64       // part of its latest requests that its quota did not bear: see Watch
-
-	updatedAt, lastUsed                      time.Duration // of the last leak, of the last use or word of it
-	settledAt                                time.Duration // the level follows what peers told up to then
+	Open                       int           // attempts in progress at this gateway
+	CeilingTokens              float64       // units left of this gateway's share of the ceiling
+	FallbackTokens             float64       // units left of this gateway's share of what coordinators leave of the ceiling
+	FallbackLevel              float64       // level of the bucket of requests admitted here without a coordinator's reply ...
+	FallbackLevelAt            time.Duration // ... at this time
+	FleetDemand                Rate          // units per second that all gateways request from this coordinator
+	TotalDemand                float64       // units per second that all gateways request, as a coordinator replied ...
+	TotalDemandAt, RefuseUntil time.Duration // ... at this time; until this time requests are refused without asking
+	Grants                     []Grant       // recent decisions of this coordinator
+	RetryWait                  float64       // seconds for which this coordinator makes refused gateways wait
+	OverShare                  float64       // average share of its requests that did not fit in its quota; see RecordDecision
+
+	updatedAt, lastUsed                      time.Duration // time of the last Leak; of the last request or message
+	settledAt                                time.Duration // Level includes what peers reported up to this time
 	usedTotal, requestedTotal, requestedSent float64
 	usedRate                                 Rate
-	meteredRate, meterFactor                 float64 // what the meter last told, units a second; factor on the part by it
+	meteredRate, meterFactor                 float64 // latest metered use, units per second; resulting factor on Share
 	meteredAt                                time.Duration
 	byPeer                                   []peerTotals
 	queued                                   []bool
-	grantTotal, unsentGrants                 float64 // units that this home granted, modulo words.GivenWrap; not told to the other yet
-	otherGrantTotal                          float64 // what the other home last told
-	otherGrantKnown                          bool
-	coordinators                             [MaxCoordinators]int16 // as they were when it was last asked of this home
-	inChanged                                bool                   // it is among those that changed
-	restored                                 bool                   // what is known of it is from before the start
+	// grantTotal is the units granted as coordinator, modulo peermsg.GrantTotalModulus; unsentGrants those of them that the other
+	// coordinator was not sent yet.
+	grantTotal, unsentGrants float64
+	otherGrantTotal          float64 // latest total from the other coordinator
+	otherGrantKnown          bool
+	coordinators             [MaxCoordinators]int16 // ranks + 1, as of the last BecomeCoordinator; 0: none
+	inChanged                bool                   // it is in Tracker.changed
+	restored                 bool                   // its level is from before the start
 }
 
-// Grant is what a home let one gateway pass on.
+// Grant is a coordinator's decision on one request of a gateway.
 type Grant struct {
 	From      int
 	RequestNo uint64
 	At        time.Duration
-	OK        bool
-	Open      bool // an attempt is out
+	OK        bool // the units were granted
+	Open      bool // its attempt is in progress
 }
 
-// Rate is a sum of units that fades with PartMemory; its value is in units a second.
+// Rate is a sum of units that decays exponentially with RateTimeConstant; its value is in units per second.
 type Rate struct {
 	value     float64
 	updatedAt time.Duration
 }
 
-// Add adds units.
+// Add adds units at time now.
 func (r *Rate) Add(now time.Duration, units float64) {
 	r.value = r.Get(now) + units/RateTimeConstant.Seconds()
 	r.updatedAt = now
 }
 
-// Get is the value now.
+// Get returns the value at time now.
 func (r *Rate) Get(now time.Duration) float64 {
 	return r.value * math.Exp(-(now-r.updatedAt).Seconds()/RateTimeConstant.Seconds())
 }
 
-// Find is a customer by its key, or nil if nothing is known of it.
+// Find returns the customer with the key, or nil if it is unknown.
 func (t *Tracker) Find(key uint64) *Customer { return t.customers[key] }
 
-// Customer finds a customer by its key (see [peermsg.Key]), or makes it.
+// Customer returns the customer with the key (see [peermsg.Key]), and adds it if it is unknown.
 func (t *Tracker) Customer(key uint64, planNo int) *Customer {
 	if c := t.customers[key]; c != nil {
 		c.lastUsed = t.Now
@@ -164,13 +169,14 @@
 	if !t.Mesh {
 		c.FleetLevel = t.initialLevel(p)
 	}
-	c.Level = c.Share * t.initialLevel(p) // leaks, and the store fills, from the start on
+	c.Level = c.Share * t.initialLevel(p) // the bucket leaks, and ceiling tokens refill, from the start on
 	t.customers[key] = c
 	t.sweepQueue = append(t.sweepQueue, c)
 	return c
 }
 
-// SetGateways tells which gateways a customer's requests come in through, where its request says so.
+// SetGateways sets the gateways at which a customer's requests arrive. It does nothing if the request doesn't say them, with a
+// count of 0, or if the count is more than Config.Gateways.
 func (t *Tracker) SetGateways(c *Customer, first, count int) {
 	if count <= 0 || count > t.cfg.Gateways || (c.GatewayCount == count && c.FirstGateway == first) {
 		return
@@ -180,21 +186,21 @@
 	c.FallbackTokens = min(c.FallbackTokens, (1-CoordinatorShare)*c.Plan.CeilingBurst/float64(c.GatewayCount))
 }
 
-// initialLevel is how many units of a customer's burst count as used when nothing is known of it.
+// initialLevel returns how many units of a customer's burst count as used when nothing is known about it.
 func (t *Tracker) initialLevel(p *Plan) float64 {
 	return max(0, InitialFill*p.Burst-t.leakedSeconds*p.Rate)
 }
 
-// AddDemand notes that so many units were asked here; peers are told.
+// AddDemand records units requested at this gateway. Peers are sent an update for each demandStep of the burst.
 func (t *Tracker) AddDemand(c *Customer, units float64) {
 	c.Demand.Add(t.Now, units)
 	if c.requestedTotal += units; c.requestedTotal-c.requestedSent > demandStep*c.Plan.Burst {
 		c.requestedSent = c.requestedTotal
-		t.QueueUpdate(c) // what was sent on is told at once, what was only asked by the step
+		t.QueueUpdate(c) // units that are used too are sent at once, by Charge
 	}
 }
 
-// Charge fills the bucket by so many units, or empties it where they are below 0.
+// Charge adds units to the customer's bucket, or takes them out if they are negative.
 func (t *Tracker) Charge(c *Customer, units float64) {
 	c.Level += units
 	if t.Mesh {
@@ -206,8 +212,8 @@
 	t.QueueUpdate(c)
 }
 
-// Sweep drops customers of whom nothing is left to know, a part of all at each beat. Most customers may come
-// once only, so it has to keep up with new ones however many there are.
+// Sweep removes customers whose state equals a new one's; each call examines a part of all. As most customers may send a
+// single request, it has to keep up with new ones however many there are.
 func (t *Tracker) Sweep() {
 	for n := min(len(t.sweepQueue), minSweep+len(t.sweepQueue)/sweepDivisor); n > 0; n-- {
 		c := t.sweepQueue[0]
@@ -220,8 +226,8 @@
 	}
 }
 
-// sameAsNew reports whether a customer stands as one would that comes for the first time now: nothing out or to be
-// told, buckets empty, store full.
+// sameAsNew reports whether a customer's state equals that of one added now: no attempt in progress, nothing to send or
+// save, empty buckets, full ceiling tokens.
 func (t *Tracker) sameAsNew(c *Customer) bool {
 	if c.Open > 0 || c.inChanged || t.Now-c.lastUsed < idleExpiry || c.RefuseUntil > t.Now || slices.Contains(c.queued, true) {
 		return false
