--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -9,9 +9,10 @@
 	"sloepick/internal/settings"
 )
 
-// host keeps the gateways of this process. They share nothing.
+// host holds the gateways of this process by their numbers. They share no state.
 type host struct{ gateways map[int]*instance }
 
+// instance is one gateway; gw is nil if its settings can't be used.
 type instance struct{ gw *decide.Gateway }
 
 func newHost() *host { return &host{gateways: map[int]*instance{}} }
@@ -35,7 +36,7 @@
 	Gateways []replyGateway `json:"gateways"`
 }
 
-// batch answers one line.
+// batch handles one line of input and returns the reply.
 func (h *host) batch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -61,7 +62,7 @@
 	return json.Marshal(r)
 }
 
-// event hands one event to its gateway and returns the actions as wire messages.
+// event passes one event to its gateway and returns the actions as wire messages.
 func (h *host) event(i int, now time.Duration, raw json.RawMessage) ([]any, error) {
 	var head struct {
 		M string `json:"m"`
@@ -87,7 +88,7 @@
 	return g.handle(now, ev), nil
 }
 
-// handle turns a panic of the module into the wire's word for it.
+// handle passes an event to the gateway. A panic of package decide is returned as a Bug message.
 func (g *instance) handle(now time.Duration, ev decide.Event) (out []any) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -107,6 +108,7 @@
 	}{"Bug", message}
 }
 
+// start creates a gateway. Settings that can't be used are returned as a Bug message.
 func (h *host) start(i int, raw json.RawMessage) ([]any, error) {
 	var e struct {
 		RandomSeed  uint64
@@ -128,7 +130,7 @@
 	return nil, nil
 }
 
-// stats reads a load report: an object, or pairs of name and value.
+// stats converts a server's load report.
 func stats(raw map[string]float64) decide.LoadReport {
 	if len(raw) == 0 {
 		return nil
@@ -156,7 +158,7 @@
 	return wire
 }
 
-// parseEvent returns nil for a message that it does not know.
+// parseEvent decodes a message. It returns nil for one of an unknown type.
 func parseEvent(m string, raw json.RawMessage) (decide.Event, error) {
 	switch m {
 	case "PeersKnown":
@@ -277,7 +279,7 @@
 		MeteredPercentPlusOne: e.Metered, ActualUnits: e.Actual, Report: stats(e.ServerStats)}, err
 }
 
-// wireAction writes an action in the wire's words.
+// wireAction converts an action to its wire message.
 func wireAction(a decide.Action) any {
 	type msg = map[string]any
 	switch a := a.(type) {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts gateways of package decide on the wire of the bench: batches of events on standard
-// input, one reply a batch on standard output. It translates and decides nothing.
+// Command wirehost runs gateways of package decide under a simulator: it reads batches of events as JSON lines from standard
+// input, and writes one reply per batch to standard output. It translates messages and makes no decisions.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve replies to batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
