--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -42,7 +42,7 @@
 	}
 	for i, want := range []string{`"batch":1`, `"m":"Assign"`, `{"batch":3,"gateways":[]}`, `{"batch":4,"gateways":[]}`} {
 		if !strings.Contains(lines[i], want) {
-			t.Errorf("reply %d is %s, want it to hold %s", i+1, lines[i], want)
+			t.Errorf("reply %d is %s, want it to contain %s", i+1, lines[i], want)
 		}
 	}
 	if !strings.Contains(lines[1], `"Server":"10.0.0.1:80"`) || !strings.Contains(lines[1], `"Xid":"c:1"`) {
@@ -91,7 +91,7 @@
 }
 
 func TestPanicIsABug(t *testing.T) {
-	g := &instance{gw: &decide.Gateway{}} // not made by New
+	g := &instance{gw: &decide.Gateway{}} // not created by New
 	out, err := json.Marshal(g.handle(1, decide.ServerListUpdate{Servers: []decide.Server{{ID: "s"}}}))
 	if err != nil || !strings.Contains(string(out), `"Bug"`) {
 		t.Errorf("got %s, %v, want a Bug", out, err)
@@ -162,7 +162,7 @@
 	f.Add(`[`)
 	f.Fuzz(func(t *testing.T, line string) {
 		if out, err := newHost().batch([]byte(line)); err == nil && !json.Valid(out) {
-			t.Errorf("reply %q is no JSON", out)
+			t.Errorf("reply %q is not valid JSON", out)
 		}
 	})
 }
--- a/decide/latencymodel/linear_test.go
+++ b/decide/latencymodel/linear_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRelativeTime holds the line through units and times to what sites may tell: units as the work, the same for all
-// of a class, without bearing on it, or fewer for more work.
+// TestRelativeTime checks the model for the meanings that units may have at a site: the work itself, the same for all requests
+// of a class, unrelated to the work, or fewer for more work.
 func TestRelativeTime(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -17,19 +17,19 @@
 		{"work and a fixed part", func(n int) float64 { return float64(1 + n%3) }, func(n int) float64 { return 0.5 + float64(1+n%3)/4 }, 3, 1.25},
 		{"the same", func(int) float64 { return 2 }, func(n int) float64 { return float64(1+n%3) / 2 }, 8, 1},
 		{"none", func(int) float64 { return 0 }, func(n int) float64 { return float64(1+n%3) / 2 }, 8, 1},
-		{"no bearing", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return 0.5 + float64(n/2%2) }, 8, 1},
+		{"unrelated", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return 0.5 + float64(n/2%2) }, 8, 1},
 		{"fewer for more", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return float64(2 - n%2) }, 8, 1},
 		{"steeper than in proportion", func(n int) float64 { return float64(1 + n%2) }, func(n int) float64 { return 0.1 + 1.8*float64(n%2) }, 0, MinRelativeTime},
 	} {
 		var model Linear
 		if got := model.RelativeTime(c.at); got != 1 {
-			t.Errorf("%s: %v before any answer, want 1", c.name, got)
+			t.Errorf("%s: relative time is %v before any answer, want 1", c.name, got)
 		}
 		for n := range 2000 {
 			model.Add(c.units(n), c.time(n))
 		}
 		if got := model.RelativeTime(c.at); math.Abs(got-c.want) > 0.08*c.want {
-			t.Errorf("%s: %v units take %.3f times the usual, want %.3f", c.name, c.at, got, c.want)
+			t.Errorf("%s: relative time of %v units is %.3f, want %.3f", c.name, c.at, got, c.want)
 		}
 	}
 }
--- a/decide/peermsg/peermsg_test.go
+++ b/decide/peermsg/peermsg_test.go
@@ -7,28 +7,35 @@
 	"time"
 )
 
-// TestCustomerMessageRoundTrip: a word is read as it was written, within its steps; one that is spoilt anywhere is dropped whole.
+// TestCustomerMessageRoundTrip checks that a message is decoded as it was encoded, within its resolution, and that one malformed
+// anywhere is rejected as a whole.
 func TestCustomerMessageRoundTrip(t *testing.T) {
-	m := CustomerMessage{Kind: KindRequest, Key: 1<<36 - 1, RequestNo: 4095, Plan: 3, NumValues: 2, Values: [4]float64{-2, 0.5}, NumSamples: 1, Samples: [MaxSamples]ServerSample{{Server: 9, Class: 2, RelativeTime: 1.4, Unsuccessful: true}},
-		NumReports: 2, Reports: [MaxReports]OverQuotaReport{{Key: 5, AllowedShare: 0.3, At: time.Hour - 2*time.Second}, {Key: 6, AllowedShare: 1, At: time.Hour}}}
+	m := CustomerMessage{Kind: KindRequest, Key: 1<<36 - 1, RequestNo: 4095, Plan: 3, NumValues: 2, Values: [4]float64{-2, 0.5},
+		NumSamples: 1, Samples: [MaxSamples]ServerSample{{Server: 9, Class: 2, RelativeTime: 1.4, Unsuccessful: true}},
+		NumReports: 2, Reports: [MaxReports]OverQuotaReport{{Key: 5, AllowedShare: 0.3, At: time.Hour - 2*time.Second},
+			{Key: 6, AllowedShare: 1, At: time.Hour}}}
 	text := m.Encode(time.Hour)
 	got, ok := Parse(time.Hour, text)
-	if !ok || got.Kind != KindRequest || got.Key != m.Key || got.RequestNo != m.RequestNo || got.Plan != 3 || got.NumValues != 2 || got.Values != m.Values ||
-		got.NumSamples != 1 || got.Samples[0].Server != 9 || got.Samples[0].Class != 2 || !got.Samples[0].Unsuccessful || got.Samples[0].NotOverload ||
-		got.NumReports != 2 || got.Reports[0].Key != 5 || math.Abs(got.Reports[0].AllowedShare-0.3) > 0.1 || got.Reports[0].At != time.Hour-2*time.Second {
+	if !ok || got.Kind != KindRequest || got.Key != m.Key || got.RequestNo != m.RequestNo || got.Plan != 3 ||
+		got.NumValues != 2 || got.Values != m.Values ||
+		got.NumSamples != 1 || got.Samples[0].Server != 9 || got.Samples[0].Class != 2 ||
+		!got.Samples[0].Unsuccessful || got.Samples[0].NotOverload ||
+		got.NumReports != 2 || got.Reports[0].Key != 5 || math.Abs(got.Reports[0].AllowedShare-0.3) > 0.1 ||
+		got.Reports[0].At != time.Hour-2*time.Second {
 		t.Errorf("%q: %v, %+v", text, ok, got)
 	}
 	if len(text) > MaxSize {
-		t.Errorf("%d bytes", len(text))
+		t.Errorf("message of %d bytes, want MaxSize at most", len(text))
 	}
 	for _, malformed := range []string{"", text + "0", text + "00000", text[:20] + "!!!!!", text[:9], strings.Replace(text, "...", "!", 1)[1:]} {
 		if _, ok := Parse(time.Hour, malformed); ok {
-			t.Errorf("%q was taken", malformed)
+			t.Errorf("malformed message %q was accepted", malformed)
 		}
 	}
 }
 
-// TestTotalsRoundTrip: totals are read as they were written, wrapped; steps go over the wrap and back.
+// TestTotalsRoundTrip checks that totals are decoded as they were encoded, modulo CounterModulus, and that Delta works across
+// the wrap in both directions.
 func TestTotalsRoundTrip(t *testing.T) {
 	m := Totals{Epoch: 4095, Seq: 7}
 	for i := range MaxEntries {
@@ -45,11 +52,11 @@
 		}
 	}
 	if up, down := Delta(4090, 3), Delta(3, 4090); up != 9 || down != -9 {
-		t.Errorf("steps over the wrap: %v and %v", up, down)
+		t.Errorf("differences across the wrap are %v and %v, want 9 and -9", up, down)
 	}
 	for _, malformed := range []string{"", text[1:], text + "0", "x" + text[1:], text[:len(text)-1] + "!", "Z" + text[1:]} {
 		if _, ok := ParseTotals(malformed, nil); ok {
-			t.Errorf("%q was taken", malformed)
+			t.Errorf("malformed message %q was accepted", malformed)
 		}
 	}
 }
