--- a/cmd/sloectl/demo.go
+++ b/cmd/sloectl/demo.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"sloepick/deploy/example"
-	"sloepick/internal/commons"
 	"sloepick/internal/gossip"
+	"sloepick/internal/peerinfo"
 	"sloepick/internal/testbed"
 )
 
@@ -231,7 +231,7 @@
 	defer cancel()
 	for i := 0; i < d.fleet; {
 		r, err := gossip.ReadStatus(ctx, d.socket(i))
-		if err == nil && r.Standing.Slot >= 0 {
+		if err == nil && r.Assignment.Slot >= 0 {
 			i++
 			continue
 		}
@@ -426,15 +426,15 @@
 
 // news tells whether each member knows of all others, as of the stated time ago.
 func (d *demonstration) news(ctx context.Context, out io.Writer) bool {
-	conf := commons.Default()
-	bound, oldest, known, kept := conf.Stale(d.fleet, 0, newsDelay), time.Duration(0), 0, true
+	conf := peerinfo.DefaultConfig()
+	bound, oldest, known, kept := conf.StalenessBound(d.fleet, 0, newsDelay), time.Duration(0), 0, true
 	for i := range d.fleet {
 		r, err := gossip.ReadStatus(ctx, d.socket(i))
-		if err != nil || len(r.News) != d.fleet {
+		if err != nil || len(r.PeerInfo) != d.fleet {
 			kept = false
 			continue
 		}
-		for _, row := range r.News {
+		for _, row := range r.PeerInfo {
 			known++
 			oldest = max(oldest, row.Age)
 		}
--- a/cmd/sloectl/fleet.go
+++ b/cmd/sloectl/fleet.go
@@ -10,9 +10,9 @@
 	"text/tabwriter"
 	"time"
 
-	"sloepick/internal/allowance"
 	"sloepick/internal/fleet"
 	"sloepick/internal/gossip"
+	"sloepick/internal/overshoot"
 )
 
 // fleetVerb shows how a daemon sees its fleet, fleet status SOCKET, or the work that is done on its behalf, fleet duties SOCKET.
@@ -35,7 +35,7 @@
 }
 
 // printDuties is a table of the fleet's work, as far as this member knows of it.
-func printDuties(out io.Writer, r *gossip.Report) {
+func printDuties(out io.Writer, r *gossip.Status) {
 	if len(r.Duties) == 0 {
 		fmt.Fprintf(out, "%s has no duties\n", r.Name)
 		return
@@ -50,11 +50,11 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", d.Duty, who, left, d.Number)
 	}
 	w.Flush()
-	fmt.Fprintf(out, "\nvotes, in epoch %d:", r.Voters.Epoch)
-	for _, p := range r.Voters.Voters {
+	fmt.Fprintf(out, "\nvotes, in epoch %d:", r.Electorate.Epoch)
+	for _, p := range r.Electorate.Voters {
 		name := "nobody"
-		if p < len(r.Standing.Holders) && r.Standing.Holders[p].Name != "" {
-			name = r.Standing.Holders[p].Name
+		if p < len(r.Assignment.Holders) && r.Assignment.Holders[p].Name != "" {
+			name = r.Assignment.Holders[p].Name
 		}
 		fmt.Fprintf(out, " %s (%d)", name, p)
 	}
@@ -62,9 +62,9 @@
 }
 
 // printFleet is a table of the members, and a line on this one.
-func printFleet(out io.Writer, r *gossip.Report) {
+func printFleet(out io.Writer, r *gossip.Status) {
 	generation := uint64(0)
-	for _, row := range r.Rows {
+	for _, row := range r.Members {
 		if row.Self {
 			generation = row.Generation
 		}
@@ -72,14 +72,14 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tSTATE\tPLACE\tTERM\tLIFE\tCONFIGURATION\tTOLD\tNEWS\tDROPPED\tADDRESS")
 	news := map[string]string{}
-	for _, row := range r.News {
+	for _, row := range r.PeerInfo {
 		news[row.Name] = row.Age.Round(time.Second/10).String() + " old"
 	}
-	for _, row := range r.Rows {
+	for _, row := range r.Members {
 		place, term := "-", "-"
 		if row.Claim.Slot >= 0 {
 			place, term = fmt.Sprint(row.Claim.Slot), fmt.Sprint(row.Claim.Term)
-			if row.Claim.Slot >= len(r.Standing.Holders) || r.Standing.Holders[row.Claim.Slot].Name != row.Name {
+			if row.Claim.Slot >= len(r.Assignment.Holders) || r.Assignment.Holders[row.Claim.Slot].Name != row.Name {
 				place += " (not held)"
 			}
 		}
@@ -93,61 +93,61 @@
 			conf += " (other)"
 		}
 		dropped := "-"
-		if n, ok := r.Drops[row.Name]; ok {
+		if n, ok := r.PeerDrops[row.Name]; ok {
 			dropped = fmt.Sprint(n)
 		} else if row.Self {
-			dropped = fmt.Sprint(r.Lost)
+			dropped = fmt.Sprint(r.DroppedMessages)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", row.Name, state, place, term, row.Incarnation, conf, told, cmp.Or(news[row.Name], "-"), dropped, row.Addr)
 	}
 	w.Flush()
-	stands := fmt.Sprintf("%s is in place %d", r.Name, r.Standing.Slot)
-	if r.Standing.Slot < 0 {
+	stands := fmt.Sprintf("%s is in place %d", r.Name, r.Assignment.Slot)
+	if r.Assignment.Slot < 0 {
 		stands = r.Name + " has no place and lets nothing in"
 	}
-	if r.Standing.Isolated {
+	if r.Assignment.Isolated {
 		stands += ", cut off: it keeps to its even part"
 	}
-	if r.Phase != "" {
-		stands += ", power " + r.Phase
+	if r.RecoveryPhase != "" {
+		stands += ", power " + r.RecoveryPhase
 	}
 	fmt.Fprintln(out, stands)
 	printNews(out, r)
 }
 
 // quietWords tells when a region is quiet, by its own clock.
-func quietWords(row gossip.RegionRow) string {
+func quietWords(row gossip.RegionStatus) string {
 	const clock = "Mon 2 Jan 15:04 MST"
 	switch {
-	case row.Left > 0:
-		return fmt.Sprintf("quiet for %v more, to %s", row.Left.Round(time.Minute), row.To.Format(clock))
-	case row.From.IsZero():
+	case row.Remaining > 0:
+		return fmt.Sprintf("quiet for %v more, to %s", row.Remaining.Round(time.Minute), row.WindowEnd.Format(clock))
+	case row.WindowStart.IsZero():
 		return "not quiet for a week"
 	}
-	return fmt.Sprintf("quiet next from %s to %s", row.From.Format(clock), row.To.Format(clock))
+	return fmt.Sprintf("quiet next from %s to %s", row.WindowStart.Format(clock), row.WindowEnd.Format(clock))
 }
 
 // clockWords tells what the fleet's clock is.
-func clockWords(c *gossip.Clock) string {
+func clockWords(c *gossip.FleetClock) string {
 	switch {
 	case !c.OK:
-		return fmt.Sprintf("clock: no more than %d of %d members agree: there is none, and nothing is held to be quiet", c.Agree, c.Of)
-	case c.Off:
-		return fmt.Sprintf("clock: %d of %d members agree; this one is off by %v", c.Agree, c.Of, -c.Ahead.Round(time.Second/10))
+		return fmt.Sprintf("clock: no more than %d of %d members agree: there is none, and nothing is held to be quiet", c.AgreeingMembers, c.TotalMembers)
+	case c.LocalClockOff:
+		return fmt.Sprintf("clock: %d of %d members agree; this one is off by %v", c.AgreeingMembers, c.TotalMembers, -c.Offset.Round(time.Second/10))
 	}
-	return fmt.Sprintf("clock: %d of %d members agree, known up to %v", c.Agree, c.Of, c.Doubt.Round(time.Millisecond))
+	return fmt.Sprintf("clock: %d of %d members agree, known up to %v", c.AgreeingMembers, c.TotalMembers, c.Uncertainty.Round(time.Millisecond))
 }
 
 const boundOver = time.Minute // for which the status tells how far limits may be passed
 
 // printNews tells how stale this member's view is, by regions, and what that means for the limits of customers.
-func printNews(out io.Writer, r *gossip.Report) {
+func printNews(out io.Writer, r *gossip.Status) {
 	type region struct {
 		members int
 		heard   time.Duration // of the member of it that was heard last
 	}
-	regions, oldest := map[string]region{}, gossip.NewsRow{Age: -1}
-	for _, row := range r.News {
+	regions, oldest := map[string]region{}, gossip.PeerInfoRow{Age: -1}
+	for _, row := range r.PeerInfo {
 		if row.Name == r.Name {
 			continue
 		}
@@ -163,7 +163,7 @@
 	if oldest.Age < 0 {
 		return
 	}
-	calendar := map[string]gossip.RegionRow{}
+	calendar := map[string]gossip.RegionStatus{}
 	for _, row := range r.Regions {
 		calendar[row.Name] = row
 		if _, known := regions[row.Name]; !known {
@@ -182,5 +182,5 @@
 	}
 	fmt.Fprintln(out, clockWords(&r.Clock))
 	fmt.Fprintf(out, "limits: customers that %s keeps may be %.0f %% over their rate in a minute, and a fifth of a burst, if it was silent since its news (%v old)\n",
-		oldest.Name, 100*allowance.OverShare(oldest.Age, boundOver), oldest.Age.Round(time.Second/10))
+		oldest.Name, 100*overshoot.MaxExcessRatio(oldest.Age, boundOver), oldest.Age.Round(time.Second/10))
 }
--- a/internal/blocks/commons.go
+++ b/internal/blocks/commons.go
@@ -1,8 +1,8 @@
 package blocks
 
 import (
-	"sloepick/internal/commons"
 	"sloepick/internal/operator"
+	"sloepick/internal/peerinfo"
 )
 
 // commonsBlock declares the block commons.
@@ -30,12 +30,12 @@
 }
 
 // Commons reads how a member takes part in what all know; nil: it does not.
-func Commons(c *operator.Config) *commons.Config {
+func Commons(c *operator.Config) *peerinfo.Config {
 	s := c.One("commons")
 	if !s.Present() {
 		return nil
 	}
-	k := commons.Default()
-	k.Every, k.Fan, k.Keep = s.Duration("every"), s.Count("fan"), s.Duration("keep")
+	k := peerinfo.DefaultConfig()
+	k.Interval, k.Fanout, k.Retention = s.Duration("every"), s.Count("fan"), s.Duration("keep")
 	return &k
 }
--- a/internal/blocks/fleet.go
+++ b/internal/blocks/fleet.go
@@ -57,9 +57,9 @@
 	if !s.Present() {
 		return nil
 	}
-	f := &gossip.Config{Address: s.Word("address"), Seeds: s.Words("seeds"), Generation: Generation(c), Table: fleet.DefaultConfig(), News: Commons(c), Regions: Regions(c)}
-	f.Table.Slots, f.Table.ExpectedMembers, f.Table.ReservationPeriod = s.Count("places"), s.Count("expect"), s.Duration("hold")
-	f.Table.Lease = max(f.Table.ReservationPeriod-noticeMost, f.Table.ReservationPeriod/3)
+	f := &gossip.Config{Address: s.Word("address"), Seeds: s.Words("seeds"), Generation: Generation(c), Fleet: fleet.DefaultConfig(), PeerInfo: Commons(c), Regions: Regions(c)}
+	f.Fleet.Slots, f.Fleet.ExpectedMembers, f.Fleet.ReservationPeriod = s.Count("places"), s.Count("expect"), s.Duration("hold")
+	f.Fleet.Lease = max(f.Fleet.ReservationPeriod-noticeMost, f.Fleet.ReservationPeriod/3)
 	for key, to := range map[string]*string{"keys": &f.KeyFile, "state": &f.StateFile, "status": &f.StatusSocket} {
 		if s.Has(key) {
 			*to = beside(s, key)
--- a/internal/daemon/commons_test.go
+++ b/internal/daemon/commons_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/commons"
 	"sloepick/internal/gossip"
+	"sloepick/internal/peerinfo"
 	"sloepick/internal/testbed"
 	"sloepick/internal/testbed/e2e"
 	"sloepick/internal/testbed/faultnet"
@@ -16,7 +16,7 @@
 
 // TestNewsIsNeverYoungerThanTold plays six processes whose messages are lost, late and doubled, one of which is cut off, one that is heard by
 // nobody, one that stands still and one that is killed. Each tells how old its news of the others is: never less than it is, by the wall
-// clock that all of them have on one machine; and while all hear each other not more than commons.Config.Stale, and the machine's lateness.
+// clock that all of them have on one machine; and while all hear each other not more than peerinfo.Config.StalenessBound, and the machine's lateness.
 func TestNewsIsNeverYoungerThanTold(t *testing.T) {
 	t.Parallel() // it waits more than it works
 	const n = 6
@@ -28,9 +28,9 @@
 	r.Start(0, r.AllGateways()...)
 	agreed(t, r, time.Minute, r.AllGateways()...)
 
-	conf := commons.Default()
-	conf.Every = askEvery
-	stale := conf.Stale(n, usual.Loss, usual.MaxDelay)
+	conf := peerinfo.DefaultConfig()
+	conf.Interval = askEvery
+	stale := conf.StalenessBound(n, usual.Loss, usual.MaxDelay)
 	var ages []time.Duration
 	// watch looks at all members that say something for a while. Where calm, all have to know all others as of stale ago.
 	watch := func(what string, took time.Duration, calm bool) (most time.Duration) {
@@ -44,18 +44,18 @@
 					continue
 				}
 				late := pulse.DelayBetween(asked.Add(-stale), time.Now())
-				if calm && (!rep.Clock.OK || rep.Clock.Agree != n || len(rep.Regions) != 1 || rep.Regions[0].Left < time.Hour) {
+				if calm && (!rep.Clock.OK || rep.Clock.AgreeingMembers != n || len(rep.Regions) != 1 || rep.Regions[0].Remaining < time.Hour) {
 					t.Fatalf("%s: %s has the clock %+v and the regions %+v", what, rep.Name, rep.Clock, rep.Regions)
 				}
-				if calm && len(rep.News) != n {
-					t.Fatalf("%s: %s knows %d members of %d: %+v", what, rep.Name, len(rep.News), n, rep.News)
+				if calm && len(rep.PeerInfo) != n {
+					t.Fatalf("%s: %s knows %d members of %d: %+v", what, rep.Name, len(rep.PeerInfo), n, rep.PeerInfo)
 				}
-				for _, row := range rep.News {
+				for _, row := range rep.PeerInfo {
 					if row.Name == rep.Name {
 						continue
 					}
 					rows++
-					is := time.Duration(rep.Wall-row.Wall) * time.Millisecond
+					is := time.Duration(rep.WallMillis-row.WallMillis) * time.Millisecond
 					if row.Age < is-2*time.Millisecond { // of two clocks' rounding to whole ones
 						t.Fatalf("%s: %s tells %s's news as %v old; it is %v", what, rep.Name, row.Name, row.Age, is)
 					}
@@ -106,17 +106,17 @@
 // counts holds that nothing waited long or was dropped between a member's goroutines.
 func counts(t *testing.T, r *e2e.Harness) {
 	t.Helper()
-	var all gossip.NewsCounts
+	var all gossip.PeerInfoStats
 	for i := range r.Processes {
 		if rep := report(r, i); rep != nil {
-			all.Ring.Deepest = max(all.Ring.Deepest, rep.Heard.Ring.Deepest)
-			all.Ring.Dropped += rep.Heard.Ring.Dropped
-			all.Table.Spoilt += rep.Heard.Table.Spoilt
-			all.Sent += rep.Heard.Sent
+			all.Queue.MaxDepth = max(all.Queue.MaxDepth, rep.PeerInfoStats.Queue.MaxDepth)
+			all.Queue.Dropped += rep.PeerInfoStats.Queue.Dropped
+			all.Table.Malformed += rep.PeerInfoStats.Table.Malformed
+			all.MessagesSent += rep.PeerInfoStats.MessagesSent
 		}
 	}
-	t.Logf("%d messages sent, %d waited at most, %d dropped", all.Sent, all.Ring.Deepest, all.Ring.Dropped)
-	if all.Ring.Dropped+all.Table.Spoilt > 0 || all.Sent == 0 {
+	t.Logf("%d messages sent, %d waited at most, %d dropped", all.MessagesSent, all.Queue.MaxDepth, all.Queue.Dropped)
+	if all.Queue.Dropped+all.Table.Malformed > 0 || all.MessagesSent == 0 {
 		t.Errorf("news got lost inside a member: %+v", all)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -158,10 +158,10 @@
 	}
 	r.member, r.cfg.Member = member, member
 	set := &r.cfg.Settings.Decide
-	set.Rank, set.Gateways, set.Limits.PeerMessages = 0, f.Table.Slots, true
+	set.Rank, set.Gateways, set.Limits.PeerMessages = 0, f.Fleet.Slots, true
 	go func() {
 		select {
-		case m := <-member.Yielded():
+		case m := <-member.Superseded():
 			r.log.Error("a later process of this name is in the fleet: ending", "name", m.Name, "at", m.Addr)
 			end(errYielded)
 		case <-ctx.Done():
@@ -298,7 +298,7 @@
 		if err := r.member.Reload(blocks.Generation(c), c.One("fleet").Count("expect")); err != nil {
 			return gateway.Reload{}, nil, err
 		}
-		r.member.Regions(blocks.Regions(c))
+		r.member.SetRegions(blocks.Regions(c))
 	}
 	for _, take := range takes {
 		take()
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -16,11 +16,11 @@
 	if d == nil {
 		return nil
 	}
-	f.Owner = d.Owner
+	f.Election = d.Owner
 	if d.Report != nil {
-		f.Owner.Duties = append(f.Owner.Duties, fleetreport.DutyName)
+		f.Election.Duties = append(f.Election.Duties, fleetreport.DutyName)
 	}
-	if len(f.Owner.Duties) == 0 {
+	if len(f.Election.Duties) == 0 {
 		return errors.New("the block duties has no duty")
 	}
 	return nil
@@ -33,7 +33,7 @@
 		return func() {}
 	}
 	report := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
-		Body: func() any { return r.member.Report() }, Client: &http.Client{}}
+		Body: func() any { return r.member.Status() }, Client: &http.Client{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { report.Run(ctx) })
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -182,9 +182,9 @@
 		if slices.Contains(but, i) || rep == nil {
 			continue
 		}
-		for _, p := range rep.Voters.Voters {
+		for _, p := range rep.Electorate.Voters {
 			var n int
-			if _, err := fmt.Sscanf(rep.Standing.Holders[p].Name, "g%d", &n); err == nil {
+			if _, err := fmt.Sscanf(rep.Assignment.Holders[p].Name, "g%d", &n); err == nil {
 				who = append(who, n)
 			}
 		}
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -66,7 +66,7 @@
 }
 
 // report asks a gateway how it sees the fleet; nil: it does not say.
-func report(r *e2e.Harness, i int) *gossip.Report {
+func report(r *e2e.Harness, i int) *gossip.Status {
 	ctx, cancel := context.WithTimeout(r.Ctx, time.Second)
 	defer cancel()
 	rep, err := gossip.ReadStatus(ctx, r.FilePath(e2e.GatewayName(i)+".sock"))
@@ -87,12 +87,12 @@
 			switch {
 			case rep == nil:
 				why = fmt.Sprintf("g%d says nothing", i)
-			case rep.Standing.Slot < 0 || rep.Standing.Isolated:
-				why = fmt.Sprintf("g%d stands at %+v", i, rep.Standing)
-			case first != nil && !slices.Equal(first, rep.Standing.Holders):
-				why = fmt.Sprintf("g%d sees %v, others %v", i, rep.Standing.Holders, first)
+			case rep.Assignment.Slot < 0 || rep.Assignment.Isolated:
+				why = fmt.Sprintf("g%d stands at %+v", i, rep.Assignment)
+			case first != nil && !slices.Equal(first, rep.Assignment.Holders):
+				why = fmt.Sprintf("g%d sees %v, others %v", i, rep.Assignment.Holders, first)
 			default:
-				first = rep.Standing.Holders
+				first = rep.Assignment.Holders
 				n++
 			}
 		}
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/allowance"
+	"sloepick/internal/overshoot"
 	"sloepick/internal/testbed"
 	"sloepick/internal/testbed/e2e"
 	"sloepick/internal/testbed/faultnet"
@@ -71,8 +71,8 @@
 		flood := fmt.Sprintf("%016x", 16*indexOf(platform, plan.Name)+1)
 		got, quota := r.Site.Recorder.Units(flood), plan.Rate*took.Seconds()+plan.Burst
 		// Of a plan's flood below seenFrom too few requests tell; a burst more, as homes begin again after the cut.
-		slack := allowance.Over(allowance.Plan{Rate: plan.Rate, Burst: plan.Burst},
-			allowance.Trouble{Took: took, Silent: healed - cut, Known: plan.Rate >= seenFrom, Begun: 1})
+		slack := overshoot.MaxExcess(overshoot.Plan{Rate: plan.Rate, Burst: plan.Burst},
+			overshoot.Incident{Duration: took, CoordinatorSilence: healed - cut, KnownOverQuota: plan.Rate >= seenFrom, CoordinatorRestarts: 1})
 		t.Logf("%s at five times its quota: %.0f units of %.0f and a slack of %.0f; of its rate x time: %.2f before, %.2f cut off, %.2f after",
 			plan.Name, got, quota, slack, share(r, flood, plan.Rate, began, 0, cut), share(r, flood, plan.Rate, began, cut, healed), share(r, flood, plan.Rate, began, healed, over))
 		if got > quota+slack {
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -44,7 +44,7 @@
 	self := recovery.Self{Name: r.cfg.Name, Plans: set.Plans}
 	life := uint64(max(0, now.Wall.UnixMilli()))
 	if r.member != nil {
-		life = r.member.Life()
+		life = r.member.Incarnation()
 	}
 	var img *recovery.Image
 	verdict := recovery.Absent
@@ -75,7 +75,7 @@
 		OnPhase: func(p recovery.Phase) { phase.Store(int64(p)) }}
 	if r.member != nil {
 		plans := recovery.PlansOf(set.Plans)
-		r.member.Remember(gossip.Memory{Phase: func() string { return recovery.Phase(phase.Load()).String() }, Word: func() recovery.Word {
+		r.member.SetRecoverySource(gossip.RecoverySource{Phase: func() string { return recovery.Phase(phase.Load()).String() }, Snapshot: func() recovery.Word {
 			return keeper.Image().Word(clocks(), plans, recovery.Phase(phase.Load()) < recovery.Full)
 		}})
 	}
--- a/internal/daemon/power_test.go
+++ b/internal/daemon/power_test.go
@@ -298,7 +298,7 @@
 	b.WriteFile(file, strings.Replace(string(text), "expect = 3", "expect = 1", 1))
 	must(t, b.Processes[0].Signal(syscall.SIGHUP))
 	must(t, b.Processes[0].Log.WaitFor(b.Ctx, "power: full", 1))
-	for rep := report(b.Harness, 0); rep == nil || rep.Phase != "full" || rep.Standing.Slot < 0; rep = report(b.Harness, 0) { // told at its next tick
+	for rep := report(b.Harness, 0); rep == nil || rep.RecoveryPhase != "full" || rep.Assignment.Slot < 0; rep = report(b.Harness, 0) { // told at its next tick
 		if time.Sleep(50 * time.Millisecond); b.Ctx.Err() != nil {
 			t.Fatalf("the status is %+v", rep)
 		}
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -85,7 +85,7 @@
 	s := state{SharedState: d.e.past.Load(), From: d.e.cfg.Name, Lost: d.e.lost.Load()}
 	if m := d.e.memory.Load(); m != nil {
 		var err error
-		if s.Word, err = cbor.Marshal(m.Word()); err != nil {
+		if s.Word, err = cbor.Marshal(m.Snapshot()); err != nil {
 			d.e.log.Error("fleet: what is known can't be told", "err", err)
 		}
 	}
--- a/internal/gossip/duties.go
+++ b/internal/gossip/duties.go
@@ -88,7 +88,7 @@
 func (d *duties) keep() {
 	owned := map[string]lease{}
 	now := time.Now()
-	for _, name := range d.e.cfg.Owner.Duties {
+	for _, name := range d.e.cfg.Election.Duties {
 		if until, number := d.table.LeaseEnd(name); until > 0 {
 			owned[name] = lease{number, until, now.Round(0), now.Sub(d.e.start)}
 		}
@@ -126,7 +126,7 @@
 	if d == nil {
 		return
 	}
-	e := election.FleetUpdate{Slot: s.Slot, SlotChanged: d.last.Holders != nil && (s.Slot != d.last.Slot || s.Term != d.last.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Table.ExpectedMembers}
+	e := election.FleetUpdate{Slot: s.Slot, SlotChanged: d.last.Holders != nil && (s.Slot != d.last.Slot || s.Term != d.last.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Fleet.ExpectedMembers}
 	for _, h := range s.Holders {
 		e.Holders = append(e.Holders, election.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -18,11 +18,11 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"sloepick/internal/commons"
 	"sloepick/internal/election"
 	"sloepick/internal/fleet"
 	"sloepick/internal/gateway"
 	"sloepick/internal/maintenance"
+	"sloepick/internal/peerinfo"
 	"sloepick/internal/recovery"
 )
 
@@ -59,10 +59,10 @@
 	StatusSocket string // a local socket for sloectl; "": none
 	StateFile    string // where its place and the last known members are kept; "": nowhere
 	Generation   uint64 // of the configuration
-	Table        fleet.Config
+	Fleet        fleet.Config
 	Transport    memberlist.Transport // nil: sockets at Address
-	Owner        election.Config      // work on behalf of the fleet; no duties: there is none
-	News         *commons.Config      // what members know of each other; nil: nothing beyond who is there
+	Election     election.Config      // work on behalf of the fleet; no duties: there is none
+	PeerInfo     *peerinfo.Config     // what members know of each other; nil: nothing beyond who is there
 	Zone         string               // of this member, its region
 	Regions      map[string]*maintenance.Calendar
 
@@ -92,7 +92,7 @@
 	self     atomic.Pointer[fleet.Member]
 	standing atomic.Pointer[fleet.Assignment]
 	past     atomic.Pointer[fleet.SharedState] // that is passed on
-	report   atomic.Pointer[Report]
+	report   atomic.Pointer[Status]
 	until    atomic.Int64  // of the standing, by the monotonic clock
 	stood    atomic.Uint64 // counts the standings
 	lost     atomic.Uint64
@@ -101,7 +101,7 @@
 	regions  atomic.Pointer[map[string]*maintenance.Calendar] // with a calendar, by name
 	yielded  chan fleet.Member
 	start    time.Time
-	memory   atomic.Pointer[Memory] // nil: none
+	memory   atomic.Pointer[RecoverySource] // nil: none
 
 	mu    sync.Mutex
 	nodes map[string]*memberlist.Node // by life
@@ -114,22 +114,22 @@
 	text []byte
 }
 
-// Report is a member's view of its fleet, for operators.
-type Report struct {
-	Name     string
-	Standing fleet.Assignment
-	Rows     []fleet.MemberStatus
-	Now      time.Duration // on the clock of the rows
-	Phase    string        // how far service has returned; "": all is let in
-	Lost     uint64        // messages to others that found the queue full
-	Duties   []election.DutyStatus
-	Voters   election.Electorate // who votes on duties, as far as this member knows
-	News     []NewsRow           // what is known of members, in the order of their names; none where it is off
-	Heard    NewsCounts          // and how it came
-	Clock    Clock               // the fleet's, where news is on
-	Regions  []RegionRow         // those with a calendar, in the order of their names
-	Wall     int64               // when this report was made, ms since 1970
-	Drops    map[string]uint64   // those of other members, by name, as they told with their last whole state
+// Status is a member's view of its fleet, for operators.
+type Status struct {
+	Name            string
+	Assignment      fleet.Assignment     `json:"Standing"`
+	Members         []fleet.MemberStatus `json:"Rows"`
+	Now             time.Duration        // on the clock of the rows
+	RecoveryPhase   string               `json:"Phase"` // how far service has returned; "": all is let in
+	DroppedMessages uint64               `json:"Lost"`  // messages to others that found the queue full
+	Duties          []election.DutyStatus
+	Electorate      election.Electorate `json:"Voters"` // who votes on duties, as far as this member knows
+	PeerInfo        []PeerInfoRow       `json:"News"`   // what is known of members, in the order of their names; none where it is off
+	PeerInfoStats   PeerInfoStats       `json:"Heard"`  // and how it came
+	Clock           FleetClock          // the fleet's, where news is on
+	Regions         []RegionStatus      // those with a calendar, in the order of their names
+	WallMillis      int64               `json:"Wall"`  // when this report was made, ms since 1970
+	PeerDrops       map[string]uint64   `json:"Drops"` // those of other members, by name, as they told with their last whole state
 }
 
 // New makes a member; it opens its socket and does not join yet.
@@ -144,24 +144,24 @@
 	}
 	e.known, e.before = e.saved.Members, e.heldBefore()
 	e.life = max(uint64(time.Now().UnixMilli()), e.saved.Life+1) // later than the last, however the clock was set since
-	e.cfg.Table.Self = fleet.Member{Name: cfg.Name, Incarnation: e.life, Generation: cfg.Generation, Version: cmp.Or(cfg.version, metaVersion), Claim: fleet.NoClaim}
-	e.cfg.Table.LastClaim = e.saved.Claim
+	e.cfg.Fleet.Self = fleet.Member{Name: cfg.Name, Incarnation: e.life, Generation: cfg.Generation, Version: cmp.Or(cfg.version, metaVersion), Claim: fleet.NoClaim}
+	e.cfg.Fleet.LastClaim = e.saved.Claim
 	var err error
-	if e.table, err = fleet.New(e.cfg.Table); err != nil {
+	if e.table, err = fleet.New(e.cfg.Fleet); err != nil {
 		return nil, err
 	}
-	e.self.Store(&e.cfg.Table.Self)
+	e.self.Store(&e.cfg.Fleet.Self)
 	s := e.table.Assignment()
 	e.standing.Store(&s)
 	e.past.Store(&fleet.SharedState{})
-	if len(cfg.Owner.Duties) > 0 {
-		if e.duties, err = newDuties(e, cfg.Owner); err != nil {
+	if len(cfg.Election.Duties) > 0 {
+		if e.duties, err = newDuties(e, cfg.Election); err != nil {
 			return nil, err
 		}
 	}
-	e.Regions(cfg.Regions)
-	if cfg.News != nil {
-		if e.news, err = newNews(e, *cfg.News); err != nil {
+	e.SetRegions(cfg.Regions)
+	if cfg.PeerInfo != nil {
+		if e.news, err = newNews(e, *cfg.PeerInfo); err != nil {
 			return nil, err
 		}
 	}
@@ -217,23 +217,23 @@
 	return nil
 }
 
-// Memory is what a member knows of the time before a loss of power.
-type Memory struct {
-	Word  func() recovery.Word // what others are told that start; what they tell goes to the gateway by its Door
-	Phase func() string        // how far service has returned, for the report
+// RecoverySource is what a member knows of the time before a loss of power.
+type RecoverySource struct {
+	Snapshot func() recovery.Word // what others are told that start; what they tell goes to the gateway by its Door
+	Phase    func() string        // how far service has returned, for the report
 }
 
-// Remember has the member tell what it knows, from now on.
-func (e *Engine) Remember(m Memory) { e.memory.Store(&m) }
+// SetRecoverySource has the member tell what it knows, from now on.
+func (e *Engine) SetRecoverySource(m RecoverySource) { e.memory.Store(&m) }
 
-// Life is this process's: of two of one name the higher is the later.
-func (e *Engine) Life() uint64 { return e.life }
+// Incarnation is this process's: of two of one name the higher is the later.
+func (e *Engine) Incarnation() uint64 { return e.life }
 
-// Yielded tells when this member has to end, as a later process has its name.
-func (e *Engine) Yielded() <-chan fleet.Member { return e.yielded }
+// Superseded tells when this member has to end, as a later process has its name.
+func (e *Engine) Superseded() <-chan fleet.Member { return e.yielded }
 
-// Report is the table as it stands; nil before there is one.
-func (e *Engine) Report() *Report { return e.report.Load() }
+// Status is the table as it stands; nil before there is one.
+func (e *Engine) Status() *Status { return e.report.Load() }
 
 // IsCurrent implements gateway.Member: a process that stood still must not go by what it was told before.
 func (e *Engine) IsCurrent(n uint64) bool {
@@ -285,7 +285,7 @@
 		case ev := <-e.events:
 			e.handle(ev)
 		case ev := <-e.duties.inbox():
-			if time.Since(ticked) > e.cfg.Table.PauseThreshold { // it stood still: the table has to notice before it votes
+			if time.Since(ticked) > e.cfg.Fleet.PauseThreshold { // it stood still: the table has to notice before it votes
 				e.handle(fleet.Tick{})
 				ticked = time.Now()
 			}
@@ -313,16 +313,16 @@
 	at := time.Now()
 	now := at.Sub(e.start)
 	e.until.Store(int64(now + validFor))
-	r := &Report{Name: e.cfg.Name, Standing: e.table.Assignment(), Rows: e.table.Members(), Now: now, Wall: at.UnixMilli(), Lost: e.lost.Load()}
+	r := &Status{Name: e.cfg.Name, Assignment: e.table.Assignment(), Members: e.table.Members(), Now: now, WallMillis: at.UnixMilli(), DroppedMessages: e.lost.Load()}
 	e.news.report(r)
 	if m := e.memory.Load(); m != nil {
-		r.Phase = m.Phase()
+		r.RecoveryPhase = m.Phase()
 	}
 	e.mu.Lock()
-	r.Drops = maps.Clone(e.drops)
+	r.PeerDrops = maps.Clone(e.drops)
 	e.mu.Unlock()
 	if e.duties != nil {
-		r.Duties, r.Voters = e.duties.rows(), e.duties.table.Electorate()
+		r.Duties, r.Electorate = e.duties.rows(), e.duties.table.Electorate()
 	}
 	e.report.Store(r)
 	past := e.table.SharedState()
@@ -331,7 +331,7 @@
 
 func (e *Engine) handle(ev fleet.Event) {
 	if r, ok := ev.(fleet.ConfigChange); ok && r.ExpectedMembers > 0 {
-		e.cfg.Table.ExpectedMembers = r.ExpectedMembers
+		e.cfg.Fleet.ExpectedMembers = r.ExpectedMembers
 	}
 	for _, a := range e.table.Handle(time.Since(e.start), ev) {
 		switch a := a.(type) {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -36,8 +36,8 @@
 // start starts a member of a fleet of three places whose times are short.
 func start(t *testing.T, name, addr string, change func(*Config)) *member {
 	t.Helper()
-	cfg := Config{Name: name, Address: addr, Table: fleet.DefaultConfig()}
-	cfg.Table.Slots, cfg.Table.ClaimDelay, cfg.Table.ConfirmDelay = 3, 300*time.Millisecond, 500*time.Millisecond
+	cfg := Config{Name: name, Address: addr, Fleet: fleet.DefaultConfig()}
+	cfg.Fleet.Slots, cfg.Fleet.ClaimDelay, cfg.Fleet.ConfirmDelay = 3, 300*time.Millisecond, 500*time.Millisecond
 	if change != nil {
 		change(&cfg)
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Decide.Gateways = cfg.Table.Slots
+	set.Decide.Gateways = cfg.Fleet.Slots
 	core, err := gateway.NewStepper(gateway.Config{Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Member: e}, wall{time.Now()}, e, log)
 	if err != nil {
 		t.Fatal(err)
@@ -92,27 +92,27 @@
 }
 
 // until waits until a member's view is as it should be.
-func (m *member) until(what string, holds func(r *Report) bool) *Report {
+func (m *member) until(what string, holds func(r *Status) bool) *Status {
 	m.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r := m.Report(); r != nil && holds(r) {
+		if r := m.Status(); r != nil && holds(r) {
 			return r
 		}
 	}
-	m.t.Fatalf("%s did not come about: %+v", what, m.Report())
+	m.t.Fatalf("%s did not come about: %+v", what, m.Status())
 	return nil
 }
 
-func placed(r *Report) bool { return r.Standing.Slot >= 0 }
+func placed(r *Status) bool { return r.Assignment.Slot >= 0 }
 
 // alive counts the members that are there, and finds one by its name.
-func alive(r *Report, name string) (n int, row *fleet.MemberStatus) {
-	for i := range r.Rows {
-		if r.Rows[i].State == fleet.Alive {
+func alive(r *Status, name string) (n int, row *fleet.MemberStatus) {
+	for i := range r.Members {
+		if r.Members[i].State == fleet.Alive {
 			n++
 		}
-		if r.Rows[i].Name == name {
-			row = &r.Rows[i]
+		if r.Members[i].Name == name {
+			row = &r.Members[i]
 		}
 	}
 	return n, row
@@ -164,29 +164,29 @@
 	}
 	a, b := start(t, "a", at[0], with(keyA)), start(t, "b", at[1], with(keyB))
 	stranger := start(t, "c", at[2], with(keyFile(t, otherKey)))
-	two := func(r *Report) bool {
+	two := func(r *Status) bool {
 		n, _ := alive(r, "")
 		return n == 2 && placed(r)
 	}
 	ra, rb := a.until("two members", two), b.until("two members", two)
-	if ra.Standing.Slot == rb.Standing.Slot {
-		t.Errorf("both are in place %d", ra.Standing.Slot)
+	if ra.Assignment.Slot == rb.Assignment.Slot {
+		t.Errorf("both are in place %d", ra.Assignment.Slot)
 	}
-	if n, _ := alive(stranger.until("a view", func(*Report) bool { return true }), ""); n != 1 {
+	if n, _ := alive(stranger.until("a view", func(*Status) bool { return true }), ""); n != 1 {
 		t.Errorf("one with another key sees %d members", n)
 	}
-	if err := a.Send(rb.Standing.Slot, "xhello"); err != nil {
+	if err := a.Send(rb.Assignment.Slot, "xhello"); err != nil {
 		t.Error(err)
 	}
 	for m := range b.peers {
 		if m.Text == "xhello" {
-			if m.From != ra.Standing.Slot {
-				t.Errorf("a message of place %d is taken for one of %d", ra.Standing.Slot, m.From)
+			if m.From != ra.Assignment.Slot {
+				t.Errorf("a message of place %d is taken for one of %d", ra.Assignment.Slot, m.From)
 			}
 			break
 		}
 	}
-	for _, place := range []int{-1, 3, 3 - ra.Standing.Slot - rb.Standing.Slot} {
+	for _, place := range []int{-1, 3, 3 - ra.Assignment.Slot - rb.Assignment.Slot} {
 		if a.Send(place, "x") == nil {
 			t.Errorf("a message to place %d was taken", place)
 		}
@@ -205,12 +205,12 @@
 	if err := a.Reload(1, 0); err == nil || !strings.Contains(err.Error(), "keys:1") {
 		t.Errorf("a file without a key: %v", err)
 	}
-	a.until("b's new configuration", func(r *Report) bool {
+	a.until("b's new configuration", func(r *Status) bool {
 		_, row := alive(r, "b")
 		return row != nil && row.Generation == 17
 	})
 	a.stop()
-	b.until("a's goodbye", func(r *Report) bool {
+	b.until("a's goodbye", func(r *Status) bool {
 		_, row := alive(r, "a")
 		return row.State == fleet.Left
 	})
@@ -222,10 +222,10 @@
 	seeds := func(c *Config) { c.Seeds = at[:1] }
 	start(t, "a", at[0], seeds).until("a place", placed)
 	first := start(t, "b", at[1], seeds)
-	had := first.until("a place", placed).Standing.Slot
+	had := first.until("a place", placed).Assignment.Slot
 	second := start(t, "b", at[2], seeds)
 	select {
-	case m := <-first.Yielded():
+	case m := <-first.Superseded():
 		if m.Addr != at[2] {
 			t.Errorf("it yields to %q", m.Addr)
 		}
@@ -235,8 +235,8 @@
 	if first.IsCurrent(first.stood.Load()) && first.standing.Load().Slot >= 0 {
 		t.Error("the first goes on")
 	}
-	if r := second.until("a place", placed); r.Standing.Slot != had {
-		t.Errorf("the second is in place %d, the first was in %d", r.Standing.Slot, had)
+	if r := second.until("a place", placed); r.Assignment.Slot != had {
+		t.Errorf("the second is in place %d, the first was in %d", r.Assignment.Slot, had)
 	}
 }
 
@@ -261,14 +261,14 @@
 	}
 	again := start(t, "b", at[1], keep)
 	r := again.until("its place", placed)
-	if r.Standing.Slot != was.Standing.Slot || again.life < 9e12 {
-		t.Errorf("back in place %d of %d, life %d", r.Standing.Slot, was.Standing.Slot, again.life)
+	if r.Assignment.Slot != was.Assignment.Slot || again.life < 9e12 {
+		t.Errorf("back in place %d of %d, life %d", r.Assignment.Slot, was.Assignment.Slot, again.life)
 	}
 	again.stop()
 	if err := os.WriteFile(file, []byte(`{"life"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Config{Name: "b", Address: at[1], StateFile: file, Table: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := New(Config{Name: "b", Address: at[1], StateFile: file, Fleet: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("a broken file passes")
 	}
 }
@@ -296,10 +296,10 @@
 	a := start(t, "a", at[0], func(c *Config) { c.StatusSocket = socket })
 	a.until("a place", placed)
 	r, err := ReadStatus(context.Background(), socket)
-	if err != nil || r.Name != "a" || r.Standing.Slot != 0 || len(r.Rows) != 1 || !r.Rows[0].Self {
+	if err != nil || r.Name != "a" || r.Assignment.Slot != 0 || len(r.Members) != 1 || !r.Members[0].Self {
 		t.Errorf("got %+v, %v", r, err)
 	}
-	if _, err := New(Config{Name: "b", Address: at[1], StatusSocket: socket, Table: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := New(Config{Name: "b", Address: at[1], StatusSocket: socket, Fleet: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("another process took the socket")
 	}
 	a.stop()
@@ -313,17 +313,17 @@
 func TestVersionsMixed(t *testing.T) {
 	addrs := addresses(t, 2)
 	a := start(t, "a", addrs[0], func(c *Config) { c.Seeds = addrs })
-	first := a.until("a place for the first", placed).Standing.Slot
+	first := a.until("a place for the first", placed).Assignment.Slot
 	b := start(t, "b", addrs[1], func(c *Config) { c.Seeds, c.version = addrs, metaVersion+1 })
-	second := b.until("a place for the second", placed).Standing.Slot
-	shown := func(name string, version int) func(r *Report) bool {
-		return func(r *Report) bool {
+	second := b.until("a place for the second", placed).Assignment.Slot
+	shown := func(name string, version int) func(r *Status) bool {
+		return func(r *Status) bool {
 			_, row := alive(r, name)
 			return row != nil && row.Version == version && placed(r)
 		}
 	}
-	if r := a.until("the first shows the second", shown("b", metaVersion+1)); r.Standing.Slot != first || first == second {
-		t.Errorf("the first has place %d, had %d, the second %d", r.Standing.Slot, first, second)
+	if r := a.until("the first shows the second", shown("b", metaVersion+1)); r.Assignment.Slot != first || first == second {
+		t.Errorf("the first has place %d, had %d, the second %d", r.Assignment.Slot, first, second)
 	}
 	b.until("the second shows the first", shown("a", metaVersion))
 }
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -9,9 +9,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"sloepick/internal/commons"
 	"sloepick/internal/fleet"
-	"sloepick/internal/ring"
+	"sloepick/internal/peerinfo"
+	"sloepick/internal/queue"
 )
 
 const (
@@ -21,7 +21,7 @@
 	zoneMost    = 40      // bytes of a region's name that are told
 	sleptLeast  = 100 * time.Millisecond
 
-	topicSelf commons.Topic = 0 // what a member says of itself
+	topicSelf peerinfo.Topic = 0 // what a member says of itself
 )
 
 // self is what a member says of itself.
@@ -30,27 +30,27 @@
 	Wall int64  `cbor:"2,keyasint"` // when it said so, ms since 1970 by its own wall clock
 }
 
-// NewsRow is what a member knows of another one, or of itself.
-type NewsRow struct {
+// PeerInfoRow is what a member knows of another one, or of itself.
+type PeerInfoRow struct {
 	Name, Zone string
 	Age        time.Duration // of what is known, at most, when the report was made
-	Wall       int64         // when it was said, ms since 1970 by the other's wall clock
+	WallMillis int64         `json:"Wall"` // when it was said, ms since 1970 by the other's wall clock
 }
 
-// NewsCounts are what became of messages of news.
-type NewsCounts struct {
-	Ring  ring.Counts
-	Table commons.Counts
-	Sent  uint64 // messages
-	Bytes uint64
+// PeerInfoStats are what became of messages of news.
+type PeerInfoStats struct {
+	Queue        queue.Stats `json:"Ring"`
+	Table        peerinfo.Stats
+	MessagesSent uint64 `json:"Sent"` // messages
+	BytesSent    uint64 `json:"Bytes"`
 }
 
 // news is this member's part in what all know of each other. One goroutine owns the table. nil: there is none.
 type news struct {
 	e     *Engine
-	table *commons.Table
-	cfg   commons.Config
-	in    *ring.Latest[newsIn]
+	table *peerinfo.Table
+	cfg   peerinfo.Config
+	in    *queue.Evicting[newsIn]
 	shown atomic.Pointer[newsShown]
 	sent  uint64
 	bytes uint64
@@ -68,19 +68,19 @@
 // newsShown is what is known, as of a time since the engine's start.
 type newsShown struct {
 	at     time.Duration
-	rows   []NewsRow
-	counts NewsCounts
-	clock  Clock
-	region []RegionRow
+	rows   []PeerInfoRow
+	counts PeerInfoStats
+	clock  FleetClock
+	region []RegionStatus
 }
 
-func newNews(e *Engine, cfg commons.Config) (*news, error) {
-	cfg.Name, cfg.Life = e.cfg.Name, e.life
-	t, err := commons.New(cfg, rand.Uint64())
+func newNews(e *Engine, cfg peerinfo.Config) (*news, error) {
+	cfg.Name, cfg.Incarnation = e.cfg.Name, e.life
+	t, err := peerinfo.New(cfg, rand.Uint64())
 	if err != nil {
 		return nil, fmt.Errorf("the fleet: %w", err)
 	}
-	return &news{e: e, table: t, cfg: cfg, in: ring.NewLatest[newsIn](newsWaiting), wall: time.Now()}, nil
+	return &news{e: e, table: t, cfg: cfg, in: queue.NewEvicting[newsIn](newsWaiting), wall: time.Now()}, nil
 }
 
 // message takes a message of the member in a place. It never waits.
@@ -99,7 +99,7 @@
 
 // run is the goroutine of news, until the context ends.
 func (n *news) run(ctx context.Context) {
-	ticker := time.NewTicker(n.cfg.Every)
+	ticker := time.NewTicker(n.cfg.Interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -126,17 +126,17 @@
 func (n *news) woke() {
 	now := time.Now()
 	if slept := now.Round(0).Sub(n.wall.Round(0)) - now.Sub(n.wall); slept > sleptLeast {
-		n.table.Slept(n.now(), slept)
+		n.table.AdjustForSuspend(n.now(), slept)
 	}
 	n.wall = now
 }
 
 func (n *news) hear(m newsIn) {
 	if m.text == nil {
-		n.table.Forget(n.now(), m.left.Name, m.left.Incarnation)
+		n.table.RemoveMember(n.now(), m.left.Name, m.left.Incarnation)
 		return
 	}
-	for _, back := range n.table.Hear(n.now(), m.text) {
+	for _, back := range n.table.HandleMessage(n.now(), m.text) {
 		n.send(m.from, back)
 	}
 }
@@ -147,7 +147,7 @@
 	s := self{Zone: n.e.cfg.Zone[:min(len(n.e.cfg.Zone), zoneMost)], Wall: at.UnixMilli()}
 	b, err := cbor.Marshal(&s)
 	if err == nil {
-		err = n.table.Say(at.Sub(n.e.start), topicSelf, b)
+		err = n.table.Publish(at.Sub(n.e.start), topicSelf, b)
 	}
 	if err != nil {
 		n.e.log.Error("fleet: news can't be told", "err", err)
@@ -167,8 +167,8 @@
 		return // nobody takes messages of who has no place
 	}
 	rand.Shuffle(len(there), func(i, j int) { there[i], there[j] = there[j], there[i] })
-	question := n.table.Ask(n.now())
-	for _, place := range there[:min(len(there), n.cfg.Fan)] {
+	question := n.table.NextQuery(n.now())
+	for _, place := range there[:min(len(there), n.cfg.Fanout)] {
 		n.send(place, question)
 	}
 }
@@ -186,14 +186,14 @@
 func (n *news) show() {
 	at := time.Now()
 	now := at.Sub(n.e.start)
-	s := &newsShown{at: now, counts: NewsCounts{Ring: n.in.Counts(), Table: n.table.Counts(), Sent: n.sent, Bytes: n.bytes}}
-	for _, name := range n.table.Known(now, topicSelf) {
-		f, age, err := n.table.Know(now, name, topicSelf, n.cfg.Keep)
+	s := &newsShown{at: now, counts: PeerInfoStats{Queue: n.in.Stats(), Table: n.table.Stats(), MessagesSent: n.sent, BytesSent: n.bytes}}
+	for _, name := range n.table.KnownAuthors(now, topicSelf) {
+		f, age, err := n.table.Lookup(now, name, topicSelf, n.cfg.Retention)
 		var about self
 		if err != nil || cbor.Unmarshal(f.Value, &about) != nil {
 			continue
 		}
-		s.rows = append(s.rows, NewsRow{Name: name, Zone: about.Zone, Age: age, Wall: about.Wall})
+		s.rows = append(s.rows, PeerInfoRow{Name: name, Zone: about.Zone, Age: age, WallMillis: about.Wall})
 	}
 	s.clock = clockOf(s.rows, n.cfg.Name, at)
 	s.region = n.days.rows(*n.e.regions.Load(), s.clock, at)
@@ -201,7 +201,7 @@
 }
 
 // report adds what is known to a report, as of its time. It may be called from any goroutine.
-func (n *news) report(r *Report) {
+func (n *news) report(r *Status) {
 	if n == nil {
 		return
 	}
@@ -210,8 +210,8 @@
 		return
 	}
 	for _, row := range s.rows {
-		row.Age = n.cfg.Later(row.Age, s.at, r.Now)
-		r.News = append(r.News, row)
+		row.Age = n.cfg.AdvanceAge(row.Age, s.at, r.Now)
+		r.PeerInfo = append(r.PeerInfo, row)
 	}
-	r.Heard, r.Clock, r.Regions = s.counts, s.clock, s.region
+	r.PeerInfoStats, r.Clock, r.Regions = s.counts, s.clock, s.region
 }
--- a/internal/gossip/regions.go
+++ b/internal/gossip/regions.go
@@ -14,20 +14,22 @@
 	wallStep   = time.Millisecond   // in which wall clocks are told
 )
 
-// Clock is what the fleet's clock is by what members told of theirs.
-type Clock struct {
-	OK        bool          // more than half agree; else there is none
-	Agree, Of int           // members, this one among them
-	Ahead     time.Duration // of this member's clock, in the middle of what is possible
-	Doubt     time.Duration // it may be so much more or less
-	Off       bool          // this member's own clock is not among those that agree, by more than a second
+// FleetClock is what the fleet's clock is by what members told of theirs.
+type FleetClock struct {
+	OK              bool          // more than half agree; else there is none
+	AgreeingMembers int           `json:"Agree"`
+	TotalMembers    int           `json:"Of"`    // members, this one among them
+	Offset          time.Duration `json:"Ahead"` // of this member's clock, in the middle of what is possible
+	Uncertainty     time.Duration `json:"Doubt"` // it may be so much more or less
+	LocalClockOff   bool          `json:"Off"`   // this member's own clock is not among those that agree, by more than a second
 }
 
-// RegionRow is when a region with a calendar is quiet, by the fleet's clock.
-type RegionRow struct {
-	Name     string
-	Left     time.Duration // for which it is quiet at the least; 0: it may not be
-	From, To time.Time     // the window that it is in, or the next one; zero: there is none for a week
+// RegionStatus is when a region with a calendar is quiet, by the fleet's clock.
+type RegionStatus struct {
+	Name        string
+	Remaining   time.Duration `json:"Left"` // for which it is quiet at the least; 0: it may not be
+	WindowStart time.Time     `json:"From"` // the window that it is in, or the next one; zero: there is none for a week
+	WindowEnd   time.Time     `json:"To"`
 }
 
 // calendar keeps the windows that were found: to look for one that is days away takes some ms.
@@ -37,29 +39,29 @@
 	until   time.Time // windows hold until then ...
 }
 
-// Regions has the regions' calendars be these from now on.
-func (e *Engine) Regions(hours map[string]*maintenance.Calendar) { e.regions.Store(&hours) }
+// SetRegions has the regions' calendars be these from now on.
+func (e *Engine) SetRegions(hours map[string]*maintenance.Calendar) { e.regions.Store(&hours) }
 
 // clock is the fleet's clock, at a time of this member's wall clock.
-func clockOf(rows []NewsRow, self string, at time.Time) Clock {
+func clockOf(rows []PeerInfoRow, self string, at time.Time) FleetClock {
 	var readings []maintenance.OffsetRange
 	for _, row := range rows {
 		if row.Name != self {
-			readings = append(readings, maintenance.EstimateOffset(time.UnixMilli(row.Wall), at, row.Age+wallStep))
+			readings = append(readings, maintenance.EstimateOffset(time.UnixMilli(row.WallMillis), at, row.Age+wallStep))
 		}
 	}
 	r, agree, ok := maintenance.FleetOffset(readings)
-	c := Clock{OK: ok, Agree: agree, Of: len(readings) + 1, Ahead: (r.Min + r.Max) / 2, Doubt: (r.Max - r.Min) / 2}
-	c.Off = ok && max(c.Ahead, -c.Ahead) > c.Doubt+offMost
+	c := FleetClock{OK: ok, AgreeingMembers: agree, TotalMembers: len(readings) + 1, Offset: (r.Min + r.Max) / 2, Uncertainty: (r.Max - r.Min) / 2}
+	c.LocalClockOff = ok && max(c.Offset, -c.Offset) > c.Uncertainty+offMost
 	return c
 }
 
 // rows are the regions as of a time of the fleet's clock.
-func (c *calendar) rows(hours map[string]*maintenance.Calendar, clock Clock, at time.Time) (rows []RegionRow) {
+func (c *calendar) rows(hours map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
 	if !clock.OK {
 		return nil
 	}
-	at = at.Add(clock.Ahead)
+	at = at.Add(clock.Offset)
 	if same := maps.Equal(c.hours, hours); !same || at.After(c.until) || at.Before(c.until.Add(-time.Hour)) {
 		c.hours, c.windows, c.until = hours, map[string]maintenance.Window{}, at.Add(time.Hour)
 		for name, h := range hours {
@@ -72,9 +74,9 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(hours)) {
-		row := RegionRow{Name: name, Left: maintenance.Remaining(at, clock.Doubt, hours[name])}
+		row := RegionStatus{Name: name, Remaining: maintenance.Remaining(at, clock.Uncertainty, hours[name])}
 		if w, ok := c.windows[name]; ok {
-			row.From, row.To = w.From.In(hours[name].Zone), w.To.In(hours[name].Zone)
+			row.WindowStart, row.WindowEnd = w.From.In(hours[name].Zone), w.To.In(hours[name].Zone)
 		}
 		rows = append(rows, row)
 	}
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -16,30 +16,30 @@
 		t.Fatal(err)
 	}
 	hours := map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
-	row := func(name string, ahead time.Duration) NewsRow {
-		return NewsRow{Name: name, Age: time.Second, Wall: at.Add(ahead - time.Second/2).UnixMilli()}
+	row := func(name string, ahead time.Duration) PeerInfoRow {
+		return PeerInfoRow{Name: name, Age: time.Second, WallMillis: at.Add(ahead - time.Second/2).UnixMilli()}
 	}
 	for _, tc := range []struct {
 		name       string
-		others     []NewsRow
+		others     []PeerInfoRow
 		ok, off    bool
 		left, most time.Duration
 	}{
-		{"all agree", []NewsRow{row("b", 0), row("c", 0)}, true, false, 28 * time.Minute, 30 * time.Minute},
-		{"one is a year ahead", []NewsRow{row("b", 0), row("c", 8760*time.Hour)}, true, false, 28 * time.Minute, 30 * time.Minute},
-		{"this one is 20 minutes behind", []NewsRow{row("b", 20*time.Minute), row("c", 20*time.Minute)}, true, true, 8 * time.Minute, 10 * time.Minute},
-		{"this one is an hour behind", []NewsRow{row("b", time.Hour), row("c", time.Hour)}, true, true, 0, 0},
-		{"nobody agrees", []NewsRow{row("b", time.Hour), row("c", 2*time.Hour)}, false, false, 0, 0},
+		{"all agree", []PeerInfoRow{row("b", 0), row("c", 0)}, true, false, 28 * time.Minute, 30 * time.Minute},
+		{"one is a year ahead", []PeerInfoRow{row("b", 0), row("c", 8760*time.Hour)}, true, false, 28 * time.Minute, 30 * time.Minute},
+		{"this one is 20 minutes behind", []PeerInfoRow{row("b", 20*time.Minute), row("c", 20*time.Minute)}, true, true, 8 * time.Minute, 10 * time.Minute},
+		{"this one is an hour behind", []PeerInfoRow{row("b", time.Hour), row("c", time.Hour)}, true, true, 0, 0},
+		{"nobody agrees", []PeerInfoRow{row("b", time.Hour), row("c", 2*time.Hour)}, false, false, 0, 0},
 	} {
 		c := clockOf(append(tc.others, row("a", 0)), "a", at)
 		var days calendar
 		rows := days.rows(hours, c, at)
-		if c.OK != tc.ok || c.Off != tc.off || c.Of != 3 || len(rows) != len(hours) && tc.ok {
+		if c.OK != tc.ok || c.LocalClockOff != tc.off || c.TotalMembers != 3 || len(rows) != len(hours) && tc.ok {
 			t.Errorf("%s: %+v, %+v", tc.name, c, rows)
 		}
 		for _, row := range rows {
-			if row.Left < tc.left || row.Left > tc.most {
-				t.Errorf("%s: quiet for %v more, want %v to %v", tc.name, row.Left, tc.left, tc.most)
+			if row.Remaining < tc.left || row.Remaining > tc.most {
+				t.Errorf("%s: quiet for %v more, want %v to %v", tc.name, row.Remaining, tc.left, tc.most)
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 		return map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	}
 	var days calendar
-	one, clock := calendarOf("daily 13:00-14:00"), Clock{OK: true}
+	one, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
 	for _, tc := range []struct {
 		hours map[string]*maintenance.Calendar
 		after time.Duration
@@ -64,7 +64,7 @@
 		day   int
 	}{{one, 0, 13, 2}, {one, 29 * time.Minute, 13, 2}, {one, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {one, 0, 13, 2}} {
 		rows := days.rows(tc.hours, clock, at.Add(tc.after))
-		if from := rows[0].From; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Left == 0 || rows[0].To.Sub(at.Add(tc.after)) <= 0 || rows[0].To.Day() != tc.day {
+		if from := rows[0].WindowStart; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Remaining == 0 || rows[0].WindowEnd.Sub(at.Add(tc.after)) <= 0 || rows[0].WindowEnd.Day() != tc.day {
 			t.Errorf("%v later: %+v", tc.after, rows[0])
 		}
 	}
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -53,7 +53,7 @@
 }
 
 // ReadStatus asks a daemon at its local socket how the fleet stands.
-func ReadStatus(ctx context.Context, path string) (*Report, error) {
+func ReadStatus(ctx context.Context, path string) (*Status, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "unix", path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	if err := c.SetDeadline(time.Now().Add(statusWithin)); err != nil {
 		return nil, fmt.Errorf("asking a daemon: %w", err)
 	}
-	var r *Report
+	var r *Status
 	if err := json.NewDecoder(c).Decode(&r); err != nil {
 		return nil, fmt.Errorf("reading a daemon's answer: %w", err)
 	}
--- a/internal/commons/bound.go
+++ b/internal/peerinfo/bound.go
@@ -1,4 +1,4 @@
-package commons
+package peerinfo
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 // missed is how likely it may be that news is older than Stale tells.
 const missed = 1e-6
 
-// Stale is how old the newest that a member knows of another one may be where so many members hear each other: that share of messages is
+// StalenessBound is how old the newest that a member knows of another one may be where so many members hear each other: that share of messages is
 // lost, and each takes so long at most. It does not hold for one piece of news in a million.
 //
 // News is said each Every. At first one member has it: a round in which nobody learns it is as likely as exp(-Fan p), where p is that a
@@ -19,20 +19,20 @@
 // it takes questions to name all.
 //
 // Where members don't hear each other for a time, add that time.
-func (c *Config) Stale(members int, loss float64, delay time.Duration) time.Duration {
+func (c *Config) StalenessBound(members int, loss float64, delay time.Duration) time.Duration {
 	if members < 2 {
 		return 0
 	}
-	fan, pass := float64(min(c.Fan, members-1)), (1-loss)*(1-loss)
+	fan, pass := float64(min(c.Fanout, members-1)), (1-loss)*(1-loss)
 	rounds := 1 + math.Ceil(math.Log(1/missed)/(fan*pass))
-	if members-1 <= c.Fan { // all are asked, so it is enough that one of the questions is answered
+	if members-1 <= c.Fanout { // all are asked, so it is enough that one of the questions is answered
 		rounds = 1 + math.Ceil(math.Log(missed)/math.Log(1-pass+missed))
 	} else {
 		for u := 1 - 1/float64(members); u*float64(members) > missed*float64(members); rounds++ {
 			u *= math.Pow(1-(1-u)*pass, fan)
 		}
 	}
-	room := (c.Message - headRoom - 2*nameMost) / hasLen
-	round := float64(c.Every) * (1 + c.Drift) * math.Ceil(float64(members)/float64(room))
-	return time.Duration(float64(c.Every) + round*(1+rounds) + rounds*2*float64(delay))
+	room := (c.MaxMessageBytes - headRoom - 2*nameMost) / hasLen
+	round := float64(c.Interval) * (1 + c.ClockDrift) * math.Ceil(float64(members)/float64(room))
+	return time.Duration(float64(c.Interval) + round*(1+rounds) + rounds*2*float64(delay))
 }
--- a/internal/commons/commons.go
+++ b/internal/peerinfo/commons.go
@@ -7,7 +7,7 @@
 // another order, and however clocks differ, an age errs to the old side, over any number of hops.
 //
 // Times are a [time.Duration] on the member's own monotonic clock.
-package commons
+package peerinfo
 
 import (
 	"errors"
@@ -20,19 +20,19 @@
 
 // Config is what a table goes by.
 type Config struct {
-	Name    string        // of this member
-	Life    uint64        // of its process: facts of a later one replace those of an earlier one
-	Drift   float64       // by which clocks run faster or slower than true time, as a share
-	Keep    time.Duration // a fact that is older is forgotten, and neither told nor taken
-	Authors int           // that are known of, at most; facts of more are not taken
-	Every   time.Duration // members ask so often, and say what is new of themselves
-	Fan     int           // that are asked each time
-	Message int           // bytes of a message, at most
+	Name            string        // of this member
+	Incarnation     uint64        // of its process: facts of a later one replace those of an earlier one
+	ClockDrift      float64       // by which clocks run faster or slower than true time, as a share
+	Retention       time.Duration // a fact that is older is forgotten, and neither told nor taken
+	MaxAuthors      int           // that are known of, at most; facts of more are not taken
+	Interval        time.Duration // members ask so often, and say what is new of themselves
+	Fanout          int           // that are asked each time
+	MaxMessageBytes int           // bytes of a message, at most
 }
 
-// Default are figures for a local network.
-func Default() Config {
-	return Config{Drift: 0.001, Keep: 10 * time.Minute, Authors: 4096, Every: 500 * time.Millisecond, Fan: 2, Message: 1300}
+// DefaultConfig are figures for a local network.
+func DefaultConfig() Config {
+	return Config{ClockDrift: 0.001, Retention: 10 * time.Minute, MaxAuthors: 4096, Interval: 500 * time.Millisecond, Fanout: 2, MaxMessageBytes: 1300}
 }
 
 const (
@@ -49,14 +49,14 @@
 	switch {
 	case c.Name == "" || len(c.Name) > nameMost:
 		return fmt.Errorf("commons: a name of %d bytes, want 1 to %d", len(c.Name), nameMost)
-	case c.Drift < 0 || c.Drift >= 0.5:
-		return fmt.Errorf("commons: clocks that differ by a share of %v", c.Drift)
-	case c.Keep <= 0 || c.Every <= 0 || c.Keep <= c.Every:
-		return fmt.Errorf("commons: facts that are kept for %v and asked for each %v", c.Keep, c.Every)
-	case c.Authors < 1 || c.Fan < 1:
-		return fmt.Errorf("commons: %d authors, and %d members that are asked, want 1 or more", c.Authors, c.Fan)
-	case c.Message < 2*nameMost+valueMost+2*headRoom:
-		return fmt.Errorf("commons: messages of %d bytes have no room for an entry", c.Message)
+	case c.ClockDrift < 0 || c.ClockDrift >= 0.5:
+		return fmt.Errorf("commons: clocks that differ by a share of %v", c.ClockDrift)
+	case c.Retention <= 0 || c.Interval <= 0 || c.Retention <= c.Interval:
+		return fmt.Errorf("commons: facts that are kept for %v and asked for each %v", c.Retention, c.Interval)
+	case c.MaxAuthors < 1 || c.Fanout < 1:
+		return fmt.Errorf("commons: %d authors, and %d members that are asked, want 1 or more", c.MaxAuthors, c.Fanout)
+	case c.MaxMessageBytes < 2*nameMost+valueMost+2*headRoom:
+		return fmt.Errorf("commons: messages of %d bytes have no room for an entry", c.MaxMessageBytes)
 	}
 	return nil
 }
@@ -64,23 +64,23 @@
 // Topic is what a fact is about, below 8.
 type Topic uint8
 
-// Fact is what an author said.
-type Fact struct {
-	Author string
-	Life   uint64
-	No     uint64 // rises with each fact of a life
-	Topic  Topic
-	Value  []byte
+// Record is what an author said.
+type Record struct {
+	Author      string
+	Incarnation uint64
+	Version     uint64 // rises with each fact of a life
+	Topic       Topic
+	Value       []byte
 }
 
 // ErrUnknown is told where nothing is known.
 var ErrUnknown = errors.New("commons: nothing is known of it")
 
 // StaleError is told where what is known is older than it may be.
-type StaleError struct{ Age, Most time.Duration }
+type StaleError struct{ Age, MaxAge time.Duration }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("commons: known as of %v ago, wanted of %v at most", e.Age.Round(time.Millisecond), e.Most)
+	return fmt.Sprintf("commons: known as of %v ago, wanted of %v at most", e.Age.Round(time.Millisecond), e.MaxAge)
 }
 
 // entry is a fact as it is kept: it was so old at a time, or less.
@@ -107,7 +107,7 @@
 	cursor  string    // the next question begins at this name
 	nonce   uint64
 	asked   []asked // the newest last
-	counts  Counts
+	counts  Stats
 }
 
 type asked struct {
@@ -115,13 +115,13 @@
 	at    time.Duration
 }
 
-// Counts are what became of messages so far.
-type Counts struct {
-	Learned uint64 // facts that were new here
-	Undated uint64 // answers to no question that is remembered: they can't be dated, and nothing is taken of them
-	Spoilt  uint64 // messages that can't be read
-	Full    uint64 // facts that were not taken as too many authors are known
-	Refused uint64 // facts that were too old, or of who left
+// Stats are what became of messages so far.
+type Stats struct {
+	Learned          uint64 // facts that were new here
+	UnmatchedReplies uint64 `json:"Undated"` // answers to no question that is remembered: they can't be dated, and nothing is taken of them
+	Malformed        uint64 `json:"Spoilt"`  // messages that can't be read
+	TableFull        uint64 `json:"Full"`    // facts that were not taken as too many authors are known
+	Rejected         uint64 `json:"Refused"` // facts that were too old, or of who left
 }
 
 // New returns a table that knows nothing. The nonce begins the numbers of its questions: another one for each process.
@@ -132,102 +132,104 @@
 	return &Table{cfg: cfg, nonce: nonce}, nil
 }
 
-// Counts tells what became of messages.
-func (t *Table) Counts() Counts { return t.counts }
+// Stats tells what became of messages.
+func (t *Table) Stats() Stats { return t.counts }
 
 func (t *Table) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(t.authors, name, func(a *author, n string) int { return strings.Compare(a.name, n) })
 }
 
-// Later is an age after a while on a member's clock, which may run slow.
-func (c *Config) Later(age, from, to time.Duration) time.Duration {
-	return age + time.Duration(math.Ceil(float64(to-from)/(1-c.Drift)))
+// AdvanceAge is an age after a while on a member's clock, which may run slow.
+func (c *Config) AdvanceAge(age, from, to time.Duration) time.Duration {
+	return age + time.Duration(math.Ceil(float64(to-from)/(1-c.ClockDrift)))
 }
 
-func (t *Table) age(e *entry, now time.Duration) time.Duration { return t.cfg.Later(e.age, e.at, now) }
+func (t *Table) age(e *entry, now time.Duration) time.Duration {
+	return t.cfg.AdvanceAge(e.age, e.at, now)
+}
 
-// Say says something of this member from now on.
-func (t *Table) Say(now time.Duration, topic Topic, value []byte) error {
+// Publish says something of this member from now on.
+func (t *Table) Publish(now time.Duration, topic Topic, value []byte) error {
 	if int(topic) >= topicsMost || len(value) > valueMost {
 		return fmt.Errorf("commons: topic %d, %d bytes; there are %d topics of %d bytes at most", topic, len(value), topicsMost, valueMost)
 	}
 	t.no++
-	if !t.take(now, Fact{Author: t.cfg.Name, Life: t.cfg.Life, No: t.no, Topic: topic, Value: value}, 0) {
-		return fmt.Errorf("commons: %d authors are known already", t.cfg.Authors)
+	if !t.take(now, Record{Author: t.cfg.Name, Incarnation: t.cfg.Incarnation, Version: t.no, Topic: topic, Value: value}, 0) {
+		return fmt.Errorf("commons: %d authors are known already", t.cfg.MaxAuthors)
 	}
 	return nil
 }
 
 // take takes a fact of that age, if it is news, or the same at a younger age.
-func (t *Table) take(now time.Duration, f Fact, age time.Duration) bool {
+func (t *Table) take(now time.Duration, f Record, age time.Duration) bool {
 	i, known := t.find(f.Author)
 	if !known {
-		if len(t.authors) >= t.cfg.Authors {
-			t.counts.Full++
+		if len(t.authors) >= t.cfg.MaxAuthors {
+			t.counts.TableFull++
 			return false
 		}
 		t.authors = slices.Insert(t.authors, i, &author{name: f.Author})
 	}
 	a := t.authors[i]
-	if age > t.cfg.Keep || a.gone > 0 && f.Life <= a.gone {
-		t.counts.Refused++
+	if age > t.cfg.Retention || a.gone > 0 && f.Incarnation <= a.gone {
+		t.counts.Rejected++
 		return false
 	}
 	e := &a.topics[f.Topic]
 	switch {
-	case e.has && (e.life > f.Life || e.life == f.Life && e.no > f.No):
+	case e.has && (e.life > f.Incarnation || e.life == f.Incarnation && e.no > f.Version):
 		return false
-	case e.has && e.life == f.Life && e.no == f.No:
+	case e.has && e.life == f.Incarnation && e.no == f.Version:
 		if age < t.age(e, now) { // both are bounds: the lower one is the better
 			e.age, e.at = age, now
 		}
 		return false
 	}
-	*e = entry{life: f.Life, no: f.No, value: slices.Clone(f.Value), age: age, at: now, has: true}
+	*e = entry{life: f.Incarnation, no: f.Version, value: slices.Clone(f.Value), age: age, at: now, has: true}
 	return true
 }
 
-// Know is what an author said of a topic, and how old that is at most, if it is not older than it may be. The error is ErrUnknown or a
+// Lookup is what an author said of a topic, and how old that is at most, if it is not older than it may be. The error is ErrUnknown or a
 // [*StaleError].
-func (t *Table) Know(now time.Duration, name string, topic Topic, atMost time.Duration) (Fact, time.Duration, error) {
+func (t *Table) Lookup(now time.Duration, name string, topic Topic, atMost time.Duration) (Record, time.Duration, error) {
 	i, ok := t.find(name)
 	if !ok || int(topic) >= topicsMost || !t.authors[i].topics[topic].has {
-		return Fact{}, 0, ErrUnknown
+		return Record{}, 0, ErrUnknown
 	}
 	e := &t.authors[i].topics[topic]
 	age := t.age(e, now)
-	if age > t.cfg.Keep {
-		return Fact{}, 0, ErrUnknown
+	if age > t.cfg.Retention {
+		return Record{}, 0, ErrUnknown
 	}
 	if age > atMost {
-		return Fact{}, age, &StaleError{age, atMost}
+		return Record{}, age, &StaleError{age, atMost}
 	}
-	return Fact{name, e.life, e.no, topic, e.value}, age, nil
+	return Record{name, e.life, e.no, topic, e.value}, age, nil
 }
 
-// Known are the authors of whom a fact on a topic is known, in the order of their names.
-func (t *Table) Known(now time.Duration, topic Topic) (names []string) {
+// KnownAuthors are the authors of whom a fact on a topic is known, in the order of their names.
+func (t *Table) KnownAuthors(now time.Duration, topic Topic) (names []string) {
 	for _, a := range t.authors {
-		if e := &a.topics[topic]; e.has && t.age(e, now) <= t.cfg.Keep {
+		if e := &a.topics[topic]; e.has && t.age(e, now) <= t.cfg.Retention {
 			names = append(names, a.name)
 		}
 	}
 	return names
 }
 
-// Forget drops all that is known of a member that left, and takes nothing more of that life or an earlier one. What others still tell of it
+// RemoveMember drops all that is known of a member that left, and takes nothing more of that life or an earlier one. What others still tell of it
 // is too old to be taken by the time that this is forgotten in turn.
-func (t *Table) Forget(now time.Duration, name string, life uint64) {
+func (t *Table) RemoveMember(now time.Duration, name string, life uint64) {
 	i, known := t.find(name)
 	if !known {
-		if len(t.authors) >= t.cfg.Authors {
+		if len(t.authors) >= t.cfg.MaxAuthors {
 			return // nothing of it is taken either
 		}
 		t.authors = slices.Insert(t.authors, i, &author{name: name})
 	}
 	a := t.authors[i]
 	a.gone = max(a.gone, life)
-	a.until = now + time.Duration(float64(t.cfg.Keep)*(1+t.cfg.Drift)/(1-t.cfg.Drift))
+	a.until = now + time.Duration(float64(t.cfg.Retention)*(1+t.cfg.ClockDrift)/(1-t.cfg.ClockDrift))
 	for k := range a.topics {
 		if a.topics[k].has && a.topics[k].life <= a.gone {
 			a.topics[k] = entry{}
@@ -235,8 +237,8 @@
 	}
 }
 
-// Slept takes that the clock stood still for so long while time went on, as it does on a machine that sleeps.
-func (t *Table) Slept(now, d time.Duration) {
+// AdjustForSuspend takes that the clock stood still for so long while time went on, as it does on a machine that sleeps.
+func (t *Table) AdjustForSuspend(now, d time.Duration) {
 	for _, a := range t.authors {
 		for k := range a.topics {
 			a.topics[k].age += d
@@ -253,7 +255,7 @@
 		}
 		has := a.gone > 0
 		for k := range a.topics {
-			if e := &a.topics[k]; e.has && t.age(e, now) > t.cfg.Keep {
+			if e := &a.topics[k]; e.has && t.age(e, now) > t.cfg.Retention {
 				*e = entry{}
 			}
 			has = has || a.topics[k].has
--- a/internal/commons/commons_test.go
+++ b/internal/peerinfo/commons_test.go
@@ -1,4 +1,4 @@
-package commons
+package peerinfo
 
 import (
 	"errors"
@@ -28,8 +28,8 @@
 const drift = 0.05
 
 func small(name string, life uint64) Config {
-	c := Default()
-	c.Name, c.Life, c.Drift, c.Keep, c.Authors = name, life, drift, 30*time.Second, 8
+	c := DefaultConfig()
+	c.Name, c.Incarnation, c.ClockDrift, c.Retention, c.MaxAuthors = name, life, drift, 30*time.Second, 8
 	return c
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (p *played) say(t *rapid.T, i int) {
-	if err := p.tables[i].Say(p.clock(i), 1, []byte{byte(i)}); err != nil {
+	if err := p.tables[i].Publish(p.clock(i), 1, []byte{byte(i)}); err != nil {
 		t.Fatal(err)
 	}
 	p.born[fact(name(i), p.lives[i], p.tables[i].no)] = p.now
@@ -93,34 +93,34 @@
 	if !keep {
 		p.onWay = slices.Delete(p.onWay, k, k+1)
 	}
-	for _, back := range p.tables[l.to].Hear(p.clock(l.to), l.text) {
+	for _, back := range p.tables[l.to].HandleMessage(p.clock(l.to), l.text) {
 		p.onWay = append(p.onWay, letter{l.to, l.from, back})
 	}
 }
 
 func (p *played) ask(i, j int) {
-	p.onWay = append(p.onWay, letter{i, j, p.tables[i].Ask(p.clock(i))})
+	p.onWay = append(p.onWay, letter{i, j, p.tables[i].NextQuery(p.clock(i))})
 }
 
 // check holds what must hold all along: no age is told younger than it is, nothing goes back, and who left does not come back.
 func (p *played) check(t *rapid.T) {
 	for i, table := range p.tables {
-		for _, who := range table.Known(p.clock(i), 1) {
-			f, age, err := table.Know(p.clock(i), who, 1, time.Hour)
+		for _, who := range table.KnownAuthors(p.clock(i), 1) {
+			f, age, err := table.Lookup(p.clock(i), who, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
-			born, ok := p.born[fact(who, f.Life, f.No)]
+			born, ok := p.born[fact(who, f.Incarnation, f.Version)]
 			if !ok {
 				t.Fatalf("%s knows what nobody said: %+v", name(i), f)
 			}
 			if is := p.now - born; age < is-time.Microsecond { // of rounding
-				t.Fatalf("%s tells %s's number %d of life %d as %v old; it is %v", name(i), who, f.No, f.Life, age, is)
+				t.Fatalf("%s tells %s's number %d of life %d as %v old; it is %v", name(i), who, f.Version, f.Incarnation, age, is)
 			}
-			if f.Life <= p.gone[who] {
-				t.Fatalf("%s knows life %d of %s, which left", name(i), f.Life, who)
+			if f.Incarnation <= p.gone[who] {
+				t.Fatalf("%s knows life %d of %s, which left", name(i), f.Incarnation, who)
 			}
-			was, is := p.newest[i][who], [2]uint64{f.Life, f.No}
+			was, is := p.newest[i][who], [2]uint64{f.Incarnation, f.Version}
 			if was[0] > is[0] || was[0] == is[0] && was[1] > is[1] {
 				t.Fatalf("%s went back from %v to %v of %s", name(i), was, is, who)
 			}
@@ -158,7 +158,7 @@
 				i, d := member.Draw(t, "member"), time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond
 				p.now += d
 				p.slept[i] += d
-				p.tables[i].Slept(p.clock(i), d)
+				p.tables[i].AdjustForSuspend(p.clock(i), d)
 			},
 			"restart": func(t *rapid.T) { p.start(t, member.Draw(t, "member")) },
 			"leave": func(t *rapid.T) {
@@ -167,7 +167,7 @@
 				p.start(t, i) // it comes back under another life, later
 				for j := range p.tables {
 					if j != i {
-						p.tables[j].Forget(p.clock(j), name(i), p.gone[name(i)])
+						p.tables[j].RemoveMember(p.clock(j), name(i), p.gone[name(i)])
 						delete(p.newest[j], name(i))
 					}
 				}
@@ -192,7 +192,7 @@
 		}
 		for i, table := range p.tables {
 			for j := range n {
-				if f, age, err := table.Know(p.clock(i), name(j), 1, time.Second); err != nil || f.Life != p.lives[j] || f.No != p.tables[j].no {
+				if f, age, err := table.Lookup(p.clock(i), name(j), 1, time.Second); err != nil || f.Incarnation != p.lives[j] || f.Version != p.tables[j].no {
 					t.Fatalf("%s knows %+v of %s, %v old, %v; the newest is number %d of life %d", name(i), f, name(j), age, err, p.tables[j].no, p.lives[j])
 				}
 			}
@@ -214,9 +214,9 @@
 			}
 		}
 		var answers [][]byte
-		q := p.tables[2].Ask(p.clock(2))
+		q := p.tables[2].NextQuery(p.clock(2))
 		for i := range 2 {
-			answers = append(answers, p.tables[i].Hear(p.clock(i), q)...)
+			answers = append(answers, p.tables[i].HandleMessage(p.clock(i), q)...)
 			p.now += time.Second
 		}
 		order := rapid.Permutation(append(answers, answers...)).Draw(t, "order")
@@ -226,16 +226,16 @@
 		}
 		twin.asked = slices.Clone(p.tables[2].asked)
 		for _, a := range answers {
-			p.tables[2].Hear(p.clock(2), a)
+			p.tables[2].HandleMessage(p.clock(2), a)
 		}
 		for _, a := range order {
-			twin.Hear(p.clock(2), a)
+			twin.HandleMessage(p.clock(2), a)
 		}
 		for i := range 2 {
-			f, age, _ := p.tables[2].Know(p.clock(2), name(i), 1, time.Hour)
-			g, old, _ := twin.Know(p.clock(2), name(i), 1, time.Hour)
-			if f.No != g.No || f.No == 0 || age != old {
-				t.Fatalf("number %d, %v old; in another order %d, %v old", f.No, age, g.No, old)
+			f, age, _ := p.tables[2].Lookup(p.clock(2), name(i), 1, time.Hour)
+			g, old, _ := twin.Lookup(p.clock(2), name(i), 1, time.Hour)
+			if f.Version != g.Version || f.Version == 0 || age != old {
+				t.Fatalf("number %d, %v old; in another order %d, %v old", f.Version, age, g.Version, old)
 			}
 		}
 	})
@@ -253,22 +253,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.take(0, Fact{Author: "left", Life: 4, No: 90, Topic: 1}, 0)
-	late := other.Hear(0, me.Ask(0))
-	me.Hear(0, late[0])
-	me.Forget(0, "left", 4)
-	for _, at := range []time.Duration{0, cfg.Keep / 2, cfg.Keep, 2 * cfg.Keep} {
+	other.take(0, Record{Author: "left", Incarnation: 4, Version: 90, Topic: 1}, 0)
+	late := other.HandleMessage(0, me.NextQuery(0))
+	me.HandleMessage(0, late[0])
+	me.RemoveMember(0, "left", 4)
+	for _, at := range []time.Duration{0, cfg.Retention / 2, cfg.Retention, 2 * cfg.Retention} {
 		me.sweep(at)
-		me.Hear(at, late[0])
-		if known := me.Known(at, 1); len(known) > 0 {
+		me.HandleMessage(at, late[0])
+		if known := me.KnownAuthors(at, 1); len(known) > 0 {
 			t.Errorf("%v later: %v", at, known)
 		}
 	}
-	other.take(0, Fact{Author: "left", Life: 5, No: 1, Topic: 1}, 0) // the number of a later life is lower
-	for _, back := range other.Hear(0, me.Ask(0)) {
-		me.Hear(0, back)
+	other.take(0, Record{Author: "left", Incarnation: 5, Version: 1, Topic: 1}, 0) // the number of a later life is lower
+	for _, back := range other.HandleMessage(0, me.NextQuery(0)) {
+		me.HandleMessage(0, back)
 	}
-	if f, _, err := me.Know(0, "left", 1, time.Second); err != nil || f.Life != 5 {
+	if f, _, err := me.Lookup(0, "left", 1, time.Second); err != nil || f.Incarnation != 5 {
 		t.Errorf("its next life: %+v, %v", f, err)
 	}
 }
@@ -284,29 +284,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Say(0, 1, []byte("x")); err != nil {
+	if err := a.Publish(0, 1, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	answer := a.Hear(time.Second, b.Ask(0))
-	b.Hear(2*time.Second, answer[0])
-	f, age, err := b.Know(2*time.Second, "a", 1, 4*time.Second)
+	answer := a.HandleMessage(time.Second, b.NextQuery(0))
+	b.HandleMessage(2*time.Second, answer[0])
+	f, age, err := b.Lookup(2*time.Second, "a", 1, 4*time.Second)
 	if err != nil || string(f.Value) != "x" || age < 3*time.Second { // 1 s at a, and 2 s since b asked
 		t.Errorf("%+v, %v old, %v", f, age, err)
 	}
 	var stale *StaleError
-	if _, _, err := b.Know(10*time.Second, "a", 1, 4*time.Second); !errors.As(err, &stale) || stale.Age < 9*time.Second {
+	if _, _, err := b.Lookup(10*time.Second, "a", 1, 4*time.Second); !errors.As(err, &stale) || stale.Age < 9*time.Second {
 		t.Errorf("later: %v", err)
 	}
 	for _, who := range []string{"a", "c"} {
-		if _, _, err := b.Know(time.Minute, who, 1, time.Hour); !errors.Is(err, ErrUnknown) {
+		if _, _, err := b.Lookup(time.Minute, who, 1, time.Hour); !errors.Is(err, ErrUnknown) {
 			t.Errorf("%s after what is kept: %v", who, err)
 		}
 	}
 	for range askedMost {
-		b.Ask(2 * time.Minute)
+		b.NextQuery(2 * time.Minute)
 	}
-	b.Hear(2*time.Minute, answer[0])
-	if c := b.Counts(); c.Undated != 1 || len(b.authors) != 0 {
+	b.HandleMessage(2*time.Minute, answer[0])
+	if c := b.Stats(); c.UnmatchedReplies != 1 || len(b.authors) != 0 {
 		t.Errorf("%+v, %d known", c, len(b.authors))
 	}
 }
@@ -315,37 +315,37 @@
 // learned by the next ones.
 func TestBounds(t *testing.T) {
 	c := small("asker", 1)
-	c.Authors = 400
+	c.MaxAuthors = 400
 	asker, err := New(c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Name, c.Authors = "knows", 1000
+	c.Name, c.MaxAuthors = "knows", 1000
 	knows, err := New(c, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 600 {
-		knows.take(0, Fact{Author: fmt.Sprintf("member-%04d", i), Life: 1, No: 3, Topic: 2, Value: make([]byte, valueMost)}, 0)
+		knows.take(0, Record{Author: fmt.Sprintf("member-%04d", i), Incarnation: 1, Version: 3, Topic: 2, Value: make([]byte, valueMost)}, 0)
 	}
 	for range 60 {
-		q := asker.Ask(0)
-		if len(q) > c.Message {
+		q := asker.NextQuery(0)
+		if len(q) > c.MaxMessageBytes {
 			t.Fatalf("a question of %d bytes", len(q))
 		}
-		back := knows.Hear(0, q)
+		back := knows.HandleMessage(0, q)
 		if len(back) > answersMost {
 			t.Fatalf("%d messages for one question", len(back))
 		}
 		for _, a := range back {
-			if len(a) > c.Message {
+			if len(a) > c.MaxMessageBytes {
 				t.Fatalf("an answer of %d bytes", len(a))
 			}
-			asker.Hear(0, a)
+			asker.HandleMessage(0, a)
 		}
 	}
-	if n := len(asker.Known(0, 2)); n != 400 || asker.Counts().Full == 0 {
-		t.Errorf("%d known of 400 that there is room for, %+v", n, asker.Counts())
+	if n := len(asker.KnownAuthors(0, 2)); n != 400 || asker.Stats().TableFull == 0 {
+		t.Errorf("%d known of 400 that there is room for, %+v", n, asker.Stats())
 	}
 }
 
@@ -355,16 +355,16 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	if err := other.Say(0, 1, []byte("x")); err != nil {
+	if err := other.Publish(0, 1, []byte("x")); err != nil {
 		f.Fatal(err)
 	}
 	me, err := New(small("a", 5), 1)
 	if err != nil {
 		f.Fatal(err)
 	}
-	q := me.Ask(0)
+	q := me.NextQuery(0)
 	f.Add(q)
-	for _, a := range other.Hear(0, q) {
+	for _, a := range other.HandleMessage(0, q) {
 		f.Add(a)
 	}
 	f.Fuzz(func(t *testing.T, msg []byte) {
@@ -372,16 +372,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := me.Say(0, 1, nil); err != nil {
+		if err := me.Publish(0, 1, nil); err != nil {
 			t.Fatal(err)
 		}
-		me.Ask(0)
-		for _, back := range me.Hear(time.Second, msg) {
-			if len(back) > me.cfg.Message {
+		me.NextQuery(0)
+		for _, back := range me.HandleMessage(time.Second, msg) {
+			if len(back) > me.cfg.MaxMessageBytes {
 				t.Errorf("%d bytes back", len(back))
 			}
 		}
-		if f, _, err := me.Know(time.Second, "a", 1, time.Hour); err != nil || f.Life != 5 || f.No != 1 {
+		if f, _, err := me.Lookup(time.Second, "a", 1, time.Hour); err != nil || f.Incarnation != 5 || f.Version != 1 {
 			t.Errorf("of itself: %+v, %v", f, err)
 		}
 	})
--- a/internal/commons/talk.go
+++ b/internal/peerinfo/talk.go
@@ -1,4 +1,4 @@
-package commons
+package peerinfo
 
 import (
 	"encoding/binary"
@@ -57,13 +57,13 @@
 	return [hashLen]byte{byte(h), byte(h >> 8), byte(h >> 16)}
 }
 
-// Ask returns the next question, which is the same for all that it is sent to now. One question names as many authors as it has room for;
+// NextQuery returns the next question, which is the same for all that it is sent to now. One question names as many authors as it has room for;
 // the next one goes on behind them.
-func (t *Table) Ask(now time.Duration) []byte {
+func (t *Table) NextQuery(now time.Duration) []byte {
 	t.sweep(now)
 	t.nonce++
 	q := question{Nonce: t.nonce, From: t.cursor}
-	room := t.cfg.Message - headRoom - 2*nameMost
+	room := t.cfg.MaxMessageBytes - headRoom - 2*nameMost
 	i, _ := t.find(t.cursor)
 	for ; i < len(t.authors); i++ {
 		a := t.authors[i]
@@ -91,8 +91,8 @@
 	return append([]byte{asks}, b...)
 }
 
-// Hear takes a message of another member that came now, and returns what is sent back. What can't be read is counted and changes nothing.
-func (t *Table) Hear(now time.Duration, msg []byte) (back [][]byte) {
+// HandleMessage takes a message of another member that came now, and returns what is sent back. What can't be read is counted and changes nothing.
+func (t *Table) HandleMessage(now time.Duration, msg []byte) (back [][]byte) {
 	if len(msg) > 0 && msg[0] == asks {
 		var q question
 		if cbor.Unmarshal(msg[1:], &q) == nil && len(q.From) <= nameMost && len(q.To) <= nameMost {
@@ -105,7 +105,7 @@
 			return nil
 		}
 	}
-	t.counts.Spoilt++
+	t.counts.Malformed++
 	return nil
 }
 
@@ -115,7 +115,7 @@
 	for b := q.Has; len(b) > hashLen; {
 		no, n := binary.Uvarint(b[hashLen:])
 		if n <= 0 {
-			t.counts.Spoilt++
+			t.counts.Malformed++
 			return nil
 		}
 		has[[hashLen]byte(b)] = no
@@ -130,7 +130,7 @@
 		for k := range a.topics {
 			e := &a.topics[k]
 			age := t.age(e, now)
-			if !e.has || age > t.cfg.Keep || has[mark(q.Nonce, a.name, e.life, Topic(k))] >= e.no {
+			if !e.has || age > t.cfg.Retention || has[mark(q.Nonce, a.name, e.life, Topic(k))] >= e.no {
 				continue // a number begins at 1
 			}
 			lacks = append(lacks, told{a.name, e.life, e.no, Topic(k), uint64(math.Ceil(float64(age) / float64(time.Millisecond))), e.value})
@@ -138,7 +138,7 @@
 	}
 	slices.SortStableFunc(lacks, func(a, b told) int { return int(min(a.Age, math.MaxInt32)) - int(min(b.Age, math.MaxInt32)) })
 	for len(lacks) > 0 && len(back) < answersMost {
-		n, room := 0, t.cfg.Message-headRoom
+		n, room := 0, t.cfg.MaxMessageBytes-headRoom
 		for n < len(lacks) {
 			if room -= len(lacks[n].Author) + len(lacks[n].Value) + 40; room < 0 && n > 0 { // numbers, and their heads
 				break
@@ -158,23 +158,23 @@
 func (t *Table) learn(now time.Duration, a *answer) {
 	i := slices.IndexFunc(t.asked, func(q asked) bool { return q.nonce == a.Nonce })
 	if i < 0 {
-		t.counts.Undated++
+		t.counts.UnmatchedReplies++
 		return
 	}
 	for _, f := range a.Facts {
 		if f.Author == "" || len(f.Author) > nameMost || int(f.Topic) >= topicsMost || len(f.Value) > valueMost || f.No == 0 {
-			t.counts.Spoilt++
+			t.counts.Malformed++
 			continue
 		}
 		if f.Author == t.cfg.Name {
 			continue // an earlier life's, or a fact of this one that is told late: nobody knows better than this member
 		}
-		if f.Age > uint64(t.cfg.Keep/time.Millisecond) {
-			t.counts.Refused++
+		if f.Age > uint64(t.cfg.Retention/time.Millisecond) {
+			t.counts.Rejected++
 			continue
 		}
-		age := t.cfg.Later(time.Duration(f.Age)*time.Millisecond, t.asked[i].at, now)
-		if t.take(now, Fact{f.Author, f.Life, f.No, f.Topic, f.Value}, age) {
+		age := t.cfg.AdvanceAge(time.Duration(f.Age)*time.Millisecond, t.asked[i].at, now)
+		if t.take(now, Record{f.Author, f.Life, f.No, f.Topic, f.Value}, age) {
 			t.counts.Learned++
 		}
 	}
--- a/internal/ring/ring.go
+++ b/internal/queue/ring.go
@@ -1,20 +1,20 @@
-// Package ring is bounded queues between goroutines, of fixed size. What is done when one is full is part of its type: a [Latest] drops the
-// oldest, where newer news replaces it; a [Sure] refuses, where a promise hangs on what was put in. Neither ever makes a writer wait.
+// Package ring is bounded queues between goroutines, of fixed size. What is done when one is full is part of its type: a [Evicting] drops the
+// oldest, where newer news replaces it; a [Rejecting] refuses, where a promise hangs on what was put in. Neither ever makes a writer wait.
 //
 // A ring holds a lock for the time of one copy, and never while anything else is done. Writers may be many; there is one reader.
-package ring
+package queue
 
 import (
 	"sync"
 	"time"
 )
 
-// Counts are what became of what was put into a ring.
-type Counts struct {
-	Put     uint64        // taken in
-	Dropped uint64        // by a Latest: pushed out before they were taken; by a Sure: refused
-	Deepest int           // that ever waited
-	Longest time.Duration // that one waited until it was taken
+// Stats are what became of what was put into a ring.
+type Stats struct {
+	Put      uint64        // taken in
+	Dropped  uint64        // by a Latest: pushed out before they were taken; by a Sure: refused
+	MaxDepth int           `json:"Deepest"` // that ever waited
+	MaxWait  time.Duration `json:"Longest"` // that one waited until it was taken
 }
 
 type slot[T any] struct {
@@ -27,7 +27,7 @@
 	slots  []slot[T]
 	first  int
 	n      int
-	counts Counts
+	counts Stats
 	ready  chan struct{}
 }
 
@@ -41,7 +41,7 @@
 	b.slots[(b.first+b.n)%len(b.slots)] = slot[T]{v, time.Now()}
 	b.n++
 	b.counts.Put++
-	b.counts.Deepest = max(b.counts.Deepest, b.n)
+	b.counts.MaxDepth = max(b.counts.MaxDepth, b.n)
 	select {
 	case b.ready <- struct{}{}:
 	default:
@@ -68,29 +68,29 @@
 		return v, false
 	}
 	s := b.take()
-	b.counts.Longest = max(b.counts.Longest, time.Since(s.at))
+	b.counts.MaxWait = max(b.counts.MaxWait, time.Since(s.at))
 	return s.v, true
 }
 
-// Counts tells what became of all so far.
-func (b *base[T]) Counts() Counts {
+// Stats tells what became of all so far.
+func (b *base[T]) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counts
 }
 
-// Latest is a ring that drops the oldest when it is full. Make it with NewLatest.
-type Latest[T any] struct{ base[T] }
+// Evicting is a ring that drops the oldest when it is full. Make it with NewLatest.
+type Evicting[T any] struct{ base[T] }
 
-// NewLatest makes one for so many.
-func NewLatest[T any](size int) *Latest[T] {
-	r := &Latest[T]{}
+// NewEvicting makes one for so many.
+func NewEvicting[T any](size int) *Evicting[T] {
+	r := &Evicting[T]{}
 	r.init(size)
 	return r
 }
 
 // Put puts one in, and the oldest out if there is no room.
-func (r *Latest[T]) Put(v T) {
+func (r *Evicting[T]) Put(v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.n == len(r.slots) {
@@ -100,18 +100,18 @@
 	r.put(v)
 }
 
-// Sure is a ring that refuses when it is full. Make it with NewSure.
-type Sure[T any] struct{ base[T] }
+// Rejecting is a ring that refuses when it is full. Make it with NewSure.
+type Rejecting[T any] struct{ base[T] }
 
-// NewSure makes one for so many.
-func NewSure[T any](size int) *Sure[T] {
-	r := &Sure[T]{}
+// NewRejecting makes one for so many.
+func NewRejecting[T any](size int) *Rejecting[T] {
+	r := &Rejecting[T]{}
 	r.init(size)
 	return r
 }
 
 // Put puts one in; false: it is full, and nothing was put in.
-func (r *Sure[T]) Put(v T) bool {
+func (r *Rejecting[T]) Put(v T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.n == len(r.slots) {
--- a/internal/ring/ring_test.go
+++ b/internal/queue/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package queue
 
 import (
 	"runtime"
@@ -8,7 +8,7 @@
 
 // TestFull: what is full drops the oldest or refuses, counts it, and goes on in order past its end.
 func TestFull(t *testing.T) {
-	latest, sure := NewLatest[int](3), NewSure[int](3)
+	latest, sure := NewEvicting[int](3), NewRejecting[int](3)
 	for i := range 5 {
 		latest.Put(i)
 		if ok := sure.Put(i); ok != (i < 3) {
@@ -26,10 +26,10 @@
 	if _, ok := latest.Take(); ok {
 		t.Error("took one of none")
 	}
-	if c := latest.Counts(); c.Put != 5 || c.Dropped != 2 || c.Deepest != 3 {
+	if c := latest.Stats(); c.Put != 5 || c.Dropped != 2 || c.MaxDepth != 3 {
 		t.Errorf("latest %+v", c)
 	}
-	if c := sure.Counts(); c.Put != 3 || c.Dropped != 2 || c.Deepest != 3 || c.Longest <= 0 {
+	if c := sure.Stats(); c.Put != 3 || c.Dropped != 2 || c.MaxDepth != 3 || c.MaxWait <= 0 {
 		t.Errorf("sure %+v", c)
 	}
 }
@@ -37,7 +37,7 @@
 // TestManyWriters: what many put in comes out once each, each writer's in its order, and the reader is told of the last one.
 func TestManyWriters(t *testing.T) {
 	const writers, each = 8, 5000
-	r := NewSure[[2]int](64)
+	r := NewRejecting[[2]int](64)
 	var wg sync.WaitGroup
 	for w := range writers {
 		wg.Go(func() {
@@ -65,7 +65,7 @@
 }
 
 func BenchmarkRing(b *testing.B) {
-	r := NewLatest[[4]uint64](1024)
+	r := NewEvicting[[4]uint64](1024)
 	done := make(chan struct{})
 	go func() {
 		for taken := 0; taken < b.N; {
@@ -73,7 +73,7 @@
 			for _, ok := r.Take(); ok; _, ok = r.Take() {
 				taken++
 			}
-			if c := r.Counts(); c.Put == uint64(b.N) && c.Put-c.Dropped <= uint64(taken) {
+			if c := r.Stats(); c.Put == uint64(b.N) && c.Put-c.Dropped <= uint64(taken) {
 				break
 			}
 		}
--- a/internal/world/commons.go
+++ b/internal/world/commons.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sloepick/internal/commons"
+	"sloepick/internal/peerinfo"
 )
 
 // Commons is members that know of each other, each with the program's own table, as internal/gossip runs it.
@@ -16,7 +16,7 @@
 	Sent    int // messages
 	Bytes   int
 
-	conf commons.Config
+	conf peerinfo.Config
 	rnd  *rand.Rand
 	born map[string]time.Duration // of facts, by author and number
 }
@@ -25,16 +25,16 @@
 type CommonsMember struct {
 	No    int
 	Name  string
-	Table *commons.Table
+	Table *peerinfo.Table
 	Up    bool
 
 	life, no uint64
 }
 
-const commonsTopic commons.Topic = 0
+const commonsTopic peerinfo.Topic = 0
 
 // NewCommons makes members that begin to ask at different times.
-func NewCommons(k *Kernel, net *Network, conf commons.Config, n int) (*Commons, error) {
+func NewCommons(k *Kernel, net *Network, conf peerinfo.Config, n int) (*Commons, error) {
 	c := &Commons{K: k, Net: net, conf: conf, rnd: k.Stream("commons"), born: map[string]time.Duration{}}
 	for i := range n {
 		c.Members = append(c.Members, &CommonsMember{No: i, Name: fmt.Sprintf("n%04d", i)})
@@ -52,14 +52,14 @@
 	m.life++
 	m.no, m.Up = 0, true
 	conf := c.conf
-	conf.Name, conf.Life = m.Name, m.life
-	t, err := commons.New(conf, c.rnd.Uint64())
+	conf.Name, conf.Incarnation = m.Name, m.life
+	t, err := peerinfo.New(conf, c.rnd.Uint64())
 	if err != nil {
 		return err
 	}
 	m.Table = t
 	life := m.life
-	c.K.Every(time.Duration(c.rnd.Int64N(int64(conf.Every))), conf.Every, func() bool {
+	c.K.Every(time.Duration(c.rnd.Int64N(int64(conf.Interval))), conf.Interval, func() bool {
 		if !m.Up || m.life != life {
 			return false
 		}
@@ -76,11 +76,11 @@
 func (c *Commons) turn(m *CommonsMember) {
 	m.no++
 	c.born[bornKey(m.Name, m.life, m.no)] = c.K.Now()
-	if err := m.Table.Say(c.K.Now(), commonsTopic, []byte("hall-a")); err != nil {
+	if err := m.Table.Publish(c.K.Now(), commonsTopic, []byte("hall-a")); err != nil {
 		panic(err) // a value of this size always has room
 	}
-	q := m.Table.Ask(c.K.Now())
-	for range min(c.conf.Fan, len(c.Members)-1) {
+	q := m.Table.NextQuery(c.K.Now())
+	for range min(c.conf.Fanout, len(c.Members)-1) {
 		to := c.rnd.IntN(len(c.Members) - 1)
 		if to >= m.No {
 			to++
@@ -96,7 +96,7 @@
 		if !to.Up {
 			return
 		}
-		for _, back := range to.Table.Hear(c.K.Now(), text) {
+		for _, back := range to.Table.HandleMessage(c.K.Now(), text) {
 			c.send(to, from, back)
 		}
 	})
@@ -106,9 +106,9 @@
 
 // Age is how old a member's news of another one is as it tells it, and as it is; false: it knows nothing.
 func (c *Commons) Age(m, of *CommonsMember) (told, is time.Duration, ok bool) {
-	f, told, err := m.Table.Know(c.K.Now(), of.Name, commonsTopic, c.conf.Keep)
+	f, told, err := m.Table.Lookup(c.K.Now(), of.Name, commonsTopic, c.conf.Retention)
 	if err != nil {
 		return 0, 0, false
 	}
-	return told, c.K.Now() - c.born[bornKey(of.Name, f.Life, f.No)], true
+	return told, c.K.Now() - c.born[bornKey(of.Name, f.Incarnation, f.Version)], true
 }
--- a/internal/world/commons_test.go
+++ b/internal/world/commons_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"sloepick/internal/commons"
+	"sloepick/internal/peerinfo"
 	"sloepick/internal/testbed/seeds"
 )
 
 // TestNewsInVirtualTime plays 20 and 300 members, 2,000 with -large, under 5 % of loss, delays of up to 40 ms, a cut of 4 s in two halves, and
-// the restart of a third: no age is told younger than it is, and while all hear each other none is older than commons.Config.Stale.
+// the restart of a third: no age is told younger than it is, and while all hear each other none is older than peerinfo.Config.StalenessBound.
 func TestNewsInVirtualTime(t *testing.T) {
 	for _, n := range sizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -25,12 +25,12 @@
 	k := NewKernel(seed, start)
 	net := NewNetwork(k, time.Millisecond, slow)
 	net.Loss, net.Dup = loss, 0.01
-	conf := commons.Default()
+	conf := peerinfo.DefaultConfig()
 	c, err := NewCommons(k, net, conf, n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bound := conf.Stale(n, loss, slow)
+	bound := conf.StalenessBound(n, loss, slow)
 	look := func(what string, took time.Duration, most time.Duration) {
 		t.Helper()
 		var ages []time.Duration
