--- a/internal/testbed/audit.go
+++ b/internal/testbed/audit.go
@@ -40,21 +40,21 @@
 	WorstLoad  float64  // of the rule on cold nodes: the most work that one got, as a share of what may be
 }
 
-const casesMost = 5 // cases that a verdict words
+const maxExamples = 5 // cases that a verdict words
 
-func (v *RuleResult) breach(format string, args ...any) {
+func (v *RuleResult) addViolation(format string, args ...any) {
 	v.Violations++
-	if len(v.Examples) < casesMost {
+	if len(v.Examples) < maxExamples {
 		v.Examples = append(v.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
 // Units is what the nodes were sent for a customer, each request counted once.
-func (t *Recorder) Units(customer string) (sum float64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *Recorder) Units(customer string) (sum float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	seen := map[string]bool{}
-	for _, a := range t.arrivals {
+	for _, a := range r.arrivals {
 		if a.Customer == customer && !seen[a.ID] {
 			seen[a.ID] = true
 			sum += a.Units
@@ -71,93 +71,93 @@
 }
 
 // Audit holds what clients and nodes saw to the five rules.
-func Audit(rules Rules, ends []RequestResult, tally *Recorder, drains []DrainPeriod) []RuleResult {
-	tally.mu.Lock()
-	defer tally.mu.Unlock()
-	return []RuleResult{answers(rules, ends, tally), effects(ends, tally), drained(rules, tally, drains),
-		cold(rules, tally), ceilings(rules, ends, tally)}
+func Audit(rules Rules, results []RequestResult, recorder *Recorder, drains []DrainPeriod) []RuleResult {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	return []RuleResult{checkAnswers(rules, results, recorder), checkEffects(results, recorder), checkDrains(rules, recorder, drains),
+		checkColdNodes(rules, recorder), checkCeilings(rules, results, recorder)}
 }
 
-func answers(rules Rules, ends []RequestResult, tally *Recorder) RuleResult {
-	v := RuleResult{Rule: "one answer in time, nothing after it", Checked: len(ends)}
-	over := map[string]time.Time{}
-	for _, e := range ends {
-		over[e.ID] = e.EndedAt
+func checkAnswers(rules Rules, results []RequestResult, recorder *Recorder) RuleResult {
+	v := RuleResult{Rule: "one answer in time, nothing after it", Checked: len(results)}
+	endedAt := map[string]time.Time{}
+	for _, e := range results {
+		endedAt[e.ID] = e.EndedAt
 		if e.Outcome == OutcomeLost {
-			v.breach("%s got no answer: %s", e.ID, e.Detail)
+			v.addViolation("%s got no answer: %s", e.ID, e.Detail)
 		} else if late := e.EndedAt.Sub(e.SentAt) - e.Patience; late > rules.AnswerSlack && late > rules.slack(e.SentAt, e.EndedAt) {
-			v.breach("%s was answered %v late", e.ID, late)
+			v.addViolation("%s was answered %v late", e.ID, late)
 		}
 	}
-	for _, a := range tally.arrivals {
-		if at, ok := over[a.ID]; ok && a.At.After(at.Add(rules.AnswerSlack)) && a.At.After(at.Add(rules.slack(at, a.At))) {
-			v.breach("%s came to %s %v after its answer", a.ID, a.Node, a.At.Sub(at))
+	for _, a := range recorder.arrivals {
+		if at, ok := endedAt[a.ID]; ok && a.At.After(at.Add(rules.AnswerSlack)) && a.At.After(at.Add(rules.slack(at, a.At))) {
+			v.addViolation("%s came to %s %v after its answer", a.ID, a.Node, a.At.Sub(at))
 		}
 	}
 	return v
 }
 
-func effects(ends []RequestResult, tally *Recorder) RuleResult {
+func checkEffects(results []RequestResult, recorder *Recorder) RuleResult {
 	v := RuleResult{Rule: "no effect twice, no refusal of what ran"}
 	keyed := map[string]bool{}
-	for _, a := range tally.arrivals {
+	for _, a := range recorder.arrivals {
 		keyed[a.ID] = a.Key != ""
 	}
-	for id, n := range tally.effects {
+	for id, n := range recorder.effects {
 		if keyed[id] {
 			v.Checked++
 			if n > 1 {
-				v.breach("%s took effect %d times", id, n)
+				v.addViolation("%s took effect %d times", id, n)
 			}
 		}
 	}
-	for _, e := range ends {
-		if keyed[e.ID] && e.Outcome == OutcomeRefused && tally.effects[e.ID] > 0 {
-			v.breach("%s was refused and took effect", e.ID)
+	for _, e := range results {
+		if keyed[e.ID] && e.Outcome == OutcomeRefused && recorder.effects[e.ID] > 0 {
+			v.addViolation("%s was refused and took effect", e.ID)
 		}
 	}
 	return v
 }
 
-func drained(rules Rules, tally *Recorder, drains []DrainPeriod) RuleResult {
+func checkDrains(rules Rules, recorder *Recorder, drains []DrainPeriod) RuleResult {
 	v := RuleResult{Rule: "nothing new to a draining node", Checked: len(drains)}
 	for _, d := range drains {
-		for _, a := range tally.arrivals {
+		for _, a := range recorder.arrivals {
 			if a.Node == d.Node && a.At.After(d.AnnouncedAt.Add(rules.DrainGrace)) && (d.RestartedAt.IsZero() || a.At.Before(d.RestartedAt)) {
-				v.breach("%s came to %s %v after its drain was told", a.ID, a.Node, a.At.Sub(d.AnnouncedAt))
+				v.addViolation("%s came to %s %v after its drain was told", a.ID, a.Node, a.At.Sub(d.AnnouncedAt))
 			}
 		}
 	}
 	return v
 }
 
-// cold holds what came to a node that had just started to a budget: in any window no more work than the multiple of
+// checkColdNodes holds what came to a node that had just started to a budget: in any window no more work than the multiple of
 // what it could do in it, and one request more.
-func cold(rules Rules, tally *Recorder) RuleResult {
+func checkColdNodes(rules Rules, recorder *Recorder) RuleResult {
 	v := RuleResult{Rule: "no cold node pushed over"}
 	cfg := NodeConfig{ColdCapacity: rules.ColdCapacity, ColdDuration: rules.ColdDuration}
-	for node, starts := range tally.started {
+	for node, starts := range recorder.starts {
 		for _, start := range starts {
 			v.Checked++
-			var in []Arrival
-			for _, a := range tally.arrivals {
+			var arrivals []Arrival
+			for _, a := range recorder.arrivals {
 				if since := a.At.Sub(start); a.Node == node && since >= 0 && since < rules.ColdDuration {
-					in = append(in, a)
+					arrivals = append(arrivals, a)
 				}
 			}
-			slices.SortFunc(in, func(a, b Arrival) int { return a.At.Compare(b.At) })
-			for i, first := range in {
+			slices.SortFunc(arrivals, func(a, b Arrival) int { return a.At.Compare(b.At) })
+			for i, first := range arrivals {
 				sent, largest := time.Duration(0), time.Duration(0)
-				for _, a := range in[i:] {
+				for _, a := range arrivals[i:] {
 					if a.At.Sub(first.At) > rules.OverloadWindow {
 						break
 					}
 					sent, largest = sent+a.Work, max(largest, a.Work)
 				}
-				can := rules.OverloadFactor * float64(rules.Cores) * cfg.speed(first.At.Sub(start)) * float64(rules.OverloadWindow)
-				v.WorstLoad = max(v.WorstLoad, float64(sent-largest)/can)
-				if float64(sent-largest) > can {
-					v.breach("%s got %v of work in %v, %v after its start", node, sent, rules.OverloadWindow, first.At.Sub(start))
+				capacity := rules.OverloadFactor * float64(rules.Cores) * cfg.speed(first.At.Sub(start)) * float64(rules.OverloadWindow)
+				v.WorstLoad = max(v.WorstLoad, float64(sent-largest)/capacity)
+				if float64(sent-largest) > capacity {
+					v.addViolation("%s got %v of work in %v, %v after its start", node, sent, rules.OverloadWindow, first.At.Sub(start))
 				}
 			}
 		}
@@ -165,18 +165,18 @@
 	return v
 }
 
-func ceilings(rules Rules, ends []RequestResult, tally *Recorder) RuleResult {
+func checkCeilings(rules Rules, results []RequestResult, recorder *Recorder) RuleResult {
 	v := RuleResult{Rule: "ceilings kept over all gateways"}
 	plans, seen := map[string]string{}, map[string]bool{}
-	for _, e := range ends {
+	for _, e := range results {
 		plans[e.Customer] = e.Plan
 	}
-	type store struct {
+	type bucket struct {
 		level float64
 		at    time.Time
 	}
-	stores := map[string]*store{}
-	sorted := slices.Clone(tally.arrivals)
+	buckets := map[string]*bucket{}
+	sorted := slices.Clone(recorder.arrivals)
 	slices.SortFunc(sorted, func(a, b Arrival) int { return a.At.Compare(b.At) })
 	for _, a := range sorted {
 		c, ok := rules.Ceilings[plans[a.Customer]]
@@ -184,17 +184,17 @@
 			continue
 		}
 		seen[a.ID] = true
-		s := stores[a.Customer]
-		if s == nil {
-			s = &store{c.Depth, a.At}
-			stores[a.Customer] = s
+		b := buckets[a.Customer]
+		if b == nil {
+			b = &bucket{c.Depth, a.At}
+			buckets[a.Customer] = b
 		}
-		s.level = min(c.Depth, s.level+c.Rate*a.At.Sub(s.at).Seconds()) - a.Units
-		s.at = a.At
-		if s.level < -c.Slack {
-			v.breach("customer %s is %.1f units below its ceiling's store", a.Customer, -s.level)
+		b.level = min(c.Depth, b.level+c.Rate*a.At.Sub(b.at).Seconds()) - a.Units
+		b.at = a.At
+		if b.level < -c.Slack {
+			v.addViolation("customer %s is %.1f units below its ceiling's store", a.Customer, -b.level)
 		}
 	}
-	v.Checked = len(stores)
+	v.Checked = len(buckets)
 	return v
 }
--- a/internal/testbed/crowd.go
+++ b/internal/testbed/crowd.go
@@ -93,29 +93,29 @@
 }
 
 // Run asks until the context ends and returns when every request has ended. Arrivals don't wait for answers.
-func (c *LoadGenerator) Run(ctx context.Context) {
-	c.pools = make([]pool, len(c.Gateways))
-	for i := range c.pools {
-		c.pools[i].addr = c.Gateways[i]
+func (g *LoadGenerator) Run(ctx context.Context) {
+	g.pools = make([]pool, len(g.Gateways))
+	for i := range g.pools {
+		g.pools[i].addr = g.Gateways[i]
 	}
 	start := time.Now()
-	for i := range c.Customers {
-		r := rand.New(rand.NewPCG(c.Seed, uint64(i)))
-		c.wg.Go(func() { c.customer(ctx, &c.Customers[i], r, start) })
+	for i := range g.Customers {
+		r := rand.New(rand.NewPCG(g.Seed, uint64(i)))
+		g.wg.Go(func() { g.sendRequests(ctx, &g.Customers[i], r, start) })
 	}
-	c.wg.Wait()
-	for i := range c.pools {
-		for _, conn := range c.pools[i].idle {
+	g.wg.Wait()
+	for i := range g.pools {
+		for _, conn := range g.pools[i].idle {
 			conn.Close()
 		}
 	}
 }
 
-func (c *LoadGenerator) customer(ctx context.Context, who *Customer, r *rand.Rand, start time.Time) {
+func (g *LoadGenerator) sendRequests(ctx context.Context, customer *Customer, r *rand.Rand, start time.Time) {
 	for n := 0; ; n++ {
-		rate := who.Rate
-		if since := time.Since(start); who.SurgeFactor > 0 && since >= who.SurgeFrom && since < who.SurgeTo {
-			rate *= who.SurgeFactor
+		rate := customer.Rate
+		if since := time.Since(start); customer.SurgeFactor > 0 && since >= customer.SurgeFrom && since < customer.SurgeTo {
+			rate *= customer.SurgeFactor
 		}
 		t := time.NewTimer(time.Duration(r.ExpFloat64() / rate * float64(time.Second)))
 		select {
@@ -124,68 +124,68 @@
 			return
 		case <-t.C:
 		}
-		class := c.class(r)
+		class := g.pickClass(r)
 		patience := time.Duration((0.5 + r.Float64()/2) * float64(class.Patience))
-		e := RequestResult{ID: fmt.Sprintf("%s%08x", who.ID[8:], n), Customer: who.ID, Plan: who.Plan, Class: class.Name, Patience: patience}
-		gateway := (who.FirstGateway + r.IntN(who.GatewayCount)) % len(c.Gateways)
-		e.Gateway = gateway
+		result := RequestResult{ID: fmt.Sprintf("%s%08x", customer.ID[8:], n), Customer: customer.ID, Plan: customer.Plan, Class: class.Name, Patience: patience}
+		gateway := (customer.FirstGateway + r.IntN(customer.GatewayCount)) % len(g.Gateways)
+		result.Gateway = gateway
 		key := ""
 		if class.Keyed {
 			key = fmt.Sprintf(",k=%016x", r.Uint64())
 		}
-		list := fmt.Sprintf("c=%s,t=%s,d=%d%s,units=%g,spread=%d,first=%d", class.Name, who.Plan, patience.Milliseconds(), key,
-			class.Units, who.GatewayCount, who.FirstGateway)
-		words := []string{"Q.ASK", who.ID, e.ID, list}
+		params := fmt.Sprintf("c=%s,t=%s,d=%d%s,units=%g,spread=%d,first=%d", class.Name, customer.Plan, patience.Milliseconds(), key,
+			class.Units, customer.GatewayCount, customer.FirstGateway)
+		args := []string{"Q.ASK", customer.ID, result.ID, params}
 		if class.Keyed {
-			words = []string{"Q.DO", who.ID, e.ID, list, "a visit"}
+			args = []string{"Q.DO", customer.ID, result.ID, params, "a visit"}
 		}
-		c.wg.Go(func() {
-			e.SentAt = time.Now()
-			c.ask(&c.pools[gateway], words, &e)
-			e.EndedAt = time.Now()
-			c.OnResult(e)
+		g.wg.Go(func() {
+			result.SentAt = time.Now()
+			g.send(&g.pools[gateway], args, &result)
+			result.EndedAt = time.Now()
+			g.OnResult(result)
 		})
 	}
 }
 
-func (c *LoadGenerator) class(r *rand.Rand) *RequestClass {
+func (g *LoadGenerator) pickClass(r *rand.Rand) *RequestClass {
 	x := r.Float64()
-	for i := range c.Classes {
-		if x -= c.Classes[i].Share; x < 0 {
-			return &c.Classes[i]
+	for i := range g.Classes {
+		if x -= g.Classes[i].Share; x < 0 {
+			return &g.Classes[i]
 		}
 	}
-	return &c.Classes[len(c.Classes)-1]
+	return &g.Classes[len(g.Classes)-1]
 }
 
-const clientSlack = 2 * time.Second // past its patience a client still reads, to tell late from lost
+const readGrace = 2 * time.Second // past its patience a client still reads, to tell late from lost
 
-// ask sends one request. A connection that the gateway closed while the request was on its way is replaced once, as
+// send sends one request. A connection that the gateway closed while the request was on its way is replaced once, as
 // the protocol has it.
-func (c *LoadGenerator) ask(p *pool, words []string, e *RequestResult) {
+func (g *LoadGenerator) send(p *pool, args []string, result *RequestResult) {
 	for {
-		conn, used, err := p.get()
+		conn, reused, err := p.get()
 		if err != nil {
-			e.Outcome, e.Detail = OutcomeLost, err.Error()
+			result.Outcome, result.Detail = OutcomeLost, err.Error()
 			return
 		}
-		err = conn.Conn.SetDeadline(e.SentAt.Add(e.Patience + clientSlack))
-		got := ""
+		err = conn.Conn.SetDeadline(result.SentAt.Add(result.Patience + readGrace))
+		reply := ""
 		if err == nil {
-			err = conn.Send(words...)
+			err = conn.Send(args...)
 		}
 		if err == nil {
-			got, err = conn.Read()
+			reply, err = conn.Read()
 		}
 		if err != nil {
 			conn.Close()
-			if used && !isTimeout(err) {
+			if reused && !isTimeout(err) {
 				continue
 			}
-			e.Outcome, e.Detail = OutcomeLost, err.Error()
+			result.Outcome, result.Detail = OutcomeLost, err.Error()
 			return
 		}
-		e.kind(got)
+		result.classify(reply)
 		p.put(conn)
 		return
 	}
@@ -196,16 +196,16 @@
 	return errors.As(err, &t) && t.Timeout() && !errors.Is(err, io.EOF)
 }
 
-// kind reads an answer.
-func (e *RequestResult) kind(got string) {
+// classify reads an answer.
+func (r *RequestResult) classify(reply string) {
 	switch {
-	case got == "$"+ReplyValue(e.ID):
-		e.Outcome = OutcomeServed
-	case got == "-BUSY" || strings.HasPrefix(got, "-BUSY "):
-		e.Outcome = OutcomeRefused
-	case strings.HasPrefix(got, "-"):
-		e.Outcome, e.Detail = OutcomeFailed, got
+	case reply == "$"+ReplyValue(r.ID):
+		r.Outcome = OutcomeServed
+	case reply == "-BUSY" || strings.HasPrefix(reply, "-BUSY "):
+		r.Outcome = OutcomeRefused
+	case strings.HasPrefix(reply, "-"):
+		r.Outcome, r.Detail = OutcomeFailed, reply
 	default:
-		e.Outcome, e.Detail = OutcomeLost, fmt.Sprintf("the answer %q is not this request's", got)
+		r.Outcome, r.Detail = OutcomeLost, fmt.Sprintf("the answer %q is not this request's", reply)
 	}
 }
--- a/internal/testbed/e2e/procs.go
+++ b/internal/testbed/e2e/procs.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	within    = 5 * time.Minute // a whole test
-	downSlack = 3 * time.Second // past a gateway's return: what was asked of it while it was away may still be lost
-	fileMode  = 0o600
-	folder    = 0o700
+	testTimeout   = 5 * time.Minute // a whole test
+	recoveryGrace = 3 * time.Second // past a gateway's return: what was asked of it while it was away may still be lost
+	fileMode      = 0o600
+	dirMode       = 0o700
 )
 
 // What a gateway's process finds in its environment, beside what operators set. A test's own program reads them.
@@ -43,7 +43,7 @@
 	Seed     uint64 // of links
 	// OperatorFile: each gateway is told of itself alone, has a member's address and a disk, and its operators' file is what this returns.
 	// nil: each is told of all others, whose datagrams go by the links, and has no operators' file.
-	OperatorFile func(r *Harness, i int) string
+	OperatorFile func(h *Harness, i int) string
 	// Command is a command that runs the program; the environment is set by the rig.
 	Command func() *exec.Cmd
 }
@@ -65,8 +65,8 @@
 	boots  int
 	copies int
 
-	mu    sync.Mutex
-	downs [][]down // by gateway
+	mu      sync.Mutex
+	outages [][]outage // by gateway
 }
 
 // Incarnation is a gateway's process, from its start to its end, which is zero while it lives.
@@ -75,8 +75,8 @@
 	StartedAt, EndedAt time.Time
 }
 
-// down is a time in which a gateway's clients may be left without their answers.
-type down struct{ from, to time.Time }
+// outage is a time in which a gateway's clients may be left without their answers.
+type outage struct{ from, to time.Time }
 
 // New makes a site and the files of gateways that are not started yet. All ends with the test.
 func New(t testing.TB, cfg Config) *Harness {
@@ -84,40 +84,40 @@
 	if cfg.Nodes == 0 {
 		cfg.Nodes = 8
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	n := cfg.Gateways
-	r := &Harness{t: t, cfg: cfg, Ctx: ctx, dir: t.TempDir(), Processes: make([]*testbed.Process, n), ClockOffsets: make([]time.Duration, n), downs: make([][]down, n), History: make([][]Incarnation, n), boots: 1}
-	places, err := testbed.AllocateEndpoints(2 * n)
-	r.Must(err)
-	r.Endpoints = places[:n]
+	h := &Harness{t: t, cfg: cfg, Ctx: ctx, dir: t.TempDir(), Processes: make([]*testbed.Process, n), ClockOffsets: make([]time.Duration, n), outages: make([][]outage, n), History: make([][]Incarnation, n), boots: 1}
+	endpoints, err := testbed.AllocateEndpoints(2 * n)
+	h.Must(err)
+	h.Endpoints = endpoints[:n]
 	var peers []string
 	for i := range n {
-		if r.MemberAddrs = append(r.MemberAddrs, places[n+i].Listen); cfg.OperatorFile == nil {
-			peers = append(peers, places[i].Peer)
+		if h.MemberAddrs = append(h.MemberAddrs, endpoints[n+i].Listen); cfg.OperatorFile == nil {
+			peers = append(peers, endpoints[i].Peer)
 		}
-		r.Must(os.Mkdir(r.DiskDir(i), folder))
+		h.Must(os.Mkdir(h.DiskDir(i), dirMode))
 	}
 	if cfg.OperatorFile != nil {
-		peers = r.MemberAddrs
+		peers = h.MemberAddrs
 	}
-	r.Mesh, err = faultnet.NewMesh(cfg.Seed, peers)
-	r.Must(err)
-	t.Cleanup(r.Mesh.Close)
+	h.Mesh, err = faultnet.NewMesh(cfg.Seed, peers)
+	h.Must(err)
+	t.Cleanup(h.Mesh.Close)
 	if cfg.OperatorFile == nil {
-		cfg.Platform.PeerAddrs = r.Mesh.PeerAddrs
+		cfg.Platform.PeerAddrs = h.Mesh.PeerAddrs
 	}
-	r.Site, err = testbed.NewSite(cfg.Platform, cfg.Nodes)
-	r.Must(err)
-	t.Cleanup(r.Site.Close)
-	return r
+	h.Site, err = testbed.NewSite(cfg.Platform, cfg.Nodes)
+	h.Must(err)
+	t.Cleanup(h.Site.Close)
+	return h
 }
 
 // Must ends the test if something can't be done.
-func (r *Harness) Must(err error) {
-	r.t.Helper()
+func (h *Harness) Must(err error) {
+	h.t.Helper()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
@@ -125,167 +125,167 @@
 func GatewayName(i int) string { return fmt.Sprintf("g%d", i) }
 
 // DiskDir is the folder that outlives a gateway's process.
-func (r *Harness) DiskDir(i int) string { return filepath.Join(r.dir, GatewayName(i)) }
+func (h *Harness) DiskDir(i int) string { return filepath.Join(h.dir, GatewayName(i)) }
 
 // FilePath is one beside the disks, such as keys that all share.
-func (r *Harness) FilePath(name string) string { return filepath.Join(r.dir, name) }
+func (h *Harness) FilePath(name string) string { return filepath.Join(h.dir, name) }
 
 // WriteFile writes a file.
-func (r *Harness) WriteFile(file, text string) {
-	r.t.Helper()
-	r.Must(os.WriteFile(file, []byte(text), fileMode))
+func (h *Harness) WriteFile(file, text string) {
+	h.t.Helper()
+	h.Must(os.WriteFile(file, []byte(text), fileMode))
 }
 
 // Launch starts a gateway's process and does not wait for it.
-func (r *Harness) Launch(i int) {
-	r.t.Helper()
-	rank, places := i, r.Endpoints
-	if r.cfg.OperatorFile != nil {
-		rank, places = 0, r.Endpoints[i:i+1]
+func (h *Harness) Launch(i int) {
+	h.t.Helper()
+	rank, endpoints := i, h.Endpoints
+	if h.cfg.OperatorFile != nil {
+		rank, endpoints = 0, h.Endpoints[i:i+1]
 	}
-	text, err := r.Site.Platform.GatewayConfig(rank, places, r.Site.Discovery.Addr().String(), r.cfg.Seed+uint64(i), r.Site.ServerList())
-	r.Must(err)
-	platform, operator := r.FilePath(GatewayName(i)+".json"), ""
-	r.WriteFile(platform, string(text))
-	if r.cfg.OperatorFile != nil {
-		operator = r.FilePath(GatewayName(i) + ".sloe")
-		r.WriteFile(operator, r.cfg.OperatorFile(r, i))
+	text, err := h.Site.Platform.GatewayConfig(rank, endpoints, h.Site.Discovery.Addr().String(), h.cfg.Seed+uint64(i), h.Site.ServerList())
+	h.Must(err)
+	platform, operator := h.FilePath(GatewayName(i)+".json"), ""
+	h.WriteFile(platform, string(text))
+	if h.cfg.OperatorFile != nil {
+		operator = h.FilePath(GatewayName(i) + ".sloe")
+		h.WriteFile(operator, h.cfg.OperatorFile(h, i))
 	}
-	cmd := r.cfg.Command()
+	cmd := h.cfg.Command()
 	cmd.Env = append(cmd.Env, "GW_CONFIG="+platform, "GW_OPERATOR="+operator, "GW_NAME="+GatewayName(i), "GW_LISTEN=", "GW_DISCOVERY=",
-		RoutesEnv+"="+r.Mesh.Routes(i).String(), ClockEnv+"="+r.ClockOffsets[i].String(), fmt.Sprintf("%s=boot-%d", BootEnv, r.boots))
-	if r.Processes[i], err = testbed.StartProcess(cmd); err != nil {
-		r.t.Fatal(err)
+		RoutesEnv+"="+h.Mesh.Routes(i).String(), ClockEnv+"="+h.ClockOffsets[i].String(), fmt.Sprintf("%s=boot-%d", BootEnv, h.boots))
+	if h.Processes[i], err = testbed.StartProcess(cmd); err != nil {
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(r.Processes[i].Kill)
-	r.ended(i)
-	r.History[i] = append(r.History[i], Incarnation{Process: r.Processes[i], StartedAt: time.Now()})
+	h.t.Cleanup(h.Processes[i].Kill)
+	h.recordExit(i)
+	h.History[i] = append(h.History[i], Incarnation{Process: h.Processes[i], StartedAt: time.Now()})
 }
 
-// ended notes that a gateway's process is no more.
-func (r *Harness) ended(i int) {
-	if n := len(r.History[i]); n > 0 && r.History[i][n-1].EndedAt.IsZero() {
-		r.History[i][n-1].EndedAt = time.Now()
+// recordExit notes that a gateway's process is no more.
+func (h *Harness) recordExit(i int) {
+	if n := len(h.History[i]); n > 0 && h.History[i][n-1].EndedAt.IsZero() {
+		h.History[i][n-1].EndedAt = time.Now()
 	}
 }
 
 // Start starts gateways in an order, so long after each other, and waits until all answer.
-func (r *Harness) Start(spacing time.Duration, order ...int) {
-	r.t.Helper()
+func (h *Harness) Start(spacing time.Duration, order ...int) {
+	h.t.Helper()
 	for k, i := range order {
 		if k > 0 {
 			time.Sleep(spacing)
 		}
-		r.Launch(i)
+		h.Launch(i)
 	}
 	for _, i := range order {
-		if err := r.Processes[i].WaitReady(r.Ctx, r.Endpoints[i].Listen); err != nil {
-			r.t.Fatalf("%v; the log is\n%s", err, r.Processes[i].Log)
+		if err := h.Processes[i].WaitReady(h.Ctx, h.Endpoints[i].Listen); err != nil {
+			h.t.Fatalf("%v; the log is\n%s", err, h.Processes[i].Log)
 		}
 	}
 }
 
 // AllGateways are the numbers of all gateways.
-func (r *Harness) AllGateways() (all []int) {
-	for i := range r.Processes {
+func (h *Harness) AllGateways() (all []int) {
+	for i := range h.Processes {
 		all = append(all, i)
 	}
 	return all
 }
 
 // Kill kills gateways within one tick, and returns when all are gone.
-func (r *Harness) Kill(which ...int) {
-	r.t.Helper()
+func (h *Harness) Kill(which ...int) {
+	h.t.Helper()
 	for _, i := range which {
-		if err := r.Processes[i].Signal(syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
-			r.t.Fatal(err)
+		if err := h.Processes[i].Signal(syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
+			h.t.Fatal(err)
 		}
 	}
 	for _, i := range which {
-		r.Processes[i].Kill()
-		r.ended(i)
+		h.Processes[i].Kill()
+		h.recordExit(i)
 	}
 }
 
 // PowerLoss kills all gateways within one tick. What starts from then on runs under another boot.
-func (r *Harness) PowerLoss() (back func()) {
-	back = r.MarkDown(r.AllGateways()...)
-	r.Kill(r.AllGateways()...)
-	r.boots++
-	return back
+func (h *Harness) PowerLoss() (powerBack func()) {
+	powerBack = h.MarkDown(h.AllGateways()...)
+	h.Kill(h.AllGateways()...)
+	h.boots++
+	return powerBack
 }
 
 // Suspend has a gateway's process stand still until the function that it returns is called.
-func (r *Harness) Suspend(i int) (thaw func()) {
-	r.t.Helper()
-	back := r.MarkDown(i)
-	r.Must(r.Processes[i].Signal(syscall.SIGSTOP))
+func (h *Harness) Suspend(i int) (resume func()) {
+	h.t.Helper()
+	markUp := h.MarkDown(i)
+	h.Must(h.Processes[i].Signal(syscall.SIGSTOP))
 	return func() {
-		r.Must(r.Processes[i].Signal(syscall.SIGCONT))
-		back()
+		h.Must(h.Processes[i].Signal(syscall.SIGCONT))
+		markUp()
 	}
 }
 
 // CopyDisk keeps a copy of a gateway's disk as it is, and returns its name for Replace.
-func (r *Harness) CopyDisk(i int) string {
-	r.t.Helper()
-	r.copies++
-	to := r.FilePath(fmt.Sprintf("%s.copy%d", GatewayName(i), r.copies))
-	r.Must(os.CopyFS(to, os.DirFS(r.DiskDir(i))))
+func (h *Harness) CopyDisk(i int) string {
+	h.t.Helper()
+	h.copies++
+	to := h.FilePath(fmt.Sprintf("%s.copy%d", GatewayName(i), h.copies))
+	h.Must(os.CopyFS(to, os.DirFS(h.DiskDir(i))))
 	return to
 }
 
 // WipeDisk empties a gateway's disk.
-func (r *Harness) WipeDisk(i int) {
-	r.t.Helper()
-	r.Must(os.RemoveAll(r.DiskDir(i)))
-	r.Must(os.Mkdir(r.DiskDir(i), folder))
+func (h *Harness) WipeDisk(i int) {
+	h.t.Helper()
+	h.Must(os.RemoveAll(h.DiskDir(i)))
+	h.Must(os.Mkdir(h.DiskDir(i), dirMode))
 }
 
 // ReplaceDisk puts a copy in the place of a gateway's disk, such as an older one or a neighbour's.
-func (r *Harness) ReplaceDisk(i int, from string) {
-	r.t.Helper()
-	r.Must(os.RemoveAll(r.DiskDir(i)))
-	r.Must(os.CopyFS(r.DiskDir(i), os.DirFS(from)))
+func (h *Harness) ReplaceDisk(i int, from string) {
+	h.t.Helper()
+	h.Must(os.RemoveAll(h.DiskDir(i)))
+	h.Must(os.CopyFS(h.DiskDir(i), os.DirFS(from)))
 }
 
 // TruncateFiles cuts a share off the end of each file on a gateway's disk.
-func (r *Harness) TruncateFiles(i int, share float64) {
-	r.t.Helper()
-	files, err := filepath.Glob(filepath.Join(r.DiskDir(i), "*"))
-	r.Must(err)
+func (h *Harness) TruncateFiles(i int, share float64) {
+	h.t.Helper()
+	files, err := filepath.Glob(filepath.Join(h.DiskDir(i), "*"))
+	h.Must(err)
 	for _, f := range files {
 		info, err := os.Stat(f)
-		r.Must(err)
+		h.Must(err)
 		if info.Mode().IsRegular() {
-			r.Must(os.Truncate(f, int64(float64(info.Size())*(1-share))))
+			h.Must(os.Truncate(f, int64(float64(info.Size())*(1-share))))
 		}
 	}
 }
 
 // MarkDown marks that gateways' clients may lose what they ask from now on, until the function that it returns is called.
-func (r *Harness) MarkDown(which ...int) (back func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	at := map[int]int{}
+func (h *Harness) MarkDown(which ...int) (markUp func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	index := map[int]int{}
 	for _, i := range which {
-		at[i] = len(r.downs[i])
-		r.downs[i] = append(r.downs[i], down{from: time.Now(), to: time.Now().Add(time.Hour)})
+		index[i] = len(h.outages[i])
+		h.outages[i] = append(h.outages[i], outage{from: time.Now(), to: time.Now().Add(time.Hour)})
 	}
 	return func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		for i, n := range at {
-			r.downs[i][n].to = time.Now().Add(downSlack)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		for i, n := range index {
+			h.outages[i][n].to = time.Now().Add(recoveryGrace)
 		}
 	}
 }
 
 // excused reports that a request without an answer was asked of a gateway that was away.
-func (r *Harness) excused(e testbed.RequestResult) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.ContainsFunc(r.downs[e.Gateway], func(d down) bool { return e.SentAt.Before(d.to) && e.EndedAt.After(d.from) })
+func (h *Harness) excused(e testbed.RequestResult) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return slices.ContainsFunc(h.outages[e.Gateway], func(o outage) bool { return e.SentAt.Before(o.to) && e.EndedAt.After(o.from) })
 }
 
 // Event is what happens at a time of a script.
@@ -296,16 +296,16 @@
 }
 
 // Script plays events in their order; each begins at its time, or when the one before it is over.
-func (r *Harness) Script(events ...Event) func() {
+func (h *Harness) Script(events ...Event) func() {
 	return func() {
 		begin := time.Now()
 		for _, e := range events {
 			select {
 			case <-time.After(time.Until(begin.Add(e.At))):
-			case <-r.Ctx.Done():
-				r.t.Fatalf("before %q: %v", e.Name, r.Ctx.Err())
+			case <-h.Ctx.Done():
+				h.t.Fatalf("before %q: %v", e.Name, h.Ctx.Err())
 			}
-			r.t.Logf("%v: %s", time.Since(begin).Round(time.Millisecond), e.Name)
+			h.t.Logf("%v: %s", time.Since(begin).Round(time.Millisecond), e.Name)
 			e.Do()
 		}
 	}
@@ -313,35 +313,35 @@
 
 // RunLoad has customers ask all gateways while a script goes on, and holds what was seen to the five rules: an answer that is lost or
 // late is excused where its gateway was away.
-func (r *Harness) RunLoad(customers []testbed.Customer, seed uint64, script func()) *LoadResult {
-	r.t.Helper()
-	p := &LoadResult{Customers: customers, rig: r, before: map[string]float64{}}
+func (h *Harness) RunLoad(customers []testbed.Customer, seed uint64, script func()) *LoadResult {
+	h.t.Helper()
+	result := &LoadResult{Customers: customers, harness: h, unitsBefore: map[string]float64{}}
 	for _, c := range customers {
-		p.before[c.ID] = r.Site.Recorder.Units(c.ID)
+		result.unitsBefore[c.ID] = h.Site.Recorder.Units(c.ID)
 	}
 	var mu sync.Mutex
-	crowd := testbed.LoadGenerator{Customers: customers, Classes: r.Site.Platform.Classes, Seed: seed, OnResult: func(e testbed.RequestResult) {
+	load := testbed.LoadGenerator{Customers: customers, Classes: h.Site.Platform.Classes, Seed: seed, OnResult: func(e testbed.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
-		p.Results = append(p.Results, e)
+		result.Results = append(result.Results, e)
 	}}
-	for _, at := range r.Endpoints {
-		crowd.Gateways = append(crowd.Gateways, at.Listen)
+	for _, at := range h.Endpoints {
+		load.Gateways = append(load.Gateways, at.Listen)
 	}
-	ctx, stop := context.WithCancel(r.Ctx)
+	ctx, stop := context.WithCancel(h.Ctx)
 	defer stop()
-	p.StartedAt = time.Now()
+	result.StartedAt = time.Now()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		crowd.Run(ctx)
+		load.Run(ctx)
 	}()
 	script()
 	stop()
 	<-ended
-	p.Elapsed = time.Since(p.StartedAt)
-	p.audit()
-	return p
+	result.Elapsed = time.Since(result.StartedAt)
+	result.audit()
+	return result
 }
 
 // LoadResult is what was seen of a crowd.
@@ -351,58 +351,58 @@
 	StartedAt time.Time
 	Elapsed   time.Duration
 
-	rig    *Harness
-	before map[string]float64 // units that nodes were sent of a customer by then
+	harness     *Harness
+	unitsBefore map[string]float64 // units that nodes were sent of a customer by then
 }
 
-func (p *LoadResult) audit() {
-	r := p.rig
-	r.t.Helper()
-	lost, served := 0, 0
-	kept := slices.DeleteFunc(slices.Clone(p.Results), func(e testbed.RequestResult) bool {
+func (l *LoadResult) audit() {
+	h := l.harness
+	h.t.Helper()
+	excusedCount, served := 0, 0
+	kept := slices.DeleteFunc(slices.Clone(l.Results), func(e testbed.RequestResult) bool {
 		if e.Outcome == testbed.OutcomeServed {
 			served++
 		}
-		excused := (e.Outcome == testbed.OutcomeLost || e.EndedAt.Sub(e.SentAt) > e.Patience) && r.excused(e)
+		excused := (e.Outcome == testbed.OutcomeLost || e.EndedAt.Sub(e.SentAt) > e.Patience) && h.excused(e)
 		if excused {
-			lost++
+			excusedCount++
 		}
 		return excused
 	})
-	r.t.Logf("%d requests in %v, %d served, %d lost or late with gateways that were away", len(p.Results), p.Elapsed.Round(time.Millisecond), served, lost)
-	for _, v := range r.Site.Audit(kept) {
+	h.t.Logf("%d requests in %v, %d served, %d lost or late with gateways that were away", len(l.Results), l.Elapsed.Round(time.Millisecond), served, excusedCount)
+	for _, v := range h.Site.Audit(kept) {
 		if v.WorstLoad > 0 {
-			r.t.Logf("%s: %.2f of what may be, at most", v.Rule, v.WorstLoad)
+			h.t.Logf("%s: %.2f of what may be, at most", v.Rule, v.WorstLoad)
 		}
 		if v.Violations > 0 {
-			r.t.Errorf("%s: %d cases: %s", v.Rule, v.Violations, strings.Join(v.Examples, "; "))
+			h.t.Errorf("%s: %d cases: %s", v.Rule, v.Violations, strings.Join(v.Examples, "; "))
 		}
 	}
 }
 
 // Plan is a customer's.
-func (p *LoadResult) Plan(c *testbed.Customer) *testbed.Plan {
-	plans := p.rig.Site.Platform.Plans
+func (l *LoadResult) Plan(c *testbed.Customer) *testbed.Plan {
+	plans := l.harness.Site.Platform.Plans
 	return &plans[slices.IndexFunc(plans, func(plan testbed.Plan) bool { return plan.Name == c.Plan })]
 }
 
 // QuotaUsage is rate x time + burst of a customer, and Got what nodes were sent of it.
-func (p *LoadResult) QuotaUsage(c *testbed.Customer) (quota, got float64) {
-	plan := p.Plan(c)
-	return plan.Rate*p.Elapsed.Seconds() + plan.Burst, p.rig.Site.Recorder.Units(c.ID) - p.before[c.ID]
+func (l *LoadResult) QuotaUsage(c *testbed.Customer) (quota, sent float64) {
+	plan := l.Plan(c)
+	return plan.Rate*l.Elapsed.Seconds() + plan.Burst, l.harness.Site.Recorder.Units(c.ID) - l.unitsBefore[c.ID]
 }
 
 // ServedShare is the share of the requests sent within a time, since the beginning, that were served; a filter leaves others out.
-func (p *LoadResult) ServedShare(from, to time.Duration, of func(e *testbed.RequestResult) bool) (share float64, asked int) {
+func (l *LoadResult) ServedShare(from, to time.Duration, filter func(e *testbed.RequestResult) bool) (share float64, sent int) {
 	served := 0
-	for i := range p.Results {
-		e := &p.Results[i]
-		if at := e.SentAt.Sub(p.StartedAt); at < from || at >= to || of != nil && !of(e) {
+	for i := range l.Results {
+		e := &l.Results[i]
+		if at := e.SentAt.Sub(l.StartedAt); at < from || at >= to || filter != nil && !filter(e) {
 			continue
 		}
-		if asked++; e.Outcome == testbed.OutcomeServed {
+		if sent++; e.Outcome == testbed.OutcomeServed {
 			served++
 		}
 	}
-	return float64(served) / float64(max(1, asked)), asked
+	return float64(served) / float64(max(1, sent)), sent
 }
--- a/internal/testbed/faultconn/brittle.go
+++ b/internal/testbed/faultconn/brittle.go
@@ -21,7 +21,7 @@
 	Deadline    // the setting of one
 	Close       // is done, and reports an error
 	Accept      // fails once, as when descriptors run out
-	ops
+	numOps
 )
 
 func (o Op) String() string {
@@ -33,65 +33,65 @@
 	Op  Op
 	Nth int // from 1
 
-	mu    sync.Mutex
-	did   [ops]int
-	open  int
-	first *Conn
+	mu        sync.Mutex
+	counts    [numOps]int
+	openConns int
+	first     *Conn
 }
 
-// fails counts an operation and reports whether it is the one.
-func (p *Injector) fails(o Op) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.did[o]++
-	return o == p.Op && p.did[o] == p.Nth
+// shouldFail counts an operation and reports whether it is the one.
+func (i *Injector) shouldFail(o Op) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.counts[o]++
+	return o == i.Op && i.counts[o] == i.Nth
 }
 
 // Triggered reports that the operation came to be.
-func (p *Injector) Triggered() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.did[p.Op] >= p.Nth
+func (i *Injector) Triggered() bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.counts[i.Op] >= i.Nth
 }
 
 // OpenConns is how many connections are not closed.
-func (p *Injector) OpenConns() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.open
+func (i *Injector) OpenConns() int {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.openConns
 }
 
 // FirstClosed reports that the first one was closed.
-func (p *Injector) FirstClosed() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.first != nil && p.first.closed
+func (i *Injector) FirstClosed() bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.first != nil && i.first.closed
 }
 
 // Conn is a connection under a plan.
 type Conn struct {
 	*net.TCPConn
-	plan *Injector
-	once sync.Once
+	injector *Injector
+	once     sync.Once
 
 	closed bool // under the plan's lock
 }
 
 // Wrap puts a connection under a plan.
-func (p *Injector) Wrap(c net.Conn) *Conn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.open++
-	w := &Conn{TCPConn: c.(*net.TCPConn), plan: p}
-	if p.first == nil {
-		p.first = w
+func (i *Injector) Wrap(c net.Conn) *Conn {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.openConns++
+	w := &Conn{TCPConn: c.(*net.TCPConn), injector: i}
+	if i.first == nil {
+		i.first = w
 	}
 	return w
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
-	if c.plan.fails(Read) {
+	if c.injector.shouldFail(Read) {
 		return 0, syscall.ECONNRESET
 	}
 	return c.TCPConn.Read(b)
@@ -99,7 +99,7 @@
 
 // Write implements net.Conn.
 func (c *Conn) Write(b []byte) (int, error) {
-	if c.plan.fails(Write) {
+	if c.injector.shouldFail(Write) {
 		return 0, syscall.ECONNRESET
 	}
 	return c.TCPConn.Write(b)
@@ -107,7 +107,7 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *Conn) SetReadDeadline(t time.Time) error {
-	if c.plan.fails(Deadline) {
+	if c.injector.shouldFail(Deadline) {
 		return net.ErrClosed
 	}
 	return c.TCPConn.SetReadDeadline(t)
@@ -115,7 +115,7 @@
 
 // SetWriteDeadline implements net.Conn.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
-	if c.plan.fails(Deadline) {
+	if c.injector.shouldFail(Deadline) {
 		return net.ErrClosed
 	}
 	return c.TCPConn.SetWriteDeadline(t)
@@ -125,12 +125,12 @@
 func (c *Conn) Close() error {
 	err := c.TCPConn.Close()
 	c.once.Do(func() {
-		c.plan.mu.Lock()
-		defer c.plan.mu.Unlock()
-		c.plan.open--
+		c.injector.mu.Lock()
+		defer c.injector.mu.Unlock()
+		c.injector.openConns--
 		c.closed = true
 	})
-	if c.plan.fails(Close) {
+	if c.injector.shouldFail(Close) {
 		return syscall.EIO
 	}
 	return err
@@ -139,23 +139,23 @@
 // SyscallConn implements syscall.Conn.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return rawConn{raw, c.plan}, err
+	return rawConn{raw, c.injector}, err
 }
 
 type rawConn struct {
 	syscall.RawConn
-	plan *Injector
+	injector *Injector
 }
 
 func (r rawConn) Write(f func(fd uintptr) bool) error {
-	if r.plan.fails(Write) {
+	if r.injector.shouldFail(Write) {
 		return syscall.ECONNRESET
 	}
 	return r.RawConn.Write(f)
 }
 
 func (r rawConn) Control(f func(fd uintptr)) error {
-	if r.plan.fails(Control) {
+	if r.injector.shouldFail(Control) {
 		return net.ErrClosed
 	}
 	return r.RawConn.Control(f)
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if l.Injector.fails(Accept) {
+	if l.Injector.shouldFail(Accept) {
 		c.Close()
 		return nil, syscall.EMFILE
 	}
--- a/internal/testbed/faultnet/links.go
+++ b/internal/testbed/faultnet/links.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	datagramMost = 64 << 10 // bytes, as UDP has it
-	heldMost     = 4096     // datagrams that wait out their delay; one more is lost
+	maxDatagram = 64 << 10 // bytes, as UDP has it
+	maxDelayed  = 4096     // datagrams that wait out their delay; one more is lost
 )
 
 // Fault is what becomes of what goes one way between two members. The zero value passes all at once.
@@ -37,22 +37,22 @@
 // Mesh is a relay for each ordered pair of members. Its methods may be called from any goroutine.
 type Mesh struct {
 	members []netip.AddrPort
-	ways    [][]*net.UDPConn // by who sends, and to whom
+	sockets [][]*net.UDPConn // by who sends, and to whom
 	relays  [][]*Relay
-	done    sync.WaitGroup
-
-	mu     sync.Mutex
-	rnd    *rand.Rand
-	faults [][]Fault
-	counts Counts
-	held   int
-	closed bool
-	change chan struct{} // closed at the next change of a fault
+	wg      sync.WaitGroup
+
+	mu      sync.Mutex
+	rnd     *rand.Rand
+	faults  [][]Fault
+	counts  Counts
+	delayed int
+	closed  bool
+	changed chan struct{} // closed at the next change of a fault
 }
 
 // NewMesh stands between members that listen for datagrams and streams at these addresses, and passes all.
 func NewMesh(seed uint64, members []string) (m *Mesh, err error) {
-	m = &Mesh{rnd: rand.New(rand.NewPCG(seed, 1)), change: make(chan struct{})}
+	m = &Mesh{rnd: rand.New(rand.NewPCG(seed, 1)), changed: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			m.Close()
@@ -67,7 +67,7 @@
 	}
 	for range members {
 		m.faults = append(m.faults, make([]Fault, len(members)))
-		m.ways = append(m.ways, make([]*net.UDPConn, len(members)))
+		m.sockets = append(m.sockets, make([]*net.UDPConn, len(members)))
 		m.relays = append(m.relays, make([]*Relay, len(members)))
 	}
 	for i := range members {
@@ -75,10 +75,10 @@
 			if i == j {
 				continue
 			}
-			if m.ways[i][j], err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+			if m.sockets[i][j], err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 				return m, fmt.Errorf("a relay from %d to %d: %w", i, j, err)
 			}
-			if m.relays[i][j], err = newRelay(members[j], m.streams(i, j), m.streamed); err != nil {
+			if m.relays[i][j], err = newRelay(members[j], m.streamFaults(i, j), m.addStreamBytes); err != nil {
 				return m, err
 			}
 		}
@@ -86,7 +86,7 @@
 	for i := range members {
 		for j := range members {
 			if i != j {
-				m.done.Go(func() { m.relay(i, j) })
+				m.wg.Go(func() { m.relayDatagrams(i, j) })
 			}
 		}
 	}
@@ -94,37 +94,37 @@
 }
 
 // PeerAddrs are the addresses under which a member sees all, its own among them.
-func (m *Mesh) PeerAddrs(by int) (all []string) {
+func (m *Mesh) PeerAddrs(member int) (addrs []string) {
 	for j, a := range m.members {
-		if j != by {
-			a = m.ways[by][j].LocalAddr().(*net.UDPAddr).AddrPort()
+		if j != member {
+			a = m.sockets[member][j].LocalAddr().(*net.UDPAddr).AddrPort()
 		}
-		all = append(all, a.String())
+		addrs = append(addrs, a.String())
 	}
-	return all
+	return addrs
 }
 
-// relay passes on what one member sends to another. It leaves by the socket to which the other one sends, as members know each
+// relayDatagrams passes on what one member sends to another. It leaves by the socket to which the other one sends, as members know each
 // other by their addresses.
-func (m *Mesh) relay(from, to int) {
-	buf := make([]byte, datagramMost)
+func (m *Mesh) relayDatagrams(from, to int) {
+	buf := make([]byte, maxDatagram)
 	for {
-		n, source, err := m.ways[from][to].ReadFromUDPAddrPort(buf)
+		n, source, err := m.sockets[from][to].ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil || source != m.members[from] {
 			continue // a member that is down refuses; a stranger is no member
 		}
-		text := append([]byte(nil), buf[:n]...)
-		for _, late := range m.fates(from, to) {
-			time.AfterFunc(late, func() { m.pass(from, to, text) })
+		data := append([]byte(nil), buf[:n]...)
+		for _, delay := range m.drawDelays(from, to) {
+			time.AfterFunc(delay, func() { m.deliver(from, to, data) })
 		}
 	}
 }
 
-// fates draws how late a datagram comes, for each time that it does.
-func (m *Mesh) fates(from, to int) (late []time.Duration) {
+// drawDelays draws how late a datagram comes, for each time that it does.
+func (m *Mesh) drawDelays(from, to int) (delays []time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f := m.faults[from][to]
@@ -137,42 +137,42 @@
 		times, m.counts.Duplicated = 2, m.counts.Duplicated+1
 	}
 	for range times {
-		if m.held >= heldMost || m.closed {
+		if m.delayed >= maxDelayed || m.closed {
 			m.counts.Overflowed++
 			continue
 		}
-		m.held++
-		late = append(late, f.MinDelay+time.Duration(m.rnd.Int64N(int64(max(0, f.MaxDelay-f.MinDelay))+1)))
+		m.delayed++
+		delays = append(delays, f.MinDelay+time.Duration(m.rnd.Int64N(int64(max(0, f.MaxDelay-f.MinDelay))+1)))
 	}
-	return late
+	return delays
 }
 
-func (m *Mesh) pass(from, to int, text []byte) {
+func (m *Mesh) deliver(from, to int, data []byte) {
 	m.mu.Lock()
-	m.held--
+	m.delayed--
 	m.counts.Forwarded++
 	closed := m.closed
 	m.mu.Unlock()
 	if !closed {
-		_, _ = m.ways[to][from].WriteToUDPAddrPort(text, m.members[to]) // as if lost, where it can't be written
+		_, _ = m.sockets[to][from].WriteToUDPAddrPort(data, m.members[to]) // as if lost, where it can't be written
 	}
 }
 
-func (m *Mesh) streamed(n int) {
+func (m *Mesh) addStreamBytes(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.StreamBytes += n
 }
 
-// streams tells the faults of the streams that one member opens to another.
-func (m *Mesh) streams(from, to int) func(back bool) (Fault, <-chan struct{}) {
-	return func(back bool) (Fault, <-chan struct{}) {
+// streamFaults tells the faults of the streamFaults that one member opens to another.
+func (m *Mesh) streamFaults(from, to int) func(reverse bool) (Fault, <-chan struct{}) {
+	return func(reverse bool) (Fault, <-chan struct{}) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if back {
-			return m.faults[to][from], m.change
+		if reverse {
+			return m.faults[to][from], m.changed
 		}
-		return m.faults[from][to], m.change
+		return m.faults[from][to], m.changed
 	}
 }
 
@@ -180,13 +180,13 @@
 func (m *Mesh) SetFault(f Fault, from, to []int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, i := range m.or(from) {
-		for _, j := range m.or(to) {
+	for _, i := range m.orAll(from) {
+		for _, j := range m.orAll(to) {
 			m.faults[i][j] = f
 		}
 	}
-	close(m.change)
-	m.change = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
 // Partition cuts some members off from the others, both ways; what is between the members of a side stays as it was.
@@ -207,9 +207,9 @@
 	}
 }
 
-func (m *Mesh) or(some []int) []int {
-	if some != nil {
-		return some
+func (m *Mesh) orAll(members []int) []int {
+	if members != nil {
+		return members
 	}
 	all := make([]int, len(m.members))
 	for i := range all {
@@ -230,7 +230,7 @@
 	m.mu.Lock()
 	m.closed = true
 	m.mu.Unlock()
-	for i, row := range m.ways {
+	for i, row := range m.sockets {
 		for j, c := range row {
 			if c != nil {
 				c.Close()
@@ -240,5 +240,5 @@
 			}
 		}
 	}
-	m.done.Wait()
+	m.wg.Wait()
 }
--- a/internal/testbed/faultnet/stream.go
+++ b/internal/testbed/faultnet/stream.go
@@ -9,67 +9,67 @@
 )
 
 const (
-	chunkMost  = 16 << 10 // bytes of a stream that are passed on at once
-	dialWithin = 2 * time.Second
+	chunkSize   = 16 << 10 // bytes of a stream that are passed on at once
+	dialTimeout = 2 * time.Second
 )
 
 // Relay passes the streams that come to it on to one address, each way with a fault of its own. It stands between clients and a
 // gateway, a gateway and a node, or two members of a mesh.
 type Relay struct {
-	to  string
-	ln  net.Listener
-	way func(back bool) (f Fault, changed <-chan struct{})
-	saw func(bytes int)
+	to      string
+	ln      net.Listener
+	fault   func(reverse bool) (f Fault, changed <-chan struct{})
+	onBytes func(bytes int)
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed chan struct{}
 	ended  bool
-	done   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
 // RelayFaults are the faults of a Relay that stands by itself. The zero value passes all at once.
 type RelayFaults struct {
-	mu          sync.Mutex
-	there, back Fault
-	changed     chan struct{}
+	mu               sync.Mutex
+	forward, reverse Fault
+	changed          chan struct{}
 }
 
 // Set has a fault on what comes in from those who connect, and one on what goes back to them.
-func (w *RelayFaults) Set(there, back Fault) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.there, w.back = there, back
-	if w.changed != nil {
-		close(w.changed)
+func (f *RelayFaults) Set(forward, reverse Fault) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.forward, f.reverse = forward, reverse
+	if f.changed != nil {
+		close(f.changed)
 	}
-	w.changed = make(chan struct{})
+	f.changed = make(chan struct{})
 }
 
-func (w *RelayFaults) way(back bool) (Fault, <-chan struct{}) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.changed == nil {
-		w.changed = make(chan struct{})
+func (f *RelayFaults) get(reverse bool) (Fault, <-chan struct{}) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.changed == nil {
+		f.changed = make(chan struct{})
 	}
-	if back {
-		return w.back, w.changed
+	if reverse {
+		return f.reverse, f.changed
 	}
-	return w.there, w.changed
+	return f.forward, f.changed
 }
 
 // NewRelay stands before an address, by these ways.
-func NewRelay(to string, ways *RelayFaults) (*Relay, error) {
-	return newRelay(to, ways.way, func(int) {})
+func NewRelay(to string, faults *RelayFaults) (*Relay, error) {
+	return newRelay(to, faults.get, func(int) {})
 }
 
-func newRelay(to string, way func(bool) (Fault, <-chan struct{}), saw func(int)) (*Relay, error) {
+func newRelay(to string, fault func(bool) (Fault, <-chan struct{}), onBytes func(int)) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("a relay to %s: %w", to, err)
 	}
-	r := &Relay{to: to, ln: ln, way: way, saw: saw, conns: map[net.Conn]struct{}{}, closed: make(chan struct{})}
-	r.done.Go(r.accept)
+	r := &Relay{to: to, ln: ln, fault: fault, onBytes: onBytes, conns: map[net.Conn]struct{}{}, closed: make(chan struct{})}
+	r.wg.Go(r.accept)
 	return r, nil
 }
 
@@ -85,33 +85,33 @@
 		if err != nil {
 			continue // that one has gone again
 		}
-		r.done.Go(func() { r.serve(c) })
+		r.wg.Go(func() { r.serve(c) })
 	}
 }
 
 // serve passes on a connection. One that the fault refuses, or that leads to nobody, is closed.
 func (r *Relay) serve(c net.Conn) {
 	defer c.Close()
-	if f, _ := r.way(false); f.Refuse || !r.hold(c) {
+	if f, _ := r.fault(false); f.Refuse || !r.track(c) {
 		return
 	}
-	defer r.drop(c)
-	there, err := net.DialTimeout("tcp", r.to, dialWithin)
+	defer r.untrack(c)
+	target, err := net.DialTimeout("tcp", r.to, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer there.Close()
-	if !r.hold(there) {
+	defer target.Close()
+	if !r.track(target) {
 		return
 	}
-	defer r.drop(there)
+	defer r.untrack(target)
 	ended := make(chan struct{}, 2)
 	for _, w := range []struct {
 		from, to net.Conn
-		back     bool
-	}{{c, there, false}, {there, c, true}} {
-		r.done.Go(func() {
-			r.pass(w.from, w.to, w.back)
+		reverse  bool
+	}{{c, target, false}, {target, c, true}} {
+		r.wg.Go(func() {
+			r.copyStream(w.from, w.to, w.reverse)
 			ended <- struct{}{}
 		})
 	}
@@ -121,13 +121,13 @@
 	}
 }
 
-// pass copies one way, as far as its fault allows.
-func (r *Relay) pass(from, to net.Conn, back bool) {
-	buf := make([]byte, chunkMost)
+// copyStream copies one way, as far as its fault allows.
+func (r *Relay) copyStream(from, to net.Conn, reverse bool) {
+	buf := make([]byte, chunkSize)
 	for sent := 0; ; {
 		n, err := from.Read(buf)
 		if n > 0 {
-			f, open := r.open(back)
+			f, open := r.waitOpen(reverse)
 			if !open {
 				return
 			}
@@ -139,7 +139,7 @@
 			if _, err := to.Write(buf[:left]); err != nil || left < n {
 				return
 			}
-			r.saw(n)
+			r.onBytes(n)
 			sent += n
 		}
 		if err != nil {
@@ -148,10 +148,10 @@
 	}
 }
 
-// open waits until its way passes anything; false: the relay has been closed.
-func (r *Relay) open(back bool) (Fault, bool) {
+// waitOpen waits until its way passes anything; false: the relay has been closed.
+func (r *Relay) waitOpen(reverse bool) (Fault, bool) {
 	for {
-		f, changed := r.way(back)
+		f, changed := r.fault(reverse)
 		if !f.Stall && f.Loss < 1 {
 			return f, true
 		}
@@ -163,7 +163,7 @@
 	}
 }
 
-func (r *Relay) hold(c net.Conn) bool {
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended {
@@ -173,7 +173,7 @@
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
@@ -199,5 +199,5 @@
 		r.ln.Close()
 	}
 	r.CloseStreams()
-	r.done.Wait()
+	r.wg.Wait()
 }
--- a/internal/testbed/faultnet/transport.go
+++ b/internal/testbed/faultnet/transport.go
@@ -19,14 +19,14 @@
 type Route struct{ Datagrams, Streams string }
 
 // Routes are those of one member of a mesh.
-func (m *Mesh) Routes(by int) Routes {
-	all := Routes{}
+func (m *Mesh) Routes(member int) Routes {
+	routes := Routes{}
 	for j, a := range m.members {
-		if j != by {
-			all[a.String()] = Route{m.ways[by][j].LocalAddr().String(), m.relays[by][j].Addr()}
+		if j != member {
+			routes[a.String()] = Route{m.sockets[member][j].LocalAddr().String(), m.relays[member][j].Addr()}
 		}
 	}
-	return all
+	return routes
 }
 
 // String is for the environment of a member's process; ParseRoutes reads it there.
--- a/internal/testbed/h2client.go
+++ b/internal/testbed/h2client.go
@@ -21,14 +21,14 @@
 	Conn             net.Conn
 	Framer           *http2.Framer
 	AutoWindowUpdate bool // give back what DATA takes of the windows
-	next             uint32
+	nextStream       uint32
 	encoded          bytes.Buffer
 	encoder          *hpack.Encoder
 	decoder          *hpack.Decoder
-	partly           map[uint32]*H2Response
+	partial          map[uint32]*H2Response
 }
 
-const h2FrameMost = 16384 // bytes of a frame that every peer takes (RFC 9113, 4.2)
+const h2MaxFrameSize = 16384 // bytes of a frame that every peer takes (RFC 9113, 4.2)
 
 // H2Response is what came on a stream, or for the whole connection where Stream is 0.
 type H2Response struct {
@@ -43,17 +43,17 @@
 }
 
 // DialH2 connects to a gateway, by TLS where a configuration is given, and sends the preface.
-func DialH2(addr string, by *tls.Config, settings ...http2.Setting) (*H2Client, error) {
+func DialH2(addr string, tlsConfig *tls.Config, settings ...http2.Setting) (*H2Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("dialing a gateway: %w", err)
 	}
-	if by != nil {
-		by = by.Clone()
-		by.NextProtos = []string{http2.NextProtoTLS}
-		conn = tls.Client(conn, by)
+	if tlsConfig != nil {
+		tlsConfig = tlsConfig.Clone()
+		tlsConfig.NextProtos = []string{http2.NextProtoTLS}
+		conn = tls.Client(conn, tlsConfig)
 	}
-	c := &H2Client{Conn: conn, AutoWindowUpdate: true, next: 1, partly: map[uint32]*H2Response{}}
+	c := &H2Client{Conn: conn, AutoWindowUpdate: true, nextStream: 1, partial: map[uint32]*H2Response{}}
 	c.Framer = http2.NewFramer(conn, conn)
 	c.Framer.AllowIllegalWrites = true
 	c.encoder, c.decoder = hpack.NewEncoder(&c.encoded), hpack.NewDecoder(4096, nil)
@@ -101,11 +101,11 @@
 
 // Send sends a whole request on a new stream and tells which.
 func (c *H2Client) Send(q H2Request) (uint32, error) {
-	id := c.next
-	c.next += 2
+	id := c.nextStream
+	c.nextStream += 2
 	err := c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndHeaders: true, EndStream: len(q.Body) == 0, BlockFragment: c.HeaderBlock(q)})
 	for b := q.Body; err == nil && len(b) > 0; {
-		n := min(len(b), h2FrameMost)
+		n := min(len(b), h2MaxFrameSize)
 		err = c.Framer.WriteData(id, n == len(b), b[:n])
 		b = b[n:]
 	}
@@ -122,14 +122,14 @@
 		if err != nil {
 			return nil, err
 		}
-		a, err := c.frame(f)
+		a, err := c.handleFrame(f)
 		if a != nil || err != nil {
 			return a, err
 		}
 	}
 }
 
-func (c *H2Client) frame(f http2.Frame) (*H2Response, error) {
+func (c *H2Client) handleFrame(f http2.Frame) (*H2Response, error) {
 	id := f.Header().StreamID
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -143,7 +143,7 @@
 	case *http2.GoAwayFrame:
 		return &H2Response{GoAway: true, Code: f.ErrCode, LastStream: f.LastStreamID}, nil
 	case *http2.RSTStreamFrame:
-		delete(c.partly, id)
+		delete(c.partial, id)
 		return &H2Response{Stream: id, Reset: true, Code: f.ErrCode}, nil
 	case *http2.HeadersFrame:
 		fields, err := c.decoder.DecodeFull(f.HeaderBlockFragment())
@@ -158,19 +158,19 @@
 		if f.StreamEnded() || err != nil {
 			return a, err
 		}
-		c.partly[id] = a
+		c.partial[id] = a
 	case *http2.DataFrame:
-		return c.data(f)
+		return c.handleData(f)
 	}
 	return nil, nil
 }
 
-var errUnasked = errors.New("DATA on a stream without HEADERS")
+var errDataWithoutHeaders = errors.New("DATA on a stream without HEADERS")
 
-func (c *H2Client) data(f *http2.DataFrame) (*H2Response, error) {
-	a := c.partly[f.StreamID]
+func (c *H2Client) handleData(f *http2.DataFrame) (*H2Response, error) {
+	a := c.partial[f.StreamID]
 	if a == nil {
-		return nil, errUnasked
+		return nil, errDataWithoutHeaders
 	}
 	a.Body = append(a.Body, f.Data()...)
 	if c.AutoWindowUpdate && f.Length > 0 {
@@ -181,7 +181,7 @@
 	if !f.StreamEnded() {
 		return nil, nil
 	}
-	delete(c.partly, f.StreamID)
+	delete(c.partial, f.StreamID)
 	return a, nil
 }
 
--- a/internal/testbed/h2node.go
+++ b/internal/testbed/h2node.go
@@ -25,7 +25,7 @@
 // H2NodeConn is a connection of a node's, made of raw frames. Its methods are safe for concurrent use.
 type H2NodeConn struct {
 	Conn    net.Conn
-	n       *Node
+	node    *Node
 	mu      sync.Mutex
 	framer  *http2.Framer
 	encoded bytes.Buffer
@@ -35,16 +35,16 @@
 
 // InterceptStreams hands each request that came whole to a function first: if it reports true the node does nothing more for it, and it is
 // not tallied. It is for nodes that speak HTTP/2.
-func (n *Node) InterceptStreams(do func(*H2Stream) bool) {
+func (n *Node) InterceptStreams(intercept func(*H2Stream) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rude = do
+	n.intercept = intercept
 }
 
 // RecordExecuted counts a request as come and having taken effect, for what Rude takes over.
 func (s *H2Stream) RecordExecuted() {
-	s.Conn.n.cfg.Recorder.arrived(s.Arrival)
-	s.Conn.n.cfg.Recorder.effect(s.Arrival.ID)
+	s.Conn.node.cfg.Recorder.recordArrival(s.Arrival)
+	s.Conn.node.cfg.Recorder.recordEffect(s.Arrival.ID)
 }
 
 // WriteFrames writes frames as the function has them.
@@ -65,13 +65,13 @@
 	}
 	c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, EndHeaders: true, EndStream: body == "", BlockFragment: c.encoded.Bytes()})
 	for b := []byte(body); len(b) > 0; {
-		n := min(len(b), h2FrameMost)
+		n := min(len(b), h2MaxFrameSize)
 		c.framer.WriteData(stream, n == len(b), b[:n])
 		b = b[n:]
 	}
 }
 
-const h2Streams = 100 // open at once, where the node's configuration tells nothing
+const h2DefaultMaxStreams = 100 // open at once, where the node's configuration tells nothing
 
 // serveH2 serves a connection until it ends. What is open then is given up.
 func (n *Node) serveH2(conn net.Conn) {
@@ -79,35 +79,35 @@
 	if _, err := io.ReadFull(conn, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
-	c := &H2NodeConn{Conn: conn, n: n, framer: http2.NewFramer(conn, conn), open: map[uint32]chan struct{}{}}
+	c := &H2NodeConn{Conn: conn, node: n, framer: http2.NewFramer(conn, conn), open: map[uint32]chan struct{}{}}
 	c.framer.AllowIllegalWrites = true
 	c.encoder = hpack.NewEncoder(&c.encoded)
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	streams := n.cfg.MaxStreams
 	if streams == 0 {
-		streams = h2Streams
+		streams = h2DefaultMaxStreams
 	}
 	c.WriteFrames(func(f *http2.Framer) {
 		f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(streams)})
 	})
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer c.giveUpAll()
-	half := map[uint32]*H2Stream{}
+	defer c.cancelAllStreams()
+	partial := map[uint32]*H2Stream{}
 	for {
 		f, err := c.framer.ReadFrame()
 		if err != nil {
 			return
 		}
-		if s := c.take(f, half); s != nil {
-			s.Cancelled = c.opened(s.ID)
+		if s := c.handleFrame(f, partial); s != nil {
+			s.Cancelled = c.addStream(s.ID)
 			wg.Go(func() { c.serve(s) })
 		}
 	}
 }
 
-// take takes a frame, and returns a request that is whole.
-func (c *H2NodeConn) take(f http2.Frame, half map[uint32]*H2Stream) *H2Stream {
+// handleFrame takes a frame, and returns a request that is whole.
+func (c *H2NodeConn) handleFrame(f http2.Frame, partial map[uint32]*H2Stream) *H2Stream {
 	id := f.Header().StreamID
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -120,16 +120,16 @@
 			c.WriteFrames(func(w *http2.Framer) { w.WritePing(true, data) })
 		}
 	case *http2.RSTStreamFrame:
-		delete(half, id)
-		c.giveUp(id)
+		delete(partial, id)
+		c.cancelStream(id)
 	case *http2.MetaHeadersFrame:
-		s := &H2Stream{ID: id, Conn: c, Arrival: c.n.arrival(f)}
+		s := &H2Stream{ID: id, Conn: c, Arrival: c.node.parseHeaders(f)}
 		if f.StreamEnded() {
 			return s
 		}
-		half[id] = s
+		partial[id] = s
 	case *http2.DataFrame:
-		s := half[id]
+		s := partial[id]
 		if s == nil {
 			return nil
 		}
@@ -138,15 +138,15 @@
 			c.WriteFrames(func(w *http2.Framer) { w.WriteWindowUpdate(0, n) })
 		}
 		if f.StreamEnded() {
-			delete(half, id)
+			delete(partial, id)
 			return s
 		}
 	}
 	return nil
 }
 
-// arrival reads a request in the mapping's words.
-func (n *Node) arrival(f *http2.MetaHeadersFrame) Arrival {
+// parseHeaders reads a request in the mapping's words.
+func (n *Node) parseHeaders(f *http2.MetaHeadersFrame) Arrival {
 	a := Arrival{Node: n.ID(), Units: 1, At: time.Now()}
 	for _, h := range f.Fields {
 		switch h.Name {
@@ -167,24 +167,24 @@
 }
 
 func (c *H2NodeConn) serve(s *H2Stream) {
-	c.n.mu.Lock()
-	rude := c.n.rude
-	c.n.mu.Unlock()
-	if rude != nil && rude(s) {
+	c.node.mu.Lock()
+	intercept := c.node.intercept
+	c.node.mu.Unlock()
+	if intercept != nil && intercept(s) {
 		return
 	}
-	result := givenUp
+	result := abandoned
 	if s.Arrival.Work > 0 {
-		result = c.n.work(s.Arrival, s.Cancelled)
+		result = c.node.execute(s.Arrival, s.Cancelled)
 	}
-	if !c.closed(s.ID) {
+	if !c.removeStream(s.ID) {
 		return
 	}
 	switch result {
-	case turnedAway:
+	case rejected:
 		c.Respond(s.ID, 503, "", "sloepick-ran", "never")
-	case done:
-		if use := c.n.used(s.Arrival); use != "" {
+	case completed:
+		if use := c.node.reportUse(s.Arrival); use != "" {
 			c.Respond(s.ID, 200, ReplyValue(s.Arrival.ID), "sloepick-use", use)
 			return
 		}
@@ -194,16 +194,16 @@
 	}
 }
 
-func (c *H2NodeConn) opened(id uint32) <-chan struct{} {
+func (c *H2NodeConn) addStream(id uint32) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	gone := make(chan struct{})
-	c.open[id] = gone
-	return gone
+	cancelled := make(chan struct{})
+	c.open[id] = cancelled
+	return cancelled
 }
 
-// closed takes a stream out, and reports whether it was there still.
-func (c *H2NodeConn) closed(id uint32) bool {
+// removeStream takes a stream out, and reports whether it was there still.
+func (c *H2NodeConn) removeStream(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, ok := c.open[id]
@@ -211,20 +211,20 @@
 	return ok
 }
 
-func (c *H2NodeConn) giveUp(id uint32) {
+func (c *H2NodeConn) cancelStream(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if gone, ok := c.open[id]; ok {
-		close(gone)
+	if cancelled, ok := c.open[id]; ok {
+		close(cancelled)
 		delete(c.open, id)
 	}
 }
 
-func (c *H2NodeConn) giveUpAll() {
+func (c *H2NodeConn) cancelAllStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, gone := range c.open {
-		close(gone)
+	for id, cancelled := range c.open {
+		close(cancelled)
 		delete(c.open, id)
 	}
 }
--- a/internal/testbed/leaks/leaks.go
+++ b/internal/testbed/leaks/leaks.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	within = 5 * time.Second // what ends has so long to it; a test that leaves nothing waits for none of it
-	look   = 5 * time.Millisecond
+	waitTimeout  = 5 * time.Second // what ends has so long to it; a test that leaves nothing waits for none of it
+	pollInterval = 5 * time.Millisecond
 )
 
 // Check is called first in a test: when the test and its other cleanups are over, no goroutine and no descriptor may be left that
 // was not there before. Tests that run beside others can't use it.
 func Check(t testing.TB) {
 	t.Helper()
-	check(t, within)
+	check(t, waitTimeout)
 }
 
-func check(t testing.TB, within time.Duration) {
+func check(t testing.TB, timeout time.Duration) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	files := descriptors()
+	openBefore := openDescriptors()
 	t.Cleanup(func() {
 		if t.Failed() {
 			return // it ended before it had cleaned up
 		}
-		if err := ended(before, within); err != nil {
+		if err := waitGoroutines(before, timeout); err != nil {
 			t.Error(err)
 		}
-		if err := closed(files, within); err != nil {
+		if err := waitDescriptors(openBefore, timeout); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// ended waits until all goroutines have ended that were not there before.
-func ended(before goleak.Option, within time.Duration) (err error) {
-	for end := time.Now().Add(within); time.Now().Before(end); {
+// waitGoroutines waits until all goroutines have waitGoroutines that were not there before.
+func waitGoroutines(before goleak.Option, timeout time.Duration) (err error) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		if err = goleak.Find(before); err == nil { // it waits for a part of a second itself
 			return nil
 		}
@@ -49,30 +49,30 @@
 	return err
 }
 
-// closed waits until no more descriptors are open than before.
-func closed(before map[string]string, within time.Duration) error {
-	var left map[string]string
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(look) {
-		if left = descriptors(); len(left) <= len(before) {
+// waitDescriptors waits until no more descriptors are open than before.
+func waitDescriptors(before map[string]string, timeout time.Duration) error {
+	var open map[string]string
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if open = openDescriptors(); len(open) <= len(before) {
 			return nil
 		}
 	}
 	for name := range before {
-		delete(left, name)
+		delete(open, name)
 	}
-	return fmt.Errorf("descriptors are left open: %v", left)
+	return fmt.Errorf("descriptors are left open: %v", open)
 }
 
-// descriptors are those that the process has open, with what they lead to; none where the system does not tell.
-func descriptors() map[string]string {
-	const folder = "/proc/self/fd"
-	entries, err := os.ReadDir(folder)
+// openDescriptors are those that the process has open, with what they lead to; none where the system does not tell.
+func openDescriptors() map[string]string {
+	const dir = "/proc/self/fd"
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil
 	}
 	all := map[string]string{}
 	for _, e := range entries {
-		if to, err := os.Readlink(folder + "/" + e.Name()); err == nil { // else it is the folder's own, closed by now
+		if to, err := os.Readlink(dir + "/" + e.Name()); err == nil { // else it is the folder's own, closed by now
 			all[e.Name()] = to
 		}
 	}
--- a/internal/testbed/leaks/leaks_test.go
+++ b/internal/testbed/leaks/leaks_test.go
@@ -7,39 +7,41 @@
 	"time"
 )
 
-// watched is a test whose failures are kept.
-type watched struct {
+// recordingTB is a test whose failures are kept.
+type recordingTB struct {
 	testing.TB
 	cleanups []func()
 	errors   []string
 }
 
-func (w *watched) Helper()            {}
-func (w *watched) Failed() bool       { return false }
-func (w *watched) Cleanup(f func())   { w.cleanups = append(w.cleanups, f) }
-func (w *watched) Error(args ...any)  { w.errors = append(w.errors, args[0].(error).Error()) }
-func (w *watched) end()               { w.cleanups[0]() }
-func (w *watched) told(s string) bool { return strings.Contains(strings.Join(w.errors, "\n"), s) }
+func (r *recordingTB) Helper()           {}
+func (r *recordingTB) Failed() bool      { return false }
+func (r *recordingTB) Cleanup(f func())  { r.cleanups = append(r.cleanups, f) }
+func (r *recordingTB) Error(args ...any) { r.errors = append(r.errors, args[0].(error).Error()) }
+func (r *recordingTB) runCleanup()       { r.cleanups[0]() }
+func (r *recordingTB) reported(s string) bool {
+	return strings.Contains(strings.Join(r.errors, "\n"), s)
+}
 
 // TestCheck: what a test leaves is told, and a test that leaves nothing passes.
 func TestCheck(t *testing.T) {
-	clean := &watched{TB: t}
+	clean := &recordingTB{TB: t}
 	Check(clean)
 	go time.Sleep(20 * time.Millisecond) // ends by itself
-	if clean.end(); len(clean.errors) != 0 {
+	if clean.runCleanup(); len(clean.errors) != 0 {
 		t.Errorf("a test that left nothing: %v", clean.errors)
 	}
-	dirty, stop := &watched{TB: t}, make(chan struct{})
-	check(dirty, 100*time.Millisecond)
+	leaking, stop := &recordingTB{TB: t}, make(chan struct{})
+	check(leaking, 100*time.Millisecond)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() { <-stop }()
-	dirty.end()
+	leaking.runCleanup()
 	close(stop)
 	listener.Close()
-	if !dirty.told("goroutine") || !dirty.told("socket:") {
-		t.Errorf("a goroutine and a listener were left, and told was %v", dirty.errors)
+	if !leaking.reported("goroutine") || !leaking.reported("socket:") {
+		t.Errorf("a goroutine and a listener were left, and told was %v", leaking.errors)
 	}
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -22,8 +22,8 @@
 	seen map[string]time.Time
 }
 
-// first reports whether a key is new to the cell, and remembers it.
-func (c *Cell) first(key string, now time.Time) bool {
+// addKey reports whether a key is new to the cell, and remembers it.
+func (c *Cell) addKey(key string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.seen == nil {
@@ -49,24 +49,24 @@
 	mu       sync.Mutex
 	arrivals []Arrival
 	effects  map[string]int // by id
-	started  map[string][]time.Time
+	starts   map[string][]time.Time
 }
 
 // NewRecorder makes an empty one.
 func NewRecorder() *Recorder {
-	return &Recorder{effects: map[string]int{}, started: map[string][]time.Time{}}
+	return &Recorder{effects: map[string]int{}, starts: map[string][]time.Time{}}
 }
 
-func (t *Recorder) arrived(a Arrival) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.arrivals = append(t.arrivals, a)
+func (r *Recorder) recordArrival(a Arrival) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.arrivals = append(r.arrivals, a)
 }
 
-func (t *Recorder) effect(id string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.effects[id]++
+func (r *Recorder) recordEffect(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.effects[id]++
 }
 
 // NodeConfig describes a working node.
@@ -90,16 +90,16 @@
 	slots chan struct{}
 	addr  string
 
-	mu       sync.Mutex
-	l        *listener
-	waiting  int
-	draining bool
-	quick    bool
-	started  time.Time // zero: long ago
-	counts   NodeCounts
-	stall    func(Arrival) time.Duration
-	rude     func(*H2Stream) bool
-	use      func(Arrival) string
+	mu         sync.Mutex
+	l          *listener
+	waiting    int
+	draining   bool
+	skipWork   bool
+	started    time.Time // zero: long ago
+	counts     NodeCounts
+	extraDelay func(Arrival) time.Duration
+	intercept  func(*H2Stream) bool
+	useReport  func(Arrival) string
 }
 
 // NodeCounts are a node's own figures.
@@ -108,7 +108,7 @@
 // NewNode starts a node that has been warm for long.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Cores)}
-	l, err := listen(n.speak())
+	l, err := listen(n.handler())
 	if err != nil {
 		return nil, err
 	}
@@ -149,34 +149,34 @@
 }
 
 // SetExtraDelay lets requests take longer by what the function tells of them. It is called from many goroutines.
-func (n *Node) SetExtraDelay(by func(Arrival) time.Duration) {
+func (n *Node) SetExtraDelay(delay func(Arrival) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stall = by
+	n.extraDelay = delay
 }
 
 // SkipWork lets it answer at once, whatever the work.
 func (n *Node) SkipWork() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.quick = true
+	n.skipWork = true
 }
 
 // SetUseReport lets it tell figures on use with each value; "": none. It is called from many goroutines.
-func (n *Node) SetUseReport(figures func(Arrival) string) {
+func (n *Node) SetUseReport(report func(Arrival) string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.use = figures
+	n.useReport = report
 }
 
-func (n *Node) used(a Arrival) string {
+func (n *Node) reportUse(a Arrival) string {
 	n.mu.Lock()
-	use := n.use
+	report := n.useReport
 	n.mu.Unlock()
-	if use == nil {
+	if report == nil {
 		return ""
 	}
-	return use(a)
+	return report(a)
 }
 
 // Drain lets it turn away what is new.
@@ -190,17 +190,17 @@
 // that was.
 func (n *Node) Restart() (time.Time, error) {
 	n.Close()
-	l, err := listenAt(n.addr, n.speak())
+	l, err := listenAt(n.addr, n.handler())
 	if err != nil {
 		return time.Time{}, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.l, n.draining, n.started = l, false, time.Now()
-	t := n.cfg.Recorder
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.started[n.cfg.ID] = append(t.started[n.cfg.ID], n.started)
+	r := n.cfg.Recorder
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.starts[n.cfg.ID] = append(r.starts[n.cfg.ID], n.started)
 	return n.started, nil
 }
 
@@ -212,18 +212,18 @@
 	return c.ColdCapacity + (1-c.ColdCapacity)*float64(since)/float64(c.ColdDuration)
 }
 
-// speak is how it serves a connection.
-func (n *Node) speak() func(net.Conn) {
+// handler is how it serves a connection.
+func (n *Node) handler() func(net.Conn) {
 	if n.cfg.H2 {
 		return n.serveH2
 	}
-	return n.serve
+	return n.serveRESP
 }
 
-func (n *Node) serve(conn net.Conn) {
-	commands, gone := make(chan [][]byte), make(chan struct{})
+func (n *Node) serveRESP(conn net.Conn) {
+	commands, disconnected := make(chan [][]byte), make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		rd := redcon.NewReader(conn)
 		for {
 			cmd, err := rd.ReadCommand()
@@ -240,89 +240,89 @@
 	for {
 		select {
 		case args := <-commands:
-			if _, err := conn.Write([]byte(n.answer(args, gone))); err != nil {
+			if _, err := conn.Write([]byte(n.respond(args, disconnected))); err != nil {
 				return
 			}
-		case <-gone:
+		case <-disconnected:
 			return
 		}
 	}
 }
 
-// answer does what a command asks for, however long that takes, or gives it up when its connection has gone.
-func (n *Node) answer(args [][]byte, gone <-chan struct{}) string {
-	a, ok := n.read(args)
+// respond does what a command asks for, however long that takes, or gives it up when its connection has gone.
+func (n *Node) respond(args [][]byte, disconnected <-chan struct{}) string {
+	a, ok := n.parseCommand(args)
 	if !ok {
 		return "-SYNTAX\r\n"
 	}
-	switch n.work(a, gone) {
-	case turnedAway:
+	switch n.execute(a, disconnected) {
+	case rejected:
 		return "-BUSY\r\n"
-	case done:
-		return FormatReplyWithUse(ReplyValue(a.ID), n.used(a))
+	case completed:
+		return FormatReplyWithUse(ReplyValue(a.ID), n.reportUse(a))
 	}
 	return ""
 }
 
-// ended is how a request ended at a node.
-type ended int
+// workResult is how a request workResult at a node.
+type workResult int
 
 const (
-	givenUp ended = iota // nobody waits for it
-	turnedAway
-	done
+	abandoned workResult = iota // nobody waits for it
+	rejected
+	completed
 )
 
-// work does what a request asks for.
-func (n *Node) work(a Arrival, gone <-chan struct{}) ended {
-	n.cfg.Recorder.arrived(a)
-	if !n.enter() {
-		return turnedAway
+// execute does what a request asks for.
+func (n *Node) execute(a Arrival, cancelled <-chan struct{}) workResult {
+	n.cfg.Recorder.recordArrival(a)
+	if !n.admit() {
+		return rejected
 	}
-	defer n.leave()
+	defer n.release()
 	select {
 	case n.slots <- struct{}{}:
 		defer func() { <-n.slots }()
-	case <-gone:
-		return givenUp
+	case <-cancelled:
+		return abandoned
 	}
 	n.mu.Lock()
-	started, stall, quick := n.started, n.stall, n.quick
+	started, extraDelay, skipWork := n.started, n.extraDelay, n.skipWork
 	n.mu.Unlock()
-	took := time.Duration(float64(a.Work) / n.cfg.speed(time.Since(started)))
-	if quick {
-		took = 0
+	duration := time.Duration(float64(a.Work) / n.cfg.speed(time.Since(started)))
+	if skipWork {
+		duration = 0
 	}
-	if stall != nil {
-		took += stall(a)
+	if extraDelay != nil {
+		duration += extraDelay(a)
 	}
-	if a.Key != "" && !n.cfg.Cell.first(a.Key, a.At) { // a repeat: the answer is known
-		n.count(func(c *NodeCounts) { c.Deduplicated++ })
-		took = 0
+	if a.Key != "" && !n.cfg.Cell.addKey(a.Key, a.At) { // a repeat: the answer is known
+		n.updateCounts(func(c *NodeCounts) { c.Deduplicated++ })
+		duration = 0
 	} else {
-		n.cfg.Recorder.effect(a.ID)
-		n.count(func(c *NodeCounts) { c.Executed++ })
+		n.cfg.Recorder.recordEffect(a.ID)
+		n.updateCounts(func(c *NodeCounts) { c.Executed++ })
 	}
-	t := time.NewTimer(took)
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-gone:
-		return givenUp
+	case <-cancelled:
+		return abandoned
 	}
-	return done
+	return completed
 }
 
 // ReplyValue is what a node answers to a request, so that a client can tell its own.
 func ReplyValue(id string) string { return "slots of " + id }
 
-func (n *Node) count(f func(*NodeCounts)) {
+func (n *Node) updateCounts(f func(*NodeCounts)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(&n.counts)
 }
 
-func (n *Node) enter() bool {
+func (n *Node) admit() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.counts.Received++
@@ -334,14 +334,14 @@
 	return true
 }
 
-func (n *Node) leave() {
+func (n *Node) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.waiting--
 }
 
-// read takes a request in the published form: Q.ASK or Q.DO, customer, id, list, and a body.
-func (n *Node) read(args [][]byte) (Arrival, bool) {
+// parseCommand takes a request in the published form: Q.ASK or Q.DO, customer, id, list, and a body.
+func (n *Node) parseCommand(args [][]byte) (Arrival, bool) {
 	if len(args) < 4 || string(args[0]) != "Q.ASK" && string(args[0]) != "Q.DO" {
 		return Arrival{}, false
 	}
@@ -374,22 +374,22 @@
 }
 
 // Arrivals are the requests that came whole to a node, in their order.
-func (t *Recorder) Arrivals() []Arrival {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Clone(t.arrivals)
+func (r *Recorder) Arrivals() []Arrival {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.arrivals)
 }
 
 // StartTimes is when a node's process was started anew, each time.
-func (t *Recorder) StartTimes(node string) []time.Time {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Clone(t.started[node])
+func (r *Recorder) StartTimes(node string) []time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.starts[node])
 }
 
 // EffectCounts are how often each request took effect, by its id.
-func (t *Recorder) EffectCounts() map[string]int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return maps.Clone(t.effects)
+func (r *Recorder) EffectCounts() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return maps.Clone(r.effects)
 }
--- a/internal/testbed/places_test.go
+++ b/internal/testbed/places_test.go
@@ -10,22 +10,22 @@
 	"testing"
 )
 
-const childOfPlaces = "SLOEPICK_TEST_PLACES"
+const childEnv = "SLOEPICK_TEST_PLACES"
 
-// TestPlacesOfOneProcessAreItsOwn: processes side by side, each of which is given as many places as a large fleet has and does not listen
+// TestEndpointsOfProcessesAreDisjoint: processes side by side, each of which is given as many places as a large fleet has and does not listen
 // there yet, are never given the same. Where parts of the range went by process ids this failed at once, and by chance in test suites side by
 // side: "bind: address already in use".
-func TestPlacesOfOneProcessAreItsOwn(t *testing.T) {
-	if os.Getenv(childOfPlaces) != "" {
-		places, err := AllocateEndpoints(100)
+func TestEndpointsOfProcessesAreDisjoint(t *testing.T) {
+	if os.Getenv(childEnv) != "" {
+		endpoints, err := AllocateEndpoints(100)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var all []string
-		for _, p := range places {
-			all = append(all, p.Listen)
+		var addrs []string
+		for _, p := range endpoints {
+			addrs = append(addrs, p.Listen)
 		}
-		fmt.Println("places:", strings.Join(all, " "))
+		fmt.Println("places:", strings.Join(addrs, " "))
 		io.Copy(io.Discard, os.Stdin) // until the parent has all
 		return
 	}
@@ -37,8 +37,8 @@
 		}
 	}()
 	for child := range 6 {
-		cmd := exec.Command(os.Args[0], "-test.run=^TestPlacesOfOneProcessAreItsOwn$")
-		cmd.Env = append(os.Environ(), childOfPlaces+"=1")
+		cmd := exec.Command(os.Args[0], "-test.run=^TestEndpointsOfProcessesAreDisjoint$")
+		cmd.Env = append(os.Environ(), childEnv+"=1")
 		in, err := cmd.StdinPipe()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testbed/platform.go
+++ b/internal/testbed/platform.go
@@ -38,7 +38,7 @@
 	PeerAddrs func(rank int) []string
 }
 
-const usualIntake = 40 // messages a second
+const defaultPeerIntake = 40 // messages a second
 
 // H2NodeKind is the kind of nodes that speak HTTP/2, as discovery tells it.
 const H2NodeKind = "std-h2"
@@ -49,31 +49,31 @@
 // Ports of places lie under those that systems hand out to outgoing connections (from 32768 on Linux, from 49152 by RFC 6335,
 // 6), so that none of these takes one between its being found and the gateway's start.
 const (
-	portFrom  = 20000
-	portMost  = 32767
-	portTries = 1000
-	portParts = 64 // of the range: so many processes side by side have one each, of 198 ports
+	minPort      = 20000
+	maxPort      = 32767
+	maxPortTries = 1000
+	portRanges   = 64 // of the range: so many processes side by side have one each, of 198 ports
 )
 
-// given are the ports that Places has given out in this process, and the part of the range that is this process's. A gateway that is not
+// allocated are the ports that Places has allocated out in this process, and the part of the range that is this process's. A gateway that is not
 // started yet, or is down, leaves its ports free, so neither this process nor another may find them meanwhile.
-var given struct {
+var allocated struct {
 	sync.Mutex
-	ports map[int]bool
-	claim net.Listener // on the first port of the part, for as long as the process lives
-	from  int
+	ports      map[int]bool
+	rangeLock  net.Listener // on the first port of the part, for as long as the process lives
+	rangeStart int
 }
 
-// claimPart takes a part of the range that no other process has: whoever listens on a part's first port owns it. Where all are taken
+// claimPortRange takes a part of the range that no other process has: whoever listens on a part's first port owns it. Where all are taken
 // one is shared.
-func claimPart() {
-	const part = (portMost - portFrom + 1) / portParts
-	first := rand.IntN(portParts)
-	for i := range portParts {
-		given.from = portFrom + (first+i)%portParts*part
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", given.from))
+func claimPortRange() {
+	const rangeSize = (maxPort - minPort + 1) / portRanges
+	first := rand.IntN(portRanges)
+	for i := range portRanges {
+		allocated.rangeStart = minPort + (first+i)%portRanges*rangeSize
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", allocated.rangeStart))
 		if err == nil {
-			given.claim = ln
+			allocated.rangeLock = ln
 			return
 		}
 	}
@@ -82,20 +82,20 @@
 // AllocateEndpoints finds free loopback ports for so many gateways, none of them twice in a process, and none that another process may be given
 // by AllocateEndpoints. They are free as they are looked up; a start that finds one taken says so.
 func AllocateEndpoints(n int) ([]Endpoint, error) {
-	given.Lock()
-	defer given.Unlock()
-	if given.ports == nil {
-		given.ports = map[int]bool{}
-		claimPart()
+	allocated.Lock()
+	defer allocated.Unlock()
+	if allocated.ports == nil {
+		allocated.ports = map[int]bool{}
+		claimPortRange()
 	}
-	part := (portMost - portFrom + 1) / portParts
-	var all []Endpoint
-	for tries := 0; len(all) < n; tries++ {
-		if tries == portTries {
-			return nil, fmt.Errorf("looking for ports: %d of %d were found in %d tries", len(all), n, tries)
+	rangeSize := (maxPort - minPort + 1) / portRanges
+	var endpoints []Endpoint
+	for tries := 0; len(endpoints) < n; tries++ {
+		if tries == maxPortTries {
+			return nil, fmt.Errorf("looking for ports: %d of %d were found in %d tries", len(endpoints), n, tries)
 		}
-		port := given.from + 1 + rand.IntN(part-1)
-		if given.ports[port] && tries < portTries/2 { // later: most of the part was given out
+		port := allocated.rangeStart + 1 + rand.IntN(rangeSize-1)
+		if allocated.ports[port] && tries < maxPortTries/2 { // later: most of the part was given out
 			continue
 		}
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
@@ -109,26 +109,26 @@
 			continue
 		}
 		defer udp.Close()
-		given.ports[port] = true
-		all = append(all, Endpoint{addr, addr})
+		allocated.ports[port] = true
+		endpoints = append(endpoints, Endpoint{addr, addr})
 	}
-	return all, nil
+	return endpoints, nil
 }
 
 // GatewayConfig is the configuration file of the gateway of that number.
-func (p *Platform) GatewayConfig(rank int, places []Endpoint, discovery string, seed uint64, known ServerList) ([]byte, error) {
+func (p *Platform) GatewayConfig(rank int, endpoints []Endpoint, discovery string, seed uint64, known ServerList) ([]byte, error) {
 	var peers []string
-	for _, q := range places {
+	for _, q := range endpoints {
 		peers = append(peers, q.Peer)
 	}
 	if p.PeerAddrs != nil {
 		peers = p.PeerAddrs(rank)
 	}
 	return json.Marshal(map[string]any{
-		"name": fmt.Sprintf("n%d", rank), "listen": places[rank].Listen, "discovery": discovery,
+		"name": fmt.Sprintf("n%d", rank), "listen": endpoints[rank].Listen, "discovery": discovery,
 		"seed":   fmt.Sprintf("%016x", seed+uint64(rank)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": p.MemoryMB, "sockets": p.Sockets},
-		"known":  known, "peer_listen": places[rank].Peer, "peers": peers, "settings": p.settings(rank, len(places)),
+		"known":  known, "peer_listen": endpoints[rank].Peer, "peers": peers, "settings": p.settings(rank, len(endpoints)),
 	})
 }
 
@@ -136,7 +136,7 @@
 	var classes, plans []map[string]any
 	units, intake := 1.0, p.PeerIntake
 	if intake == 0 {
-		intake = usualIntake
+		intake = defaultPeerIntake
 	}
 	for _, c := range p.Classes {
 		k := map[string]any{"Name": c.Name, "Effect": "safe", "AimNs": c.Patience / 3, "GiveUpNs": c.Patience, "Importance": 1}
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	startWithin = 20 * time.Second
-	stopWithin  = 20 * time.Second
+	startTimeout = 20 * time.Second
+	stopTimeout  = 20 * time.Second
 )
 
 // ProcessLog keeps what a process writes. It is safe for concurrent use.
@@ -41,10 +41,10 @@
 }
 
 // WaitFor waits until the text holds a piece for the nth time.
-func (l *ProcessLog) WaitFor(ctx context.Context, piece string, n int) error {
+func (l *ProcessLog) WaitFor(ctx context.Context, text string, n int) error {
 	for {
 		l.mu.Lock()
-		if strings.Count(l.text.String(), piece) >= n {
+		if strings.Count(l.text.String(), text) >= n {
 			l.mu.Unlock()
 			return nil
 		}
@@ -56,30 +56,30 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return fmt.Errorf("waiting for %q: %w", piece, ctx.Err())
+			return fmt.Errorf("waiting for %q: %w", text, ctx.Err())
 		}
 	}
 }
 
 // Process is a gateway's process that this program started.
 type Process struct {
-	Log    *ProcessLog
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	result error
+	Log     *ProcessLog
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	exitErr error
 }
 
 // StartProcess starts a command, whose standard error is kept. An interrupt at the terminal does not reach it.
 func StartProcess(cmd *exec.Cmd) (*Process, error) {
-	p := &Process{Log: &ProcessLog{}, cmd: cmd, ended: make(chan struct{})}
+	p := &Process{Log: &ProcessLog{}, cmd: cmd, exited: make(chan struct{})}
 	cmd.Stderr = p.Log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("starting a gateway: %w", err)
 	}
 	go func() {
-		defer close(p.ended)
-		p.result = cmd.Wait()
+		defer close(p.exited)
+		p.exitErr = cmd.Wait()
 	}()
 	return p, nil
 }
@@ -92,13 +92,13 @@
 
 // WaitReady waits until the gateway has answered a PING.
 func (p *Process) WaitReady(ctx context.Context, addr string) error {
-	for end := time.Now().Add(startWithin); time.Now().Before(end); {
-		if pong(addr, end) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); {
+		if answersPing(addr, deadline) {
 			return nil
 		}
 		select {
-		case <-p.ended:
-			return fmt.Errorf("a gateway ended at its start: %w\n%s", p.result, p.Log)
+		case <-p.exited:
+			return fmt.Errorf("a gateway ended at its start: %w\n%s", p.exitErr, p.Log)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(10 * time.Millisecond):
@@ -107,32 +107,32 @@
 	return fmt.Errorf("the gateway at %s does not answer", addr)
 }
 
-func pong(addr string, end time.Time) bool {
+func answersPing(addr string, deadline time.Time) bool {
 	c, err := Dial(addr)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	if c.Conn.SetDeadline(end) != nil || c.Send("PING") != nil {
+	if c.Conn.SetDeadline(deadline) != nil || c.Send("PING") != nil {
 		return false
 	}
-	got, err := c.Read()
-	return err == nil && got == "+PONG"
+	reply, err := c.Read()
+	return err == nil && reply == "+PONG"
 }
 
 // Stop ends it as an operator would, and returns why it did not end well.
 func (p *Process) Stop() error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		<-p.ended
-		return fmt.Errorf("it had ended before: %v\n%s", p.result, p.Log)
+		<-p.exited
+		return fmt.Errorf("it had ended before: %v\n%s", p.exitErr, p.Log)
 	}
 	select {
-	case <-p.ended:
-		if p.result != nil {
-			return fmt.Errorf("%w\n%s", p.result, p.Log)
+	case <-p.exited:
+		if p.exitErr != nil {
+			return fmt.Errorf("%w\n%s", p.exitErr, p.Log)
 		}
 		return nil
-	case <-time.After(stopWithin):
+	case <-time.After(stopTimeout):
 		return errors.New("it does not end")
 	}
 }
@@ -140,5 +140,5 @@
 // Kill ends it at once, if it has not ended.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
--- a/internal/testbed/profile.go
+++ b/internal/testbed/profile.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// profile are settings with one class of each kind that tests send most: look is safe, book is keyed. One plan, p, whose quota
+// minimalSettings are settings with one class of each kind that tests send most: look is safe, book is keyed. One plan, p, whose quota
 // no test reaches.
-const profile = `{"Classes":[
+const minimalSettings = `{"Classes":[
  {"Name":"look","Effect":"safe","AimNs":%[1]d,"GiveUpNs":30000000000,"Importance":1},
  {"Name":"book","Effect":"keyed","Group":"cell","WindowNs":30000000000,"AimNs":%[1]d,"GiveUpNs":30000000000,"Importance":3}],
 "Extra":{"PeerIntake":40,"UnitsTop":8},"Instances":2,"Rank":0,"Zone":"a",
@@ -19,5 +19,5 @@
 
 // MinimalSettings is the settings of a small platform whose classes have an aim, from which gateways guess how long an answer takes.
 func MinimalSettings(aim time.Duration) json.RawMessage {
-	return json.RawMessage(fmt.Sprintf(profile, aim.Nanoseconds()))
+	return json.RawMessage(fmt.Sprintf(minimalSettings, aim.Nanoseconds()))
 }
--- a/internal/testbed/pulse.go
+++ b/internal/testbed/pulse.go
@@ -7,75 +7,75 @@
 )
 
 const (
-	beatEvery = 5 * time.Millisecond
-	beatLate  = 2 * time.Millisecond // a beat that comes later than this tells of a busy machine
-	latesMost = 1 << 16              // that are kept: the oldest go
+	tickInterval = 5 * time.Millisecond
+	minDelay     = 2 * time.Millisecond // a beat that comes later than this tells of a busy machine
+	maxDelays    = 1 << 16              // that are kept: the oldest go
 )
 
 // SchedulingMonitor watches how late this machine wakes who waits. A verdict on times has to allow for that: on a busy machine an answer may be
 // late that no process held up.
 type SchedulingMonitor struct {
-	mu    sync.Mutex
-	lates []late
-	stop  chan struct{}
-	done  sync.WaitGroup
+	mu     sync.Mutex
+	delays []wakeupDelay
+	stop   chan struct{}
+	done   sync.WaitGroup
 }
 
-// late is a beat that came too late: it was due at that time.
-type late struct {
-	due time.Time
-	by  time.Duration
+// wakeupDelay is a beat that came too wakeupDelay: it was due at that time.
+type wakeupDelay struct {
+	due   time.Time
+	delay time.Duration
 }
 
 // NewSchedulingMonitor begins to watch.
 func NewSchedulingMonitor() *SchedulingMonitor {
-	p := &SchedulingMonitor{stop: make(chan struct{})}
-	p.done.Go(p.watch)
-	return p
+	m := &SchedulingMonitor{stop: make(chan struct{})}
+	m.done.Go(m.run)
+	return m
 }
 
-func (p *SchedulingMonitor) watch() {
-	t := time.NewTimer(beatEvery)
+func (m *SchedulingMonitor) run() {
+	t := time.NewTimer(tickInterval)
 	defer t.Stop()
 	for {
-		due := time.Now().Add(beatEvery)
-		t.Reset(beatEvery)
+		due := time.Now().Add(tickInterval)
+		t.Reset(tickInterval)
 		select {
 		case <-t.C:
-		case <-p.stop:
+		case <-m.stop:
 			return
 		}
-		if by := time.Since(due); by > beatLate {
-			p.note(late{due, by})
+		if delay := time.Since(due); delay > minDelay {
+			m.record(wakeupDelay{due, delay})
 		}
 	}
 }
 
-func (p *SchedulingMonitor) note(l late) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.lates) >= latesMost {
-		p.lates = slices.Delete(p.lates, 0, latesMost/2)
+func (m *SchedulingMonitor) record(d wakeupDelay) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.delays) >= maxDelays {
+		m.delays = slices.Delete(m.delays, 0, maxDelays/2)
 	}
-	p.lates = append(p.lates, l)
+	m.delays = append(m.delays, d)
 }
 
 // DelayBetween is for how long, between two times, something that was to run did not.
-func (p *SchedulingMonitor) DelayBetween(from, to time.Time) (sum time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	first, _ := slices.BinarySearchFunc(p.lates, from, func(l late, t time.Time) int { return l.due.Add(l.by).Compare(t) })
-	for _, l := range p.lates[first:] {
-		if l.due.After(to) {
+func (m *SchedulingMonitor) DelayBetween(from, to time.Time) (sum time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	first, _ := slices.BinarySearchFunc(m.delays, from, func(d wakeupDelay, t time.Time) int { return d.due.Add(d.delay).Compare(t) })
+	for _, d := range m.delays[first:] {
+		if d.due.After(to) {
 			break
 		}
-		sum += l.by
+		sum += d.delay
 	}
 	return sum
 }
 
 // Close ends it.
-func (p *SchedulingMonitor) Close() {
-	close(p.stop)
-	p.done.Wait()
+func (m *SchedulingMonitor) Close() {
+	close(m.stop)
+	m.done.Wait()
 }
--- a/internal/testbed/seeds/seeds.go
+++ b/internal/testbed/seeds/seeds.go
@@ -26,7 +26,7 @@
 // Run runs a random test once for each seed: those of the test's list, or what the flags say.
 func Run(t *testing.T, list []uint64, test func(t *testing.T, seed uint64)) {
 	t.Helper()
-	chosen, err := choose(list, *named, *rounds)
+	chosen, err := chooseSeeds(list, *named, *rounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,8 +38,8 @@
 	}
 }
 
-// choose tells which seeds to play; 0 is never one of them.
-func choose(list []uint64, named string, rounds int) ([]uint64, error) {
+// chooseSeeds tells which seeds to play; 0 is never one of them.
+func chooseSeeds(list []uint64, named string, rounds int) ([]uint64, error) {
 	s, err := uint64(0), error(nil)
 	switch {
 	case named != "":
--- a/internal/testbed/seeds/seeds_test.go
+++ b/internal/testbed/seeds/seeds_test.go
@@ -13,8 +13,8 @@
 		rounds int
 		want   []uint64 // nil: a drawn one
 	}{{"", 0, list}, {"7", 0, []uint64{7}}, {"7", 100, []uint64{7}}, {"18446744073709551615", 0, []uint64{1<<64 - 1}}, {"0", 0, nil}, {"", 100, nil}} {
-		got, err := choose(list, c.named, c.rounds)
-		again, _ := choose(list, c.named, c.rounds)
+		got, err := chooseSeeds(list, c.named, c.rounds)
+		again, _ := chooseSeeds(list, c.named, c.rounds)
 		switch {
 		case err != nil:
 			t.Errorf("%+v: %v", c, err)
@@ -25,7 +25,7 @@
 		}
 	}
 	for _, bad := range []string{"x", "-1", "1.5", "18446744073709551616"} {
-		if _, err := choose(list, bad, 0); err == nil {
+		if _, err := chooseSeeds(list, bad, 0); err == nil {
 			t.Errorf("-seed %s is taken", bad)
 		}
 	}
--- a/internal/testbed/site.go
+++ b/internal/testbed/site.go
@@ -17,18 +17,18 @@
 
 	version uint64
 	entries []ServerEntry
-	pulse   *SchedulingMonitor
+	monitor *SchedulingMonitor
 	once    sync.Once
 }
 
 const (
-	siteCells = 2
-	siteQueue = 16 // requests that wait at a node
+	siteCells     = 2
+	siteQueueSize = 16 // requests that wait at a node
 )
 
 // NewSite starts so many nodes, in two cells, and discovery.
 func NewSite(p *Platform, nodes int) (s *Site, err error) {
-	s = &Site{Platform: p, Recorder: NewRecorder(), version: 1, pulse: NewSchedulingMonitor()}
+	s = &Site{Platform: p, Recorder: NewRecorder(), version: 1, monitor: NewSchedulingMonitor()}
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -44,7 +44,7 @@
 	}
 	for i := range nodes {
 		cell := cells[i%siteCells]
-		n, err := NewNode(NodeConfig{ID: fmt.Sprintf("node-%d", i), Cell: cell, Cores: p.Rules.Cores, QueueSize: siteQueue, WorkByClass: work,
+		n, err := NewNode(NodeConfig{ID: fmt.Sprintf("node-%d", i), Cell: cell, Cores: p.Rules.Cores, QueueSize: siteQueueSize, WorkByClass: work,
 			ColdCapacity: p.Rules.ColdCapacity, ColdDuration: p.Rules.ColdDuration, Recorder: s.Recorder, H2: i < p.H2Nodes})
 		if err != nil {
 			return s, err
@@ -65,7 +65,7 @@
 	return ServerList{Version: s.version, Full: true, Servers: slices.Clone(s.entries)}
 }
 
-func (s *Site) tell() error {
+func (s *Site) publish() error {
 	s.version++
 	return s.Discovery.Set(s.version, s.ServerList())
 }
@@ -73,7 +73,7 @@
 // Drain tells that a node drains, and lets it turn away what is new.
 func (s *Site) Drain(i int) error {
 	s.entries[i].State = "draining"
-	if err := s.tell(); err != nil {
+	if err := s.publish(); err != nil {
 		return err
 	}
 	s.Drains = append(s.Drains, DrainPeriod{Node: s.Nodes[i].ID(), AnnouncedAt: time.Now()})
@@ -93,7 +93,7 @@
 		}
 	}
 	s.entries[i].State, s.entries[i].StartedMS = "up", started.UnixMilli()
-	return s.tell()
+	return s.publish()
 }
 
 // Replace ends a node's process and starts another at its address, cold and under a new id, and tells it.
@@ -104,15 +104,15 @@
 }
 
 // Audit holds what clients and nodes saw to the five rules.
-func (s *Site) Audit(ends []RequestResult) []RuleResult {
+func (s *Site) Audit(results []RequestResult) []RuleResult {
 	rules := s.Platform.Rules
-	rules.SchedulingDelay = s.pulse.DelayBetween
-	return Audit(rules, ends, s.Recorder, s.Drains)
+	rules.SchedulingDelay = s.monitor.DelayBetween
+	return Audit(rules, results, s.Recorder, s.Drains)
 }
 
 // Close ends all. Closing it again does nothing.
 func (s *Site) Close() {
-	s.once.Do(s.pulse.Close)
+	s.once.Do(s.monitor.Close)
 	if s.Discovery != nil {
 		s.Discovery.Close()
 	}
--- a/internal/testbed/stand.go
+++ b/internal/testbed/stand.go
@@ -23,11 +23,11 @@
 
 // listener takes connections on a free loopback port and remembers them, so that Close ends all.
 type listener struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	ended bool
-	wg    sync.WaitGroup
+	ln     net.Listener
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
+	wg     sync.WaitGroup
 }
 
 func listen(serve func(net.Conn)) (*listener, error) { return listenAt("127.0.0.1:0", serve) }
@@ -40,9 +40,9 @@
 			if err != nil {
 				return
 			}
-			if l.add(conn) {
+			if l.track(conn) {
 				l.wg.Go(func() {
-					defer l.drop(conn)
+					defer l.untrack(conn)
 					serve(conn)
 				})
 			}
@@ -51,10 +51,10 @@
 	return l
 }
 
-func (l *listener) add(conn net.Conn) bool {
+func (l *listener) track(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		conn.Close()
 		return false
 	}
@@ -62,7 +62,7 @@
 	return true
 }
 
-func (l *listener) drop(conn net.Conn) {
+func (l *listener) untrack(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, conn)
@@ -76,7 +76,7 @@
 func (l *listener) Close() {
 	l.ln.Close()
 	l.mu.Lock()
-	l.ended = true
+	l.closed = true
 	for c := range l.conns {
 		c.Close()
 	}
@@ -89,20 +89,20 @@
 
 // NewScriptedNode starts a node. got is called from a goroutine of the connection's own, in the order of its commands,
 // and once with nil when the connection ends.
-func NewScriptedNode(got func(conn net.Conn, args []string)) (*ScriptedNode, error) {
+func NewScriptedNode(handle func(conn net.Conn, args []string)) (*ScriptedNode, error) {
 	l, err := listen(func(conn net.Conn) {
 		rd := redcon.NewReader(conn)
 		for {
 			cmd, err := rd.ReadCommand()
 			if err != nil {
-				got(conn, nil)
+				handle(conn, nil)
 				return
 			}
 			args := make([]string, len(cmd.Args))
 			for i, a := range cmd.Args {
 				args[i] = string(a)
 			}
-			got(conn, args)
+			handle(conn, args)
 		}
 	})
 	if err != nil {
@@ -115,15 +115,15 @@
 func FormatReply(value string) string { return FormatReplyWithUse(value, "") }
 
 // FormatReplyWithUse is one with figures on use; "": none.
-func FormatReplyWithUse(value, figures string) string {
-	use := "$-1\r\n"
-	if figures != "" {
-		use = fmt.Sprintf("$%d\r\n%s\r\n", len(figures), figures)
+func FormatReplyWithUse(value, use string) string {
+	encoded := "$-1\r\n"
+	if use != "" {
+		encoded = fmt.Sprintf("$%d\r\n%s\r\n", len(use), use)
 	}
-	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n%s$-1\r\n", len(value), value, use)
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n%s$-1\r\n", len(value), value, encoded)
 }
 
-const callsKept = 64 // queries that Discovery keeps for whoever reads them
+const maxQueries = 64 // queries that Discovery keeps for whoever reads them
 
 // ServerEntry is a server in discovery's list.
 type ServerEntry struct {
@@ -148,12 +148,12 @@
 type Discovery struct {
 	Queries chan string // the queries of the calls; left out where nobody takes them
 
-	web     *httptest.Server
+	server  *httptest.Server
 	mu      sync.Mutex
 	version uint64
 	body    []byte
 	changed chan struct{}
-	hushed  chan struct{} // closed when it answers again; nil: it answers
+	resumed chan struct{} // closed when it answers again; nil: it answers
 	closed  chan struct{} // ends the watches that wait
 	once    sync.Once
 }
@@ -164,22 +164,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("encoding the list: %w", err)
 	}
-	d := &Discovery{Queries: make(chan string, callsKept), version: version, body: body, changed: make(chan struct{}), closed: make(chan struct{})}
-	d.web = httptest.NewServer(d)
+	d := &Discovery{Queries: make(chan string, maxQueries), version: version, body: body, changed: make(chan struct{}), closed: make(chan struct{})}
+	d.server = httptest.NewServer(d)
 	return d, nil
 }
 
 // Addr is where it listens.
 func (d *Discovery) Addr() netip.AddrPort {
-	return netip.MustParseAddrPort(strings.TrimPrefix(d.web.URL, "http://"))
+	return netip.MustParseAddrPort(strings.TrimPrefix(d.server.URL, "http://"))
 }
 
 // Close ends it and the watches that wait, also those that come while it closes. Closing it again does nothing.
 func (d *Discovery) Close() {
 	d.once.Do(func() {
 		close(d.closed)
-		d.web.CloseClientConnections()
-		d.web.Close()
+		d.server.CloseClientConnections()
+		d.server.Close()
 	})
 }
 
@@ -198,18 +198,18 @@
 }
 
 // Pause has it answer nobody until the function that it returns is called: calls that come meanwhile wait.
-func (d *Discovery) Pause() (speak func()) {
+func (d *Discovery) Pause() (resume func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	hushed := make(chan struct{})
-	d.hushed = hushed
+	resumed := make(chan struct{})
+	d.resumed = resumed
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.hushed == hushed {
-			d.hushed = nil
+		if d.resumed == resumed {
+			d.resumed = nil
 		}
-		close(hushed)
+		close(resumed)
 	}
 }
 
@@ -221,15 +221,15 @@
 	}
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.ParseUint(req.URL.Query().Get("wait_ms"), 10, 32) // none: it does not wait
-	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for {
 		d.mu.Lock()
-		version, body, changed, hushed := d.version, d.body, d.changed, d.hushed
+		version, body, changed, resumed := d.version, d.body, d.changed, d.resumed
 		d.mu.Unlock()
-		if hushed != nil {
+		if resumed != nil {
 			select {
-			case <-hushed:
+			case <-resumed:
 			case <-d.closed:
 				return
 			case <-req.Context().Done():
@@ -245,7 +245,7 @@
 		case <-changed:
 		case <-d.closed:
 			return
-		case <-over.C:
+		case <-timeout.C:
 			json.NewEncoder(w).Encode(ServerList{Version: after, Servers: []ServerEntry{}})
 			return
 		case <-req.Context().Done():
@@ -270,9 +270,9 @@
 }
 
 // Send writes a command.
-func (c *Client) Send(words ...string) error {
-	b := redcon.AppendArray(nil, len(words))
-	for _, w := range words {
+func (c *Client) Send(args ...string) error {
+	b := redcon.AppendArray(nil, len(args))
+	for _, w := range args {
 		b = redcon.AppendBulkString(b, w)
 	}
 	if _, err := c.Conn.Write(b); err != nil {
@@ -281,7 +281,7 @@
 	return nil
 }
 
-var errShape = errors.New("an answer that is no line and no bulk string")
+var errMalformedReply = errors.New("an answer that is no line and no bulk string")
 
 // Read returns a whole answer: a line, or the value of a bulk string behind a '$'.
 func (c *Client) Read() (string, error) {
@@ -291,14 +291,14 @@
 	}
 	line = strings.TrimSuffix(line, "\r\n")
 	if line == "" {
-		return "", errShape
+		return "", errMalformedReply
 	}
 	if line[0] != '$' {
 		return line, nil
 	}
 	n, err := strconv.Atoi(line[1:])
 	if err != nil || n < 0 {
-		return "", errShape
+		return "", errMalformedReply
 	}
 	b := make([]byte, n+2)
 	if _, err := io.ReadFull(c.rd, b); err != nil {
--- a/internal/testbed/stand_test.go
+++ b/internal/testbed/stand_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// node starts a node of one core with room for one more request, whose work takes so long.
-func node(t *testing.T, work time.Duration) (*Node, *Recorder) {
+// startNode starts a startNode of one core with room for one more request, whose work takes so long.
+func startNode(t *testing.T, work time.Duration) (*Node, *Recorder) {
 	t.Helper()
-	tally := NewRecorder()
+	recorder := NewRecorder()
 	n, err := NewNode(NodeConfig{ID: "n", Cell: &Cell{DedupWindow: time.Hour}, Cores: 1, QueueSize: 1, WorkByClass: map[string]time.Duration{"book": work},
-		ColdCapacity: 0.5, ColdDuration: time.Hour, Recorder: tally})
+		ColdCapacity: 0.5, ColdDuration: time.Hour, Recorder: recorder})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Close)
-	return n, tally
+	return n, recorder
 }
 
-func ask(t *testing.T, addr, id, list string) *Client {
+func sendRequest(t *testing.T, addr, id, params string) *Client {
 	t.Helper()
 	c, err := Dial(addr)
 	if err != nil {
@@ -33,40 +33,40 @@
 	if err := c.Conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Send("Q.DO", "00000000b4d65521", id, list); err != nil {
+	if err := c.Send("Q.DO", "00000000b4d65521", id, params); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
 // A repeat of a key takes no effect, and what is too much is turned away unseen.
-func TestNodeDropsRepeatsAndTurnsAway(t *testing.T) {
-	n, tally := node(t, time.Millisecond)
+func TestNodeDeduplicatesAndRejects(t *testing.T) {
+	n, recorder := startNode(t, time.Millisecond)
 	for range 2 {
-		if got, err := ask(t, n.Addr(), "a", "c=book,k=1,units=2").read3(); got != ReplyValue("a") || err != nil {
+		if got, err := sendRequest(t, n.Addr(), "a", "c=book,k=1,units=2").readValue(); got != ReplyValue("a") || err != nil {
 			t.Fatalf("got %q, %v", got, err)
 		}
 	}
-	if tally.effects["a"] != 1 || n.Counts() != (NodeCounts{Received: 2, Executed: 1, Deduplicated: 1}) {
-		t.Errorf("%d effects, %+v", tally.effects["a"], n.Counts())
+	if recorder.effects["a"] != 1 || n.Counts() != (NodeCounts{Received: 2, Executed: 1, Deduplicated: 1}) {
+		t.Errorf("%d effects, %+v", recorder.effects["a"], n.Counts())
 	}
 	n.Drain()
-	if got, _ := ask(t, n.Addr(), "b", "c=book,k=2").Read(); got != "-BUSY" {
+	if got, _ := sendRequest(t, n.Addr(), "b", "c=book,k=2").Read(); got != "-BUSY" {
 		t.Errorf("draining, it said %q", got)
 	}
-	if got, _ := ask(t, n.Addr(), "b", "c=none,k=2").Read(); got != "-SYNTAX" {
+	if got, _ := sendRequest(t, n.Addr(), "b", "c=none,k=2").Read(); got != "-SYNTAX" {
 		t.Errorf("to an unknown class it said %q", got)
 	}
 	if _, err := n.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ask(t, n.Addr(), "c", "c=book,k=3").read3(); got != ReplyValue("c") {
+	if got, err := sendRequest(t, n.Addr(), "c", "c=book,k=3").readValue(); got != ReplyValue("c") {
 		t.Errorf("after a restart: %q, %v", got, err)
 	}
 }
 
-// read3 is the value of a node's answer.
-func (c *Client) read3() (string, error) {
+// readValue is the value of a node's answer.
+func (c *Client) readValue() (string, error) {
 	if line, err := c.Read(); err != nil || line != "*3" {
 		return line, err
 	}
@@ -75,77 +75,79 @@
 }
 
 // Work whose connection ends is given up, and its place is free again.
-func TestNodeGivesUpWhatNobodyWaitsFor(t *testing.T) {
-	n, _ := node(t, time.Hour)
-	one, two := ask(t, n.Addr(), "a", "c=book,k=1"), ask(t, n.Addr(), "b", "c=book,k=2")
+func TestNodeAbandonsWorkOfClosedConnections(t *testing.T) {
+	n, _ := startNode(t, time.Hour)
+	one, two := sendRequest(t, n.Addr(), "a", "c=book,k=1"), sendRequest(t, n.Addr(), "b", "c=book,k=2")
 	for n.Counts().Received < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	if got, _ := ask(t, n.Addr(), "c", "c=book,k=3").Read(); got != "-BUSY" {
+	if got, _ := sendRequest(t, n.Addr(), "c", "c=book,k=3").Read(); got != "-BUSY" {
 		t.Errorf("full, it said %q", got)
 	}
 	one.Close()
 	two.Close()
-	for n.waits() > 0 {
+	for n.waitingCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (n *Node) waits() int {
+func (n *Node) waitingCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.waiting
 }
 
 // Each rule that is broken is told, by itself; a day without a fault breaks none.
-func TestAuditFindsEachBreach(t *testing.T) {
+func TestAuditFindsEachViolation(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	rules := SmallPlatform().Rules
-	type day struct {
-		ends   []RequestResult
-		tally  *Recorder
-		drains []DrainPeriod
+	type observations struct {
+		results  []RequestResult
+		recorder *Recorder
+		drains   []DrainPeriod
 	}
 	for name, tc := range map[string]struct {
-		spoil func(*day)
-		rule  int // that breaks, or -1
+		breakRule func(*observations)
+		rule      int // that breaks, or -1
 	}{
-		"a good day": {func(d *day) {}, -1},
-		"lost":       {func(d *day) { d.ends[0].Outcome = OutcomeLost }, 0},
-		"late":       {func(d *day) { d.ends[0].EndedAt = at(2000) }, 0},
-		"sent after the answer": {func(d *day) {
-			d.tally.arrivals = append(d.tally.arrivals, Arrival{Node: "n", ID: "a", Key: "k", At: at(500)})
+		"a good day": {func(d *observations) {}, -1},
+		"lost":       {func(d *observations) { d.results[0].Outcome = OutcomeLost }, 0},
+		"late":       {func(d *observations) { d.results[0].EndedAt = at(2000) }, 0},
+		"sent after the answer": {func(d *observations) {
+			d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: "a", Key: "k", At: at(500)})
 		}, 0},
-		"effect twice":      {func(d *day) { d.tally.effects["a"] = 2 }, 1},
-		"refused and ran":   {func(d *day) { d.ends[0].Outcome = OutcomeRefused }, 1},
-		"after the drain":   {func(d *day) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000)}} }, 2},
-		"drained, restored": {func(d *day) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000), RestartedAt: at(-1)}} }, -1},
-		"in the grace":      {func(d *day) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-200)}} }, -1},
-		"pushed over": {func(d *day) {
-			d.tally.started["n"] = []time.Time{at(-1)}
-			d.tally.arrivals[0].Work = time.Second
+		"effect twice":    {func(d *observations) { d.recorder.effects["a"] = 2 }, 1},
+		"refused and ran": {func(d *observations) { d.results[0].Outcome = OutcomeRefused }, 1},
+		"after the drain": {func(d *observations) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000)}} }, 2},
+		"drained, restored": {func(d *observations) {
+			d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000), RestartedAt: at(-1)}}
+		}, -1},
+		"in the grace": {func(d *observations) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-200)}} }, -1},
+		"pushed over": {func(d *observations) {
+			d.recorder.starts["n"] = []time.Time{at(-1)}
+			d.recorder.arrivals[0].Work = time.Second
 			for range 3 {
-				d.tally.arrivals = append(d.tally.arrivals, Arrival{Node: "n", ID: "b", Work: time.Second, At: at(1)})
+				d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: "b", Work: time.Second, At: at(1)})
 			}
 		}, 3},
-		"over the ceiling": {func(d *day) {
+		"over the ceiling": {func(d *observations) {
 			for i := range 36 {
-				d.tally.arrivals = append(d.tally.arrivals, Arrival{Node: "n", ID: string(rune('A' + i)), Customer: "c", Units: 1, At: at(1)})
+				d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: string(rune('A' + i)), Customer: "c", Units: 1, At: at(1)})
 			}
 		}, 4},
-		"at the ceiling": {func(d *day) {
+		"at the ceiling": {func(d *observations) {
 			for range 100 { // further attempts draw nothing
-				d.tally.arrivals = append(d.tally.arrivals, Arrival{Node: "n", ID: "a", Key: "k", Customer: "c", Units: 1, At: at(1)})
+				d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: "a", Key: "k", Customer: "c", Units: 1, At: at(1)})
 			}
 		}, -1},
 	} {
-		d := &day{ends: []RequestResult{{ID: "a", Customer: "c", Plan: "plus", Outcome: OutcomeServed, SentAt: at(0), EndedAt: at(100), Patience: time.Second}},
-			tally: NewRecorder()}
-		d.tally.arrivals = []Arrival{{Node: "n", ID: "a", Key: "k", Customer: "c", Units: 1, Work: time.Millisecond, At: at(1)}}
-		d.tally.effects["a"] = 1
-		tc.spoil(d)
-		for i, v := range Audit(rules, d.ends, d.tally, d.drains) {
+		d := &observations{results: []RequestResult{{ID: "a", Customer: "c", Plan: "plus", Outcome: OutcomeServed, SentAt: at(0), EndedAt: at(100), Patience: time.Second}},
+			recorder: NewRecorder()}
+		d.recorder.arrivals = []Arrival{{Node: "n", ID: "a", Key: "k", Customer: "c", Units: 1, Work: time.Millisecond, At: at(1)}}
+		d.recorder.effects["a"] = 1
+		tc.breakRule(d)
+		for i, v := range Audit(rules, d.results, d.recorder, d.drains) {
 			if (v.Violations > 0) != (i == tc.rule) {
 				t.Errorf("%s: %q: %d against it: %v", name, v.Rule, v.Violations, v.Examples)
 			}
@@ -154,7 +156,7 @@
 }
 
 // A crowd counts what is answered, refused, failed, lost or another request's, whoever answers.
-func TestCrowdTellsAnswersApart(t *testing.T) {
+func TestLoadGeneratorClassifiesReplies(t *testing.T) {
 	answers := []string{"", "-BUSY 5\r\n", "-ERR failed\r\n", "$1\r\nx\r\n", "cut"}
 	var mu sync.Mutex
 	n := 0
@@ -182,38 +184,38 @@
 	}
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	var kinds [4]int
-	c := LoadGenerator{Gateways: []string{s.Addr()}, Customers: []Customer{{ID: "0000000000000001", Plan: "p", Rate: 500, GatewayCount: 1}},
+	var counts [4]int
+	g := LoadGenerator{Gateways: []string{s.Addr()}, Customers: []Customer{{ID: "0000000000000001", Plan: "p", Rate: 500, GatewayCount: 1}},
 		Classes: []RequestClass{{Name: "look", Share: 1, Units: 1, Patience: 10 * time.Second}}, Seed: 1, OnResult: func(e RequestResult) {
 			mu.Lock()
 			defer mu.Unlock()
-			if kinds[e.Outcome]++; kinds[OutcomeServed] > 3 && kinds[OutcomeRefused] > 3 && kinds[OutcomeFailed] > 3 && kinds[OutcomeLost] > 3 {
+			if counts[e.Outcome]++; counts[OutcomeServed] > 3 && counts[OutcomeRefused] > 3 && counts[OutcomeFailed] > 3 && counts[OutcomeLost] > 3 {
 				cancel()
 			}
 		}}
-	c.Run(ctx)
+	g.Run(ctx)
 }
 
-// TestPulseTellsOfLateness: what was late in a time counts, what was before and after it does not; a late answer is excused by as much
+// TestSchedulingMonitorMeasuresDelays: what was late in a time counts, what was before and after it does not; a late answer is excused by as much
 // as the machine was late, and no more.
-func TestPulseTellsOfLateness(t *testing.T) {
-	p := NewSchedulingMonitor()
-	defer p.Close()
+func TestSchedulingMonitorMeasuresDelays(t *testing.T) {
+	m := NewSchedulingMonitor()
+	defer m.Close()
 	begin := time.Now().Add(time.Hour) // of beats that this machine can't have missed
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	for _, ms := range []int{0, 1000, 2000} {
-		p.note(late{at(ms), 200 * time.Millisecond})
+		m.record(wakeupDelay{at(ms), 200 * time.Millisecond})
 	}
 	for _, tc := range []struct{ from, to, want int }{{-100, -1, 0}, {-100, 10, 200}, {100, 150, 200}, {201, 999, 0}, {500, 1100, 200}, {-100, 3000, 600}} {
-		if got := p.DelayBetween(at(tc.from), at(tc.to)); got != time.Duration(tc.want)*time.Millisecond {
+		if got := m.DelayBetween(at(tc.from), at(tc.to)); got != time.Duration(tc.want)*time.Millisecond {
 			t.Errorf("%d to %d: %v, want %d ms", tc.from, tc.to, got, tc.want)
 		}
 	}
 	rules := SmallPlatform().Rules
-	rules.SchedulingDelay = p.DelayBetween
+	rules.SchedulingDelay = m.DelayBetween
 	for ms, want := range map[int]int{1250: 0, 1350: 1} {
-		ends := []RequestResult{{ID: "a", Outcome: OutcomeServed, SentAt: at(500), EndedAt: at(500 + ms), Patience: time.Second}}
-		if got := Audit(rules, ends, NewRecorder(), nil)[0].Violations; got != want {
+		results := []RequestResult{{ID: "a", Outcome: OutcomeServed, SentAt: at(500), EndedAt: at(500 + ms), Patience: time.Second}}
+		if got := Audit(rules, results, NewRecorder(), nil)[0].Violations; got != want {
 			t.Errorf("an answer %d ms past its client's patience, 200 of them the machine's: %d breaches, want %d", ms-1000, got, want)
 		}
 	}
