--- a/internal/testbed/audit.go
+++ b/internal/testbed/audit.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// Rules are the figures that an audit goes by.
+// Rules are the limits that an audit checks.
 type Rules struct {
-	AnswerSlack    time.Duration // past a client's patience, and for what was on its way as an answer went out
+	AnswerSlack    time.Duration // how late a reply may be after a client's patience, and an attempt after the reply
 	DrainGrace     time.Duration
 	ColdCapacity   float64
 	ColdDuration   time.Duration
 	OverloadFactor float64
 	OverloadWindow time.Duration
-	Cores          int // of a node
+	Cores          int // of each node
 	Ceilings       map[string]Ceiling
-	// SchedulingDelay is for how long the machine kept all waiting between two times, which an answer may be later by; nil: never.
+	// SchedulingDelay returns for how long the machine delayed processes between two times, by which replies may
+	// be later; nil: no delay.
 	SchedulingDelay func(from, to time.Time) time.Duration
 }
 
-// slack is how much later something may come that began at a time.
+// slack returns by how much an event may be late in an interval.
 func (r *Rules) slack(from, to time.Time) time.Duration {
 	if r.SchedulingDelay == nil {
 		return r.AnswerSlack
@@ -28,19 +29,20 @@
 	return r.AnswerSlack + r.SchedulingDelay(from, to)
 }
 
-// Ceiling is a plan's hard ceiling: a store of Depth units that fills at Rate a second and may go Slack below nothing.
+// Ceiling is a plan's ceiling: a token bucket of Depth units that refills at Rate per second and may go below zero
+// by Slack.
 type Ceiling struct{ Rate, Depth, Slack float64 }
 
-// RuleResult says whether a rule was kept.
+// RuleResult is the result of the check of one rule.
 type RuleResult struct {
 	Rule       string
-	Examples   []string // the first few cases
-	Violations int      // of all cases
-	Checked    int      // what was looked at
-	WorstLoad  float64  // of the rule on cold nodes: the most work that one got, as a share of what may be
+	Examples   []string // descriptions of the first few violations
+	Violations int      // total
+	Checked    int      // number of checked items
+	WorstLoad  float64  // rule on cold nodes: the largest load of a node as a share of what is allowed
 }
 
-const maxExamples = 5 // cases that a verdict words
+const maxExamples = 5 // violations that a result describes
 
 func (v *RuleResult) addViolation(format string, args ...any) {
 	v.Violations++
@@ -49,7 +51,7 @@
 	}
 }
 
-// Units is what the nodes were sent for a customer, each request counted once.
+// Units returns the sum of units that nodes received for a customer, each request counted once.
 func (r *Recorder) Units(customer string) (sum float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,14 +65,14 @@
 	return sum
 }
 
-// DrainPeriod is when discovery told that a node drains.
+// DrainPeriod is the time from the announcement that a node drains to its restart.
 type DrainPeriod struct {
 	Node        string
 	AnnouncedAt time.Time
-	RestartedAt time.Time // zero: never
+	RestartedAt time.Time // zero: not restarted
 }
 
-// Audit holds what clients and nodes saw to the five rules.
+// Audit checks what clients and nodes observed against the five rules.
 func Audit(rules Rules, results []RequestResult, recorder *Recorder, drains []DrainPeriod) []RuleResult {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
@@ -79,7 +81,7 @@
 }
 
 func checkAnswers(rules Rules, results []RequestResult, recorder *Recorder) RuleResult {
-	v := RuleResult{Rule: "one answer in time, nothing after it", Checked: len(results)}
+	v := RuleResult{Rule: "one answer in time, no attempt after it", Checked: len(results)}
 	endedAt := map[string]time.Time{}
 	for _, e := range results {
 		endedAt[e.ID] = e.EndedAt
@@ -91,14 +93,14 @@
 	}
 	for _, a := range recorder.arrivals {
 		if at, ok := endedAt[a.ID]; ok && a.At.After(at.Add(rules.AnswerSlack)) && a.At.After(at.Add(rules.slack(at, a.At))) {
-			v.addViolation("%s came to %s %v after its answer", a.ID, a.Node, a.At.Sub(at))
+			v.addViolation("%s reached %s %v after its answer", a.ID, a.Node, a.At.Sub(at))
 		}
 	}
 	return v
 }
 
 func checkEffects(results []RequestResult, recorder *Recorder) RuleResult {
-	v := RuleResult{Rule: "no effect twice, no refusal of what ran"}
+	v := RuleResult{Rule: "no duplicate effect, no refusal of an executed request"}
 	keyed := map[string]bool{}
 	for _, a := range recorder.arrivals {
 		keyed[a.ID] = a.Key != ""
@@ -120,21 +122,21 @@
 }
 
 func checkDrains(rules Rules, recorder *Recorder, drains []DrainPeriod) RuleResult {
-	v := RuleResult{Rule: "nothing new to a draining node", Checked: len(drains)}
+	v := RuleResult{Rule: "no new requests to a draining node", Checked: len(drains)}
 	for _, d := range drains {
 		for _, a := range recorder.arrivals {
 			if a.Node == d.Node && a.At.After(d.AnnouncedAt.Add(rules.DrainGrace)) && (d.RestartedAt.IsZero() || a.At.Before(d.RestartedAt)) {
-				v.addViolation("%s came to %s %v after its drain was told", a.ID, a.Node, a.At.Sub(d.AnnouncedAt))
+				v.addViolation("%s reached %s %v after the announcement of the drain", a.ID, a.Node, a.At.Sub(d.AnnouncedAt))
 			}
 		}
 	}
 	return v
 }
 
-// checkColdNodes holds what came to a node that had just started to a budget: in any window no more work than the multiple of
-// what it could do in it, and one request more.
+// checkColdNodes checks the load on nodes that have just started: in any window a node may receive, besides its
+// largest request, at most OverloadFactor times the work that it can do in that time.
 func checkColdNodes(rules Rules, recorder *Recorder) RuleResult {
-	v := RuleResult{Rule: "no cold node pushed over"}
+	v := RuleResult{Rule: "no overload of a cold node"}
 	cfg := NodeConfig{ColdCapacity: rules.ColdCapacity, ColdDuration: rules.ColdDuration}
 	for node, starts := range recorder.starts {
 		for _, start := range starts {
@@ -157,7 +159,7 @@
 				capacity := rules.OverloadFactor * float64(rules.Cores) * cfg.speed(first.At.Sub(start)) * float64(rules.OverloadWindow)
 				v.WorstLoad = max(v.WorstLoad, float64(sent-largest)/capacity)
 				if float64(sent-largest) > capacity {
-					v.addViolation("%s got %v of work in %v, %v after its start", node, sent, rules.OverloadWindow, first.At.Sub(start))
+					v.addViolation("%s received %v of work within %v, %v after its start", node, sent, rules.OverloadWindow, first.At.Sub(start))
 				}
 			}
 		}
@@ -166,7 +168,7 @@
 }
 
 func checkCeilings(rules Rules, results []RequestResult, recorder *Recorder) RuleResult {
-	v := RuleResult{Rule: "ceilings kept over all gateways"}
+	v := RuleResult{Rule: "ceilings kept across all gateways"}
 	plans, seen := map[string]string{}, map[string]bool{}
 	for _, e := range results {
 		plans[e.Customer] = e.Plan
@@ -192,7 +194,7 @@
 		b.level = min(c.Depth, b.level+c.Rate*a.At.Sub(b.at).Seconds()) - a.Units
 		b.at = a.At
 		if b.level < -c.Slack {
-			v.addViolation("customer %s is %.1f units below its ceiling's store", a.Customer, -b.level)
+			v.addViolation("the ceiling's bucket of customer %s is %.1f units below zero", a.Customer, -b.level)
 		}
 	}
 	v.Checked = len(buckets)
--- a/internal/testbed/e2e/e2e.go
+++ b/internal/testbed/e2e/e2e.go
@@ -1,6 +1,6 @@
-// Package procs builds tests of several real processes of the program: a site, gateways with a disk each, broken links between them,
-// a crowd of clients, and a verdict. What is done to processes and disks is one call each, so that a test of a new failure is a
-// script of a few lines.
+// Package e2e builds end-to-end tests of several real gateway processes: a site, gateways with a disk each, a
+// faulty network between them, client load, and an audit. Each manipulation of processes and disks is one call, so
+// that a test of a new failure is a script of a few lines.
 package e2e
 
 import (
@@ -22,42 +22,44 @@
 )
 
 const (
-	testTimeout   = 5 * time.Minute // a whole test
-	recoveryGrace = 3 * time.Second // past a gateway's return: what was asked of it while it was away may still be lost
+	testTimeout   = 5 * time.Minute // limit of a whole test
+	recoveryGrace = 3 * time.Second // after a gateway's return: requests that were sent to it while it was down may still be lost
 	fileMode      = 0o600
 	dirMode       = 0o700
 )
 
-// What a gateway's process finds in its environment, beside what operators set. A test's own program reads them.
+// Environment variables of a gateway process, in addition to those that operators set. The test's own program
+// reads them.
 const (
-	RoutesEnv = "PROCS_ROUTES" // links.Routes of the member
-	ClockEnv  = "PROCS_CLOCK"  // a time.Duration by which its wall clock is off
-	BootEnv   = "PROCS_BOOT"   // the id of the boot that it runs under
+	RoutesEnv = "PROCS_ROUTES" // faultnet.Routes of the member
+	ClockEnv  = "PROCS_CLOCK"  // offset of its wall clock, a time.Duration
+	BootEnv   = "PROCS_BOOT"   // boot id under which it runs
 )
 
-// Config is what is built.
+// Config configures a Harness.
 type Config struct {
 	Platform *testbed.Platform
 	Nodes    int // 0: 8
 	Gateways int
-	Seed     uint64 // of links
-	// OperatorFile: each gateway is told of itself alone, has a member's address and a disk, and its operators' file is what this returns.
-	// nil: each is told of all others, whose datagrams go by the links, and has no operators' file.
+	Seed     uint64 // of the network faults
+	// OperatorFile returns the operators' file of gateway i, which is a member of a fleet: its platform settings
+	// name itself alone, and it has a member address and a disk. nil: there is no fleet; the platform settings
+	// name all gateways, which exchange datagrams through the mesh, and there is no operators' file.
 	OperatorFile func(h *Harness, i int) string
-	// Command is a command that runs the program; the environment is set by the rig.
+	// Command returns a command that runs the program; the harness adds to its environment.
 	Command func() *exec.Cmd
 }
 
 // Harness is a site with gateways as real processes.
 type Harness struct {
 	Site         *testbed.Site
-	Endpoints    []testbed.Endpoint // where gateways take clients
-	MemberAddrs  []string           // where they take the fleet's word
-	Mesh         *faultnet.Mesh     // between members, or between peers without a fleet
+	Endpoints    []testbed.Endpoint // where gateways accept clients
+	MemberAddrs  []string           // where gateways accept other members of the fleet
+	Mesh         *faultnet.Mesh     // between members of the fleet, or between peers without a fleet
 	Processes    []*testbed.Process
-	History      [][]Incarnation // of each gateway: its processes so far
+	History      [][]Incarnation // of each gateway: all its processes so far
 	Ctx          context.Context
-	ClockOffsets []time.Duration // by which a gateway's wall clock is off, from its next start on
+	ClockOffsets []time.Duration // offset of a gateway's wall clock, from its next start on
 
 	t      testing.TB
 	cfg    Config
@@ -69,16 +71,17 @@
 	outages [][]outage // by gateway
 }
 
-// Incarnation is a gateway's process, from its start to its end, which is zero while it lives.
+// Incarnation is a process of a gateway; EndedAt is zero while it runs.
 type Incarnation struct {
 	*testbed.Process
 	StartedAt, EndedAt time.Time
 }
 
-// outage is a time in which a gateway's clients may be left without their answers.
+// outage is a time during which requests to a gateway may be lost.
 type outage struct{ from, to time.Time }
 
-// New makes a site and the files of gateways that are not started yet. All ends with the test.
+// New starts a site and prepares gateways, which are not started yet. Everything is stopped at the end of the
+// test.
 func New(t testing.TB, cfg Config) *Harness {
 	t.Helper()
 	if cfg.Nodes == 0 {
@@ -113,7 +116,7 @@
 	return h
 }
 
-// Must ends the test if something can't be done.
+// Must stops the test if err is not nil.
 func (h *Harness) Must(err error) {
 	h.t.Helper()
 	if err != nil {
@@ -121,13 +124,13 @@
 	}
 }
 
-// GatewayName is a gateway's.
+// GatewayName returns the name of gateway i.
 func GatewayName(i int) string { return fmt.Sprintf("g%d", i) }
 
-// DiskDir is the folder that outlives a gateway's process.
+// DiskDir returns the directory that survives the processes of gateway i.
 func (h *Harness) DiskDir(i int) string { return filepath.Join(h.dir, GatewayName(i)) }
 
-// FilePath is one beside the disks, such as keys that all share.
+// FilePath returns the path of a file beside the disks, such as keys that all gateways share.
 func (h *Harness) FilePath(name string) string { return filepath.Join(h.dir, name) }
 
 // WriteFile writes a file.
@@ -136,7 +139,7 @@
 	h.Must(os.WriteFile(file, []byte(text), fileMode))
 }
 
-// Launch starts a gateway's process and does not wait for it.
+// Launch starts a gateway's process without waiting until it answers.
 func (h *Harness) Launch(i int) {
 	h.t.Helper()
 	rank, endpoints := i, h.Endpoints
@@ -162,14 +165,14 @@
 	h.History[i] = append(h.History[i], Incarnation{Process: h.Processes[i], StartedAt: time.Now()})
 }
 
-// recordExit notes that a gateway's process is no more.
+// recordExit records the exit of a gateway's process.
 func (h *Harness) recordExit(i int) {
 	if n := len(h.History[i]); n > 0 && h.History[i][n-1].EndedAt.IsZero() {
 		h.History[i][n-1].EndedAt = time.Now()
 	}
 }
 
-// Start starts gateways in an order, so long after each other, and waits until all answer.
+// Start starts gateways in an order, with the given time between them, and waits until all answer.
 func (h *Harness) Start(spacing time.Duration, order ...int) {
 	h.t.Helper()
 	for k, i := range order {
@@ -180,12 +183,12 @@
 	}
 	for _, i := range order {
 		if err := h.Processes[i].WaitReady(h.Ctx, h.Endpoints[i].Listen); err != nil {
-			h.t.Fatalf("%v; the log is\n%s", err, h.Processes[i].Log)
+			h.t.Fatalf("%v; its log:\n%s", err, h.Processes[i].Log)
 		}
 	}
 }
 
-// AllGateways are the numbers of all gateways.
+// AllGateways returns the numbers of all gateways.
 func (h *Harness) AllGateways() (all []int) {
 	for i := range h.Processes {
 		all = append(all, i)
@@ -193,7 +196,7 @@
 	return all
 }
 
-// Kill kills gateways within one tick, and returns when all are gone.
+// Kill sends SIGKILL to all given gateways, then waits for their exit.
 func (h *Harness) Kill(which ...int) {
 	h.t.Helper()
 	for _, i := range which {
@@ -207,7 +210,8 @@
 	}
 }
 
-// PowerLoss kills all gateways within one tick. What starts from then on runs under another boot.
+// PowerLoss kills all gateways at once. Processes that start later run under another boot id. Lost requests are
+// excused until the returned function is called.
 func (h *Harness) PowerLoss() (powerBack func()) {
 	powerBack = h.MarkDown(h.AllGateways()...)
 	h.Kill(h.AllGateways()...)
@@ -215,7 +219,7 @@
 	return powerBack
 }
 
-// Suspend has a gateway's process stand still until the function that it returns is called.
+// Suspend stops a gateway's process by SIGSTOP until the returned function is called.
 func (h *Harness) Suspend(i int) (resume func()) {
 	h.t.Helper()
 	markUp := h.MarkDown(i)
@@ -226,7 +230,7 @@
 	}
 }
 
-// CopyDisk keeps a copy of a gateway's disk as it is, and returns its name for Replace.
+// CopyDisk saves a copy of a gateway's disk and returns its path, for ReplaceDisk.
 func (h *Harness) CopyDisk(i int) string {
 	h.t.Helper()
 	h.copies++
@@ -242,14 +246,14 @@
 	h.Must(os.Mkdir(h.DiskDir(i), dirMode))
 }
 
-// ReplaceDisk puts a copy in the place of a gateway's disk, such as an older one or a neighbour's.
+// ReplaceDisk replaces a gateway's disk by a copy, such as an older one or that of another gateway.
 func (h *Harness) ReplaceDisk(i int, from string) {
 	h.t.Helper()
 	h.Must(os.RemoveAll(h.DiskDir(i)))
 	h.Must(os.CopyFS(h.DiskDir(i), os.DirFS(from)))
 }
 
-// TruncateFiles cuts a share off the end of each file on a gateway's disk.
+// TruncateFiles cuts off a share of the end of each file on a gateway's disk.
 func (h *Harness) TruncateFiles(i int, share float64) {
 	h.t.Helper()
 	files, err := filepath.Glob(filepath.Join(h.DiskDir(i), "*"))
@@ -263,7 +267,7 @@
 	}
 }
 
-// MarkDown marks that gateways' clients may lose what they ask from now on, until the function that it returns is called.
+// MarkDown excuses the loss of requests to gateways from now on, until the returned function is called.
 func (h *Harness) MarkDown(which ...int) (markUp func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -281,21 +285,21 @@
 	}
 }
 
-// excused reports that a request without an answer was asked of a gateway that was away.
+// excused reports whether a lost or late request was sent to a gateway that was down.
 func (h *Harness) excused(e testbed.RequestResult) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.ContainsFunc(h.outages[e.Gateway], func(o outage) bool { return e.SentAt.Before(o.to) && e.EndedAt.After(o.from) })
 }
 
-// Event is what happens at a time of a script.
+// Event is a step of a script.
 type Event struct {
-	At   time.Duration // since the script's begin
-	Name string        // for the log
+	At   time.Duration // since the start of the script
+	Name string        // for the test log
 	Do   func()
 }
 
-// Script plays events in their order; each begins at its time, or when the one before it is over.
+// Script returns a function that runs events in order; each starts at its time, or when the previous one is over.
 func (h *Harness) Script(events ...Event) func() {
 	return func() {
 		begin := time.Now()
@@ -311,8 +315,8 @@
 	}
 }
 
-// RunLoad has customers ask all gateways while a script goes on, and holds what was seen to the five rules: an answer that is lost or
-// late is excused where its gateway was away.
+// RunLoad sends the customers' requests to all gateways while a script runs, and audits the results against the
+// five rules. A reply that is lost or late is excused if its gateway was down.
 func (h *Harness) RunLoad(customers []testbed.Customer, seed uint64, script func()) *LoadResult {
 	h.t.Helper()
 	result := &LoadResult{Customers: customers, harness: h, unitsBefore: map[string]float64{}}
@@ -344,7 +348,7 @@
 	return result
 }
 
-// LoadResult is what was seen of a crowd.
+// LoadResult is what was observed under a load.
 type LoadResult struct {
 	Customers []testbed.Customer
 	Results   []testbed.RequestResult
@@ -352,7 +356,7 @@
 	Elapsed   time.Duration
 
 	harness     *Harness
-	unitsBefore map[string]float64 // units that nodes were sent of a customer by then
+	unitsBefore map[string]float64 // units that nodes had received for a customer before the load
 }
 
 func (l *LoadResult) audit() {
@@ -369,30 +373,31 @@
 		}
 		return excused
 	})
-	h.t.Logf("%d requests in %v, %d served, %d lost or late with gateways that were away", len(l.Results), l.Elapsed.Round(time.Millisecond), served, excusedCount)
+	h.t.Logf("%d requests in %v, %d served, %d lost or late at gateways that were down", len(l.Results), l.Elapsed.Round(time.Millisecond), served, excusedCount)
 	for _, v := range h.Site.Audit(kept) {
 		if v.WorstLoad > 0 {
-			h.t.Logf("%s: %.2f of what may be, at most", v.Rule, v.WorstLoad)
+			h.t.Logf("%s: at most %.2f of the allowed load", v.Rule, v.WorstLoad)
 		}
 		if v.Violations > 0 {
-			h.t.Errorf("%s: %d cases: %s", v.Rule, v.Violations, strings.Join(v.Examples, "; "))
+			h.t.Errorf("%s: %d violations: %s", v.Rule, v.Violations, strings.Join(v.Examples, "; "))
 		}
 	}
 }
 
-// Plan is a customer's.
+// Plan returns a customer's plan.
 func (l *LoadResult) Plan(c *testbed.Customer) *testbed.Plan {
 	plans := l.harness.Site.Platform.Plans
 	return &plans[slices.IndexFunc(plans, func(plan testbed.Plan) bool { return plan.Name == c.Plan })]
 }
 
-// QuotaUsage is rate x time + burst of a customer, and Got what nodes were sent of it.
+// QuotaUsage returns a customer's quota, which is rate x time + burst, and the units that nodes received for it.
 func (l *LoadResult) QuotaUsage(c *testbed.Customer) (quota, sent float64) {
 	plan := l.Plan(c)
 	return plan.Rate*l.Elapsed.Seconds() + plan.Burst, l.harness.Site.Recorder.Units(c.ID) - l.unitsBefore[c.ID]
 }
 
-// ServedShare is the share of the requests sent within a time, since the beginning, that were served; a filter leaves others out.
+// ServedShare returns the share of requests that were served, among those sent in an interval since the start of
+// the load, and their number. A filter may leave out requests.
 func (l *LoadResult) ServedShare(from, to time.Duration, filter func(e *testbed.RequestResult) bool) (share float64, sent int) {
 	served := 0
 	for i := range l.Results {
--- a/internal/testbed/faultconn/faultconn.go
+++ b/internal/testbed/faultconn/faultconn.go
@@ -1,5 +1,5 @@
-// Package brittle is connections of which the nth read, write, look, deadline, close or accept fails, as the kernel's own do: for
-// tests that fail each of them in turn.
+// Package faultconn provides connections of which the nth read, write, control call, setting of a deadline, close
+// or accept fails with an error of the kernel, for tests that let each of them fail in turn.
 package faultconn
 
 import (
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Op is what fails.
+// Op is a kind of operation that can fail.
 type Op int
 
-// The operations.
+// The kinds of operations.
 const (
 	None     Op = iota
-	Read        // fails with a reset
-	Write       // by the kernel at once or waiting: nothing is taken, and it fails with a reset
-	Control     // at what waits in the kernel
-	Deadline    // the setting of one
-	Close       // is done, and reports an error
-	Accept      // fails once, as when descriptors run out
+	Read        // fails with ECONNRESET
+	Write       // a Write of the connection or its RawConn: writes nothing and fails with ECONNRESET
+	Control     // a Control call of the RawConn, as when looking at unread bytes
+	Deadline    // setting a read or write deadline
+	Close       // closes the connection, but reports EIO
+	Accept      // fails once with EMFILE, as when the process runs out of descriptors
 	numOps
 )
 
@@ -28,10 +28,10 @@
 	return [...]string{"none", "read", "write", "look", "deadline", "close", "accept"}[o]
 }
 
-// Injector fails the nth operation of a kind, and counts. It may be shared by connections.
+// Injector counts operations and fails the nth one of a kind. Connections may share it.
 type Injector struct {
 	Op  Op
-	Nth int // from 1
+	Nth int // counts from 1
 
 	mu        sync.Mutex
 	counts    [numOps]int
@@ -39,7 +39,7 @@
 	first     *Conn
 }
 
-// shouldFail counts an operation and reports whether it is the one.
+// shouldFail counts an operation and reports whether it is the one to fail.
 func (i *Injector) shouldFail(o Op) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -47,37 +47,37 @@
 	return o == i.Op && i.counts[o] == i.Nth
 }
 
-// Triggered reports that the operation came to be.
+// Triggered reports whether the operation to fail has occurred.
 func (i *Injector) Triggered() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.counts[i.Op] >= i.Nth
 }
 
-// OpenConns is how many connections are not closed.
+// OpenConns returns how many connections are not closed.
 func (i *Injector) OpenConns() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.openConns
 }
 
-// FirstClosed reports that the first one was closed.
+// FirstClosed reports whether the first connection was closed.
 func (i *Injector) FirstClosed() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.first != nil && i.first.closed
 }
 
-// Conn is a connection under a plan.
+// Conn is a connection whose operations an Injector may fail.
 type Conn struct {
 	*net.TCPConn
 	injector *Injector
 	once     sync.Once
 
-	closed bool // under the plan's lock
+	closed bool // guarded by injector.mu
 }
 
-// Wrap puts a connection under a plan.
+// Wrap returns a connection whose operations the injector counts.
 func (i *Injector) Wrap(c net.Conn) *Conn {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -161,7 +161,7 @@
 	return r.RawConn.Control(f)
 }
 
-// Listener accepts connections under a plan.
+// Listener wraps the connections that it accepts.
 type Listener struct {
 	net.Listener
 	Injector *Injector
--- a/internal/testbed/faultnet/mesh.go
+++ b/internal/testbed/faultnet/mesh.go
@@ -1,6 +1,6 @@
-// Package links puts faults between real processes. A Mesh relays the datagrams and streams between any two members, each way by
-// itself, and loses, doubles, holds, stalls, breaks or parts them as it is told; a Relay does so for the streams to any one address.
-// What it draws comes from a seed; what it did is counted.
+// Package faultnet injects network faults between processes. A Mesh relays the datagrams and streams between any
+// two members, and loses, duplicates, delays, stalls or cuts them for each direction separately; a Relay does so
+// for the streams to one address. Its random choices come from a seed, and it counts what it did.
 package faultnet
 
 import (
@@ -14,30 +14,31 @@
 )
 
 const (
-	maxDatagram = 64 << 10 // bytes, as UDP has it
-	maxDelayed  = 4096     // datagrams that wait out their delay; one more is lost
+	maxDatagram = 64 << 10 // bytes, the limit of UDP
+	maxDelayed  = 4096     // delayed datagrams; further ones are lost
 )
 
-// Fault is what becomes of what goes one way between two members. The zero value passes all at once.
+// Fault describes the faults of one direction between two members. The zero value forwards everything at once.
+// Datagrams with different delays overtake each other.
 type Fault struct {
-	Loss, Duplicate    float64       // shares of the datagrams that are lost, and that come twice
-	MinDelay, MaxDelay time.Duration // each is held for a time between these, so that some overtake others; a stream's bytes for Fast
+	Loss, Duplicate    float64       // probabilities that a datagram is lost, and that it arrives twice
+	MinDelay, MaxDelay time.Duration // delay of a datagram, drawn at random; MinDelay also delays stream data
 
-	Stall           bool // streams stay open and pass nothing, as they do where datagrams are all lost
+	Stall           bool // streams stay open and forward nothing, as they also do with Loss 1
 	Refuse          bool // new streams are closed at once
-	CloseAfterBytes int  // a stream ends when so many bytes went this way; 0: it does not
+	CloseAfterBytes int  // a stream is closed after this many bytes in this direction; 0: never
 }
 
-// Blackhole passes nothing; streams stand still until it is over.
+// Blackhole drops all datagrams and stalls streams until it is lifted.
 var Blackhole = Fault{Loss: 1}
 
-// Counts are of datagrams, and of the bytes that streams passed.
+// Counts counts datagrams, and the bytes that streams forwarded.
 type Counts struct{ Forwarded, Lost, Duplicated, Overflowed, StreamBytes int }
 
-// Mesh is a relay for each ordered pair of members. Its methods may be called from any goroutine.
+// Mesh has a relay for each ordered pair of members. Its methods are safe for concurrent use.
 type Mesh struct {
 	members []netip.AddrPort
-	sockets [][]*net.UDPConn // by who sends, and to whom
+	sockets [][]*net.UDPConn // indexed by sender and receiver
 	relays  [][]*Relay
 	wg      sync.WaitGroup
 
@@ -50,7 +51,7 @@
 	changed chan struct{} // closed at the next change of a fault
 }
 
-// NewMesh stands between members that listen for datagrams and streams at these addresses, and passes all.
+// NewMesh creates relays between members that listen for datagrams and streams at these addresses, without faults.
 func NewMesh(seed uint64, members []string) (m *Mesh, err error) {
 	m = &Mesh{rnd: rand.New(rand.NewPCG(seed, 1)), changed: make(chan struct{})}
 	defer func() {
@@ -61,7 +62,7 @@
 	for _, a := range members {
 		addr, err := netip.ParseAddrPort(a)
 		if err != nil {
-			return m, fmt.Errorf("a member's address: %w", err)
+			return m, fmt.Errorf("parsing a member's address: %w", err)
 		}
 		m.members = append(m.members, addr)
 	}
@@ -76,7 +77,7 @@
 				continue
 			}
 			if m.sockets[i][j], err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
-				return m, fmt.Errorf("a relay from %d to %d: %w", i, j, err)
+				return m, fmt.Errorf("opening a relay from %d to %d: %w", i, j, err)
 			}
 			if m.relays[i][j], err = newRelay(members[j], m.streamFaults(i, j), m.addStreamBytes); err != nil {
 				return m, err
@@ -93,7 +94,7 @@
 	return m, nil
 }
 
-// PeerAddrs are the addresses under which a member sees all, its own among them.
+// PeerAddrs returns the addresses at which a member reaches all members, including itself.
 func (m *Mesh) PeerAddrs(member int) (addrs []string) {
 	for j, a := range m.members {
 		if j != member {
@@ -104,8 +105,8 @@
 	return addrs
 }
 
-// relayDatagrams passes on what one member sends to another. It leaves by the socket to which the other one sends, as members know each
-// other by their addresses.
+// relayDatagrams forwards the datagrams from one member to another. It sends from the socket that relays the
+// opposite direction, as members identify each other by address.
 func (m *Mesh) relayDatagrams(from, to int) {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -114,7 +115,7 @@
 			return
 		}
 		if err != nil || source != m.members[from] {
-			continue // a member that is down refuses; a stranger is no member
+			continue // a closed member port reports an error; other senders are ignored
 		}
 		data := append([]byte(nil), buf[:n]...)
 		for _, delay := range m.drawDelays(from, to) {
@@ -123,7 +124,7 @@
 	}
 }
 
-// drawDelays draws how late a datagram comes, for each time that it does.
+// drawDelays draws the delay of each copy of a datagram; none if it is lost.
 func (m *Mesh) drawDelays(from, to int) (delays []time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,7 +155,7 @@
 	closed := m.closed
 	m.mu.Unlock()
 	if !closed {
-		_, _ = m.sockets[to][from].WriteToUDPAddrPort(data, m.members[to]) // as if lost, where it can't be written
+		_, _ = m.sockets[to][from].WriteToUDPAddrPort(data, m.members[to]) // a failed write counts as a loss
 	}
 }
 
@@ -164,7 +165,7 @@
 	m.counts.StreamBytes += n
 }
 
-// streamFaults tells the faults of the streamFaults that one member opens to another.
+// streamFaults returns a function for the faults of streams that one member opens to another.
 func (m *Mesh) streamFaults(from, to int) func(reverse bool) (Fault, <-chan struct{}) {
 	return func(reverse bool) (Fault, <-chan struct{}) {
 		m.mu.Lock()
@@ -176,7 +177,8 @@
 	}
 }
 
-// SetFault has a fault on the way from each of some members to each of others; nil: of and to all.
+// SetFault sets the fault of the direction from each of some members to each of others; nil stands for all
+// members.
 func (m *Mesh) SetFault(f Fault, from, to []int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,7 +191,7 @@
 	m.changed = make(chan struct{})
 }
 
-// Partition cuts some members off from the others, both ways; what is between the members of a side stays as it was.
+// Partition cuts off some members from the others in both directions. Links within a side keep their faults.
 func (m *Mesh) Partition(side []int) {
 	var other []int
 	in := map[int]bool{}
@@ -218,14 +220,14 @@
 	return all
 }
 
-// Counts tells what it did so far.
+// Counts returns the counts so far.
 func (m *Mesh) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Close ends all relays. What is held is lost.
+// Close closes all relays. Delayed datagrams are lost.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
--- a/internal/testbed/faultnet/relay.go
+++ b/internal/testbed/faultnet/relay.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	chunkSize   = 16 << 10 // bytes of a stream that are passed on at once
+	chunkSize   = 16 << 10 // bytes that are copied at once
 	dialTimeout = 2 * time.Second
 )
 
-// Relay passes the streams that come to it on to one address, each way with a fault of its own. It stands between clients and a
-// gateway, a gateway and a node, or two members of a mesh.
+// Relay forwards the streams that it accepts to one address, with separate faults for each direction. It is used
+// between clients and a gateway, a gateway and a node, or two members of a mesh.
 type Relay struct {
 	to      string
 	ln      net.Listener
@@ -28,14 +28,14 @@
 	wg     sync.WaitGroup
 }
 
-// RelayFaults are the faults of a Relay that stands by itself. The zero value passes all at once.
+// RelayFaults are the faults of a Relay outside a mesh. The zero value forwards everything at once.
 type RelayFaults struct {
 	mu               sync.Mutex
 	forward, reverse Fault
 	changed          chan struct{}
 }
 
-// Set has a fault on what comes in from those who connect, and one on what goes back to them.
+// Set sets the fault of data from those who connect, and of data back to them.
 func (f *RelayFaults) Set(forward, reverse Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +58,7 @@
 	return f.forward, f.changed
 }
 
-// NewRelay stands before an address, by these ways.
+// NewRelay starts a relay to an address, with the given faults.
 func NewRelay(to string, faults *RelayFaults) (*Relay, error) {
 	return newRelay(to, faults.get, func(int) {})
 }
@@ -66,14 +66,14 @@
 func newRelay(to string, fault func(bool) (Fault, <-chan struct{}), onBytes func(int)) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("a relay to %s: %w", to, err)
+		return nil, fmt.Errorf("opening a relay to %s: %w", to, err)
 	}
 	r := &Relay{to: to, ln: ln, fault: fault, onBytes: onBytes, conns: map[net.Conn]struct{}{}, closed: make(chan struct{})}
 	r.wg.Go(r.accept)
 	return r, nil
 }
 
-// Addr is where it listens, as host:port.
+// Addr returns the listen address as host:port.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
 func (r *Relay) accept() {
@@ -83,13 +83,13 @@
 			return
 		}
 		if err != nil {
-			continue // that one has gone again
+			continue // the connection was closed before it was accepted
 		}
 		r.wg.Go(func() { r.serve(c) })
 	}
 }
 
-// serve passes on a connection. One that the fault refuses, or that leads to nobody, is closed.
+// serve forwards a connection. It closes the connection if the fault refuses it or the target cannot be reached.
 func (r *Relay) serve(c net.Conn) {
 	defer c.Close()
 	if f, _ := r.fault(false); f.Refuse || !r.track(c) {
@@ -116,12 +116,12 @@
 		})
 	}
 	select {
-	case <-ended: // either way's end is the connection's: what it still held is lost, as with a reset
+	case <-ended: // the end of one direction closes both: undelivered data is lost, as with a reset
 	case <-r.closed:
 	}
 }
 
-// copyStream copies one way, as far as its fault allows.
+// copyStream copies one direction as its fault allows.
 func (r *Relay) copyStream(from, to net.Conn, reverse bool) {
 	buf := make([]byte, chunkSize)
 	for sent := 0; ; {
@@ -148,7 +148,7 @@
 	}
 }
 
-// waitOpen waits until its way passes anything; false: the relay has been closed.
+// waitOpen waits until the fault lets data through. It returns false if the relay was closed.
 func (r *Relay) waitOpen(reverse bool) (Fault, bool) {
 	for {
 		f, changed := r.fault(reverse)
@@ -179,7 +179,7 @@
 	delete(r.conns, c)
 }
 
-// CloseStreams ends all streams that are open now.
+// CloseStreams closes all streams that are open now.
 func (r *Relay) CloseStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// Close ends it with all its streams. Closing it again does nothing.
+// Close closes the relay and its streams. It is idempotent.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	first := !r.ended
--- a/internal/testbed/faultnet/transport.go
+++ b/internal/testbed/faultnet/transport.go
@@ -12,13 +12,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Routes are where a member sends what is for another, by that one's own address.
+// Routes maps the address of each other member to the relay that leads to it.
 type Routes map[string]Route
 
 // Route is the relay to one other member.
 type Route struct{ Datagrams, Streams string }
 
-// Routes are those of one member of a mesh.
+// Routes returns the routes of one member of a mesh.
 func (m *Mesh) Routes(member int) Routes {
 	routes := Routes{}
 	for j, a := range m.members {
@@ -29,7 +29,7 @@
 	return routes
 }
 
-// String is for the environment of a member's process; ParseRoutes reads it there.
+// String encodes the routes for the environment of a member's process, where ParseRoutes decodes them.
 func (r Routes) String() string {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -38,16 +38,16 @@
 	return string(text)
 }
 
-// ParseRoutes reads what String wrote.
+// ParseRoutes decodes the output of String.
 func ParseRoutes(text string) (r Routes, err error) {
 	if err = json.Unmarshal([]byte(text), &r); err != nil {
-		return nil, fmt.Errorf("routes of a mesh: %w", err)
+		return nil, fmt.Errorf("parsing the routes of a mesh: %w", err)
 	}
 	return r, nil
 }
 
-// Transport is memberlist's own on sockets, but that what is for a member goes by the relay to it. Members go on to know each
-// other by their own addresses.
+// Transport is memberlist's network transport, except that it sends to other members by their relays. Members
+// still know each other by their own addresses.
 type Transport struct {
 	*memberlist.NetTransport
 	routes Routes
@@ -57,15 +57,15 @@
 func NewTransport(address string, routes Routes) (*Transport, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("a member's address: %w", err)
+		return nil, fmt.Errorf("parsing a member's address: %w", err)
 	}
 	n, err := strconv.Atoi(port)
 	if err != nil {
-		return nil, fmt.Errorf("a member's address: %w", err)
+		return nil, fmt.Errorf("parsing a member's address: %w", err)
 	}
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: n, Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
-		return nil, fmt.Errorf("a member's sockets: %w", err)
+		return nil, fmt.Errorf("opening a member's sockets: %w", err)
 	}
 	return &Transport{t, routes}, nil
 }
--- a/internal/testbed/h2client.go
+++ b/internal/testbed/h2client.go
@@ -14,13 +14,13 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2Client is a client's connection by HTTP/2, made of raw frames, so that it can misbehave: what is written is what it is
-// told, and nothing is answered by itself but SETTINGS and PING, and DATA where Windows is set. It is not safe for concurrent
-// use.
+// H2Client is a client's HTTP/2 connection made of raw frames, so that tests can violate the protocol. It writes
+// what it is given and acknowledges by itself only SETTINGS and PING, and DATA if AutoWindowUpdate is set. It is
+// not safe for concurrent use.
 type H2Client struct {
 	Conn             net.Conn
 	Framer           *http2.Framer
-	AutoWindowUpdate bool // give back what DATA takes of the windows
+	AutoWindowUpdate bool // send WINDOW_UPDATE on the connection for received DATA
 	nextStream       uint32
 	encoded          bytes.Buffer
 	encoder          *hpack.Encoder
@@ -28,21 +28,21 @@
 	partial          map[uint32]*H2Response
 }
 
-const h2MaxFrameSize = 16384 // bytes of a frame that every peer takes (RFC 9113, 4.2)
+const h2MaxFrameSize = 16384 // bytes; the frame size that every peer accepts (RFC 9113, section 4.2)
 
-// H2Response is what came on a stream, or for the whole connection where Stream is 0.
+// H2Response is a response on a stream, or GOAWAY, where Stream is 0.
 type H2Response struct {
 	Stream     uint32
 	Status     int
 	Fields     map[string]string
 	Body       []byte
-	Reset      bool // by RST_STREAM, with Code
-	GoAway     bool // GOAWAY, with Code and Last
+	Reset      bool // RST_STREAM, with Code
+	GoAway     bool // GOAWAY, with Code and LastStream
 	Code       http2.ErrCode
 	LastStream uint32
 }
 
-// DialH2 connects to a gateway, by TLS where a configuration is given, and sends the preface.
+// DialH2 connects to a gateway, by TLS if a configuration is given, and sends the client preface and SETTINGS.
 func DialH2(addr string, tlsConfig *tls.Config, settings ...http2.Setting) (*H2Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -68,22 +68,22 @@
 	return c, nil
 }
 
-// NewH2Encoder makes a client without a connection, for its Block alone.
+// NewH2Encoder returns a client without a connection, which can only encode header blocks.
 func NewH2Encoder() *H2Client {
 	c := &H2Client{}
 	c.encoder = hpack.NewEncoder(&c.encoded)
 	return c
 }
 
-// H2Request is a request in the mapping's words. What is empty is left out.
+// H2Request is a request in the terms of the HTTP mapping. Empty fields are omitted.
 type H2Request struct {
 	Path, Customer, Plan, ID, Key, Units, Set string
 	Patience                                  time.Duration
 	Body                                      []byte
-	ExtraFields                               []string // names and values
+	ExtraFields                               []string // names and values in turn
 }
 
-// HeaderBlock is the request's header block.
+// HeaderBlock encodes the request's header block.
 func (c *H2Client) HeaderBlock(q H2Request) []byte {
 	c.encoded.Reset()
 	fields := []string{":method", "POST", ":scheme", "http", ":authority", "gateway", ":path", q.Path, "sloepick-customer", q.Customer,
@@ -93,13 +93,13 @@
 	}
 	for i, all := 0, append(fields, q.ExtraFields...); i+1 < len(all); i += 2 {
 		if all[i+1] != "" {
-			c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it can't fail
+			c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it cannot fail
 		}
 	}
 	return bytes.Clone(c.encoded.Bytes())
 }
 
-// Send sends a whole request on a new stream and tells which.
+// Send sends a complete request on a new stream and returns the stream id.
 func (c *H2Client) Send(q H2Request) (uint32, error) {
 	id := c.nextStream
 	c.nextStream += 2
@@ -115,7 +115,7 @@
 	return id, nil
 }
 
-// Read returns the next whole answer, reset or GOAWAY.
+// Read returns the next complete response, reset or GOAWAY.
 func (c *H2Client) Read() (*H2Response, error) {
 	for {
 		f, err := c.Framer.ReadFrame()
@@ -148,7 +148,7 @@
 	case *http2.HeadersFrame:
 		fields, err := c.decoder.DecodeFull(f.HeaderBlockFragment())
 		if err != nil {
-			return nil, fmt.Errorf("decoding an answer: %w", err)
+			return nil, fmt.Errorf("decoding a response: %w", err)
 		}
 		a := &H2Response{Stream: id, Fields: map[string]string{}}
 		for _, h := range fields {
@@ -185,5 +185,5 @@
 	return a, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *H2Client) Close() { c.Conn.Close() }
--- a/internal/testbed/h2node.go
+++ b/internal/testbed/h2node.go
@@ -13,16 +13,17 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2Stream is a request on a connection of a node's, by HTTP/2, for whoever makes the node misbehave.
+// H2Stream is a complete HTTP/2 request that a node received.
 type H2Stream struct {
 	ID        uint32
 	Arrival   Arrival
 	Body      []byte
 	Conn      *H2NodeConn
-	Cancelled <-chan struct{} // closed when the client gives the stream up
+	Cancelled <-chan struct{} // closed when the client cancels the stream or the connection ends
 }
 
-// H2NodeConn is a connection of a node's, made of raw frames. Its methods are safe for concurrent use.
+// H2NodeConn is the node's side of an HTTP/2 connection, made of raw frames. Its methods are safe for concurrent
+// use.
 type H2NodeConn struct {
 	Conn    net.Conn
 	node    *Node
@@ -30,38 +31,38 @@
 	framer  *http2.Framer
 	encoded bytes.Buffer
 	encoder *hpack.Encoder
-	open    map[uint32]chan struct{} // closed when the client gives the stream up
+	open    map[uint32]chan struct{} // closed when the client cancels the stream or the connection ends
 }
 
-// InterceptStreams hands each request that came whole to a function first: if it reports true the node does nothing more for it, and it is
-// not tallied. It is for nodes that speak HTTP/2.
+// InterceptStreams makes the node call a function with each complete request first. If that returns true, the node
+// neither records nor answers the request, so that a test can misbehave in its place. HTTP/2 only.
 func (n *Node) InterceptStreams(intercept func(*H2Stream) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.intercept = intercept
 }
 
-// RecordExecuted counts a request as come and having taken effect, for what Rude takes over.
+// RecordExecuted records an intercepted request as arrived and as having taken effect.
 func (s *H2Stream) RecordExecuted() {
 	s.Conn.node.cfg.Recorder.recordArrival(s.Arrival)
 	s.Conn.node.cfg.Recorder.recordEffect(s.Arrival.ID)
 }
 
-// WriteFrames writes frames as the function has them.
+// WriteFrames lets the function write raw frames.
 func (c *H2NodeConn) WriteFrames(write func(*http2.Framer)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	write(c.framer)
 }
 
-// Respond writes an answer's HEADERS, and its body as DATA.
+// Respond writes the HEADERS of a response, and its body as DATA.
 func (c *H2NodeConn) Respond(stream uint32, status int, body string, fields ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.encoded.Reset()
 	all := append([]string{":status", strconv.Itoa(status)}, fields...)
 	for i := 0; i+1 < len(all); i += 2 {
-		c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it can't fail
+		c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it cannot fail
 	}
 	c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, EndHeaders: true, EndStream: body == "", BlockFragment: c.encoded.Bytes()})
 	for b := []byte(body); len(b) > 0; {
@@ -71,9 +72,9 @@
 	}
 }
 
-const h2DefaultMaxStreams = 100 // open at once, where the node's configuration tells nothing
+const h2DefaultMaxStreams = 100 // concurrent streams if the node's configuration sets no limit
 
-// serveH2 serves a connection until it ends. What is open then is given up.
+// serveH2 serves a connection until it ends, and cancels the streams that are open then.
 func (n *Node) serveH2(conn net.Conn) {
 	preface := make([]byte, len(http2.ClientPreface))
 	if _, err := io.ReadFull(conn, preface); err != nil || string(preface) != http2.ClientPreface {
@@ -106,7 +107,7 @@
 	}
 }
 
-// handleFrame takes a frame, and returns a request that is whole.
+// handleFrame handles a frame and returns the request that it completes, if any.
 func (c *H2NodeConn) handleFrame(f http2.Frame, partial map[uint32]*H2Stream) *H2Stream {
 	id := f.Header().StreamID
 	switch f := f.(type) {
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// parseHeaders reads a request in the mapping's words.
+// parseHeaders reads a request in the terms of the HTTP mapping.
 func (n *Node) parseHeaders(f *http2.MetaHeadersFrame) Arrival {
 	a := Arrival{Node: n.ID(), Units: 1, At: time.Now()}
 	for _, h := range f.Fields {
@@ -159,7 +160,7 @@
 		case "idempotency-key":
 			a.Key = strings.Trim(h.Value, `"`)
 		case "sloepick-units":
-			a.Units, _ = strconv.ParseFloat(h.Value, 64) // 0 shows in the tally
+			a.Units, _ = strconv.ParseFloat(h.Value, 64) // an invalid value is recorded as 0, which tests notice
 		}
 	}
 	a.Work = n.cfg.WorkByClass[a.Class]
@@ -202,7 +203,7 @@
 	return cancelled
 }
 
-// removeStream takes a stream out, and reports whether it was there still.
+// removeStream removes a stream and reports whether it was still open.
 func (c *H2NodeConn) removeStream(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/leaks/leaks.go
+++ b/internal/testbed/leaks/leaks.go
@@ -1,4 +1,4 @@
-// Package leaks holds that a test leaves nothing behind: no goroutine and no descriptor.
+// Package leaks checks that a test leaves neither goroutines nor file descriptors behind.
 package leaks
 
 import (
@@ -11,12 +11,12 @@
 )
 
 const (
-	waitTimeout  = 5 * time.Second // what ends has so long to it; a test that leaves nothing waits for none of it
+	waitTimeout  = 5 * time.Second // upper bound: a test that leaves nothing does not wait
 	pollInterval = 5 * time.Millisecond
 )
 
-// Check is called first in a test: when the test and its other cleanups are over, no goroutine and no descriptor may be left that
-// was not there before. Tests that run beside others can't use it.
+// Check reports goroutines and descriptors that were not there before and are left when the test and its other
+// cleanups are over. It must be called first in a test, and not in tests that run in parallel.
 func Check(t testing.TB) {
 	t.Helper()
 	check(t, waitTimeout)
@@ -28,7 +28,7 @@
 	openBefore := openDescriptors()
 	t.Cleanup(func() {
 		if t.Failed() {
-			return // it ended before it had cleaned up
+			return // it may have stopped before its cleanup
 		}
 		if err := waitGoroutines(before, timeout); err != nil {
 			t.Error(err)
@@ -39,10 +39,10 @@
 	})
 }
 
-// waitGoroutines waits until all goroutines have waitGoroutines that were not there before.
+// waitGoroutines waits until all goroutines have ended that are not in before.
 func waitGoroutines(before goleak.Option, timeout time.Duration) (err error) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
-		if err = goleak.Find(before); err == nil { // it waits for a part of a second itself
+		if err = goleak.Find(before); err == nil { // Find itself retries for a fraction of a second
 			return nil
 		}
 	}
@@ -60,10 +60,10 @@
 	for name := range before {
 		delete(open, name)
 	}
-	return fmt.Errorf("descriptors are left open: %v", open)
+	return fmt.Errorf("file descriptors left open: %v", open)
 }
 
-// openDescriptors are those that the process has open, with what they lead to; none where the system does not tell.
+// openDescriptors returns the open descriptors of the process and their targets, or nil where /proc is missing.
 func openDescriptors() map[string]string {
 	const dir = "/proc/self/fd"
 	entries, err := os.ReadDir(dir)
@@ -72,7 +72,7 @@
 	}
 	all := map[string]string{}
 	for _, e := range entries {
-		if to, err := os.Readlink(dir + "/" + e.Name()); err == nil { // else it is the folder's own, closed by now
+		if to, err := os.Readlink(dir + "/" + e.Name()); err == nil { // else it was the directory's own descriptor
 			all[e.Name()] = to
 		}
 	}
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// Customer is one clinic of a crowd.
+// Customer is a customer of the load generator.
 type Customer struct {
 	ID                         string // 16 hex digits
 	Plan                       string
-	Rate                       float64 // requests a second
+	Rate                       float64 // requests per second
 	GatewayCount, FirstGateway int
-	SurgeFactor                float64 // its rate is this many times as high from FloodFrom to FloodTo; 0: never
+	SurgeFactor                float64 // multiplies Rate from SurgeFrom to SurgeTo; 0: no surge
 	SurgeFrom                  time.Duration
 	SurgeTo                    time.Duration
 }
 
-// RequestClass is a class of requests as a crowd asks for it.
+// RequestClass is a class of requests and its share of the load.
 type RequestClass struct {
 	Name     string
 	Share    float64
 	Units    float64
 	Patience time.Duration
-	Work     time.Duration // of a node
+	Work     time.Duration // time that a node needs for a request
 	Keyed    bool
 }
 
 // Outcome is how a request ended for its client.
 type Outcome int
 
-// The ends. Lost is none at all, or one that is no answer to the request.
+// The outcomes. Lost means no reply, or one that does not belong to the request.
 const (
 	OutcomeServed Outcome = iota
 	OutcomeRefused
@@ -43,23 +43,23 @@
 	OutcomeLost
 )
 
-// RequestResult is a request and its end, as the client saw them.
+// RequestResult is a request and its outcome, as the client saw them.
 type RequestResult struct {
 	ID, Customer, Plan, Class string
-	Gateway                   int // of the crowd's list
+	Gateway                   int // index into LoadGenerator.Gateways
 	Outcome                   Outcome
 	SentAt, EndedAt           time.Time
 	Patience                  time.Duration
-	Detail                    string // of what was lost
+	Detail                    string // of a failed or lost request
 }
 
-// LoadGenerator asks gateways for a time, by a seed.
+// LoadGenerator sends requests to gateways, with arrival times and choices drawn by a seed.
 type LoadGenerator struct {
 	Gateways  []string
 	Customers []Customer
 	Classes   []RequestClass
 	Seed      uint64
-	OnResult  func(RequestResult) // is told of every end, from many goroutines
+	OnResult  func(RequestResult) // is called with every result, from many goroutines
 
 	pools []pool
 	wg    sync.WaitGroup
@@ -72,7 +72,7 @@
 	addr string
 }
 
-// get is a connection, and whether it was used before.
+// get returns a connection and whether it was used before.
 func (p *pool) get() (*Client, bool, error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
@@ -92,7 +92,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// Run asks until the context ends and returns when every request has ended. Arrivals don't wait for answers.
+// Run sends requests until the context ends, and returns when all have ended. The load is open-loop: arrivals do
+// not wait for replies.
 func (g *LoadGenerator) Run(ctx context.Context) {
 	g.pools = make([]pool, len(g.Gateways))
 	for i := range g.pools {
@@ -158,10 +159,10 @@
 	return &g.Classes[len(g.Classes)-1]
 }
 
-const readGrace = 2 * time.Second // past its patience a client still reads, to tell late from lost
+const readGrace = 2 * time.Second // how long a client reads beyond its patience, to distinguish late replies from lost ones
 
-// send sends one request. A connection that the gateway closed while the request was on its way is replaced once, as
-// the protocol has it.
+// send sends a request. The gateway may close an idle connection while a request is on its way; as the protocol
+// requires, the client then sends it again on another connection.
 func (g *LoadGenerator) send(p *pool, args []string, result *RequestResult) {
 	for {
 		conn, reused, err := p.get()
@@ -196,7 +197,7 @@
 	return errors.As(err, &t) && t.Timeout() && !errors.Is(err, io.EOF)
 }
 
-// classify reads an answer.
+// classify sets the outcome by the reply.
 func (r *RequestResult) classify(reply string) {
 	switch {
 	case reply == "$"+ReplyValue(r.ID):
@@ -206,6 +207,6 @@
 	case strings.HasPrefix(reply, "-"):
 		r.Outcome, r.Detail = OutcomeFailed, reply
 	default:
-		r.Outcome, r.Detail = OutcomeLost, fmt.Sprintf("the answer %q is not this request's", reply)
+		r.Outcome, r.Detail = OutcomeLost, fmt.Sprintf("the reply %q does not belong to this request", reply)
 	}
 }
--- a/internal/testbed/minimal_settings.go
+++ b/internal/testbed/minimal_settings.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// minimalSettings are settings with one class of each kind that tests send most: look is safe, book is keyed. One plan, p, whose quota
-// no test reaches.
+// minimalSettings has one class of each kind that tests use most, look (safe) and book (keyed), and a plan, p,
+// whose quota no test exhausts.
 const minimalSettings = `{"Classes":[
  {"Name":"look","Effect":"safe","AimNs":%[1]d,"GiveUpNs":30000000000,"Importance":1},
  {"Name":"book","Effect":"keyed","Group":"cell","WindowNs":30000000000,"AimNs":%[1]d,"GiveUpNs":30000000000,"Importance":3}],
@@ -17,7 +17,8 @@
 "Safety":{"ColdNs":5000000000,"FallNs":1000000000,"FallMultiple":4,"ColdFrom":0.2},
 "TiersOfService":[{"Name":"p","Refill":1000,"MostAtOnce":3000,"Pays":1}]}`
 
-// MinimalSettings is the settings of a small platform whose classes have an aim, from which gateways guess how long an answer takes.
+// MinimalSettings returns the settings of a small platform. aim is the latency target of its classes, from which
+// gateways derive their first estimate of the latency.
 func MinimalSettings(aim time.Duration) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(minimalSettings, aim.Nanoseconds()))
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Cell is a group of nodes that drop each other's repeats of a keyed request for a time.
+// Cell is a group of nodes that deduplicate keyed requests among themselves within a window.
 type Cell struct {
 	ID          int
 	DedupWindow time.Duration
@@ -22,7 +22,7 @@
 	seen map[string]time.Time
 }
 
-// addKey reports whether a key is new to the cell, and remembers it.
+// addKey records a key and reports whether it is new to the cell.
 func (c *Cell) addKey(key string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Arrival is a request that came whole to a node.
+// Arrival is a complete request that a node received.
 type Arrival struct {
 	Node, ID, Key, Customer, Class string
 	Units                          float64
@@ -44,15 +44,15 @@
 	At                             time.Time
 }
 
-// Recorder is the nodes' common record: what came to them, and what took effect how often.
+// Recorder records for all nodes which requests arrived, and how often each took effect.
 type Recorder struct {
 	mu       sync.Mutex
 	arrivals []Arrival
-	effects  map[string]int // by id
+	effects  map[string]int // by request id
 	starts   map[string][]time.Time
 }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{effects: map[string]int{}, starts: map[string][]time.Time{}}
 }
@@ -69,22 +69,22 @@
 	r.effects[id]++
 }
 
-// NodeConfig describes a working node.
+// NodeConfig configures a Node.
 type NodeConfig struct {
 	ID           string
 	Cell         *Cell
-	Cores        int // requests worked on at once
-	QueueSize    int // requests that wait; over it a request is turned away
+	Cores        int // concurrent requests
+	QueueSize    int // requests that may wait; further ones are rejected
 	WorkByClass  map[string]time.Duration
-	ColdCapacity float64 // share of its speed right after a restart
+	ColdCapacity float64 // share of the full speed right after a restart
 	ColdDuration time.Duration
 	Recorder     *Recorder
-	H2           bool // it speaks HTTP/2 and nothing else
-	MaxStreams   int  // open at once on a connection, by HTTP/2; 0: 100
+	H2           bool // serve HTTP/2 instead of RESP2
+	MaxStreams   int  // HTTP/2 streams per connection; 0: 100
 }
 
-// Node is a booking node that works: it takes its time, drops repeats of keys, turns away what is too much, and stops
-// work whose connection has ended.
+// Node is a simulated server: it takes the configured time per request, deduplicates keyed requests, rejects
+// requests beyond its capacity, and abandons a request when its connection closes.
 type Node struct {
 	cfg   NodeConfig
 	slots chan struct{}
@@ -95,17 +95,17 @@
 	waiting    int
 	draining   bool
 	skipWork   bool
-	started    time.Time // zero: long ago
+	started    time.Time // zero: long ago, so the node is warm
 	counts     NodeCounts
 	extraDelay func(Arrival) time.Duration
 	intercept  func(*H2Stream) bool
 	useReport  func(Arrival) string
 }
 
-// NodeCounts are a node's own figures.
+// NodeCounts are a node's counters.
 type NodeCounts struct{ Received, Executed, Rejected, Deduplicated int }
 
-// NewNode starts a node that has been warm for long.
+// NewNode starts a warm node.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Cores)}
 	l, err := listen(n.handler())
@@ -116,31 +116,31 @@
 	return n, nil
 }
 
-// Addr is where it listens, also after a restart.
+// Addr returns the listen address, which a restart keeps.
 func (n *Node) Addr() string { return n.addr }
 
-// ID is its name in discovery's list.
+// ID returns the node's id in the list of servers.
 func (n *Node) ID() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cfg.ID
 }
 
-// SetID gives it another id.
+// SetID changes the node's id.
 func (n *Node) SetID(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cfg.ID = id
 }
 
-// Counts are its figures since it was made.
+// Counts returns the counters since the node was created.
 func (n *Node) Counts() NodeCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-// Close ends the node and its connections.
+// Close stops the node and closes its connections.
 func (n *Node) Close() {
 	n.mu.Lock()
 	l := n.l
@@ -148,21 +148,22 @@
 	l.Close()
 }
 
-// SetExtraDelay lets requests take longer by what the function tells of them. It is called from many goroutines.
+// SetExtraDelay makes each request take longer by what delay returns for it. delay is called from many goroutines.
 func (n *Node) SetExtraDelay(delay func(Arrival) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.extraDelay = delay
 }
 
-// SkipWork lets it answer at once, whatever the work.
+// SkipWork makes the node answer without delay, whatever the class.
 func (n *Node) SkipWork() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.skipWork = true
 }
 
-// SetUseReport lets it tell figures on use with each value; "": none. It is called from many goroutines.
+// SetUseReport makes the node add to each reply the use that report returns for it; "" omits it. report is called
+// from many goroutines.
 func (n *Node) SetUseReport(report func(Arrival) string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -179,15 +180,15 @@
 	return report(a)
 }
 
-// Drain lets it turn away what is new.
+// Drain makes the node reject new requests.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining = true
 }
 
-// Restart ends the process that the node stands for and starts it again at the same address, cold. It returns when
-// that was.
+// Restart simulates a restart of the node's process: it closes all connections and listens again at the same
+// address, cold. It returns the start time.
 func (n *Node) Restart() (time.Time, error) {
 	n.Close()
 	l, err := listenAt(n.addr, n.handler())
@@ -204,7 +205,7 @@
 	return n.started, nil
 }
 
-// speed is the share of its full speed that a node has some time after a start.
+// speed returns the share of its full speed that a node has at a time since its start.
 func (c *NodeConfig) speed(since time.Duration) float64 {
 	if c.ColdDuration <= 0 || since >= c.ColdDuration {
 		return 1
@@ -212,7 +213,7 @@
 	return c.ColdCapacity + (1-c.ColdCapacity)*float64(since)/float64(c.ColdDuration)
 }
 
-// handler is how it serves a connection.
+// handler returns the function that serves a connection.
 func (n *Node) handler() func(net.Conn) {
 	if n.cfg.H2 {
 		return n.serveH2
@@ -232,7 +233,7 @@
 			}
 			select {
 			case commands <- cmd.Args:
-			case <-time.After(time.Minute): // nobody takes it: the other side is at its end
+			case <-time.After(time.Minute): // the serving loop has ended
 				return
 			}
 		}
@@ -249,7 +250,7 @@
 	}
 }
 
-// respond does what a command asks for, however long that takes, or gives it up when its connection has gone.
+// respond executes a command and returns the reply, or "" if the connection has closed meanwhile.
 func (n *Node) respond(args [][]byte, disconnected <-chan struct{}) string {
 	a, ok := n.parseCommand(args)
 	if !ok {
@@ -264,16 +265,16 @@
 	return ""
 }
 
-// workResult is how a request workResult at a node.
+// workResult is how a request ended at a node.
 type workResult int
 
 const (
-	abandoned workResult = iota // nobody waits for it
+	abandoned workResult = iota // the client is gone
 	rejected
 	completed
 )
 
-// execute does what a request asks for.
+// execute does the work of a request.
 func (n *Node) execute(a Arrival, cancelled <-chan struct{}) workResult {
 	n.cfg.Recorder.recordArrival(a)
 	if !n.admit() {
@@ -296,7 +297,7 @@
 	if extraDelay != nil {
 		duration += extraDelay(a)
 	}
-	if a.Key != "" && !n.cfg.Cell.addKey(a.Key, a.At) { // a repeat: the answer is known
+	if a.Key != "" && !n.cfg.Cell.addKey(a.Key, a.At) { // a duplicate: the reply is known
 		n.updateCounts(func(c *NodeCounts) { c.Deduplicated++ })
 		duration = 0
 	} else {
@@ -313,7 +314,7 @@
 	return completed
 }
 
-// ReplyValue is what a node answers to a request, so that a client can tell its own.
+// ReplyValue returns the value of the reply to a request, which contains the id so that clients can check it.
 func ReplyValue(id string) string { return "slots of " + id }
 
 func (n *Node) updateCounts(f func(*NodeCounts)) {
@@ -340,7 +341,8 @@
 	n.waiting--
 }
 
-// parseCommand takes a request in the published form: Q.ASK or Q.DO, customer, id, list, and a body.
+// parseCommand parses a request in its published form: Q.ASK or Q.DO, customer, id, parameters, and an optional
+// body.
 func (n *Node) parseCommand(args [][]byte) (Arrival, bool) {
 	if len(args) < 4 || string(args[0]) != "Q.ASK" && string(args[0]) != "Q.DO" {
 		return Arrival{}, false
@@ -373,21 +375,21 @@
 	return newListener(ln, serve), nil
 }
 
-// Arrivals are the requests that came whole to a node, in their order.
+// Arrivals returns the complete requests that nodes received, in order of arrival.
 func (r *Recorder) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.arrivals)
 }
 
-// StartTimes is when a node's process was started anew, each time.
+// StartTimes returns the times at which a node was restarted.
 func (r *Recorder) StartTimes(node string) []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.starts[node])
 }
 
-// EffectCounts are how often each request took effect, by its id.
+// EffectCounts returns how often each request took effect, by its id.
 func (r *Recorder) EffectCounts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/platform.go
+++ b/internal/testbed/platform.go
@@ -9,63 +9,65 @@
 	"time"
 )
 
-// socketSlack is how much longer a rule's time limit is on sockets.
+// socketSlack is how much longer than a gateway's own limit an audited limit is, for the time on sockets.
 const socketSlack = 50 * time.Millisecond
 
-// Plan is a plan as a platform's settings tell it.
+// Plan is a customers' plan in the settings of a platform.
 type Plan struct {
 	Name        string
 	Rate, Burst float64
-	Ceiling     Ceiling // a zero Rate: none
+	Ceiling     Ceiling // none if its Rate is 0
 	Price       float64
 }
 
-// Platform is what gateways are told at their start: who they are and the settings of the site.
+// Platform describes a site: what goes into the configuration of its gateways, and how its nodes behave.
 type Platform struct {
 	Plans       []Plan
 	Classes     []RequestClass
 	Rules       Rules
-	DedupWindow time.Duration // for which a cell drops repeats
+	DedupWindow time.Duration // in which a cell drops duplicates
 	Zone        string
 	Sockets     int
-	MemoryMB    int // MB
-	H2Nodes     int // so many of the nodes speak HTTP/2 and are of H2Kind
-	// EstimatedUnits: a request's units are a guess, and nodes tell the true ones, Most at most.
+	MemoryMB    int
+	H2Nodes     int // number of nodes that serve HTTP/2 and are of H2NodeKind
+	// EstimatedUnits: the units of a request are an estimate, and nodes report the actual ones, up to MaxUnits.
 	EstimatedUnits bool
-	MaxUnits       float64 // units that a request counts for at most; 0: as many as the classes' largest
-	PeerIntake     float64 // messages a second that a gateway takes in; 0: 40
-	// PeerAddrs are the addresses under which a gateway sees the others and itself; nil: those at which they are.
+	MaxUnits       float64 // largest number of units of a request; 0: the largest of the classes
+	PeerIntake     float64 // peer messages per second that a gateway accepts; 0: 40
+	// PeerAddrs returns the addresses at which a gateway reaches all gateways, including itself; nil: the
+	// addresses at which they listen.
 	PeerAddrs func(rank int) []string
 }
 
-const defaultPeerIntake = 40 // messages a second
+const defaultPeerIntake = 40 // messages per second
 
-// H2NodeKind is the kind of nodes that speak HTTP/2, as discovery tells it.
+// H2NodeKind is the kind of HTTP/2 nodes in the list of servers.
 const H2NodeKind = "std-h2"
 
-// Endpoint is where one gateway of a platform listens.
+// Endpoint holds the addresses at which a gateway listens for clients and for peers.
 type Endpoint struct{ Listen, Peer string }
 
-// Ports of places lie under those that systems hand out to outgoing connections (from 32768 on Linux, from 49152 by RFC 6335,
-// 6), so that none of these takes one between its being found and the gateway's start.
+// Allocated ports lie below the ephemeral ones (from 32768 on Linux, from 49152 by RFC 6335, section 6), so that
+// no outgoing connection takes a port between its allocation and the gateway's start.
 const (
 	minPort      = 20000
 	maxPort      = 32767
 	maxPortTries = 1000
-	portRanges   = 64 // of the range: so many processes side by side have one each, of 198 ports
+	portRanges   = 64 // ranges of 198 usable ports, one per process
 )
 
-// allocated are the ports that Places has allocated out in this process, and the part of the range that is this process's. A gateway that is not
-// started yet, or is down, leaves its ports free, so neither this process nor another may find them meanwhile.
+// allocated holds the ports that AllocateEndpoints returned in this process, and the process's port range. A
+// gateway that is not started yet, or is down, leaves its ports free, and neither this process nor another may
+// allocate them meanwhile.
 var allocated struct {
 	sync.Mutex
 	ports      map[int]bool
-	rangeLock  net.Listener // on the first port of the part, for as long as the process lives
+	rangeLock  net.Listener // listens on the first port of the range for the life of the process
 	rangeStart int
 }
 
-// claimPortRange takes a part of the range that no other process has: whoever listens on a part's first port owns it. Where all are taken
-// one is shared.
+// claimPortRange picks a range that no other process has: the process that listens on the first port of a range
+// owns it. If all are taken, one is shared.
 func claimPortRange() {
 	const rangeSize = (maxPort - minPort + 1) / portRanges
 	first := rand.IntN(portRanges)
@@ -79,8 +81,9 @@
 	}
 }
 
-// AllocateEndpoints finds free loopback ports for so many gateways, none of them twice in a process, and none that another process may be given
-// by AllocateEndpoints. They are free as they are looked up; a start that finds one taken says so.
+// AllocateEndpoints returns free loopback ports for n gateways. It returns no port twice in a process, nor one
+// that it may return in another process. The ports were free at the time of the call; a gateway that finds its
+// port taken fails to start.
 func AllocateEndpoints(n int) ([]Endpoint, error) {
 	allocated.Lock()
 	defer allocated.Unlock()
@@ -92,16 +95,16 @@
 	var endpoints []Endpoint
 	for tries := 0; len(endpoints) < n; tries++ {
 		if tries == maxPortTries {
-			return nil, fmt.Errorf("looking for ports: %d of %d were found in %d tries", len(endpoints), n, tries)
+			return nil, fmt.Errorf("allocating ports: found %d of %d in %d attempts", len(endpoints), n, tries)
 		}
 		port := allocated.rangeStart + 1 + rand.IntN(rangeSize-1)
-		if allocated.ports[port] && tries < maxPortTries/2 { // later: most of the part was given out
+		if allocated.ports[port] && tries < maxPortTries/2 { // allow repeats later, when most of the range is allocated
 			continue
 		}
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
-			continue // taken
+			continue // in use
 		}
 		defer ln.Close()
 		udp, err := net.ListenPacket("udp", addr)
@@ -115,7 +118,7 @@
 	return endpoints, nil
 }
 
-// GatewayConfig is the configuration file of the gateway of that number.
+// GatewayConfig returns the configuration file of the gateway with a rank.
 func (p *Platform) GatewayConfig(rank int, endpoints []Endpoint, discovery string, seed uint64, known ServerList) ([]byte, error) {
 	var peers []string
 	for _, q := range endpoints {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -17,7 +17,7 @@
 	stopTimeout  = 20 * time.Second
 )
 
-// ProcessLog keeps what a process writes. It is safe for concurrent use.
+// ProcessLog keeps what a process writes to its standard error. It is safe for concurrent use.
 type ProcessLog struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -40,7 +40,7 @@
 	return l.text.String()
 }
 
-// WaitFor waits until the text holds a piece for the nth time.
+// WaitFor waits until the log contains the text at least n times.
 func (l *ProcessLog) WaitFor(ctx context.Context, text string, n int) error {
 	for {
 		l.mu.Lock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Process is a gateway's process that this program started.
+// Process is a gateway process that this program started.
 type Process struct {
 	Log     *ProcessLog
 	cmd     *exec.Cmd
@@ -69,7 +69,8 @@
 	exitErr error
 }
 
-// StartProcess starts a command, whose standard error is kept. An interrupt at the terminal does not reach it.
+// StartProcess starts a command and keeps its standard error. It puts the process into a group of its own, so that
+// an interrupt at the terminal does not reach it.
 func StartProcess(cmd *exec.Cmd) (*Process, error) {
 	p := &Process{Log: &ProcessLog{}, cmd: cmd, exited: make(chan struct{})}
 	cmd.Stderr = p.Log
@@ -84,10 +85,10 @@
 	return p, nil
 }
 
-// PID is the process's number.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
 // WaitReady waits until the gateway has answered a PING.
@@ -98,13 +99,13 @@
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("a gateway ended at its start: %w\n%s", p.exitErr, p.Log)
+			return fmt.Errorf("a gateway exited while starting: %w\n%s", p.exitErr, p.Log)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("the gateway at %s does not answer", addr)
+	return fmt.Errorf("the gateway at %s did not answer a PING in time", addr)
 }
 
 func answersPing(addr string, deadline time.Time) bool {
@@ -120,11 +121,12 @@
 	return err == nil && reply == "+PONG"
 }
 
-// Stop ends it as an operator would, and returns why it did not end well.
+// Stop sends SIGTERM and waits for the exit. It returns an error if the process had exited before, fails or does
+// not exit in time.
 func (p *Process) Stop() error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		<-p.exited
-		return fmt.Errorf("it had ended before: %v\n%s", p.exitErr, p.Log)
+		return fmt.Errorf("the process had already exited: %v\n%s", p.exitErr, p.Log)
 	}
 	select {
 	case <-p.exited:
@@ -133,11 +135,11 @@
 		}
 		return nil
 	case <-time.After(stopTimeout):
-		return errors.New("it does not end")
+		return errors.New("the process did not exit in time after SIGTERM")
 	}
 }
 
-// Kill ends it at once, if it has not ended.
+// Kill kills the process if it still runs, and waits for its exit.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.exited
--- a/internal/testbed/scheduling.go
+++ b/internal/testbed/scheduling.go
@@ -8,12 +8,12 @@
 
 const (
 	tickInterval = 5 * time.Millisecond
-	minDelay     = 2 * time.Millisecond // a beat that comes later than this tells of a busy machine
-	maxDelays    = 1 << 16              // that are kept: the oldest go
+	minDelay     = 2 * time.Millisecond // a tick later than this counts as delayed
+	maxDelays    = 1 << 16              // the oldest are dropped
 )
 
-// SchedulingMonitor watches how late this machine wakes who waits. A verdict on times has to allow for that: on a busy machine an answer may be
-// late that no process held up.
+// SchedulingMonitor measures how late this machine wakes waiting goroutines. A check of times has to allow for
+// that, as on a busy machine a reply can be late without a fault of any process.
 type SchedulingMonitor struct {
 	mu     sync.Mutex
 	delays []wakeupDelay
@@ -21,13 +21,13 @@
 	done   sync.WaitGroup
 }
 
-// wakeupDelay is a beat that came too wakeupDelay: it was due at that time.
+// wakeupDelay is a tick that was late: when it was due, and by how much it was late.
 type wakeupDelay struct {
 	due   time.Time
 	delay time.Duration
 }
 
-// NewSchedulingMonitor begins to watch.
+// NewSchedulingMonitor starts a monitor.
 func NewSchedulingMonitor() *SchedulingMonitor {
 	m := &SchedulingMonitor{stop: make(chan struct{})}
 	m.done.Go(m.run)
@@ -60,7 +60,7 @@
 	m.delays = append(m.delays, d)
 }
 
-// DelayBetween is for how long, between two times, something that was to run did not.
+// DelayBetween returns the sum of the delays that overlap an interval.
 func (m *SchedulingMonitor) DelayBetween(from, to time.Time) (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +74,7 @@
 	return sum
 }
 
-// Close ends it.
+// Close stops the monitor.
 func (m *SchedulingMonitor) Close() {
 	close(m.stop)
 	m.done.Wait()
--- a/internal/testbed/seeds/seeds.go
+++ b/internal/testbed/seeds/seeds.go
@@ -1,12 +1,13 @@
-// Package seeds is how every random test of this project gets its seed, so that the verdict of a plain "go test" is a
-// function of the commit.
+// Package seeds selects the seeds of randomized tests. A plain "go test" runs fixed seeds, so that its result
+// depends on the commit alone.
 //
-//	go test PKG              plays the test's list of fixed seeds
-//	go test PKG -seed 7      plays seed 7 alone
-//	go test PKG -seed 0      draws a fresh seed
-//	go test PKG -rounds N    the long form: N rounds, by a fresh seed unless -seed names one
+//	go test PKG              runs the test's list of fixed seeds
+//	go test PKG -seed 7      runs seed 7 only
+//	go test PKG -seed 0      draws a new seed
+//	go test PKG -rounds N    runs the long form: N rounds, with a new seed unless -seed gives one
 //
-// Each seed is a subtest of its own, whose name repeats it. A seed that ever failed joins the test's list for good.
+// Each seed is a subtest with the seed in its name. A seed that ever failed is added to the test's list and stays
+// there.
 package seeds
 
 import (
@@ -19,11 +20,11 @@
 )
 
 var (
-	named  = flag.String("seed", "", "play the random tests by this seed; 0 draws one; left out: each test's list")
-	rounds = flag.Int("rounds", 0, "rounds of the random tests in their long form, by a fresh seed unless -seed names one; 0: the short form")
+	named  = flag.String("seed", "", "run the randomized tests with this seed; 0 draws one; without it each test's list is run")
+	rounds = flag.Int("rounds", 0, "rounds of the randomized tests in their long form, with a new seed unless -seed gives one; 0: the short form")
 )
 
-// Run runs a random test once for each seed: those of the test's list, or what the flags say.
+// Run runs a randomized test once for each seed: those of the test's list, or the one that the flags select.
 func Run(t *testing.T, list []uint64, test func(t *testing.T, seed uint64)) {
 	t.Helper()
 	chosen, err := chooseSeeds(list, *named, *rounds)
@@ -38,7 +39,7 @@
 	}
 }
 
-// chooseSeeds tells which seeds to play; 0 is never one of them.
+// chooseSeeds returns the seeds to run. A drawn seed is never 0.
 func chooseSeeds(list []uint64, named string, rounds int) ([]uint64, error) {
 	s, err := uint64(0), error(nil)
 	switch {
@@ -55,7 +56,7 @@
 	return []uint64{s}, nil
 }
 
-// Rounds is how many rounds a test is to play: short, or what -rounds says.
+// Rounds returns how many rounds a test should run: short, or the value of -rounds.
 func Rounds(short int) int {
 	if *rounds > 0 {
 		return *rounds
@@ -63,5 +64,5 @@
 	return short
 }
 
-// Rand is the random source of a seed. A second stream of the same seed is rand.NewPCG(seed, 1), and so on.
+// Rand returns the random source of a seed. A second stream of the same seed is rand.NewPCG(seed, 1), and so on.
 func Rand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
--- a/internal/testbed/site.go
+++ b/internal/testbed/site.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Site is a platform's nodes and its discovery.
+// Site runs the nodes of a platform and their discovery service.
 type Site struct {
 	Platform  *Platform
 	Nodes     []*Node
@@ -23,10 +23,10 @@
 
 const (
 	siteCells     = 2
-	siteQueueSize = 16 // requests that wait at a node
+	siteQueueSize = 16 // requests that may wait at a node
 )
 
-// NewSite starts so many nodes, in two cells, and discovery.
+// NewSite starts the given number of nodes, spread over two cells, and the discovery service.
 func NewSite(p *Platform, nodes int) (s *Site, err error) {
 	s = &Site{Platform: p, Recorder: NewRecorder(), version: 1, monitor: NewSchedulingMonitor()}
 	defer func() {
@@ -60,7 +60,7 @@
 	return s, err
 }
 
-// ServerList is the list of nodes as discovery has it.
+// ServerList returns the list of servers as discovery publishes it.
 func (s *Site) ServerList() ServerList {
 	return ServerList{Version: s.version, Full: true, Servers: slices.Clone(s.entries)}
 }
@@ -70,7 +70,7 @@
 	return s.Discovery.Set(s.version, s.ServerList())
 }
 
-// Drain tells that a node drains, and lets it turn away what is new.
+// Drain announces a node as draining and makes it reject new requests.
 func (s *Site) Drain(i int) error {
 	s.entries[i].State = "draining"
 	if err := s.publish(); err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Restart ends a node's process and starts it again, cold, and tells it.
+// Restart restarts a node, which is cold afterwards, and publishes its new start time.
 func (s *Site) Restart(i int) error {
 	started, err := s.Nodes[i].Restart()
 	if err != nil {
@@ -96,21 +96,21 @@
 	return s.publish()
 }
 
-// Replace ends a node's process and starts another at its address, cold and under a new id, and tells it.
+// Replace replaces a node by another one at the same address, which is cold and has a new id, and publishes it.
 func (s *Site) Replace(i int) error {
 	s.entries[i].ID += "b"
 	s.Nodes[i].SetID(s.entries[i].ID)
 	return s.Restart(i)
 }
 
-// Audit holds what clients and nodes saw to the five rules.
+// Audit checks what clients and nodes observed against the five rules.
 func (s *Site) Audit(results []RequestResult) []RuleResult {
 	rules := s.Platform.Rules
 	rules.SchedulingDelay = s.monitor.DelayBetween
 	return Audit(rules, results, s.Recorder, s.Drains)
 }
 
-// Close ends all. Closing it again does nothing.
+// Close stops the nodes and the discovery service. It is idempotent.
 func (s *Site) Close() {
 	s.once.Do(s.monitor.Close)
 	if s.Discovery != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// SmallPlatform is a site of the size that a small machine plays without strain: two classes, four plans, one of them with a
-// ceiling, and the figures that gateways must keep.
+// SmallPlatform returns a platform whose load a small machine sustains: two classes, four plans, one of them with
+// a ceiling, and the limits that gateways must keep.
 func SmallPlatform() *Platform {
 	plus := Ceiling{Rate: 18, Depth: 30, Slack: 3}
 	return &Platform{
@@ -130,7 +130,8 @@
 			{Name: "plus", Rate: 8, Burst: 16, Price: 1.3, Ceiling: plus}, {Name: "network", Rate: 20, Burst: 36, Price: 1.8}},
 		Classes: []RequestClass{{Name: "slot-lookup", Share: 0.62, Units: 1, Patience: 1200 * time.Millisecond, Work: 45 * time.Millisecond},
 			{Name: "slot-book", Share: 0.38, Units: 2, Patience: 6 * time.Second, Work: 100 * time.Millisecond, Keyed: true}},
-		// Each limit is 50 ms longer on sockets, and a busy machine wakes a process late.
+		// Each limit is 50 ms longer than the gateways' own, for the sockets between and for late wakeups on a
+		// busy machine.
 		Rules: Rules{AnswerSlack: 100 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdCapacity: 0.17, ColdDuration: 14 * time.Second,
 			OverloadFactor: 4, OverloadWindow: 1500 * time.Millisecond, Cores: 2,
 			Ceilings: map[string]Ceiling{"plus": {Rate: plus.Rate, Depth: plus.Depth, Slack: plus.Slack + 0.15*plus.Rate}}},
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,6 +1,7 @@
-// Package stand holds stand-ins for what a gateway meets: booking nodes, discovery and clients. They listen on
-// free loopback ports, know the published protocols and nothing of the gateway's insides, and serve the project's
-// own tests, measurements and demonstration.
+// Package testbed provides what a gateway talks to: nodes that serve requests over RESP2 or HTTP/2, a discovery
+// service, clients and a load generator, and an audit of what they observed. All servers listen on free loopback
+// ports, implement the published protocols and depend on nothing inside the gateway. The package serves the
+// project's tests and benchmarks and the command "sloectl demo".
 package testbed
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// listener takes connections on a free loopback port and remembers them, so that Close ends all.
+// listener accepts connections on a loopback port and tracks them, so that Close can close them all.
 type listener struct {
 	ln     net.Listener
 	mu     sync.Mutex
@@ -69,10 +70,10 @@
 	conn.Close()
 }
 
-// Addr is where it listens, as host:port.
+// Addr returns the listen address as host:port.
 func (l *listener) Addr() string { return l.ln.Addr().String() }
 
-// Close ends the listener and all its connections, and waits for their goroutines.
+// Close closes the listener and all its connections, and waits for their goroutines.
 func (l *listener) Close() {
 	l.ln.Close()
 	l.mu.Lock()
@@ -84,10 +85,10 @@
 	l.wg.Wait()
 }
 
-// ScriptedNode is a node that does nothing by itself: whoever made it is handed each command with its connection.
+// ScriptedNode is a node without behavior of its own: a callback receives each command with its connection.
 type ScriptedNode struct{ *listener }
 
-// NewScriptedNode starts a node. got is called from a goroutine of the connection's own, in the order of its commands,
+// NewScriptedNode starts a node. handle is called on the connection's own goroutine, in the order of its commands,
 // and once with nil when the connection ends.
 func NewScriptedNode(handle func(conn net.Conn, args []string)) (*ScriptedNode, error) {
 	l, err := listen(func(conn net.Conn) {
@@ -111,10 +112,10 @@
 	return &ScriptedNode{l}, nil
 }
 
-// FormatReply is a node's answer to a request that it served, without figures on use and load report.
+// FormatReply encodes a node's reply to a request that it served, without use and load report.
 func FormatReply(value string) string { return FormatReplyWithUse(value, "") }
 
-// FormatReplyWithUse is one with figures on use; "": none.
+// FormatReplyWithUse encodes such a reply with the given report of use; "" omits it.
 func FormatReplyWithUse(value, use string) string {
 	encoded := "$-1\r\n"
 	if use != "" {
@@ -123,58 +124,58 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n%s$-1\r\n", len(value), value, encoded)
 }
 
-const maxQueries = 64 // queries that Discovery keeps for whoever reads them
+const maxQueries = 64 // queries that Discovery buffers for a reader
 
-// ServerEntry is a server in discovery's list.
+// ServerEntry is a server in the list of servers.
 type ServerEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // up, draining, removed
+	State     string  `json:"state"` // up, draining or removed
 	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"` // Unix time; 0 for long ago
+	StartedMS int64   `json:"started_ms"` // Unix time; 0 if it started long ago
 }
 
-// ServerList is discovery's form of a list.
+// ServerList is the list of servers as discovery encodes it.
 type ServerList struct {
 	Version uint64        `json:"version"`
 	Full    bool          `json:"full"`
 	Servers []ServerEntry `json:"servers"`
 }
 
-// Discovery serves a list of servers and the watches on it.
+// Discovery serves a list of servers and long polls for its changes.
 type Discovery struct {
-	Queries chan string // the queries of the calls; left out where nobody takes them
+	Queries chan string // the raw queries of requests; dropped when the buffer is full
 
 	server  *httptest.Server
 	mu      sync.Mutex
 	version uint64
 	body    []byte
 	changed chan struct{}
-	resumed chan struct{} // closed when it answers again; nil: it answers
-	closed  chan struct{} // ends the watches that wait
+	resumed chan struct{} // closed when a pause ends; nil: not paused
+	closed  chan struct{} // ends pending long polls
 	once    sync.Once
 }
 
-// NewDiscovery starts discovery with a list, such as a List, whose version is told beside it.
+// NewDiscovery starts the service with a list, such as a ServerList, and its version.
 func NewDiscovery(version uint64, list any) (*Discovery, error) {
 	body, err := json.Marshal(list)
 	if err != nil {
-		return nil, fmt.Errorf("encoding the list: %w", err)
+		return nil, fmt.Errorf("encoding the list of servers: %w", err)
 	}
 	d := &Discovery{Queries: make(chan string, maxQueries), version: version, body: body, changed: make(chan struct{}), closed: make(chan struct{})}
 	d.server = httptest.NewServer(d)
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (d *Discovery) Addr() netip.AddrPort {
 	return netip.MustParseAddrPort(strings.TrimPrefix(d.server.URL, "http://"))
 }
 
-// Close ends it and the watches that wait, also those that come while it closes. Closing it again does nothing.
+// Close stops the service and ends pending long polls, including those that arrive meanwhile. It is idempotent.
 func (d *Discovery) Close() {
 	d.once.Do(func() {
 		close(d.closed)
@@ -183,11 +184,11 @@
 	})
 }
 
-// Set gives it a new list, which all watches that are behind its version are told.
+// Set publishes a new list. Pending long polls for an older version return it.
 func (d *Discovery) Set(version uint64, list any) error {
 	body, err := json.Marshal(list)
 	if err != nil {
-		return fmt.Errorf("encoding the list: %w", err)
+		return fmt.Errorf("encoding the list of servers: %w", err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// Pause has it answer nobody until the function that it returns is called: calls that come meanwhile wait.
+// Pause makes the service hold all requests without an answer until resume is called.
 func (d *Discovery) Pause() (resume func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -213,14 +214,14 @@
 	}
 }
 
-// ServeHTTP answers a call at once or, if it is a watch, when there is news.
+// ServeHTTP answers at once or, for a long poll, when there is a newer version.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	select {
 	case d.Queries <- req.URL.RawQuery:
 	default:
 	}
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
-	wait, _ := strconv.ParseUint(req.URL.Query().Get("wait_ms"), 10, 32) // none: it does not wait
+	wait, _ := strconv.ParseUint(req.URL.Query().Get("wait_ms"), 10, 32) // missing: no waiting
 	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timeout.Stop()
 	for {
@@ -254,13 +255,13 @@
 	}
 }
 
-// Client is a client's connection. It is not safe for concurrent use.
+// Client is a client's RESP2 connection. It is not safe for concurrent use.
 type Client struct {
 	Conn net.Conn
 	rd   *bufio.Reader
 }
 
-// Dial connects to a gateway.
+// Dial connects to a gateway by RESP2.
 func Dial(addr string) (*Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -281,9 +282,9 @@
 	return nil
 }
 
-var errMalformedReply = errors.New("an answer that is no line and no bulk string")
+var errMalformedReply = errors.New("the reply is neither a line nor a bulk string")
 
-// Read returns a whole answer: a line, or the value of a bulk string behind a '$'.
+// Read returns one complete reply: a line, or the value of a bulk string with a leading '$'.
 func (c *Client) Read() (string, error) {
 	line, err := c.rd.ReadString('\n')
 	if err != nil {
@@ -307,5 +308,5 @@
 	return "$" + string(b[:n]), nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { c.Conn.Close() }
