--- a/internal/testbed/endpoints_test.go
+++ b/internal/testbed/endpoints_test.go
@@ -12,9 +12,9 @@
 
 const childEnv = "SLOEPICK_TEST_PLACES"
 
-// TestEndpointsOfProcessesAreDisjoint: processes side by side, each of which is given as many places as a large fleet has and does not listen
-// there yet, are never given the same. Where parts of the range went by process ids this failed at once, and by chance in test suites side by
-// side: "bind: address already in use".
+// TestEndpointsOfProcessesAreDisjoint checks that concurrent processes, each of which allocates as many endpoints
+// as a large fleet needs and does not listen on them yet, never get the same ones. When port ranges were chosen by
+// process id, concurrent test suites failed with "bind: address already in use".
 func TestEndpointsOfProcessesAreDisjoint(t *testing.T) {
 	if os.Getenv(childEnv) != "" {
 		endpoints, err := AllocateEndpoints(100)
@@ -25,8 +25,8 @@
 		for _, p := range endpoints {
 			addrs = append(addrs, p.Listen)
 		}
-		fmt.Println("places:", strings.Join(addrs, " "))
-		io.Copy(io.Discard, os.Stdin) // until the parent has all
+		fmt.Println("endpoints:", strings.Join(addrs, " "))
+		io.Copy(io.Discard, os.Stdin) // until the parent has read all
 		return
 	}
 	owner := map[string]int{}
@@ -50,18 +50,18 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		defer func() { // all are told to end before any is waited for
+		defer func() { // close all inputs before waiting for any child
 			in.Close()
 			children = append(children, cmd)
 		}()
 		line, err := bufio.NewReader(out).ReadString('\n')
-		list, ok := strings.CutPrefix(line, "places: ")
+		list, ok := strings.CutPrefix(line, "endpoints: ")
 		if err != nil || !ok {
-			t.Fatalf("child %d says %q, %v", child, line, err)
+			t.Fatalf("child %d printed %q, %v", child, line, err)
 		}
 		for _, addr := range strings.Fields(list) {
 			if other, taken := owner[addr]; taken {
-				t.Fatalf("%s is given to children %d and %d", addr, other, child)
+				t.Fatalf("%s was allocated to children %d and %d", addr, other, child)
 			}
 			owner[addr] = child
 		}
--- a/internal/testbed/faultnet/faultnet_test.go
+++ b/internal/testbed/faultnet/faultnet_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-const timeout = 10 * time.Second // for what must come
+const timeout = 10 * time.Second // for what must arrive
 
-// newMembers are members' sockets, and what each sees the others under.
+// newMembers returns a mesh, the members' sockets, and the addresses at which each reaches the others.
 func newMembers(t *testing.T, n int) (*Mesh, []*net.UDPConn, [][]netip.AddrPort) {
 	t.Helper()
 	var conns []*net.UDPConn
@@ -40,7 +40,7 @@
 	return m, conns, peerAddrs
 }
 
-// sendDatagrams sends so many datagrams and waits until the mesh has dealt with all.
+// sendDatagrams sends n datagrams and waits until the mesh has handled all of them.
 func sendDatagrams(t *testing.T, m *Mesh, c *net.UDPConn, to netip.AddrPort, n int) (counts Counts) {
 	t.Helper()
 	before := m.Counts()
@@ -48,7 +48,7 @@
 		if _, err := c.WriteToUDPAddrPort([]byte("hi"), to); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) { // one at a time: none is lost in the kernel
+		for end := time.Now().Add(timeout); ; time.Sleep(time.Millisecond) { // one at a time, so that the kernel drops none
 			now := m.Counts()
 			counts = Counts{Forwarded: now.Forwarded - before.Forwarded, Lost: now.Lost - before.Lost, Duplicated: now.Duplicated - before.Duplicated}
 			if counts.Forwarded+counts.Lost-counts.Duplicated >= k || time.Now().After(end) {
@@ -69,42 +69,43 @@
 	return from
 }
 
-// TestDatagramsKeepSenderAddress: what comes from a member comes from the address under which it is seen, so that an answer goes
-// back the same way; a stranger's datagram to a relay goes nowhere.
+// TestDatagramsKeepSenderAddress checks that a datagram arrives from the address at which the receiver reaches its
+// sender, so that a reply takes the opposite direction, and that a relay ignores datagrams of other senders.
 func TestDatagramsKeepSenderAddress(t *testing.T) {
 	m, c, peerAddrs := newMembers(t, 3)
 	for _, p := range [][2]int{{0, 1}, {1, 0}, {2, 1}, {0, 2}} {
 		sendDatagrams(t, m, c[p[0]], peerAddrs[p[0]][p[1]], 1)
 		if from := receive(t, c[p[1]]); from != peerAddrs[p[1]][p[0]] {
-			t.Errorf("%v: it came from %v, and %v is known", p, from, peerAddrs[p[1]][p[0]])
+			t.Errorf("%v: the datagram came from %v, want %v", p, from, peerAddrs[p[1]][p[0]])
 		}
 	}
 	before := m.Counts()
-	if _, err := c[2].WriteToUDPAddrPort([]byte("stranger"), peerAddrs[0][1]); err != nil { // 0's way
+	if _, err := c[2].WriteToUDPAddrPort([]byte("stranger"), peerAddrs[0][1]); err != nil { // member 0's relay
 		t.Fatal(err)
 	}
 	sendDatagrams(t, m, c[0], peerAddrs[0][1], 1)
 	if got := m.Counts().Forwarded - before.Forwarded; got != 1 {
-		t.Errorf("%d passed, one of them a stranger's", got)
+		t.Errorf("%d datagrams forwarded, want 1 without that of a foreign sender", got)
 	}
 }
 
-// TestFaultsApplyPerDirection: a cut one way leaves the other; a part cuts between the sides alone; doubles come twice; healed, all pass.
+// TestFaultsApplyPerDirection checks that a blackhole affects one direction only, that a partition separates the
+// two sides only, that duplicates arrive twice, and that all datagrams arrive again without faults.
 func TestFaultsApplyPerDirection(t *testing.T) {
 	m, c, peerAddrs := newMembers(t, 4)
 	forwards := func(i, j int) bool { return sendDatagrams(t, m, c[i], peerAddrs[i][j], 1).Forwarded > 0 }
 	m.SetFault(Blackhole, []int{0}, []int{1})
 	if forwards(0, 1) || !forwards(1, 0) || !forwards(0, 2) {
-		t.Error("a cut from 0 to 1 is not of that way alone")
+		t.Error("a blackhole from 0 to 1 does not affect exactly that direction")
 	}
 	m.SetFault(Fault{}, nil, nil)
 	m.Partition([]int{0, 1})
 	if forwards(0, 2) || forwards(3, 1) || !forwards(0, 1) || !forwards(2, 3) {
-		t.Error("a part of 0 and 1 from the others does not cut just between them")
+		t.Error("a partition of 0 and 1 from the others does not cut exactly the links between the sides")
 	}
 	m.SetFault(Fault{Duplicate: 1}, nil, nil)
 	if got := sendDatagrams(t, m, c[0], peerAddrs[0][3], 1); got.Duplicated != 1 {
-		t.Errorf("%+v, want a double", got)
+		t.Errorf("%+v, want one duplicate", got)
 	}
 	receive(t, c[3])
 	receive(t, c[3])
@@ -114,11 +115,11 @@
 		lost += sendDatagrams(t, m, c[0], peerAddrs[0][1], 1).Lost
 	}
 	if lost < 15 || lost > 45 {
-		t.Errorf("%d of 60 lost by half", lost)
+		t.Errorf("%d of 60 datagrams lost with a probability of 0.5", lost)
 	}
 }
 
-// echo answers every byte with itself, until its connections end.
+// echo starts a server that returns what it receives.
 func echo(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -141,8 +142,8 @@
 	return ln.Addr().String()
 }
 
-// TestStreamFaults: a stream passes all, stands still while its way does and goes on after it, breaks at the byte that it was
-// told, each way by itself, and none is taken where they are refused.
+// TestStreamFaults checks that a stream forwards everything, stalls and resumes with its direction, is cut at the
+// given byte in each direction, and is not accepted where streams are refused.
 func TestStreamFaults(t *testing.T) {
 	var faults RelayFaults
 	r, err := NewRelay(echo(t), &faults)
@@ -167,9 +168,9 @@
 	}
 	c := dial()
 	if got := roundTrip(c, "whole"); got != "whole" {
-		t.Errorf("%q came back", got)
+		t.Errorf("the reply is %q", got)
 	}
-	for name, f := range map[string]Fault{"stalled": {Stall: true}, "cut": Blackhole} {
+	for name, f := range map[string]Fault{"stalled": {Stall: true}, "blackhole": Blackhole} {
 		faults.Set(f, Fault{})
 		c.Write([]byte("held"))
 		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -179,19 +180,19 @@
 		c.SetReadDeadline(time.Now().Add(timeout))
 		faults.Set(Fault{}, Fault{})
 		if _, err := io.ReadFull(c, make([]byte, 4)); err != nil {
-			t.Errorf("%s and mended: %v", name, err)
+			t.Errorf("%s, then without faults: %v", name, err)
 		}
 	}
 	faults.Set(Fault{}, Fault{CloseAfterBytes: 3})
 	if got := roundTrip(dial(), "answer"); got != "ans" {
-		t.Errorf("cut at the third byte on the way back, %q came", got)
+		t.Errorf("closed after 3 bytes in the reverse direction, the reply is %q", got)
 	}
 	faults.Set(Fault{CloseAfterBytes: 2}, Fault{})
 	if got := roundTrip(dial(), "question"); len(got) > 2 {
-		t.Errorf("cut at the second byte on the way there, %q came back", got)
+		t.Errorf("closed after 2 bytes in the forward direction, the reply is %q", got)
 	}
 	faults.Set(Fault{Refuse: true}, Fault{})
 	if got := roundTrip(dial(), "hello"); got != "" {
-		t.Errorf("refused, and %q came back", got)
+		t.Errorf("refused, but the reply is %q", got)
 	}
 }
--- a/internal/testbed/leaks/leaks_test.go
+++ b/internal/testbed/leaks/leaks_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// recordingTB is a test whose failures are kept.
+// recordingTB records the errors of a test.
 type recordingTB struct {
 	testing.TB
 	cleanups []func()
@@ -23,13 +23,13 @@
 	return strings.Contains(strings.Join(r.errors, "\n"), s)
 }
 
-// TestCheck: what a test leaves is told, and a test that leaves nothing passes.
+// TestCheck checks that leaks are reported, and that a test without any passes.
 func TestCheck(t *testing.T) {
 	clean := &recordingTB{TB: t}
 	Check(clean)
 	go time.Sleep(20 * time.Millisecond) // ends by itself
 	if clean.runCleanup(); len(clean.errors) != 0 {
-		t.Errorf("a test that left nothing: %v", clean.errors)
+		t.Errorf("a test without leaks: %v", clean.errors)
 	}
 	leaking, stop := &recordingTB{TB: t}, make(chan struct{})
 	check(leaking, 100*time.Millisecond)
@@ -42,6 +42,6 @@
 	close(stop)
 	listener.Close()
 	if !leaking.reported("goroutine") || !leaking.reported("socket:") {
-		t.Errorf("a goroutine and a listener were left, and told was %v", leaking.errors)
+		t.Errorf("a goroutine and a listener leaked, but the report is %v", leaking.errors)
 	}
 }
--- a/internal/testbed/seeds/seeds_test.go
+++ b/internal/testbed/seeds/seeds_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// A plain run plays the list and nothing else; a drawn seed differs each time.
+// TestChoose checks that a plain run takes exactly the list, and that a drawn seed differs each time.
 func TestChoose(t *testing.T) {
 	list := []uint64{3, 5}
 	for _, c := range []struct {
 		named  string
 		rounds int
-		want   []uint64 // nil: a drawn one
+		want   []uint64 // nil: a drawn seed
 	}{{"", 0, list}, {"7", 0, []uint64{7}}, {"7", 100, []uint64{7}}, {"18446744073709551615", 0, []uint64{1<<64 - 1}}, {"0", 0, nil}, {"", 100, nil}} {
 		got, err := chooseSeeds(list, c.named, c.rounds)
 		again, _ := chooseSeeds(list, c.named, c.rounds)
@@ -26,7 +26,7 @@
 	}
 	for _, bad := range []string{"x", "-1", "1.5", "18446744073709551616"} {
 		if _, err := chooseSeeds(list, bad, 0); err == nil {
-			t.Errorf("-seed %s is taken", bad)
+			t.Errorf("-seed %s is accepted", bad)
 		}
 	}
 }
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startNode starts a startNode of one core with room for one more request, whose work takes so long.
+// startNode starts a node with one core, room for one more request, and the given work time.
 func startNode(t *testing.T, work time.Duration) (*Node, *Recorder) {
 	t.Helper()
 	recorder := NewRecorder()
@@ -39,7 +39,8 @@
 	return c
 }
 
-// A repeat of a key takes no effect, and what is too much is turned away unseen.
+// TestNodeDeduplicatesAndRejects checks that a duplicate takes no effect, and that a draining node rejects
+// requests.
 func TestNodeDeduplicatesAndRejects(t *testing.T) {
 	n, recorder := startNode(t, time.Millisecond)
 	for range 2 {
@@ -52,10 +53,10 @@
 	}
 	n.Drain()
 	if got, _ := sendRequest(t, n.Addr(), "b", "c=book,k=2").Read(); got != "-BUSY" {
-		t.Errorf("draining, it said %q", got)
+		t.Errorf("draining: got %q", got)
 	}
 	if got, _ := sendRequest(t, n.Addr(), "b", "c=none,k=2").Read(); got != "-SYNTAX" {
-		t.Errorf("to an unknown class it said %q", got)
+		t.Errorf("unknown class: got %q", got)
 	}
 	if _, err := n.Restart(); err != nil {
 		t.Fatal(err)
@@ -65,7 +66,7 @@
 	}
 }
 
-// readValue is the value of a node's answer.
+// readValue returns the value of a node's reply.
 func (c *Client) readValue() (string, error) {
 	if line, err := c.Read(); err != nil || line != "*3" {
 		return line, err
@@ -74,7 +75,8 @@
 	return strings.TrimPrefix(got, "$"), err
 }
 
-// Work whose connection ends is given up, and its place is free again.
+// TestNodeAbandonsWorkOfClosedConnections checks that a request whose connection closes is abandoned and frees its
+// slot.
 func TestNodeAbandonsWorkOfClosedConnections(t *testing.T) {
 	n, _ := startNode(t, time.Hour)
 	one, two := sendRequest(t, n.Addr(), "a", "c=book,k=1"), sendRequest(t, n.Addr(), "b", "c=book,k=2")
@@ -82,7 +84,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got, _ := sendRequest(t, n.Addr(), "c", "c=book,k=3").Read(); got != "-BUSY" {
-		t.Errorf("full, it said %q", got)
+		t.Errorf("full: got %q", got)
 	}
 	one.Close()
 	two.Close()
@@ -97,7 +99,8 @@
 	return n.waiting
 }
 
-// Each rule that is broken is told, by itself; a day without a fault breaks none.
+// TestAuditFindsEachViolation checks that the violation of a rule is reported for that rule alone, and that
+// correct observations violate none.
 func TestAuditFindsEachViolation(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -109,22 +112,22 @@
 	}
 	for name, tc := range map[string]struct {
 		breakRule func(*observations)
-		rule      int // that breaks, or -1
+		rule      int // that is violated, or -1
 	}{
-		"a good day": {func(d *observations) {}, -1},
-		"lost":       {func(d *observations) { d.results[0].Outcome = OutcomeLost }, 0},
-		"late":       {func(d *observations) { d.results[0].EndedAt = at(2000) }, 0},
-		"sent after the answer": {func(d *observations) {
+		"no violation": {func(d *observations) {}, -1},
+		"lost":         {func(d *observations) { d.results[0].Outcome = OutcomeLost }, 0},
+		"late":         {func(d *observations) { d.results[0].EndedAt = at(2000) }, 0},
+		"attempt after the answer": {func(d *observations) {
 			d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: "a", Key: "k", At: at(500)})
 		}, 0},
 		"effect twice":    {func(d *observations) { d.recorder.effects["a"] = 2 }, 1},
 		"refused and ran": {func(d *observations) { d.results[0].Outcome = OutcomeRefused }, 1},
 		"after the drain": {func(d *observations) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000)}} }, 2},
-		"drained, restored": {func(d *observations) {
+		"drained, restarted": {func(d *observations) {
 			d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-1000), RestartedAt: at(-1)}}
 		}, -1},
-		"in the grace": {func(d *observations) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-200)}} }, -1},
-		"pushed over": {func(d *observations) {
+		"within the grace period": {func(d *observations) { d.drains = []DrainPeriod{{Node: "n", AnnouncedAt: at(-200)}} }, -1},
+		"cold node overloaded": {func(d *observations) {
 			d.recorder.starts["n"] = []time.Time{at(-1)}
 			d.recorder.arrivals[0].Work = time.Second
 			for range 3 {
@@ -137,7 +140,7 @@
 			}
 		}, 4},
 		"at the ceiling": {func(d *observations) {
-			for range 100 { // further attempts draw nothing
+			for range 100 { // further attempts of a request do not count
 				d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: "a", Key: "k", Customer: "c", Units: 1, At: at(1)})
 			}
 		}, -1},
@@ -149,13 +152,14 @@
 		tc.breakRule(d)
 		for i, v := range Audit(rules, d.results, d.recorder, d.drains) {
 			if (v.Violations > 0) != (i == tc.rule) {
-				t.Errorf("%s: %q: %d against it: %v", name, v.Rule, v.Violations, v.Examples)
+				t.Errorf("%s: rule %q: %d violations: %v", name, v.Rule, v.Violations, v.Examples)
 			}
 		}
 	}
 }
 
-// A crowd counts what is answered, refused, failed, lost or another request's, whoever answers.
+// TestLoadGeneratorClassifiesReplies checks that the load generator distinguishes replies that serve, refuse or
+// fail a request, belong to another one, or are cut off.
 func TestLoadGeneratorClassifiesReplies(t *testing.T) {
 	answers := []string{"", "-BUSY 5\r\n", "-ERR failed\r\n", "$1\r\nx\r\n", "cut"}
 	var mu sync.Mutex
@@ -196,12 +200,12 @@
 	g.Run(ctx)
 }
 
-// TestSchedulingMonitorMeasuresDelays: what was late in a time counts, what was before and after it does not; a late answer is excused by as much
-// as the machine was late, and no more.
+// TestSchedulingMonitorMeasuresDelays checks that only the delays within an interval count, and that the audit
+// excuses a late reply by as much as the machine was delayed and no more.
 func TestSchedulingMonitorMeasuresDelays(t *testing.T) {
 	m := NewSchedulingMonitor()
 	defer m.Close()
-	begin := time.Now().Add(time.Hour) // of beats that this machine can't have missed
+	begin := time.Now().Add(time.Hour) // in the future: no real tick is recorded there
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	for _, ms := range []int{0, 1000, 2000} {
 		m.record(wakeupDelay{at(ms), 200 * time.Millisecond})
@@ -216,7 +220,7 @@
 	for ms, want := range map[int]int{1250: 0, 1350: 1} {
 		results := []RequestResult{{ID: "a", Outcome: OutcomeServed, SentAt: at(500), EndedAt: at(500 + ms), Patience: time.Second}}
 		if got := Audit(rules, results, NewRecorder(), nil)[0].Violations; got != want {
-			t.Errorf("an answer %d ms past its client's patience, 200 of them the machine's: %d breaches, want %d", ms-1000, got, want)
+			t.Errorf("an answer %d ms after its client's patience, 200 ms of them a scheduling delay: %d violations, want %d", ms-1000, got, want)
 		}
 	}
 }
