--- a/internal/testbed/faultnet/mesh.go
+++ b/internal/testbed/faultnet/mesh.go
@@ -177,8 +177,7 @@
 	}
 }
 
-// SetFault sets the fault of the direction from each of some members to each of others; nil stands for all
-// members.
+// SetFault sets the fault of the links from the members in from to those in to; nil stands for all members.
 func (m *Mesh) SetFault(f Fault, from, to []int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
