--- a/internal/testbed/h2client.go
+++ b/internal/testbed/h2client.go
@@ -14,46 +14,46 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2Client is a client's connection by HTTP/2, made of raw frames, so that it can misbehave: what is written is what it is
-// told, and nothing is answered by itself but SETTINGS and PING, and DATA where Windows is set. It is not safe for concurrent
-// use.
+// H2Client is a client's HTTP/2 connection made of raw frames, so that tests can violate the protocol. It writes
+// what it is given and acknowledges by itself only SETTINGS and PING, and DATA if AutoWindowUpdate is set. It is
+// not safe for concurrent use.
 type H2Client struct {
 	Conn             net.Conn
 	Framer           *http2.Framer
-	AutoWindowUpdate bool // give back what DATA takes of the windows
-	next             uint32
+	AutoWindowUpdate bool // send WINDOW_UPDATE on the connection for received DATA
+	nextStream       uint32
 	encoded          bytes.Buffer
 	encoder          *hpack.Encoder
 	decoder          *hpack.Decoder
-	partly           map[uint32]*H2Response
+	partial          map[uint32]*H2Response
 }
 
-const h2FrameMost = 16384 // bytes of a frame that every peer takes (RFC 9113, 4.2)
+const h2MaxFrameSize = 16384 // bytes; the frame size that every peer accepts (RFC 9113, section 4.2)
 
-// H2Response is what came on a stream, or for the whole connection where Stream is 0.
+// H2Response is a response on a stream, or GOAWAY, where Stream is 0.
 type H2Response struct {
 	Stream     uint32
 	Status     int
 	Fields     map[string]string
 	Body       []byte
-	Reset      bool // by RST_STREAM, with Code
-	GoAway     bool // GOAWAY, with Code and Last
+	Reset      bool // RST_STREAM, with Code
+	GoAway     bool // GOAWAY, with Code and LastStream
 	Code       http2.ErrCode
 	LastStream uint32
 }
 
-// DialH2 connects to a gateway, by TLS where a configuration is given, and sends the preface.
-func DialH2(addr string, by *tls.Config, settings ...http2.Setting) (*H2Client, error) {
+// DialH2 connects to a gateway, by TLS if a configuration is given, and sends the client preface and SETTINGS.
+func DialH2(addr string, tlsConfig *tls.Config, settings ...http2.Setting) (*H2Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("dialing a gateway: %w", err)
 	}
-	if by != nil {
-		by = by.Clone()
-		by.NextProtos = []string{http2.NextProtoTLS}
-		conn = tls.Client(conn, by)
+	if tlsConfig != nil {
+		tlsConfig = tlsConfig.Clone()
+		tlsConfig.NextProtos = []string{http2.NextProtoTLS}
+		conn = tls.Client(conn, tlsConfig)
 	}
-	c := &H2Client{Conn: conn, AutoWindowUpdate: true, next: 1, partly: map[uint32]*H2Response{}}
+	c := &H2Client{Conn: conn, AutoWindowUpdate: true, nextStream: 1, partial: map[uint32]*H2Response{}}
 	c.Framer = http2.NewFramer(conn, conn)
 	c.Framer.AllowIllegalWrites = true
 	c.encoder, c.decoder = hpack.NewEncoder(&c.encoded), hpack.NewDecoder(4096, nil)
@@ -68,22 +68,22 @@
 	return c, nil
 }
 
-// NewH2Encoder makes a client without a connection, for its Block alone.
+// NewH2Encoder returns a client without a connection, which can only encode header blocks.
 func NewH2Encoder() *H2Client {
 	c := &H2Client{}
 	c.encoder = hpack.NewEncoder(&c.encoded)
 	return c
 }
 
-// H2Request is a request in the mapping's words. What is empty is left out.
+// H2Request is a request in the terms of the HTTP mapping. Empty fields are omitted.
 type H2Request struct {
 	Path, Customer, Plan, ID, Key, Units, Set string
 	Patience                                  time.Duration
 	Body                                      []byte
-	ExtraFields                               []string // names and values
+	ExtraFields                               []string // names and values in turn
 }
 
-// HeaderBlock is the request's header block.
+// HeaderBlock encodes the request's header block.
 func (c *H2Client) HeaderBlock(q H2Request) []byte {
 	c.encoded.Reset()
 	fields := []string{":method", "POST", ":scheme", "http", ":authority", "gateway", ":path", q.Path, "sloepick-customer", q.Customer,
@@ -93,19 +93,19 @@
 	}
 	for i, all := 0, append(fields, q.ExtraFields...); i+1 < len(all); i += 2 {
 		if all[i+1] != "" {
-			c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it can't fail
+			c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it cannot fail
 		}
 	}
 	return bytes.Clone(c.encoded.Bytes())
 }
 
-// Send sends a whole request on a new stream and tells which.
+// Send sends a complete request on a new stream and returns the stream id.
 func (c *H2Client) Send(q H2Request) (uint32, error) {
-	id := c.next
-	c.next += 2
+	id := c.nextStream
+	c.nextStream += 2
 	err := c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndHeaders: true, EndStream: len(q.Body) == 0, BlockFragment: c.HeaderBlock(q)})
 	for b := q.Body; err == nil && len(b) > 0; {
-		n := min(len(b), h2FrameMost)
+		n := min(len(b), h2MaxFrameSize)
 		err = c.Framer.WriteData(id, n == len(b), b[:n])
 		b = b[n:]
 	}
@@ -115,21 +115,21 @@
 	return id, nil
 }
 
-// Read returns the next whole answer, reset or GOAWAY.
+// Read returns the next complete response, reset or GOAWAY.
 func (c *H2Client) Read() (*H2Response, error) {
 	for {
 		f, err := c.Framer.ReadFrame()
 		if err != nil {
 			return nil, err
 		}
-		a, err := c.frame(f)
+		a, err := c.handleFrame(f)
 		if a != nil || err != nil {
 			return a, err
 		}
 	}
 }
 
-func (c *H2Client) frame(f http2.Frame) (*H2Response, error) {
+func (c *H2Client) handleFrame(f http2.Frame) (*H2Response, error) {
 	id := f.Header().StreamID
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -143,12 +143,12 @@
 	case *http2.GoAwayFrame:
 		return &H2Response{GoAway: true, Code: f.ErrCode, LastStream: f.LastStreamID}, nil
 	case *http2.RSTStreamFrame:
-		delete(c.partly, id)
+		delete(c.partial, id)
 		return &H2Response{Stream: id, Reset: true, Code: f.ErrCode}, nil
 	case *http2.HeadersFrame:
 		fields, err := c.decoder.DecodeFull(f.HeaderBlockFragment())
 		if err != nil {
-			return nil, fmt.Errorf("decoding an answer: %w", err)
+			return nil, fmt.Errorf("decoding a response: %w", err)
 		}
 		a := &H2Response{Stream: id, Fields: map[string]string{}}
 		for _, h := range fields {
@@ -158,19 +158,19 @@
 		if f.StreamEnded() || err != nil {
 			return a, err
 		}
-		c.partly[id] = a
+		c.partial[id] = a
 	case *http2.DataFrame:
-		return c.data(f)
+		return c.handleData(f)
 	}
 	return nil, nil
 }
 
-var errUnasked = errors.New("DATA on a stream without HEADERS")
+var errDataWithoutHeaders = errors.New("DATA on a stream without HEADERS")
 
-func (c *H2Client) data(f *http2.DataFrame) (*H2Response, error) {
-	a := c.partly[f.StreamID]
+func (c *H2Client) handleData(f *http2.DataFrame) (*H2Response, error) {
+	a := c.partial[f.StreamID]
 	if a == nil {
-		return nil, errUnasked
+		return nil, errDataWithoutHeaders
 	}
 	a.Body = append(a.Body, f.Data()...)
 	if c.AutoWindowUpdate && f.Length > 0 {
@@ -181,9 +181,9 @@
 	if !f.StreamEnded() {
 		return nil, nil
 	}
-	delete(c.partly, f.StreamID)
+	delete(c.partial, f.StreamID)
 	return a, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *H2Client) Close() { c.Conn.Close() }
--- a/internal/testbed/leaks/leaks.go
+++ b/internal/testbed/leaks/leaks.go
@@ -1,4 +1,4 @@
-// Package leaks holds that a test leaves nothing behind: no goroutine and no descriptor.
+// Package leaks checks that a test leaves neither goroutines nor file descriptors behind.
 package leaks
 
 import (
@@ -11,68 +11,68 @@
 )
 
 const (
-	within = 5 * time.Second // what ends has so long to it; a test that leaves nothing waits for none of it
-	look   = 5 * time.Millisecond
+	waitTimeout  = 5 * time.Second // upper bound: a test that leaves nothing does not wait
+	pollInterval = 5 * time.Millisecond
 )
 
-// Check is called first in a test: when the test and its other cleanups are over, no goroutine and no descriptor may be left that
-// was not there before. Tests that run beside others can't use it.
+// Check reports goroutines and descriptors that were not there before and are left when the test and its other
+// cleanups are over. It must be called first in a test, and not in tests that run in parallel.
 func Check(t testing.TB) {
 	t.Helper()
-	check(t, within)
+	check(t, waitTimeout)
 }
 
-func check(t testing.TB, within time.Duration) {
+func check(t testing.TB, timeout time.Duration) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	files := descriptors()
+	openBefore := openDescriptors()
 	t.Cleanup(func() {
 		if t.Failed() {
-			return // it ended before it had cleaned up
+			return // it may have stopped before its cleanup
 		}
-		if err := ended(before, within); err != nil {
+		if err := waitGoroutines(before, timeout); err != nil {
 			t.Error(err)
 		}
-		if err := closed(files, within); err != nil {
+		if err := waitDescriptors(openBefore, timeout); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// ended waits until all goroutines have ended that were not there before.
-func ended(before goleak.Option, within time.Duration) (err error) {
-	for end := time.Now().Add(within); time.Now().Before(end); {
-		if err = goleak.Find(before); err == nil { // it waits for a part of a second itself
+// waitGoroutines waits until all goroutines have ended that are not in before.
+func waitGoroutines(before goleak.Option, timeout time.Duration) (err error) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
+		if err = goleak.Find(before); err == nil { // Find itself retries for a fraction of a second
 			return nil
 		}
 	}
 	return err
 }
 
-// closed waits until no more descriptors are open than before.
-func closed(before map[string]string, within time.Duration) error {
-	var left map[string]string
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(look) {
-		if left = descriptors(); len(left) <= len(before) {
+// waitDescriptors waits until no more descriptors are open than before.
+func waitDescriptors(before map[string]string, timeout time.Duration) error {
+	var open map[string]string
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if open = openDescriptors(); len(open) <= len(before) {
 			return nil
 		}
 	}
 	for name := range before {
-		delete(left, name)
+		delete(open, name)
 	}
-	return fmt.Errorf("descriptors are left open: %v", left)
+	return fmt.Errorf("file descriptors left open: %v", open)
 }
 
-// descriptors are those that the process has open, with what they lead to; none where the system does not tell.
-func descriptors() map[string]string {
-	const folder = "/proc/self/fd"
-	entries, err := os.ReadDir(folder)
+// openDescriptors returns the open descriptors of the process and their targets, or nil where /proc is missing.
+func openDescriptors() map[string]string {
+	const dir = "/proc/self/fd"
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil
 	}
 	all := map[string]string{}
 	for _, e := range entries {
-		if to, err := os.Readlink(folder + "/" + e.Name()); err == nil { // else it is the folder's own, closed by now
+		if to, err := os.Readlink(dir + "/" + e.Name()); err == nil { // else it was the directory's own descriptor
 			all[e.Name()] = to
 		}
 	}
