--- a/internal/election/bid.go
+++ b/internal/election/bid.go
@@ -10,119 +10,119 @@
 
 // This file is a member's part as one that owns duties, or would.
 
-func (t *Table) heard(from int, m Message) {
+func (t *Table) receive(from int, m Message) {
 	switch m.Kind {
 	case Request:
-		t.ask(from, m)
+		t.handleRequest(from, m)
 		return
 	case Release:
-		t.free(m)
+		t.handleRelease(m)
 		return
 	case Grant, Deny:
 	default:
-		t.aboutVoters(from, m)
+		t.handleElectorateMessage(from, m)
 		return
 	}
-	b := t.bids[m.Duty]
-	if b == nil || !slices.Contains(b.seats, from) || m.Round != b.round || !b.asking {
+	b := t.candidacies[m.Duty]
+	if b == nil || !slices.Contains(b.voters, from) || m.Round != b.round || !b.awaiting {
 		return
 	}
 	if m.Kind == Deny {
-		b.above = max(b.above, m.Number)
-		if m.Owner != "" && m.Owner != t.who {
-			b.rival, b.rivalFor = m.Owner, t.now+m.LeaseLeft
+		b.highestSeen = max(b.highestSeen, m.Number)
+		if m.Owner != "" && m.Owner != t.identity {
+			b.rival, b.rivalUntil = m.Owner, t.now+m.LeaseLeft
 		}
 		return
 	}
-	if m.Number != b.number || m.Epoch != b.epoch || slices.Contains(b.grants, from) {
+	if m.Number != b.number || m.Epoch != b.epoch || slices.Contains(b.roundGrants, from) {
 		return
 	}
-	b.grants = append(b.grants, from)
-	if !slices.Contains(b.granted, from) {
-		b.granted = append(b.granted, from)
+	b.roundGrants = append(b.roundGrants, from)
+	if !slices.Contains(b.grantedBy, from) {
+		b.grantedBy = append(b.grantedBy, from)
 	}
-	if 2*len(b.grants) <= len(b.seats) {
+	if 2*len(b.roundGrants) <= len(b.voters) {
 		return
 	}
 	// It counts from when it asked: a voter's lease began later.
-	if until := b.asked + t.cfg.holds(); until > t.now {
-		b.until, b.asking, b.next = until, false, b.asked+t.cfg.RenewInterval
-		if !b.owns {
-			b.owns = true
-			t.do(Acquired{m.Duty, b.number})
+	if until := b.requestedAt + t.cfg.ownerLease(); until > t.now {
+		b.leaseEnd, b.awaiting, b.nextRequest = until, false, b.requestedAt+t.cfg.RenewInterval
+		if !b.isOwner {
+			b.isOwner = true
+			t.emit(Acquired{m.Duty, b.number})
 		}
 	}
 }
 
-func (t *Table) tick() {
+func (t *Table) tickCandidacies() {
 	for _, d := range t.cfg.Duties {
-		b := t.bids[d]
-		if b.owns && t.now >= b.until {
-			t.end(d, b)
+		b := t.candidacies[d]
+		if b.isOwner && t.now >= b.leaseEnd {
+			t.endOwnership(d, b)
 		}
-		if b.asking && t.now >= b.asked+t.cfg.AnswerTimeout {
-			b.asking = false
-			if !b.owns {
-				t.letGo(d, b) // it fell short
-				b.next = t.now + t.cfg.AnswerTimeout + b.turn
+		if b.awaiting && t.now >= b.requestedAt+t.cfg.AnswerTimeout {
+			b.awaiting = false
+			if !b.isOwner {
+				t.releaseGrants(d, b) // it fell short
+				b.nextRequest = t.now + t.cfg.AnswerTimeout + b.delay
 			}
 		}
 		switch {
-		case t.place < 0 || b.asking || t.now < b.next:
-		case b.owns:
-			t.question(d, b)
-		case b.candidate && t.now >= b.yielded && t.now >= b.rivalFor+b.turn:
-			b.number, b.granted = max(b.above+1, b.number+1, t.wall), nil
-			t.question(d, b)
+		case t.slot < 0 || b.awaiting || t.now < b.nextRequest:
+		case b.isOwner:
+			t.sendRequests(d, b)
+		case b.candidate && t.now >= b.resignedUntil && t.now >= b.rivalUntil+b.delay:
+			b.number, b.grantedBy = max(b.highestSeen+1, b.number+1, t.wallMillis), nil
+			t.sendRequests(d, b)
 		}
 	}
 }
 
-// question asks all voters.
-func (t *Table) question(d string, b *bid) {
-	t.rounds++
-	b.round, b.asked, b.asking, b.grants = t.rounds, t.now, true, nil
-	b.epoch, b.seats = t.reg.Epoch, t.reg.Voters
-	for _, p := range b.seats {
-		t.do(Send{p, Message{Kind: Request, Duty: d, Number: b.number, Owner: t.who, Round: b.round, Epoch: b.epoch}})
+// sendRequests asks all voters.
+func (t *Table) sendRequests(d string, b *candidacy) {
+	t.lastRound++
+	b.round, b.requestedAt, b.awaiting, b.roundGrants = t.lastRound, t.now, true, nil
+	b.epoch, b.voters = t.register.Epoch, t.register.Voters
+	for _, p := range b.voters {
+		t.emit(Send{p, Message{Kind: Request, Duty: d, Number: b.number, Owner: t.identity, Round: b.round, Epoch: b.epoch}})
 	}
 }
 
-// letGo has those that granted the number grant another one at once.
-func (t *Table) letGo(d string, b *bid) {
-	for _, p := range b.granted {
-		t.do(Send{p, Message{Kind: Release, Duty: d, Number: b.number, Owner: t.who}})
+// releaseGrants has those that granted the number grant another one at once.
+func (t *Table) releaseGrants(d string, b *candidacy) {
+	for _, p := range b.grantedBy {
+		t.emit(Send{p, Message{Kind: Release, Duty: d, Number: b.number, Owner: t.identity}})
 	}
-	b.granted = nil
+	b.grantedBy = nil
 }
 
-// end ends an ownership. Answers to its renewal that come later count no more: the next one has a number of its own.
-func (t *Table) end(d string, b *bid) {
-	if b.owns {
-		b.owns, b.asking, b.until = false, false, 0
-		t.do(Lost{d})
+// endOwnership ends an ownership. Answers to its renewal that come later count no more: the next one has a number of its own.
+func (t *Table) endOwnership(d string, b *candidacy) {
+	if b.isOwner {
+		b.isOwner, b.awaiting, b.leaseEnd = false, false, 0
+		t.emit(Lost{d})
 	}
 }
 
-// yield ends an ownership before its time. It may not be taken up here for a lease.
-func (t *Table) yield(d string, b *bid) {
-	b.asking = false
-	t.end(d, b)
-	t.letGo(d, b)
-	b.yielded = t.now + t.cfg.Lease
+// resign ends an ownership before its time. It may not be taken up here for a lease.
+func (t *Table) resign(d string, b *candidacy) {
+	b.awaiting = false
+	t.endOwnership(d, b)
+	t.releaseGrants(d, b)
+	b.resignedUntil = t.now + t.cfg.Lease
 }
 
-// order finds who proposes itself for which duty, and how much later than the first: a few of each duty's order, as the others would only ask
+// updateOrder finds who proposes itself for which duty, and how much later than the first: a few of each duty's updateOrder, as the others would only ask
 // in vain. When these are gone the members that are alive are others.
-func (t *Table) order() {
-	t.turn = slices.Index(CandidateOrder(votersDuty, t.alive), t.cfg.Self)
+func (t *Table) updateOrder() {
+	t.proposerRank = slices.Index(CandidateOrder(electorateDuty, t.alive), t.cfg.Self)
 	for _, d := range t.cfg.Duties {
 		n := slices.Index(CandidateOrder(d, t.alive), t.cfg.Self)
-		t.bids[d].candidate, t.bids[d].turn = n >= 0 && n < candidates, t.cfg.CandidateDelay*time.Duration(n)
+		t.candidacies[d].candidate, t.candidacies[d].delay = n >= 0 && n < maxCandidates, t.cfg.CandidateDelay*time.Duration(n)
 	}
 }
 
-const candidates = 3 // of a duty
+const maxCandidates = 3 // of a duty
 
 // CandidateOrder is in which order members propose themselves for a duty: by rendezvous hashing, so that duties are spread over all and the death of a
 // member moves its own alone.
--- a/internal/election/check_test.go
+++ b/internal/election/check_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	statesMost = flag.Int("states", 600, "states that the model checking looks at from each of its starts")
-	walkSteps  = flag.Int("walk", 60_000, "steps of each random walk")
+	maxStates = flag.Int("states", 600, "states that the model checking looks at from each of its starts")
+	walkSteps = flag.Int("walk", 60_000, "steps of each random walk")
 )
 
 // TestAllInterleavings looks at every order of messages that are lost, late, doubled and reversed, members that stand still, crash with and
@@ -22,22 +22,22 @@
 // own at once, numbers rise, an owner is never turned away.
 func TestAllInterleavings(t *testing.T) {
 	for _, n := range []int{3, 5} {
-		for what, budget := range map[string]budget{"lost and late": {}, "standing still": {standstills: 1}, "crashes": {crashes: 1}, "amnesia": {amnesia: 1}, "doubles": {doubles: 1},
+		for what, budget := range map[string]faultBudget{"lost and late": {}, "standing still": {pauses: 1}, "crashes": {crashes: 1}, "amnesia": {amnesia: 1}, "doubles": {duplicates: 1},
 			"all of it": {1, 1, 1, 1, 1, 2}} {
 			t.Run(fmt.Sprintf("%d members, %s", n, what), func(t *testing.T) {
 				t.Parallel()
-				starts := map[string]*model{"from the start": newModel(withVoters(n), n, 0, budget)}
+				starts := map[string]*model{"from the start": newModel(configWithVoters(n), n, 0, budget)}
 				for _, since := range []int{0, 3, 5, 6} {
 					for turn := range n {
-						starts[fmt.Sprint("owned, ", since, " later, clocks ", turn)] = settled(t, n, turn, budget, since)
+						starts[fmt.Sprint("owned, ", since, " later, clocks ", turn)] = settledModel(t, n, turn, budget, since)
 					}
 				}
 				total := 0
 				for from, w := range starts {
-					bad, states, depth := explore(w, *statesMost)
+					bad, states, depth := explore(w, *maxStates)
 					total += states
 					if bad != nil {
-						t.Fatalf("%s: %s, after\n  %s", from, bad.w.bad, strings.Join(bad.trace(), "\n  "))
+						t.Fatalf("%s: %s, after\n  %s", from, bad.model.violation, strings.Join(bad.trace(), "\n  "))
 					}
 					if depth < 2 {
 						t.Errorf("%s: only to depth %d", from, depth)
@@ -49,54 +49,54 @@
 	}
 }
 
-func withVoters(n int) Config {
-	cfg := small()
+func configWithVoters(n int) Config {
+	cfg := testConfig()
 	cfg.InitialVoters = n
 	return cfg
 }
 
-// TestLongWalks goes on and on from the start, at random by a seed, with faults that do not run out: the invariants hold all along, and
+// TestRandomWalks goes on and on from the start, at random by a seed, with faults that do not run out: the invariants hold all along, and
 // ownership goes from one to another.
-func TestLongWalks(t *testing.T) {
+func TestRandomWalks(t *testing.T) {
 	if testing.Short() { // as under the race detector, where a walk takes ten times as long and has nobody to race with
-		seeds.Run(t, []uint64{1, 2, 10, 11}, longWalk)
+		seeds.Run(t, []uint64{1, 2, 10, 11}, randomWalk)
 		return
 	}
-	seeds.Run(t, []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14}, longWalk)
+	seeds.Run(t, []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14}, randomWalk)
 }
 
-func longWalk(t *testing.T, seed uint64) {
+func randomWalk(t *testing.T, seed uint64) {
 	rnd := seeds.Rand(seed)
 	n, voters := 3+2*int(seed%2), 3+2*int(seed%2)
 	if seed > 8 && seed%8 > 1 { // with spares for voters that are gone
 		n, voters = 4+int(seed%2), 3
 	}
-	w := newModel(withVoters(voters), n, int(seed), budget{})
-	w.unset = seed%4 < 2 // then nobody may forget: numbers rise by what voters remember
-	most := 4 * n        // messages on their way
+	w := newModel(configWithVoters(voters), n, int(seed), faultBudget{})
+	w.noWallClock = seed%4 < 2 // then nobody may forget: numbers rise by what voters remember
+	maxInFlight := 4 * n       // messages on their way
 	if voters < n {
-		most *= 3
+		maxInFlight *= 3
 	}
 	owners := map[string]bool{}
 	ownerships, last, pass, fault, doubt := 0, uint64(0), 0.0, 0.0, 0.0
 	for step := range *walkSteps {
 		if step%200 == 0 { // times in which messages are quick, and in which they are held for long; quiet ones, and others
 			pass, fault = []float64{0.03, 0.1, 0.3}[rnd.IntN(3)], []float64{0, 0.02, 0.1}[rnd.IntN(3)]
-			doubt, w.side = []float64{0, 0.02, 0.2}[rnd.IntN(3)], nil
+			doubt, w.partition = []float64{0, 0.02, 0.2}[rnd.IntN(3)], nil
 			if voters < n && rnd.IntN(2) == 0 { // and times in which the fleet is in two parts
 				for range n {
-					w.side = append(w.side, rnd.IntN(2))
+					w.partition = append(w.partition, rnd.IntN(2))
 				}
 			}
 		}
-		w.budget = budget{}
+		w.budget = faultBudget{}
 		if rnd.Float64() < fault {
 			w.budget[rnd.IntN(len(w.budget))] = 1
 		}
 		if voters < n && rnd.Float64() < doubt {
-			w.budget[doubts] = 1
+			w.budget[viewChanges] = 1
 		}
-		if w.unset {
+		if w.noWallClock {
 			w.budget[amnesia] = 0
 		}
 		w.step = unit / time.Duration(1+rnd.IntN(4))
@@ -108,24 +108,24 @@
 		if strings.HasSuffix(m.name, "goes on") && rnd.IntN(20) > 0 {
 			m = all[0] // it stands still for long
 		}
-		if m.do(w); w.bad != "" {
-			t.Fatalf("step %d, %s: %s", step, m.name, w.bad)
+		if m.do(w); w.violation != "" {
+			t.Fatalf("step %d, %s: %s", step, m.name, w.violation)
 		}
-		for len(w.net) > most { // any are lost
-			k := rnd.IntN(len(w.net))
-			w.net = slices.Delete(w.net, k, k+1)
+		for len(w.network) > maxInFlight { // any are lost
+			k := rnd.IntN(len(w.network))
+			w.network = slices.Delete(w.network, k, k+1)
 		}
-		if w.last > last {
-			last = w.last
+		if w.lastNumber > last {
+			last = w.lastNumber
 			ownerships++
 		}
 		for i, m := range w.members {
-			if m.t.bids["d"].owns {
-				owners[name(i)] = true
+			if m.table.candidacies["d"].isOwner {
+				owners[memberName(i)] = true
 			}
 		}
 	}
-	t.Logf("%d members, clocks never set %v: %d ownerships in %v, by %d of them; %d changes of voters", n, w.unset, ownerships, w.now, len(owners), len(w.elected))
+	t.Logf("%d members, clocks never set %v: %d ownerships in %v, by %d of them; %d changes of voters", n, w.noWallClock, ownerships, w.now, len(owners), len(w.electorates))
 	least := 10
 	if voters < n { // who dies may stay away for long
 		least = 3
@@ -135,15 +135,15 @@
 	}
 }
 
-// TestClocksAtTheirDrift: the owner's clock is as slow and the voters' as fast as may be, and the owner hears nobody from then on while the others
+// TestMaximumClockDrift: the owner's clock is as slow and the voters' as fast as may be, and the owner hears nobody from then on while the others
 // ask again and again: another owns soon after, and never at the same time.
-func TestClocksAtTheirDrift(t *testing.T) {
+func TestMaximumClockDrift(t *testing.T) {
 	for _, n := range []int{3, 5} {
-		w := settled(t, n, 0, budget{}, 0)
-		first := slices.IndexFunc(w.members, func(m *member) bool { return m.t.bids["d"].owns })
+		w := settledModel(t, n, 0, faultBudget{}, 0)
+		first := slices.IndexFunc(w.members, func(m *member) bool { return m.table.candidacies["d"].isOwner })
 		w.step = unit / 20
 		slow, fast := 0.9, 0.9*(1+w.cfg.ClockDrift)
-		own, clocks := w.members[first], []time.Duration{}
+		firstOwner, clocks := w.members[first], []time.Duration{}
 		for i := range w.members {
 			clocks = append(clocks, w.clock(i))
 		}
@@ -163,26 +163,26 @@
 				if i == first {
 					continue // what it says and hears is lost
 				}
-				net := m.t.Handle(at(i), Tick{})
-				for len(net) > 0 {
-					a := net[0]
-					net = net[1:]
-					tell, ok := a.(Send)
+				queue := m.table.Handle(at(i), Tick{})
+				for len(queue) > 0 {
+					a := queue[0]
+					queue = queue[1:]
+					send, ok := a.(Send)
 					next = next || !ok
-					if ok && tell.To != first {
-						if tell.Message.Kind == Grant || tell.Message.Kind == Deny {
-							net = append(net, w.members[i].t.Handle(at(i), Received{From: tell.To, Message: tell.Message})...)
+					if ok && send.To != first {
+						if send.Message.Kind == Grant || send.Message.Kind == Deny {
+							queue = append(queue, w.members[i].table.Handle(at(i), Received{From: send.To, Message: send.Message})...)
 							continue
 						}
-						for _, back := range w.members[tell.To].t.Handle(at(tell.To), Received{From: i, Message: tell.Message}) {
+						for _, back := range w.members[send.To].table.Handle(at(send.To), Received{From: i, Message: send.Message}) {
 							if b, ok := back.(Send); ok {
-								net = append(net, Send{tell.To, b.Message})
+								queue = append(queue, Send{send.To, b.Message})
 							}
 						}
 					}
 				}
 			}
-			if _, ok := own.t.MayAct(at(first), "d"); ok && next {
+			if _, ok := firstOwner.table.MayAct(at(first), "d"); ok && next {
 				t.Fatalf("%d members: two own %v after the first was cut off", n, w.now-began)
 			}
 		}
@@ -190,11 +190,11 @@
 	}
 }
 
-// TestDutiesAreSpread: by the order of duties every member is the first for some; the death of one moves its own alone.
-func TestDutiesAreSpread(t *testing.T) {
+// TestCandidateOrderSpreadsDuties: by the order of duties every member is the first for some; the death of one moves its own alone.
+func TestCandidateOrderSpreadsDuties(t *testing.T) {
 	var members []string
 	for i := range 20 {
-		members = append(members, name(i))
+		members = append(members, memberName(i))
 	}
 	first := map[string]int{}
 	for d := range 400 {
@@ -215,10 +215,10 @@
 	}
 }
 
-// TestOldAnswersDoNotCount: an owner's renewal is answered when it has asked again: the leases that voters gave began before the second
+// TestLateAnswersAreIgnored: an owner's renewal is answered when it has asked again: the leases that voters gave began before the second
 // question, so the answers don't count for it.
-func TestOldAnswersDoNotCount(t *testing.T) {
-	cfg := small()
+func TestLateAnswersAreIgnored(t *testing.T) {
+	cfg := testConfig()
 	cfg.Self = "m"
 	table, err := New(cfg, 0, nil, Electorate{})
 	if err != nil {
@@ -242,11 +242,11 @@
 		t.Fatalf("it asked %d and %d voters", len(first), len(second))
 	}
 	answer(cfg.RenewInterval+cfg.AnswerTimeout, first)
-	if _, ok := table.MayAct(cfg.holds(), "d"); ok {
+	if _, ok := table.MayAct(cfg.ownerLease(), "d"); ok {
 		t.Error("it owns on by answers to a former question")
 	}
 	answer(cfg.RenewInterval+cfg.AnswerTimeout, second)
-	if _, ok := table.MayAct(cfg.holds(), "d"); !ok {
+	if _, ok := table.MayAct(cfg.ownerLease(), "d"); !ok {
 		t.Error("it does not own on by answers to the last question")
 	}
 }
@@ -255,10 +255,10 @@
 func TestFence(t *testing.T) {
 	var f Fence
 	for i, tc := range []struct {
-		m    Ownership
-		took bool
+		m        Ownership
+		admitted bool
 	}{{Ownership{5, "a"}, true}, {Ownership{5, "a"}, true}, {Ownership{5, "b"}, false}, {Ownership{4, "c"}, false}, {Ownership{9, "b"}, true}, {Ownership{5, "a"}, false}, {Ownership{9, "b"}, true}} {
-		if _, ok := f.Admit("d", tc.m); ok != tc.took {
+		if _, ok := f.Admit("d", tc.m); ok != tc.admitted {
 			t.Errorf("action %d of %v: taken %v", i, tc.m, ok)
 		}
 	}
--- a/internal/election/fence.go
+++ b/internal/election/fence.go
@@ -2,7 +2,7 @@
 
 // Fence is what a receiver keeps of each duty: the highest number that it took, and whose. The zero value has taken none.
 type Fence struct {
-	taken    map[string]Ownership
+	admitted map[string]Ownership
 	Rejected map[string]uint64 // actions that were turned away, by who sent them
 }
 
@@ -14,17 +14,17 @@
 
 // Admit reports whether an action of an owner may be carried out: none of a higher number was. If not, it tells what stands above.
 func (f *Fence) Admit(duty string, m Ownership) (above Ownership, ok bool) {
-	if f.taken == nil {
-		f.taken, f.Rejected = map[string]Ownership{}, map[string]uint64{}
+	if f.admitted == nil {
+		f.admitted, f.Rejected = map[string]Ownership{}, map[string]uint64{}
 	}
-	if old := f.taken[duty]; m.Number < old.Number || m.Number == old.Number && old.Owner != "" && m.Owner != old.Owner {
-		if _, known := f.Rejected[m.Owner]; known || len(f.Rejected) < turnedMost {
+	if old := f.admitted[duty]; m.Number < old.Number || m.Number == old.Number && old.Owner != "" && m.Owner != old.Owner {
+		if _, known := f.Rejected[m.Owner]; known || len(f.Rejected) < maxRejectedMembers {
 			f.Rejected[m.Owner]++
 		}
 		return old, false
 	}
-	f.taken[duty] = m
+	f.admitted[duty] = m
 	return m, true
 }
 
-const turnedMost = 4096 // members that are counted by name
+const maxRejectedMembers = 4096 // members that are counted by name
--- a/internal/election/owner.go
+++ b/internal/election/owner.go
@@ -39,25 +39,27 @@
 	switch {
 	case c.Self == "":
 		return fmt.Errorf("owner: the member has no name")
-	case len(c.Duties) > dutiesMost:
-		return fmt.Errorf("owner: %d duties, of which messages have room for %d", len(c.Duties), dutiesMost)
+	case len(c.Duties) > maxDuties:
+		return fmt.Errorf("owner: %d duties, of which messages have room for %d", len(c.Duties), maxDuties)
 	case c.InitialVoters < 1:
 		return fmt.Errorf("owner: %d voters, want 1 or more", c.InitialVoters)
 	case c.ClockDrift < 0 || c.ClockDrift >= 0.5:
 		return fmt.Errorf("owner: clocks that differ by a share of %v", c.ClockDrift)
-	case c.RenewInterval <= 0 || c.AnswerTimeout <= 0 || c.RenewInterval+c.AnswerTimeout >= c.holds():
+	case c.RenewInterval <= 0 || c.AnswerTimeout <= 0 || c.RenewInterval+c.AnswerTimeout >= c.ownerLease():
 		return fmt.Errorf("owner: a lease of %v can't be renewed each %v with answers within %v", c.Lease, c.RenewInterval, c.AnswerTimeout)
 	}
 	return nil
 }
 
-const dutiesMost = 10 // an electorate with their numbers is one message
+const maxDuties = 10 // an electorate with their numbers is one message
 
-// holds is for how long an owner has a lease, from when it asked.
-func (c *Config) holds() time.Duration { return time.Duration(float64(c.Lease) * (1 - c.ClockDrift)) }
+// ownerLease is for how long an owner has a lease, from when it asked.
+func (c *Config) ownerLease() time.Duration {
+	return time.Duration(float64(c.Lease) * (1 - c.ClockDrift))
+}
 
-// abstains is for how long a voter that may have forgotten what it granted grants nothing.
-func (c *Config) abstains() time.Duration {
+// abstainPeriod is for how long a voter that may have forgotten what it granted grants nothing.
+func (c *Config) abstainPeriod() time.Duration {
 	return time.Duration(float64(c.Lease) * (1 + c.ClockDrift))
 }
 
@@ -168,62 +170,62 @@
 func (Lost) action()             {}
 func (ElectorateChange) action() {}
 
-// vote is what a voter knows of a duty.
-type vote struct {
-	number uint64 // the highest that it granted
-	by     uint32 // markOf who it was granted to; 0: let go
-	holder string // of the last lease; "": let go
-	until  time.Duration
+// grantState is what a voter knows of a duty.
+type grantState struct {
+	number    uint64 // the highest that it granted
+	ownerHash uint32 // markOf who it was granted to; 0: let go
+	holder    string // of the last lease; "": let go
+	until     time.Duration
 }
 
-// bid is what a member knows of a duty as one that owns it or would.
-type bid struct {
-	number   uint64
-	round    uint64 // of the last question
-	asked    time.Duration
-	asking   bool
-	epoch    uint64 // of the question
-	seats    []int  // that are asked
-	grants   []int  // places that granted the last question
-	granted  []int  // those that granted the number at all
-	until    time.Duration
-	owns     bool
-	above    uint64 // the highest number that was heard of
-	rival    string // who has it, as a voter told ...
-	rivalFor time.Duration
-	next     time.Duration // no question before this
-	yielded  time.Duration // it does not propose before this
+// candidacy is what a member knows of a duty as one that owns it or would.
+type candidacy struct {
+	number        uint64
+	round         uint64 // of the last question
+	requestedAt   time.Duration
+	awaiting      bool
+	epoch         uint64 // of the question
+	voters        []int  // that are asked
+	roundGrants   []int  // places that granted the last question
+	grantedBy     []int  // those that granted the number at all
+	leaseEnd      time.Duration
+	isOwner       bool
+	highestSeen   uint64 // the highest number that was heard of
+	rival         string // who has it, as a voter told ...
+	rivalUntil    time.Duration
+	nextRequest   time.Duration // no question before this
+	resignedUntil time.Duration // it does not propose before this
 
 	candidate bool          // it is among the first in the duty's order ...
-	turn      time.Duration // ... and proposes so much later than the first
+	delay     time.Duration // ... and proposes so much later than the first
 }
 
 // Table is one member's view of all duties. Make it with New.
 type Table struct {
-	cfg     Config
-	now     time.Duration
-	who     string // name and life
-	place   int
-	alive   []string
-	holders []holder
-	expect  int
-	alone   bool
-	turn    int // in the order of those who propose other voters
-	reg     register
-	abstain time.Duration // it grants nothing before this
-	votes   map[string]*vote
-	bids    map[string]*bid
-	rounds  uint64
-	wall    uint64
-	out     []Action
+	cfg             Config
+	now             time.Duration
+	identity        string // name and life
+	slot            int
+	alive           []string
+	holders         []holder
+	expectedMembers int
+	isolated        bool
+	proposerRank    int // in the order of those who propose other voters
+	register        register
+	abstainUntil    time.Duration // it grants nothing before this
+	grants          map[string]*grantState
+	candidacies     map[string]*candidacy
+	lastRound       uint64
+	wallMillis      uint64
+	actions         []Action
 }
 
 // holder is whose a place is, and since when it is without one.
 type holder struct {
 	Holder
-	place int
-	gone  time.Duration // since when nobody is there who is alive
-	since time.Duration // since when it is nobody's
+	slot        int
+	deadSince   time.Duration // since when nobody is there who is alive
+	vacantSince time.Duration // since when it is nobody's
 }
 
 // New makes the table of a member without a place, that remembers nothing: it abstains as a voter until what it may have granted
@@ -232,61 +234,61 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	t := &Table{cfg: cfg, now: now, who: fmt.Sprintf("%s.%d", cfg.Self, cfg.Incarnation), place: -1, abstain: now + cfg.abstains(), votes: map[string]*vote{}, bids: map[string]*bid{}}
-	t.reg = register{Electorate: last, promised: last.Ballot, taken: map[int]bool{}, from: map[int]bool{}}
+	t := &Table{cfg: cfg, now: now, identity: fmt.Sprintf("%s.%d", cfg.Self, cfg.Incarnation), slot: -1, abstainUntil: now + cfg.abstainPeriod(), grants: map[string]*grantState{}, candidacies: map[string]*candidacy{}}
+	t.register = register{Electorate: last, promised: last.Ballot, occupied: map[int]bool{}, readReplies: map[int]bool{}}
 	if last.Epoch == 0 {
-		t.reg.Voters = nil
+		t.register.Voters = nil
 		for p := range cfg.InitialVoters {
-			t.reg.Voters = append(t.reg.Voters, p)
+			t.register.Voters = append(t.register.Voters, p)
 		}
 	}
 	for _, d := range cfg.Duties {
-		t.votes[d], t.bids[d] = &vote{number: floor[d]}, &bid{above: floor[d]}
+		t.grants[d], t.candidacies[d] = &grantState{number: floor[d]}, &candidacy{highestSeen: floor[d]}
 	}
 	return t, nil
 }
 
-func (t *Table) do(a Action) { t.out = append(t.out, a) }
+func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
 
 // Handle takes an event at a time and returns what is to be done, in order.
 func (t *Table) Handle(now time.Duration, e Event) []Action {
-	t.out = nil
+	t.actions = nil
 	t.now = max(t.now, now)
 	switch e := e.(type) {
 	case Received:
-		t.heard(e.From, e.Message)
+		t.receive(e.From, e.Message)
 	case Tick:
-		t.wall = e.WallMillis
-		t.tickVoters()
-		t.tick()
+		t.wallMillis = e.WallMillis
+		t.tickElectorate()
+		t.tickCandidacies()
 	case FleetUpdate:
-		t.stand(e)
+		t.updateFleet(e)
 	case Resumed:
-		t.readAnew()
+		t.restartRead()
 		for _, d := range t.cfg.Duties { // its leases may be over, and its questions are
-			b := t.bids[d]
-			b.asking = false
-			t.end(d, b)
+			b := t.candidacies[d]
+			b.awaiting = false
+			t.endOwnership(d, b)
 		}
 	case Resign:
-		if b := t.bids[e.Duty]; b != nil {
-			t.yield(e.Duty, b)
+		if b := t.candidacies[e.Duty]; b != nil {
+			t.resign(e.Duty, b)
 		}
 	case Rejected:
-		if b := t.bids[e.Duty]; b != nil {
-			b.above = max(b.above, e.Number)
-			t.yield(e.Duty, b)
-			b.yielded = 0 // it may try again at once, above that
+		if b := t.candidacies[e.Duty]; b != nil {
+			b.highestSeen = max(b.highestSeen, e.Number)
+			t.resign(e.Duty, b)
+			b.resignedUntil = 0 // it may try again at once, above that
 		}
 	}
-	return t.out
+	return t.actions
 }
 
 // MayAct reports whether this member may act for a duty at a time on its clock, and under which number. It is to be asked before and
 // after each step that can't be taken back: after it, no means that the outcome is unknown.
 func (t *Table) MayAct(now time.Duration, duty string) (number uint64, ok bool) {
-	b := t.bids[duty]
-	if b == nil || !b.owns || now >= b.until {
+	b := t.candidacies[duty]
+	if b == nil || !b.isOwner || now >= b.leaseEnd {
 		return 0, false
 	}
 	return b.number, true
@@ -304,14 +306,14 @@
 func (t *Table) Duties(now time.Duration) (all []DutyStatus) {
 	floor := t.HighestNumbers()
 	for _, d := range t.cfg.Duties {
-		r, b, v := DutyStatus{Duty: d, Number: floor[d]}, t.bids[d], t.votes[d]
+		r, b, v := DutyStatus{Duty: d, Number: floor[d]}, t.candidacies[d], t.grants[d]
 		switch {
-		case b.owns && now < b.until:
-			r.Owner, r.Number, r.LeaseLeft = t.who, b.number, b.until-now
-		case v.holder != "" && v.holder != t.who && now < v.until:
+		case b.isOwner && now < b.leaseEnd:
+			r.Owner, r.Number, r.LeaseLeft = t.identity, b.number, b.leaseEnd-now
+		case v.holder != "" && v.holder != t.identity && now < v.until:
 			r.Owner, r.LeaseLeft = v.holder, v.until-now
-		case now < b.rivalFor:
-			r.Owner, r.LeaseLeft = b.rival, b.rivalFor-now
+		case now < b.rivalUntil:
+			r.Owner, r.LeaseLeft = b.rival, b.rivalUntil-now
 		}
 		all = append(all, r)
 	}
@@ -320,58 +322,58 @@
 
 // LeaseEnd is the end of this member's lease on a duty, by its clock, and the number; 0: it has none.
 func (t *Table) LeaseEnd(duty string) (until time.Duration, number uint64) {
-	if b := t.bids[duty]; b != nil && b.owns {
-		return b.until, b.number
+	if b := t.candidacies[duty]; b != nil && b.isOwner {
+		return b.leaseEnd, b.number
 	}
 	return 0, 0
 }
 
 // Identity is this member as others are told: its name and its life.
-func (t *Table) Identity() string { return t.who }
+func (t *Table) Identity() string { return t.identity }
 
 // HighestNumbers are the highest numbers that this member knows of: what a disk may keep.
 func (t *Table) HighestNumbers() map[string]uint64 {
 	all := map[string]uint64{}
-	for d, v := range t.votes {
-		all[d] = max(v.number, t.bids[d].above, t.bids[d].number)
+	for d, v := range t.grants {
+		all[d] = max(v.number, t.candidacies[d].highestSeen, t.candidacies[d].number)
 	}
 	return all
 }
 
-func (t *Table) stand(e FleetUpdate) {
-	if e.Slot != t.place && (e.SlotChanged || t.place >= 0) { // a voter's place may have been another's, who granted
-		t.abstainAnew()
+func (t *Table) updateFleet(e FleetUpdate) {
+	if e.Slot != t.slot && (e.SlotChanged || t.slot >= 0) { // a voter's place may have been another's, who granted
+		t.restartAbstention()
 	}
-	if e.Slot != t.place || e.SlotChanged {
-		t.readAnew()
+	if e.Slot != t.slot || e.SlotChanged {
+		t.restartRead()
 	}
-	t.place, t.alone, t.expect = e.Slot, e.Isolated, e.ExpectedMembers
+	t.slot, t.isolated, t.expectedMembers = e.Slot, e.Isolated, e.ExpectedMembers
 	var alive []string
 	for p, h := range e.Holders {
 		if p == len(t.holders) {
-			t.holders = append(t.holders, holder{place: p, gone: t.now, since: t.now})
+			t.holders = append(t.holders, holder{slot: p, deadSince: t.now, vacantSince: t.now})
 		}
 		old := &t.holders[p]
 		if h.Alive {
 			alive = append(alive, h.Name)
 		} else if old.Alive {
-			old.gone = t.now
+			old.deadSince = t.now
 		}
 		if h.Name == "" && old.Name != "" {
-			old.since = t.now
-			delete(t.reg.taken, p)
+			old.vacantSince = t.now
+			delete(t.register.occupied, p)
 		}
 		old.Holder = h
 	}
 	if slices.Sort(alive); !slices.Equal(alive, t.alive) {
 		t.alive = alive
-		t.order()
+		t.updateOrder()
 	}
-	if t.place < 0 {
+	if t.slot < 0 {
 		for _, d := range t.cfg.Duties {
-			b := t.bids[d]
-			b.asking = false
-			t.end(d, b)
+			b := t.candidacies[d]
+			b.awaiting = false
+			t.endOwnership(d, b)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -194,54 +194,54 @@
 }
 
 const (
-	manyLost   = 4   // where one in so many is lost, others are asked what they know
-	patientFor = 400 // members, for whom Config.Patient is: twice as many wait twice as long
-	doubtFor   = 3   // times Config.Silence, in which they are asked once: so long hearsay counts
+	lostShareForSync     = 4   // where one in so many is lost, others are asked what they know
+	membersPerClaimDelay = 400 // members, for whom Config.Patient is: twice as many wait twice as long
+	doubtPeriods         = 3   // times Config.Silence, in which they are asked once: so long hearsay counts
 )
 
-// record is what is known of a name.
-type record struct {
+// memberRecord is what is known of a name.
+type memberRecord struct {
 	Member
-	state State
-	since time.Duration // of the state
-	at    time.Duration // when it was last told of
-	doubt time.Duration // when another member told that it is lost, though it is not known here; 0: never
+	state     State
+	since     time.Duration // of the state
+	lastSeen  time.Duration // when it was last told of
+	doubtedAt time.Duration // when another member told that it is lost, though it is not known here; 0: never
 }
 
 // Table is one member's view of the fleet. Make it with New.
 type Table struct {
-	cfg     Config
-	self    Member
-	now     time.Duration
-	begun   bool
-	out     []Action
-	members map[string]*record // but for this one
-	absent  map[string]*record // those of them that are not alive
-	doubted map[string]*record // those that may not be
-	terms   []uint64           // the highest known, by place
-
-	synced   bool          // the whole state of another member is known, or there is none
-	settleBy time.Duration // a claim may be made from then on
-	waited   time.Duration // since when it waits for a place
-	placed   bool          // the claim is used
-	kept     bool          // it is the former life's
-	heard    time.Duration
-	majority time.Duration // when there was one
-	alone    bool
-	others   bool // those that are not here can't have a majority
-	started  time.Duration
-	waking   bool          // it stood still, and has not heard how things are since
-	asked    bool          // Sync is out
-	stale    bool          // it was out before the process stood still
-	askBy    time.Duration // while it is cut off or many are lost, others are asked again then
-	fewBy    time.Duration // while it waits for a place, a few are asked again then
-	leaving  bool
-	yielded  bool
-	full     bool  // there was no free place when it looked last
-	last     Claim // that was used
-	told     Assignment
-	held     []Holder // of all places; shared with what was told, so never written
-	changed  bool     // since held was found
+	cfg         Config
+	self        Member
+	now         time.Duration
+	initialized bool
+	actions     []Action
+	members     map[string]*memberRecord // but for this one
+	absent      map[string]*memberRecord // those of them that are not alive
+	doubted     map[string]*memberRecord // those that may not be
+	terms       []uint64                 // the highest known, by place
+
+	synced             bool          // the whole state of another member is known, or there is none
+	claimAfter         time.Duration // a claim may be made from then on
+	waitingSince       time.Duration // since when it waits for a place
+	slotInUse          bool          // the claim is used
+	restored           bool          // it is the former life's
+	lastContact        time.Duration
+	lastMajority       time.Duration // when there was one
+	isolated           bool
+	othersLackMajority bool // those that are not here can't have a majority
+	startedAt          time.Duration
+	resuming           bool          // it stood still, and has not heard how things are since
+	syncing            bool          // Sync is out
+	syncStale          bool          // it was out before the process stood still
+	nextSync           time.Duration // while it is cut off or many are lost, others are asked again then
+	nextPeerSync       time.Duration // while it waits for a place, a few are asked again then
+	leaving            bool
+	superseded         bool
+	noFreeSlot         bool  // there was no free place when it looked last
+	lastClaim          Claim // that was used
+	reported           Assignment
+	holderCache        []Holder // of all places; shared with what was told, so never written
+	holdersStale       bool     // since held was found
 }
 
 // New makes the table of a member that has heard of no other.
@@ -249,142 +249,142 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*record{}, absent: map[string]*record{}, doubted: map[string]*record{}, terms: make([]uint64, cfg.Slots), last: cfg.LastClaim}
+	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*memberRecord{}, absent: map[string]*memberRecord{}, doubted: map[string]*memberRecord{}, terms: make([]uint64, cfg.Slots), lastClaim: cfg.LastClaim}
 	t.self.Claim = NoClaim
-	t.held = make([]Holder, cfg.Slots)
-	t.told = Assignment{Slot: -1, Holders: t.held}
+	t.holderCache = make([]Holder, cfg.Slots)
+	t.reported = Assignment{Slot: -1, Holders: t.holderCache}
 	return t, nil
 }
 
-func (t *Table) do(a Action) { t.out = append(t.out, a) }
+func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
 
-func (t *Table) note(format string, args ...any) { t.do(LogMessage{fmt.Sprintf(format, args...)}) }
+func (t *Table) logf(format string, args ...any) { t.emit(LogMessage{fmt.Sprintf(format, args...)}) }
 
 // Handle takes an event at a time and returns what is to be done, in order.
 func (t *Table) Handle(now time.Duration, e Event) []Action {
-	t.out = nil
+	t.actions = nil
 	before := t.now
 	t.now = max(now, t.now)
-	if !t.begun {
-		t.begun, t.started, t.heard, t.majority = true, t.now, t.now, t.now
-		if t.keep(t.cfg.LastClaim); !t.kept {
-			t.do(Announce{t.self})
+	if !t.initialized {
+		t.initialized, t.startedAt, t.lastContact, t.lastMajority = true, t.now, t.now, t.now
+		if t.restoreClaim(t.cfg.LastClaim); !t.restored {
+			t.emit(Announce{t.self})
 		}
-		t.ask()
+		t.requestSync()
 	}
-	woke := t.now-before > t.cfg.PauseThreshold && before > 0
-	if woke {
-		t.wake(fmt.Sprintf("nothing happened here for %v", t.now-before))
+	paused := t.now-before > t.cfg.PauseThreshold && before > 0
+	if paused {
+		t.resume(fmt.Sprintf("nothing happened here for %v", t.now-before))
 	}
-	if (t.take(e) || woke) && !t.yielded {
-		t.judge()
-		t.place()
-		t.stand()
+	if (t.apply(e) || paused) && !t.superseded {
+		t.checkMajority()
+		t.updateClaim()
+		t.reportAssignment()
 	}
-	return t.out
+	return t.actions
 }
 
-// take notes an event. It reports whether what follows from it must be found at once: all else waits for the next Tick, so that
+// apply notes an event. It reports whether what follows from it must be found at once: all else waits for the next Tick, so that
 // a thousand members that join cost one look at the table.
-func (t *Table) take(e Event) (now bool) {
+func (t *Table) apply(e Event) (urgent bool) {
 	switch e := e.(type) {
 	case MemberAlive:
-		t.seen(e.Member)
+		t.memberAlive(e.Member)
 		return e.Member.Claim.Slot >= 0 && e.Member.Claim.Slot == t.self.Claim.Slot
 	case MemberGone:
-		t.gone(e)
+		t.memberGone(e)
 		return false
 	case RemoteState:
-		t.past(e.SharedState)
+		t.mergeState(e.SharedState)
 		return false
 	case MemberContact:
-		t.heard = t.now
+		t.lastContact = t.now
 		return false
 	case SyncDone:
-		t.asked, t.askBy, t.fewBy = false, t.now+t.cfg.SilenceTimeout, t.now+t.cfg.ClaimDelay
-		if t.stale { // what was asked before a standstill says nothing of now
-			t.stale = false
-			t.ask()
+		t.syncing, t.nextSync, t.nextPeerSync = false, t.now+t.cfg.SilenceTimeout, t.now+t.cfg.ClaimDelay
+		if t.syncStale { // what was asked before a standstill says nothing of now
+			t.syncStale = false
+			t.requestSync()
 			return true
 		}
-		t.waking = false
+		t.resuming = false
 		if e.OK {
-			t.heard = t.now
+			t.lastContact = t.now
 		}
 		if !t.synced {
-			t.synced, t.waited, t.settleBy = true, t.now, t.now+t.cfg.ClaimDelay
+			t.synced, t.waitingSince, t.claimAfter = true, t.now, t.now+t.cfg.ClaimDelay
 		}
 	case ClockJump:
-		t.wake("the clock jumped")
+		t.resume("the clock jumped")
 	case ConfigChange:
 		if e.ExpectedMembers > 0 {
 			t.cfg.ExpectedMembers = e.ExpectedMembers
 		}
 		if t.self.Generation != e.Generation {
 			t.self.Generation = e.Generation
-			t.do(Announce{t.self})
+			t.emit(Announce{t.self})
 		}
 	case Leave:
-		t.leaving, t.placed = true, false
+		t.leaving, t.slotInUse = true, false
 	}
 	return true
 }
 
-// past takes what another member knew of who is lost. What this one knows itself counts more.
-func (t *Table) past(p SharedState) {
-	for place, term := range p.Terms {
-		t.learn(Claim{place, term})
+// mergeState takes what another member knew of who is lost. What this one knows itself counts more.
+func (t *Table) mergeState(p SharedState) {
+	for slot, term := range p.Terms {
+		t.learnTerm(Claim{slot, term})
 	}
 	for _, a := range p.Absent {
 		switch {
 		case a.Ago >= t.cfg.ForgetAfter || a.State == Alive:
 		case a.Member.Name == t.self.Name && a.Ago < t.cfg.ReservationPeriod:
-			t.keep(a.Member.Claim)
+			t.restoreClaim(a.Member.Claim)
 		default:
-			t.hearsay(a)
+			t.mergeAbsence(a)
 		}
 	}
 }
 
-// wake takes that this member stood still: what it knows may be over, so it does nothing until it has heard how things are.
-func (t *Table) wake(why string) {
-	t.note("%s: standing aside until the fleet is heard", why)
-	t.waking, t.stale = true, t.asked
-	t.ask()
+// resume takes that this member stood still: what it knows may be over, so it does nothing until it has heard how things are.
+func (t *Table) resume(why string) {
+	t.logf("%s: standing aside until the fleet is heard", why)
+	t.resuming, t.syncStale = true, t.syncing
+	t.requestSync()
 }
 
-func (t *Table) ask() { t.sync(Sync{}) }
+func (t *Table) requestSync() { t.startSync(Sync{}) }
 
-func (t *Table) sync(s Sync) {
-	if !t.asked {
-		t.asked = true
-		t.do(s)
+func (t *Table) startSync(s Sync) {
+	if !t.syncing {
+		t.syncing = true
+		t.emit(s)
 	}
 }
 
-// hearsay takes that another member takes one for gone. It is no proof, but when it comes to who is cut off it counts for a while:
+// mergeAbsence takes that another member takes one for gone. It is no proof, but when it comes to who is cut off it counts for a while:
 // of many that go at once the engine's own word comes late.
-func (t *Table) hearsay(a AbsentMember) {
+func (t *Table) mergeAbsence(a AbsentMember) {
 	r := t.members[a.Member.Name]
 	switch {
 	case r == nil:
-		r = &record{Member: a.Member, state: a.State, since: t.now - a.Ago, at: t.now - a.Ago}
-		t.members[a.Member.Name], t.absent[a.Member.Name], t.changed = r, r, true
+		r = &memberRecord{Member: a.Member, state: a.State, since: t.now - a.Ago, lastSeen: t.now - a.Ago}
+		t.members[a.Member.Name], t.absent[a.Member.Name], t.holdersStale = r, r, true
 	case r.state == Alive && r.Incarnation == a.Member.Incarnation && a.State == Lost:
-		r.doubt = t.now
+		r.doubtedAt = t.now
 		t.doubted[a.Member.Name] = r
 	}
 }
 
-func (t *Table) seen(m Member) {
+func (t *Table) memberAlive(m Member) {
 	if m.Name == t.self.Name {
 		if m.Incarnation < t.self.Incarnation { // a former life's word: its claim tells what is kept for this one
-			t.keep(m.Claim)
+			t.restoreClaim(m.Claim)
 		} else if m.Incarnation > t.self.Incarnation {
-			t.yielded, t.placed = true, false
-			t.claim(NoClaim)
-			t.stand()
-			t.do(Superseded{m})
+			t.superseded, t.slotInUse = true, false
+			t.setClaim(NoClaim)
+			t.reportAssignment()
+			t.emit(Superseded{m})
 		}
 		return
 	}
@@ -393,56 +393,56 @@
 		return // a former life of it
 	}
 	if r == nil || r.state != Alive || r.Claim != m.Claim || r.Incarnation != m.Incarnation {
-		t.changed = true
-		t.unsettle()
+		t.holdersStale = true
+		t.postponeClaim()
 	}
-	t.learn(m.Claim)
+	t.learnTerm(m.Claim)
 	if r == nil {
-		r = &record{}
+		r = &memberRecord{}
 		t.members[m.Name] = r
 	} else if r.state != Alive {
 		r.since = t.now
 	}
 	delete(t.absent, m.Name)
 	delete(t.doubted, m.Name)
-	r.Member, r.state, r.at = m, Alive, t.now
-	t.heard = t.now
+	r.Member, r.state, r.lastSeen = m, Alive, t.now
+	t.lastContact = t.now
 }
 
-// unsettle puts a claim off, as the table is still changing.
-func (t *Table) unsettle() {
-	t.settleBy = max(t.settleBy, min(t.now+t.cfg.ClaimDelay, t.waited+t.patience()))
+// postponeClaim puts a claim off, as the table is still changing.
+func (t *Table) postponeClaim() {
+	t.claimAfter = max(t.claimAfter, min(t.now+t.cfg.ClaimDelay, t.waitingSince+t.maxClaimDelay()))
 }
 
-// patience is how long a member waits for a quiet table: longer among many, as what each says takes longer to reach all.
-func (t *Table) patience() time.Duration {
-	return t.cfg.MaxClaimDelay * time.Duration(max(1, (1+len(t.members))/patientFor))
+// maxClaimDelay is how long a member waits for a quiet table: longer among many, as what each says takes longer to reach all.
+func (t *Table) maxClaimDelay() time.Duration {
+	return t.cfg.MaxClaimDelay * time.Duration(max(1, (1+len(t.members))/membersPerClaimDelay))
 }
 
-// learn keeps the highest term of a place, whoever tells it.
-func (t *Table) learn(c Claim) {
+// learnTerm keeps the highest term of a place, whoever tells it.
+func (t *Table) learnTerm(c Claim) {
 	if c.Slot >= 0 && c.Slot < len(t.terms) && c.Term > t.terms[c.Slot] {
-		t.terms[c.Slot], t.changed = c.Term, true
+		t.terms[c.Slot], t.holdersStale = c.Term, true
 	}
 }
 
-func (t *Table) gone(e MemberGone) {
+func (t *Table) memberGone(e MemberGone) {
 	r := t.members[e.Name]
 	if r == nil || r.Incarnation != e.Incarnation || r.state == Left || r.state == Lost && !e.Left {
 		return
 	}
-	r.state, r.since, t.absent[e.Name], t.changed = Lost, t.now, r, true
+	r.state, r.since, t.absent[e.Name], t.holdersStale = Lost, t.now, r, true
 	if e.Left {
 		r.state = Left
 	}
 }
 
-// judge finds out whether there is a majority, and drops who is long gone.
-func (t *Table) judge() {
+// checkMajority finds out whether there is a majority, and drops who is long gone.
+func (t *Table) checkMajority() {
 	alive := 1 + len(t.members) - len(t.absent)
 	known := alive
 	for name, r := range t.absent {
-		t.changed = t.changed || t.now-r.since >= t.cfg.ReservationPeriod && r.Claim.Slot >= 0
+		t.holdersStale = t.holdersStale || t.now-r.since >= t.cfg.ReservationPeriod && r.Claim.Slot >= 0
 		if t.now-r.since >= t.cfg.ForgetAfter {
 			delete(t.members, name)
 			delete(t.absent, name)
@@ -452,97 +452,97 @@
 	}
 	lost := known - alive
 	for name, r := range t.doubted {
-		if r.state != Alive || t.now-r.doubt >= doubtFor*t.cfg.SilenceTimeout {
+		if r.state != Alive || t.now-r.doubtedAt >= doubtPeriods*t.cfg.SilenceTimeout {
 			delete(t.doubted, name)
 		} else {
 			alive--
 		}
 	}
 	known = max(known, t.cfg.ExpectedMembers)
-	silent := known > 1 && t.now-t.heard >= t.cfg.SilenceTimeout
-	was := t.alone
-	t.alone = 2*alive <= known || silent
-	if t.alone != was {
-		t.note("cut off: %v; %d of %d members are there, the last was heard %v ago", t.alone, alive, known, t.now-t.heard)
+	silent := known > 1 && t.now-t.lastContact >= t.cfg.SilenceTimeout
+	wasIsolated := t.isolated
+	t.isolated = 2*alive <= known || silent
+	if t.isolated != wasIsolated {
+		t.logf("cut off: %v; %d of %d members are there, the last was heard %v ago", t.isolated, alive, known, t.now-t.lastContact)
 	}
 	switch {
-	case t.now >= t.askBy && (t.alone || manyLost*lost >= known):
-		t.ask()
-	case t.now >= t.fewBy && t.synced && !t.placed && !t.alone && !t.leaving:
+	case t.now >= t.nextSync && (t.isolated || lostShareForSync*lost >= known):
+		t.requestSync()
+	case t.now >= t.nextPeerSync && t.synced && !t.slotInUse && !t.isolated && !t.leaving:
 		// Of many that join at once the engine passes on what each says too slowly; whole states, from one to one, double what all know.
-		t.sync(Sync{SkipSeeds: true})
+		t.startSync(Sync{SkipSeeds: true})
 	}
 	// Where the others can't have a majority either, nobody is given this place.
 	others := known - alive
 	if silent {
 		others = known - 1
 	}
-	t.others = 2*others <= known
-	if !t.alone || t.others {
-		t.majority = t.now
+	t.othersLackMajority = 2*others <= known
+	if !t.isolated || t.othersLackMajority {
+		t.lastMajority = t.now
 	}
 }
 
-// claim changes what this member claims, and tells it.
-func (t *Table) claim(c Claim) {
+// setClaim changes what this member claims, and tells it.
+func (t *Table) setClaim(c Claim) {
 	if t.self.Claim == c {
 		return
 	}
-	t.self.Claim, t.changed = c, true
-	t.learn(c)
-	t.do(Announce{t.self})
+	t.self.Claim, t.holdersStale = c, true
+	t.learnTerm(c)
+	t.emit(Announce{t.self})
 }
 
-// place keeps, gives up or claims a place.
-func (t *Table) place() {
-	c, holders := t.self.Claim, t.holders()
+// updateClaim keeps, gives up or claims a updateClaim.
+func (t *Table) updateClaim() {
+	c, holders := t.self.Claim, t.slotHolders()
 	switch {
 	case t.leaving:
 	case c.Slot >= 0 && holders[c.Slot].Name != t.self.Name:
-		t.note("place %d is held by %q in a later term", c.Slot, holders[c.Slot].Name)
-		t.lose()
-	case c.Slot >= 0 && t.now-t.majority >= t.cfg.Lease:
-		t.note("place %d is given up: the lease ran out without a majority", c.Slot)
-		t.lose()
-	case t.placed || !t.synced || t.waking:
-	case t.alone:
-		if t.kept && c.Slot >= 0 && t.others && t.now-t.started >= t.cfg.IsolatedRestoreDelay {
-			t.note("place %d is taken up alone: no others can have a majority", c.Slot)
-			t.placed, t.last = true, c
+		t.logf("place %d is held by %q in a later term", c.Slot, holders[c.Slot].Name)
+		t.dropClaim()
+	case c.Slot >= 0 && t.now-t.lastMajority >= t.cfg.Lease:
+		t.logf("place %d is given up: the lease ran out without a majority", c.Slot)
+		t.dropClaim()
+	case t.slotInUse || !t.synced || t.resuming:
+	case t.isolated:
+		if t.restored && c.Slot >= 0 && t.othersLackMajority && t.now-t.startedAt >= t.cfg.IsolatedRestoreDelay {
+			t.logf("place %d is taken up alone: no others can have a majority", c.Slot)
+			t.slotInUse, t.lastClaim = true, c
 		}
-	case c.Slot >= 0 && (t.kept || t.now >= t.settleBy):
-		t.placed, t.last = true, c
-	case c.Slot < 0 && t.now >= t.settleBy:
-		if p, ok := t.choose(holders); ok {
-			t.waited, t.settleBy = t.now, t.now+t.cfg.ConfirmDelay
-			t.claim(Claim{p, t.terms[p] + 1})
+	case c.Slot >= 0 && (t.restored || t.now >= t.claimAfter):
+		t.slotInUse, t.lastClaim = true, c
+	case c.Slot < 0 && t.now >= t.claimAfter:
+		if p, ok := t.chooseSlot(holders); ok {
+			t.waitingSince, t.claimAfter = t.now, t.now+t.cfg.ConfirmDelay
+			t.setClaim(Claim{p, t.terms[p] + 1})
 		}
 	}
 }
 
-// keep takes the claim of this member's former life as its own. It may be used at once: whoever claims the place meanwhile waits,
+// restoreClaim takes the claim of this member's former life as its own. It may be used at once: whoever claims the place meanwhile waits,
 // and is heard by then.
-func (t *Table) keep(c Claim) {
+func (t *Table) restoreClaim(c Claim) {
 	if c.Slot < 0 || c.Slot >= t.cfg.Slots || t.self.Claim.Slot >= 0 || t.leaving {
 		return
 	}
-	t.kept, t.last = true, c
-	t.claim(c)
+	t.restored, t.lastClaim = true, c
+	t.setClaim(c)
 }
 
-func (t *Table) lose() {
-	t.placed, t.kept, t.waited, t.settleBy = false, false, t.now, t.now+t.cfg.ClaimDelay
-	t.claim(NoClaim)
+func (t *Table) dropClaim() {
+	t.slotInUse, t.restored, t.waitingSince, t.claimAfter = false, false, t.now, t.now+t.cfg.ClaimDelay
+	t.setClaim(NoClaim)
 }
 
-// holders are the winners of all places.
-func (t *Table) holders() []Holder {
-	if !t.changed {
-		return t.held
+// slotHolders are the winners of all places.
+func (t *Table) slotHolders() []Holder {
+	if !t.holdersStale {
+		return t.holderCache
 	}
-	t.changed = false
+	t.holdersStale = false
 	holders := make([]Holder, t.cfg.Slots)
-	better := func(m *Member, s State) {
+	consider := func(m *Member, s State) {
 		p := m.Claim.Slot
 		if p < 0 || p >= len(holders) || m.Claim.Term < t.terms[p] {
 			return
@@ -551,59 +551,59 @@
 			*h = Holder{m.Name, m.Incarnation, s}
 		}
 	}
-	better(&t.self, Alive)
+	consider(&t.self, Alive)
 	for _, r := range t.members {
 		if r.state == Alive || t.now-r.since < t.cfg.ReservationPeriod {
-			better(&r.Member, r.state)
+			consider(&r.Member, r.state)
 		}
 	}
-	t.held = holders
+	t.holderCache = holders
 	return holders
 }
 
-// choose finds a place to claim: the one that it had, if that is free, or else of the free ones, the least used first, the one
-// that is its own among all who have none: members that know the same choose different ones.
-func (t *Table) choose(holders []Holder) (place int, ok bool) {
+// chooseSlot finds a place to claim: the one that it had, if that is free, or else of the free ones, the least used first, the one
+// that is its own among all who have none: members that know the same chooseSlot different ones.
+func (t *Table) chooseSlot(holders []Holder) (slot int, ok bool) {
 	var free []int
 	for p, h := range holders {
 		if h.Name == "" {
 			free = append(free, p)
 		}
 	}
-	if slices.Contains(free, t.last.Slot) {
-		return t.last.Slot, true
+	if slices.Contains(free, t.lastClaim.Slot) {
+		return t.lastClaim.Slot, true
 	}
-	at, waiting := 0, 1 // how many sort before this one of those that wait for a place; how many wait
+	rank, waiting := 0, 1 // how many sort before this one of those that wait for a place; how many wait
 	for _, r := range t.members {
 		if c := r.Claim; r.state == Alive && (c.Slot < 0 || c.Slot >= len(holders) || holders[c.Slot].Name != r.Name) {
 			waiting++
 			if r.Name < t.self.Name {
-				at++
+				rank++
 			}
 		}
 	}
 	slices.SortStableFunc(free, func(a, b int) int { return cmp.Compare(t.terms[a], t.terms[b]) })
-	if at >= len(free) {
-		t.settleBy = t.now + t.cfg.ConfirmDelay
-		if !t.full {
-			t.note("there is no free place: %d places, waiting members: %d", t.cfg.Slots, waiting)
+	if rank >= len(free) {
+		t.claimAfter = t.now + t.cfg.ConfirmDelay
+		if !t.noFreeSlot {
+			t.logf("there is no free place: %d places, waiting members: %d", t.cfg.Slots, waiting)
 		}
-		t.full = true
+		t.noFreeSlot = true
 		return 0, false
 	}
-	t.full = false
-	return free[at], true
+	t.noFreeSlot = false
+	return free[rank], true
 }
 
-// stand tells how this member stands, if that has changed.
-func (t *Table) stand() {
-	s := Assignment{Slot: -1, Isolated: t.alone, Holders: t.holders()}
-	if t.placed && !t.waking {
+// reportAssignment tells how this member stands, if that has changed.
+func (t *Table) reportAssignment() {
+	s := Assignment{Slot: -1, Isolated: t.isolated, Holders: t.slotHolders()}
+	if t.slotInUse && !t.resuming {
 		s.Slot, s.Term = t.self.Claim.Slot, t.self.Claim.Term
 	}
-	if !s.equal(&t.told) {
-		t.told = s
-		t.do(AssignmentChange{s})
+	if !s.equal(&t.reported) {
+		t.reported = s
+		t.emit(AssignmentChange{s})
 	}
 }
 
@@ -620,7 +620,7 @@
 func (t *Table) Members() (all []MemberStatus) {
 	all = append(all, MemberStatus{Member: t.self, LastContact: t.now, Self: true})
 	for _, r := range t.members {
-		all = append(all, MemberStatus{Member: r.Member, State: r.state, Since: r.since, LastContact: r.at})
+		all = append(all, MemberStatus{Member: r.Member, State: r.state, Since: r.since, LastContact: r.lastSeen})
 	}
 	slices.SortFunc(all, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
@@ -636,4 +636,4 @@
 }
 
 // Assignment is how this member stands.
-func (t *Table) Assignment() Assignment { return t.told }
+func (t *Table) Assignment() Assignment { return t.reported }
--- a/internal/fleet/script_test.go
+++ b/internal/fleet/script_test.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := play(t, string(text))
+			got := runScript(t, string(text))
 			if *rewrite {
 				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
@@ -38,8 +38,8 @@
 	}
 }
 
-// play returns a script with what came out of its events in place of what should.
-func play(t *testing.T, text string) string {
+// runScript returns a script with what came out of its events in place of what should.
+func runScript(t *testing.T, text string) string {
 	t.Helper()
 	cfg := DefaultConfig()
 	cfg.Slots, cfg.PauseThreshold, cfg.Self = 3, time.Hour, Member{Name: "m", Incarnation: 10, Claim: NoClaim}
@@ -66,7 +66,7 @@
 				t.Fatalf("%s: %v", line, err)
 			}
 			for _, a := range table.Handle(time.Hour+at, parseEvent(t, words[2:])) {
-				fmt.Fprintln(&b, "   ", show(a))
+				fmt.Fprintln(&b, "   ", formatAction(a))
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 	return nil
 }
 
-func show(a Action) string {
+func formatAction(a Action) string {
 	claim := func(c Claim) string {
 		if c.Slot < 0 {
 			return "-"
--- a/internal/fleetreport/report.go
+++ b/internal/fleetreport/report.go
@@ -26,7 +26,7 @@
 // DutyName is the duty of telling an outside system how the fleet stands.
 const DutyName = "report"
 
-const answerMost = 4 << 10 // bytes of a receiver's answer that are read
+const maxResponseBytes = 4 << 10 // bytes of a receiver's answer that are read
 
 // Payload is a step of a duty as a receiver outside the fleet gets it: as JSON, by POST. It must take a step only if it has taken none of a
 // higher number, nor one of the same number by another; else it answers 409 with the number that stands above, as {"Above": 7}.
@@ -57,8 +57,8 @@
 	t := time.NewTicker(r.Interval)
 	defer t.Stop()
 	for n := uint64(1); ; {
-		if mark, ok := r.Election.MayAct(DutyName); ok {
-			r.step(ctx, mark, n)
+		if ownership, ok := r.Election.MayAct(DutyName); ok {
+			r.send(ctx, ownership, n)
 			n++
 		}
 		select {
@@ -69,22 +69,22 @@
 	}
 }
 
-var errTurned = errors.New("turned away")
+var errRejected = errors.New("turned away")
 
-// step makes one step. Its outcome is known only if the lease held all along.
-func (r *Reporter) step(ctx context.Context, mark election.Ownership, n uint64) {
-	err := r.post(ctx, Payload{Duty: DutyName, Number: mark.Number, Owner: mark.Owner, Sequence: n, At: time.Now(), Body: r.Body()})
+// send makes one send. Its outcome is known only if the lease held all along.
+func (r *Reporter) send(ctx context.Context, ownership election.Ownership, n uint64) {
+	err := r.post(ctx, Payload{Duty: DutyName, Number: ownership.Number, Owner: ownership.Owner, Sequence: n, At: time.Now(), Body: r.Body()})
 	after, still := r.Election.MayAct(DutyName)
 	switch {
-	case errors.Is(err, errTurned):
+	case errors.Is(err, errRejected):
 		r.Rejected.Add(1)
-		r.Log.Warn("duty: a step was turned away", "duty", DutyName, "number", mark.Number, "err", err)
-	case !still || after != mark:
+		r.Log.Warn("duty: a step was turned away", "duty", DutyName, "number", ownership.Number, "err", err)
+	case !still || after != ownership:
 		r.Unknown.Add(1)
-		r.Log.Warn("duty: the lease ran out during a step: its outcome is unknown", "duty", DutyName, "number", mark.Number, "err", err)
+		r.Log.Warn("duty: the lease ran out during a step: its outcome is unknown", "duty", DutyName, "number", ownership.Number, "err", err)
 	case err != nil:
 		r.Failed.Add(1)
-		r.Log.Warn("duty: a step failed", "duty", DutyName, "number", mark.Number, "err", err)
+		r.Log.Warn("duty: a step failed", "duty", DutyName, "number", ownership.Number, "err", err)
 	default:
 		r.Accepted.Add(1)
 	}
@@ -111,12 +111,12 @@
 	}
 	defer resp.Body.Close()
 	var answer struct{ Above uint64 }
-	b, err = io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	b, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if resp.StatusCode == http.StatusConflict {
 		if json.Unmarshal(b, &answer) == nil && answer.Above > 0 {
 			err = r.Election.ReportRejection(s.Duty, answer.Above)
 		}
-		return errors.Join(fmt.Errorf("%w below %d", errTurned, answer.Above), err)
+		return errors.Join(fmt.Errorf("%w below %d", errRejected, answer.Above), err)
 	}
 	if resp.StatusCode/100 != 2 {
 		return fmt.Errorf("answered %s", resp.Status)
--- a/internal/maintenance/clock.go
+++ b/internal/maintenance/clock.go
@@ -29,18 +29,18 @@
 		edges = append(edges, edge{x.Min, 1}, edge{x.Max, -1})
 	}
 	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), b.step-a.step) }) // those that touch agree
-	in := 0
+	overlaps := 0
 	var at time.Duration // where most agree
 	for _, e := range edges {
-		if in += e.step; in > agree {
-			agree, at = in, e.at
+		if overlaps += e.step; overlaps > agree {
+			agree, at = overlaps, e.at
 		}
 	}
-	none := true
+	empty := true
 	for _, x := range others {
 		if x.Min <= at && at <= x.Max {
-			if none {
-				r, none = x, false
+			if empty {
+				r, empty = x, false
 			}
 			r = OffsetRange{max(r.Min, x.Min), min(r.Max, x.Max)}
 		}
--- a/internal/maintenance/hours.go
+++ b/internal/maintenance/hours.go
@@ -14,7 +14,7 @@
 )
 
 // Minutes of a day.
-const dayLong = 24 * 60
+const minutesPerDay = 24 * 60
 
 // Date is a day by a region's calendar.
 type Date struct {
@@ -42,8 +42,8 @@
 	return Date{y, m, d}
 }
 
-// next is the date behind, or before by -1.
-func (d Date) next(days int) Date {
+// addDays is the date behind, or before by -1.
+func (d Date) addDays(days int) Date {
 	return dateOf(time.Date(d.Year, d.Month, d.Day+days, 12, 0, 0, 0, time.UTC))
 }
 
@@ -52,33 +52,33 @@
 }
 
 // Contains reports whether the region is quiet at an instant.
-func (h *Calendar) Contains(t time.Time) bool {
-	local := t.In(h.Zone)
+func (c *Calendar) Contains(t time.Time) bool {
+	local := t.In(c.Zone)
 	today := dateOf(local)
-	if h.Excluded[today] {
+	if c.Excluded[today] {
 		return false
 	}
 	minute := local.Hour()*60 + local.Minute()
-	yesterday := today.next(-1)
-	return h.in(today, minute) || !h.Excluded[yesterday] && h.in(yesterday, minute+dayLong)
+	yesterday := today.addDays(-1)
+	return c.coversMinute(today, minute) || !c.Excluded[yesterday] && c.coversMinute(yesterday, minute+minutesPerDay)
 }
 
-// in reports whether a span that begins on a day holds at a minute since its midnight.
-func (h *Calendar) in(day Date, minute int) bool {
-	at := func(s Span) bool {
+// coversMinute reports whether a span that begins on a day holds at a minute since its midnight.
+func (c *Calendar) coversMinute(day Date, minute int) bool {
+	covers := func(s Span) bool {
 		to := s.To
 		if to <= s.From {
-			to += dayLong
+			to += minutesPerDay
 		}
 		return s.From <= minute && minute < to
 	}
 	weekday := day.weekday()
-	for _, s := range h.Weekly {
-		if s.Days[weekday] && at(s) {
+	for _, s := range c.Weekly {
+		if s.Days[weekday] && covers(s) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(h.Extra[day], at)
+	return slices.ContainsFunc(c.Extra[day], covers)
 }
 
 // Window is a time in which one region, or several at once, are quiet.
@@ -86,19 +86,19 @@
 
 // NextWindow is the window that an instant lies in, from that instant on, or the first one behind it that begins within a time; false: there is
 // none. An end that lies beyond is told as the end of that time.
-func NextWindow(from time.Time, within time.Duration, of ...*Calendar) (Window, bool) {
-	quiet := func(t time.Time) bool {
-		return !slices.ContainsFunc(of, func(h *Calendar) bool { return !h.Contains(t) })
+func NextWindow(from time.Time, within time.Duration, calendars ...*Calendar) (Window, bool) {
+	inWindow := func(t time.Time) bool {
+		return !slices.ContainsFunc(calendars, func(c *Calendar) bool { return !c.Contains(t) })
 	}
 	// Spans begin and end, and zones change, on whole minutes of true time.
 	at, last := from, from.Add(within)
-	for !quiet(at) {
+	for !inWindow(at) {
 		if at = at.Truncate(time.Minute).Add(time.Minute); at.After(last) {
 			return Window{}, false
 		}
 	}
 	w := Window{From: at}
-	for at = at.Truncate(time.Minute).Add(time.Minute); at.Before(last) && quiet(at); at = at.Add(time.Minute) {
+	for at = at.Truncate(time.Minute).Add(time.Minute); at.Before(last) && inWindow(at); at = at.Add(time.Minute) {
 	}
 	w.To = at
 	if at.After(last) {
@@ -109,8 +109,8 @@
 
 // Remaining is for how long regions go on to be quiet together at an instant that is known up to a doubt; 0: they may not be quiet. It looks no
 // further than a day.
-func Remaining(t time.Time, doubt time.Duration, of ...*Calendar) time.Duration {
-	early, ok := NextWindow(t.Add(-doubt), 24*time.Hour, of...)
+func Remaining(t time.Time, doubt time.Duration, calendars ...*Calendar) time.Duration {
+	early, ok := NextWindow(t.Add(-doubt), 24*time.Hour, calendars...)
 	if !ok || early.From.After(t.Add(-doubt)) {
 		return 0
 	}
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	s.From, s.To, err = times(fields[len(fields)-1])
+	s.From, s.To, err = parseTimes(fields[len(fields)-1])
 	return s, err
 }
 
@@ -160,27 +160,27 @@
 func ParseDatedSpan(text string) (d Date, s Span, err error) {
 	day, clock, _ := strings.Cut(text, " ")
 	if d, err = ParseDate(day); err == nil {
-		s.From, s.To, err = times(clock)
+		s.From, s.To, err = parseTimes(clock)
 	}
 	return d, s, err
 }
 
 var weekdays = map[string]time.Weekday{"sun": 0, "mon": 1, "tue": 2, "wed": 3, "thu": 4, "fri": 5, "sat": 6}
 
-// times reads "22:00-05:00". 24:00 is the end of a day.
-func times(text string) (from, to int, err error) {
+// parseTimes reads "22:00-05:00". 24:00 is the end of a day.
+func parseTimes(text string) (from, to int, err error) {
 	a, b, _ := strings.Cut(text, "-")
-	from, okA := clock(a)
-	to, okB := clock(b)
-	if !okA || !okB || from == dayLong || from == to {
+	from, okA := parseClock(a)
+	to, okB := parseClock(b)
+	if !okA || !okB || from == minutesPerDay || from == to {
 		return 0, 0, fmt.Errorf("%q is no time of a day, such as \"22:00-05:00\"", text)
 	}
 	return from, to, nil
 }
 
-func clock(text string) (minutes int, ok bool) {
+func parseClock(text string) (minutes int, ok bool) {
 	if text == "24:00" {
-		return dayLong, true
+		return minutesPerDay, true
 	}
 	t, err := time.Parse("15:04", text)
 	return t.Hour()*60 + t.Minute(), err == nil && len(text) == len("22:00")
--- a/internal/maintenance/quiet_test.go
+++ b/internal/maintenance/quiet_test.go
@@ -9,7 +9,7 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-func zone(t *testing.T, name string) *time.Location {
+func loadZone(t *testing.T, name string) *time.Location {
 	t.Helper()
 	z, err := time.LoadLocation(name)
 	if err != nil {
@@ -18,9 +18,9 @@
 	return z
 }
 
-func hours(t *testing.T, where string, spans ...string) *Calendar {
+func newCalendar(t *testing.T, where string, spans ...string) *Calendar {
 	t.Helper()
-	h := &Calendar{Zone: zone(t, where), Excluded: map[Date]bool{}, Extra: map[Date][]Span{}}
+	h := &Calendar{Zone: loadZone(t, where), Excluded: map[Date]bool{}, Extra: map[Date][]Span{}}
 	for _, text := range spans {
 		s, err := ParseSpan(text)
 		if err != nil {
@@ -31,7 +31,7 @@
 	return h
 }
 
-func at(t *testing.T, h *Calendar, text string) time.Time {
+func parseTime(t *testing.T, h *Calendar, text string) time.Time {
 	t.Helper()
 	layout := "2006-01-02 15:04"
 	if strings.HasSuffix(text, "Z") {
@@ -44,10 +44,10 @@
 	return x
 }
 
-// TestNights holds the windows that come about in nights of all kinds: over midnight, on days without any, on days added, and where clocks are
+// TestNextWindow holds the windows that come about in nights of all kinds: over midnight, on days without any, on days added, and where clocks are
 // set forward and back.
-func TestNights(t *testing.T) {
-	seoul := hours(t, "Asia/Seoul", "mon-fri 22:00-05:00", "sat sun 20:00-24:00")
+func TestNextWindow(t *testing.T) {
+	seoul := newCalendar(t, "Asia/Seoul", "mon-fri 22:00-05:00", "sat sun 20:00-24:00")
 	for _, day := range []string{"2026-09-24", "2026-02-16"} { // the days before Chuseok and Seollal
 		d, err := ParseDate(day)
 		if err != nil {
@@ -60,8 +60,8 @@
 		t.Fatal(err)
 	}
 	seoul.Extra[d] = []Span{s}
-	berlin := hours(t, "Europe/Berlin", "daily 01:30-02:30")
-	york := hours(t, "America/New_York", "daily 01:00-04:00")
+	berlin := newCalendar(t, "Europe/Berlin", "daily 01:30-02:30")
+	york := newCalendar(t, "America/New_York", "daily 01:00-04:00")
 	for _, tc := range []struct {
 		name       string
 		h          *Calendar
@@ -80,7 +80,7 @@
 		{"an hour shorter", york, "2026-03-08 00:00", "2026-03-08T06:00Z", "2026-03-08T08:00Z"},
 		{"an hour longer", york, "2026-11-01 00:00", "2026-11-01T05:00Z", "2026-11-01T09:00Z"},
 	} {
-		from := at(t, tc.h, tc.from)
+		from := parseTime(t, tc.h, tc.from)
 		w, ok := NextWindow(from, 7*24*time.Hour, tc.h)
 		if got := w.From.UTC().Format("2006-01-02T15:04Z"); !ok || got != tc.begins || w.To.UTC().Format("2006-01-02T15:04Z") != tc.to {
 			t.Errorf("%s, from %v: %v to %v (%v), want %s to %s", tc.name, from, w.From.UTC(), w.To.UTC(), ok, tc.begins, tc.to)
@@ -88,13 +88,13 @@
 	}
 }
 
-// TestYearOfNights walks through a year in five zones, minute by minute: windows follow each other without overlap, what they say is what the
+// TestWindowsOverAYear walks through a year in five zones, minute by minute: windows follow each other without overlap, what they say is what the
 // clock on the wall says at each minute, and what is left is never more than there is.
-func TestYearOfNights(t *testing.T) {
+func TestWindowsOverAYear(t *testing.T) {
 	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) {
 		rnd := seeds.Rand(seed)
 		for _, where := range []string{"Asia/Seoul", "Asia/Muscat", "Europe/Berlin", "America/New_York", "Australia/Lord_Howe"} { // the last moves by half an hour
-			h := hours(t, where, "mon-thu 22:30-05:15", "fri 23:00-02:00", "sun 01:00-03:00", "sun 02:30-04:00")
+			h := newCalendar(t, where, "mon-thu 22:30-05:15", "fri 23:00-02:00", "sun 01:00-03:00", "sun 02:30-04:00")
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			end, windows, long := now.AddDate(1, 0, 0), 0, 0.0
 			for now.Before(end) {
@@ -124,21 +124,21 @@
 	})
 }
 
-// TestRegionsThatNeverMeet: two regions are quiet together only while both are; of two whose nights don't meet there is no window.
-func TestRegionsThatNeverMeet(t *testing.T) {
-	seoul, berlin := hours(t, "Asia/Seoul", "daily 02:00-09:00"), hours(t, "Europe/Berlin", "daily 00:00-06:00")
-	from := at(t, seoul, "2026-12-02 00:00")
+// TestWindowsOfSeveralRegions: two regions are quiet together only while both are; of two whose nights don't meet there is no window.
+func TestWindowsOfSeveralRegions(t *testing.T) {
+	seoul, berlin := newCalendar(t, "Asia/Seoul", "daily 02:00-09:00"), newCalendar(t, "Europe/Berlin", "daily 00:00-06:00")
+	from := parseTime(t, seoul, "2026-12-02 00:00")
 	w, ok := NextWindow(from, 48*time.Hour, seoul, berlin)
 	if !ok || w.From.UTC().Hour() != 23 || w.To.Sub(w.From) != time.Hour { // 8:00 in Seoul, midnight in Berlin
 		t.Errorf("%v to %v, %v", w.From.UTC(), w.To.UTC(), ok)
 	}
-	if w, ok := NextWindow(from, 30*24*time.Hour, seoul, hours(t, "Europe/Berlin", "daily 01:00-06:00")); ok {
+	if w, ok := NextWindow(from, 30*24*time.Hour, seoul, newCalendar(t, "Europe/Berlin", "daily 01:00-06:00")); ok {
 		t.Errorf("they meet from %v to %v", w.From, w.To)
 	}
 }
 
-// TestSpansAreRead: what is no span, day or time is told with what is wrong.
-func TestSpansAreRead(t *testing.T) {
+// TestParse: what is no span, day or time is told with what is wrong.
+func TestParse(t *testing.T) {
 	for text, want := range map[string]string{"": "no span", "22:00-05:00": "no span", "mon 22-05": "no time", "mon 25:00-05:00": "no time", "mon 24:00-05:00": "no time",
 		"mon 05:00-05:00": "no time", "moon 22:00-05:00": "no days", "mon-someday 22:00-05:00": "no days", "mon 22:60-05:00": "no time", "mon +1:00-05:00": "no time"} {
 		if _, err := ParseSpan(text); err == nil || !strings.Contains(err.Error(), want) {
@@ -150,14 +150,14 @@
 			t.Errorf("%q was taken", text)
 		}
 	}
-	if s, err := ParseSpan("sat-mon 00:00-24:00"); err != nil || s.Days != [7]bool{0: true, 1: true, 6: true} || s.To != dayLong {
+	if s, err := ParseSpan("sat-mon 00:00-24:00"); err != nil || s.Days != [7]bool{0: true, 1: true, 6: true} || s.To != minutesPerDay {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
 
-// TestClocksAgree: the fleet's clock lies where most agree; one that is an hour or a year off moves nothing, also if it is this member's own, and
+// TestFleetOffset: the fleet's clock lies where most agree; one that is an hour or a year off moves nothing, also if it is this member's own, and
 // where no more than half agree there is none.
-func TestClocksAgree(t *testing.T) {
+func TestFleetOffset(t *testing.T) {
 	ms := func(least, most int) OffsetRange {
 		return OffsetRange{time.Duration(least) * time.Millisecond, time.Duration(most) * time.Millisecond}
 	}
