--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,13 +1,15 @@
-// Package fleet decides what a fleet of gateways agrees on: who holds which numbered place, who is cut off, and since when. It is
-// pure: what an engine of membership hears comes in as events with the time, and what is to be told or done comes out. All
-// members go by the same rules, so that from the same facts they reach the same table.
+// Package fleet decides what the members of a gateway fleet agree on: which member holds which numbered slot, and
+// which members are cut off from the majority. It does no I/O: the membership engine passes in events with their
+// time, and gets back the actions to take. All members apply the same rules, so the same facts lead to the same
+// table.
 //
-// A place is a gateway's number in quota sharing. A claim on one carries a term, one more than the highest known of that place;
-// of two claims on a place the higher term wins, of equal terms the name that sorts first. The loser stops at once. Only who
-// hears a majority may make a claim, and it is used only once the table has been quiet for Config.Prove: by then all know of it.
-// A member that comes back finds its place kept, and uses it at once.
+// A slot is a gateway's number in quota sharing. A claim on a slot carries a term, one more than the highest term
+// known for that slot. Of two claims on one slot the higher term wins; with equal terms, the name that sorts first.
+// The loser stops using the slot at once. Only a member that is in contact with a majority may make a claim, and it
+// uses the slot only after Config.ConfirmDelay, by which time all members know of the claim. A member that restarts
+// finds its slot reserved and uses it at once.
 //
-// All times are a [time.Duration] since an origin of the caller's choice; they must never run backwards.
+// All times are a [time.Duration] since an origin of the caller's choice. They must never run backwards.
 package fleet
 
 import (
@@ -17,103 +19,106 @@
 	"time"
 )
 
-// Config is what a member is told at its start.
+// Config is the configuration of a member.
 type Config struct {
-	Self            Member // its claim is of no place
-	Slots           int    // numbered from 0
-	ExpectedMembers int    // members that the fleet is meant to have: a majority is of at least these
-	LastClaim       Claim  // that it used before, by its own disk; None: none
-
-	ClaimDelay           time.Duration // before a claim, with no new member or claim heard: those who start together know each other by then
-	MaxClaimDelay        time.Duration // neither waits longer than this, in a fleet that is never quiet and has some hundred members
-	ConfirmDelay         time.Duration // ... and so long before it is used
-	IsolatedRestoreDelay time.Duration // a member whose disk tells its place takes it up alone after this, where none of the others can have a majority
-	SilenceTimeout       time.Duration // with nothing heard from any member for so long, it is cut off
-	PauseThreshold       time.Duration // between two events: a longer one means that the process or its machine stood still
-	Lease                time.Duration // a place is kept for so long without a majority, if others may have one
-	ReservationPeriod    time.Duration // a place is kept for one that is lost or left for so long; more than Lease and the time to notice a loss
-	ForgetAfter          time.Duration // a lost member counts in majorities for so long
-}
-
-// DefaultConfig are times for a local network: an engine that finds a loss within 10 s.
+	Self            Member // its claim is NoClaim
+	Slots           int    // number of slots, numbered from 0
+	ExpectedMembers int    // intended size of the fleet: a majority is counted of at least this many
+	LastClaim       Claim  // the claim last used, from local disk, or NoClaim
+
+	ClaimDelay           time.Duration // wait without new members or claims before a claim: members that start together know each other by then
+	MaxClaimDelay        time.Duration // limit on that wait in a fleet that keeps changing; grows in large fleets
+	ConfirmDelay         time.Duration // time between a claim and its use
+	IsolatedRestoreDelay time.Duration // wait before a cut-off member uses its restored slot, if the others can't form a majority
+	SilenceTimeout       time.Duration // time without contact with any member after which this one counts as cut off
+	PauseThreshold       time.Duration // interval between two events that means that the process or machine was paused
+	Lease                time.Duration // how long a slot is kept without a majority while the others may have one
+	ReservationPeriod    time.Duration // how long the slot of a lost or departed member is reserved; more than Lease plus failure detection
+	ForgetAfter          time.Duration // how long a lost member counts towards the fleet's size
+}
+
+// DefaultConfig returns settings for a local network with an engine that detects a failure within 10 s.
 func DefaultConfig() Config {
 	return Config{ExpectedMembers: 1, LastClaim: NoClaim, ClaimDelay: time.Second, MaxClaimDelay: 30 * time.Second, IsolatedRestoreDelay: 15 * time.Second, ConfirmDelay: 2 * time.Second, SilenceTimeout: 3 * time.Second, PauseThreshold: 2 * time.Second,
 		Lease: 2 * time.Minute, ReservationPeriod: 3 * time.Minute, ForgetAfter: 10 * time.Minute}
 }
 
-// Validate reports the first value that can't be used.
+// Validate returns an error for the first invalid value.
 func (c *Config) Validate() error {
 	switch {
 	case c.Self.Name == "":
-		return fmt.Errorf("fleet: the member has no name")
+		return fmt.Errorf("fleet: member name is empty")
 	case c.Slots < 1:
-		return fmt.Errorf("fleet: %d places, want 1 or more", c.Slots)
+		return fmt.Errorf("fleet: invalid slot count %d, want 1 or more", c.Slots)
 	case c.ReservationPeriod <= c.Lease:
-		return fmt.Errorf("fleet: a lost place is held for %v, which is not more than the lease of %v", c.ReservationPeriod, c.Lease)
+		return fmt.Errorf("fleet: reservation period %v must be longer than the lease %v", c.ReservationPeriod, c.Lease)
 	}
 	return nil
 }
 
-// Claim is what a member claims of a place.
+// Claim is a member's claim on a slot.
 type Claim struct {
-	Slot int `json:"Place"` // below 0: none
+	Slot int `json:"Place"` // negative: none
 	Term uint64
 }
 
-// NoClaim is no claim.
+// NoClaim is the absence of a claim.
 var NoClaim = Claim{Slot: -1}
 
-// Member is what a member tells of itself.
+// Member is what a member announces about itself.
 type Member struct {
 	Name        string
-	Incarnation uint64 `json:"Life"` // of two processes of one name the higher is the later
-	Addr        string // of the engine
-	Generation  uint64 // of its configuration
-	Version     int    // of what it speaks
+	Incarnation uint64 `json:"Life"` // of two processes with one name, the later one has the higher incarnation
+	Addr        string // address of its membership engine
+	Generation  uint64 // generation of its configuration
+	Version     int    // protocol version
 	Claim       Claim
 }
 
-// State is how a member stands.
+// State is a member's state.
 type State int
 
-// The states.
+// The states of a member.
 const (
 	Alive State = iota
-	Lost        // found dead, or out of reach
-	Left        // it said goodbye
+	Lost        // failed or unreachable
+	Left        // shut down in an orderly way
 )
 
 func (s State) String() string { return [...]string{"alive", "lost", "left"}[s] }
 
-// Event is what a Table is told.
+// Event is an input to a Table.
 type Event interface{ event() }
 
 // The events.
 type (
-	// MemberAlive tells that a member is there, and what it says of itself.
+	// MemberAlive reports that a member is alive, with its latest announcement.
 	MemberAlive struct{ Member Member }
-	// MemberGone tells that a life of a member is lost, or left.
+	// MemberGone reports that an incarnation of a member was lost, or has left.
 	MemberGone struct {
 		Name        string
 		Incarnation uint64
 		Left        bool
 	}
-	// RemoteState is what another member knows and the engine does not tell: who is lost, and how far terms are.
+	// RemoteState is another member's shared state, which the engine itself does not track: lost members and highest
+	// terms.
 	RemoteState struct{ SharedState }
-	// MemberContact tells that any other member was heard.
+	// MemberContact reports that a message of any other member arrived.
 	MemberContact struct{}
-	// SyncDone is the answer to Sync. OK: a member answered with its whole state, which was told before.
+	// SyncDone reports the end of a Sync. OK: at least one member answered; its state was passed in as RemoteState
+	// before.
 	SyncDone struct{ OK bool }
-	// Tick tells that time has passed; one must come well within Config.Gap.
+	// Tick reports that time has passed. Ticks must come well within Config.PauseThreshold.
 	Tick struct{}
-	// ClockJump tells that the wall clock jumped, as it does over a machine's sleep.
+	// ClockJump reports that the wall clock jumped, as it does when the machine was suspended.
 	ClockJump struct{}
-	// ConfigChange tells the generation of the configuration that counts from now on, and the members that it expects; 0: as before.
+	// ConfigChange sets the generation of the configuration and the expected number of members; 0 leaves that number
+	// unchanged.
 	ConfigChange struct {
 		Generation      uint64
 		ExpectedMembers int
 	}
-	// Leave tells that the member ends. Its place is kept for it.
+	// Leave reports that this member is shutting down. Its slot stays reserved.
 	Leave struct{}
 )
 
@@ -127,20 +132,20 @@
 func (ConfigChange) event()  {}
 func (Leave) event()         {}
 
-// Action is what is to be done.
+// Action is an output of a Table, to be carried out by the caller.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Announce is what all members are to be told of this one.
+	// Announce publishes this member's current announcement to the fleet.
 	Announce struct{ Self Member }
-	// Sync asks for an exchange of the whole state with a few members, and with the seeds too unless Few; Synced is owed.
+	// Sync exchanges full state with a few members, and with the seeds unless SkipSeeds is set. SyncDone must follow.
 	Sync struct{ SkipSeeds bool }
-	// AssignmentChange tells how this member stands, whenever that changes.
+	// AssignmentChange reports this member's new assignment.
 	AssignmentChange struct{ Assignment }
-	// Superseded ends this member: a later process has its name.
+	// Superseded ends this member: a later process runs under its name.
 	Superseded struct{ By Member }
-	// LogMessage is for the log.
+	// LogMessage is a line for the log.
 	LogMessage struct{ Text string }
 )
 
@@ -150,21 +155,21 @@
 func (Superseded) action()       {}
 func (LogMessage) action()       {}
 
-// SharedState is what a member passes on to another with its whole state: without it one that joins a part of a fleet would take it for
-// the whole, and a place for a fresh one.
+// SharedState is what a member includes when it exchanges full state with another. Without it, a member that joins
+// one part of a partitioned fleet would take that part for the whole fleet, and a reserved slot for an unused one.
 type SharedState struct {
 	Absent []AbsentMember
-	Terms  []uint64 // by place
+	Terms  []uint64 // highest known, by slot
 }
 
-// AbsentMember is a member that was lost, or left, so long ago.
+// AbsentMember is a member that was lost, or left, some time ago.
 type AbsentMember struct {
 	Member Member
 	State  State
 	Ago    time.Duration
 }
 
-// SharedState is what this member passes on.
+// SharedState returns what this member passes on to others.
 func (t *Table) SharedState() SharedState {
 	p := SharedState{Terms: slices.Clone(t.terms)}
 	for _, r := range t.absent {
@@ -174,19 +179,19 @@
 	return p
 }
 
-// Assignment is what a gateway may do.
+// Assignment is what a gateway may do in its fleet.
 type Assignment struct {
-	Slot     int      `json:"Place"` // below 0: it may let nothing in
-	Term     uint64   // of the place
-	Isolated bool     `json:"Alone"` // cut off: it keeps to its even part
-	Holders  []Holder // by place
+	Slot     int      `json:"Place"` // negative: it may admit no requests
+	Term     uint64   // of the slot
+	Isolated bool     `json:"Alone"` // cut off: it is limited to its even share of each quota
+	Holders  []Holder // by slot
 }
 
-// Holder is whose a place is.
+// Holder is the holder of a slot.
 type Holder struct {
-	Name        string // "": it is vacant
+	Name        string // empty: the slot is vacant
 	Incarnation uint64 `json:"Life"`
-	State       State  // Lost and Left: it is kept
+	State       State  // Lost and Left: the slot is reserved
 }
 
 func (s *Assignment) equal(o *Assignment) bool {
@@ -194,57 +199,57 @@
 }
 
 const (
-	lostShareForSync     = 4   // where one in so many is lost, others are asked what they know
-	membersPerClaimDelay = 400 // members, for whom Config.Patient is: twice as many wait twice as long
-	doubtPeriods         = 3   // times Config.Silence, in which they are asked once: so long hearsay counts
+	lostShareForSync     = 4   // if at least one in this many members is lost, sync with others
+	membersPerClaimDelay = 400 // members per Config.MaxClaimDelay: the limit is doubled at twice this number, and so on
+	doubtPeriods         = 3   // Config.SilenceTimeout periods for which a report of a loss counts; a sync takes place in each
 )
 
-// memberRecord is what is known of a name.
+// memberRecord is what is known of a member.
 type memberRecord struct {
 	Member
 	state     State
-	since     time.Duration // of the state
-	lastSeen  time.Duration // when it was last told of
-	doubtedAt time.Duration // when another member told that it is lost, though it is not known here; 0: never
+	since     time.Duration // time of the last state change
+	lastSeen  time.Duration // time of the last announcement
+	doubtedAt time.Duration // time when another member reported it lost while it is alive here; 0: never
 }
 
-// Table is one member's view of the fleet. Make it with New.
+// Table is one member's view of the fleet. Use New to create one.
 type Table struct {
 	cfg         Config
 	self        Member
 	now         time.Duration
 	initialized bool
 	actions     []Action
-	members     map[string]*memberRecord // but for this one
-	absent      map[string]*memberRecord // those of them that are not alive
-	doubted     map[string]*memberRecord // those that may not be
-	terms       []uint64                 // the highest known, by place
-
-	synced             bool          // the whole state of another member is known, or there is none
-	claimAfter         time.Duration // a claim may be made from then on
-	waitingSince       time.Duration // since when it waits for a place
-	slotInUse          bool          // the claim is used
-	restored           bool          // it is the former life's
+	members     map[string]*memberRecord // other members, by name
+	absent      map[string]*memberRecord // the members that are not alive
+	doubted     map[string]*memberRecord // the members that are alive here and were reported lost by others
+	terms       []uint64                 // highest known, by slot
+
+	synced             bool          // the first sync is done, whether or not a member answered
+	claimAfter         time.Duration // earliest time of a claim, or of the use of one
+	waitingSince       time.Duration // since when this member has been waiting to claim or to use a slot
+	slotInUse          bool          // the claim is in use
+	restored           bool          // the claim is that of this member's previous incarnation
 	lastContact        time.Duration
-	lastMajority       time.Duration // when there was one
+	lastMajority       time.Duration // time when there last was one
 	isolated           bool
-	othersLackMajority bool // those that are not here can't have a majority
+	othersLackMajority bool // the members out of reach can't form a majority either
 	startedAt          time.Duration
-	resuming           bool          // it stood still, and has not heard how things are since
-	syncing            bool          // Sync is out
-	syncStale          bool          // it was out before the process stood still
-	nextSync           time.Duration // while it is cut off or many are lost, others are asked again then
-	nextPeerSync       time.Duration // while it waits for a place, a few are asked again then
+	resuming           bool          // the process was paused, and no sync was done since
+	syncing            bool          // a Sync is in progress
+	syncStale          bool          // the Sync in progress was started before the pause
+	nextSync           time.Duration // time of the next full sync while cut off or while many are lost
+	nextPeerSync       time.Duration // time of the next sync without seeds while waiting for a slot
 	leaving            bool
 	superseded         bool
-	noFreeSlot         bool  // there was no free place when it looked last
-	lastClaim          Claim // that was used
+	noFreeSlot         bool  // there was no free slot at the last attempt
+	lastClaim          Claim // the last one in use
 	reported           Assignment
-	holderCache        []Holder // of all places; shared with what was told, so never written
-	holdersStale       bool     // since held was found
+	holderCache        []Holder // by slot; shared with reported assignments, so never modified
+	holdersStale       bool     // holderCache is out of date
 }
 
-// New makes the table of a member that has heard of no other.
+// New creates the table of a member that knows no other member yet.
 func New(cfg Config) (*Table, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -260,7 +265,7 @@
 
 func (t *Table) logf(format string, args ...any) { t.emit(LogMessage{fmt.Sprintf(format, args...)}) }
 
-// Handle takes an event at a time and returns what is to be done, in order.
+// Handle processes an event that occurred at a time, and returns the actions to take, in order.
 func (t *Table) Handle(now time.Duration, e Event) []Action {
 	t.actions = nil
 	before := t.now
@@ -274,7 +279,7 @@
 	}
 	paused := t.now-before > t.cfg.PauseThreshold && before > 0
 	if paused {
-		t.resume(fmt.Sprintf("nothing happened here for %v", t.now-before))
+		t.resume(fmt.Sprintf("no events for %v", t.now-before))
 	}
 	if (t.apply(e) || paused) && !t.superseded {
 		t.checkMajority()
@@ -284,8 +289,8 @@
 	return t.actions
 }
 
-// apply notes an event. It reports whether what follows from it must be found at once: all else waits for the next Tick, so that
-// a thousand members that join cost one look at the table.
+// apply records an event. It reports whether the consequences must be evaluated at once; all others wait for the next
+// Tick, so that a thousand joining members cost one evaluation.
 func (t *Table) apply(e Event) (urgent bool) {
 	switch e := e.(type) {
 	case MemberAlive:
@@ -302,7 +307,7 @@
 		return false
 	case SyncDone:
 		t.syncing, t.nextSync, t.nextPeerSync = false, t.now+t.cfg.SilenceTimeout, t.now+t.cfg.ClaimDelay
-		if t.syncStale { // what was asked before a standstill says nothing of now
+		if t.syncStale { // the answers may be from before the pause
 			t.syncStale = false
 			t.requestSync()
 			return true
@@ -330,7 +335,7 @@
 	return true
 }
 
-// mergeState takes what another member knew of who is lost. What this one knows itself counts more.
+// mergeState merges another member's state. What this member knows first-hand takes precedence.
 func (t *Table) mergeState(p SharedState) {
 	for slot, term := range p.Terms {
 		t.learnTerm(Claim{slot, term})
@@ -346,7 +351,8 @@
 	}
 }
 
-// resume takes that this member stood still: what it knows may be over, so it does nothing until it has heard how things are.
+// resume handles a pause of this process: its knowledge may be outdated, so it does not use its slot until the next
+// sync.
 func (t *Table) resume(why string) {
 	t.logf("%s: standing aside until the fleet is heard", why)
 	t.resuming, t.syncStale = true, t.syncing
@@ -362,8 +368,9 @@
 	}
 }
 
-// mergeAbsence takes that another member takes one for gone. It is no proof, but when it comes to who is cut off it counts for a while:
-// of many that go at once the engine's own word comes late.
+// mergeAbsence records that another member considers one as gone. That alone does not make it lost here, but it
+// counts for a while in the decision on who is cut off: if many members fail at once, the engine detects the failures
+// late.
 func (t *Table) mergeAbsence(a AbsentMember) {
 	r := t.members[a.Member.Name]
 	switch {
@@ -378,7 +385,7 @@
 
 func (t *Table) memberAlive(m Member) {
 	if m.Name == t.self.Name {
-		if m.Incarnation < t.self.Incarnation { // a former life's word: its claim tells what is kept for this one
+		if m.Incarnation < t.self.Incarnation { // a previous incarnation, whose claim is reserved for this one
 			t.restoreClaim(m.Claim)
 		} else if m.Incarnation > t.self.Incarnation {
 			t.superseded, t.slotInUse = true, false
@@ -390,7 +397,7 @@
 	}
 	r := t.members[m.Name]
 	if r != nil && r.state == Alive && m.Incarnation < r.Incarnation {
-		return // a former life of it
+		return // a previous incarnation
 	}
 	if r == nil || r.state != Alive || r.Claim != m.Claim || r.Incarnation != m.Incarnation {
 		t.holdersStale = true
@@ -409,17 +416,18 @@
 	t.lastContact = t.now
 }
 
-// postponeClaim puts a claim off, as the table is still changing.
+// postponeClaim delays a claim because the table is still changing.
 func (t *Table) postponeClaim() {
 	t.claimAfter = max(t.claimAfter, min(t.now+t.cfg.ClaimDelay, t.waitingSince+t.maxClaimDelay()))
 }
 
-// maxClaimDelay is how long a member waits for a quiet table: longer among many, as what each says takes longer to reach all.
+// maxClaimDelay returns the limit on the wait for a stable table. It grows with the fleet, as announcements take
+// longer to reach all members.
 func (t *Table) maxClaimDelay() time.Duration {
 	return t.cfg.MaxClaimDelay * time.Duration(max(1, (1+len(t.members))/membersPerClaimDelay))
 }
 
-// learnTerm keeps the highest term of a place, whoever tells it.
+// learnTerm records the highest term of a slot from any source.
 func (t *Table) learnTerm(c Claim) {
 	if c.Slot >= 0 && c.Slot < len(t.terms) && c.Term > t.terms[c.Slot] {
 		t.terms[c.Slot], t.holdersStale = c.Term, true
@@ -437,7 +445,8 @@
 	}
 }
 
-// checkMajority finds out whether there is a majority, and drops who is long gone.
+// checkMajority determines whether this member is in contact with a majority, and removes members that are to be
+// forgotten.
 func (t *Table) checkMajority() {
 	alive := 1 + len(t.members) - len(t.absent)
 	known := alive
@@ -463,16 +472,17 @@
 	wasIsolated := t.isolated
 	t.isolated = 2*alive <= known || silent
 	if t.isolated != wasIsolated {
-		t.logf("cut off: %v; %d of %d members are there, the last was heard %v ago", t.isolated, alive, known, t.now-t.lastContact)
+		t.logf("cut off: %v; %d of %d members are alive, last contact %v ago", t.isolated, alive, known, t.now-t.lastContact)
 	}
 	switch {
 	case t.now >= t.nextSync && (t.isolated || lostShareForSync*lost >= known):
 		t.requestSync()
 	case t.now >= t.nextPeerSync && t.synced && !t.slotInUse && !t.isolated && !t.leaving:
-		// Of many that join at once the engine passes on what each says too slowly; whole states, from one to one, double what all know.
+		// When many members join at once, gossip spreads their announcements too slowly. Exchanges of full state
+		// between pairs of members double what each knows.
 		t.startSync(Sync{SkipSeeds: true})
 	}
-	// Where the others can't have a majority either, nobody is given this place.
+	// If the others can't form a majority either, this member's slot can't be given to another.
 	others := known - alive
 	if silent {
 		others = known - 1
@@ -483,7 +493,7 @@
 	}
 }
 
-// setClaim changes what this member claims, and tells it.
+// setClaim changes this member's claim and announces it.
 func (t *Table) setClaim(c Claim) {
 	if t.self.Claim == c {
 		return
@@ -493,21 +503,21 @@
 	t.emit(Announce{t.self})
 }
 
-// updateClaim keeps, gives up or claims a updateClaim.
+// updateClaim keeps, gives up or makes a claim.
 func (t *Table) updateClaim() {
 	c, holders := t.self.Claim, t.slotHolders()
 	switch {
 	case t.leaving:
 	case c.Slot >= 0 && holders[c.Slot].Name != t.self.Name:
-		t.logf("place %d is held by %q in a later term", c.Slot, holders[c.Slot].Name)
+		t.logf("claim on slot %d is void; its holder is now %q", c.Slot, holders[c.Slot].Name)
 		t.dropClaim()
 	case c.Slot >= 0 && t.now-t.lastMajority >= t.cfg.Lease:
-		t.logf("place %d is given up: the lease ran out without a majority", c.Slot)
+		t.logf("slot %d is given up: the lease expired without a majority", c.Slot)
 		t.dropClaim()
 	case t.slotInUse || !t.synced || t.resuming:
 	case t.isolated:
 		if t.restored && c.Slot >= 0 && t.othersLackMajority && t.now-t.startedAt >= t.cfg.IsolatedRestoreDelay {
-			t.logf("place %d is taken up alone: no others can have a majority", c.Slot)
+			t.logf("slot %d is taken up alone: no others can have a majority", c.Slot)
 			t.slotInUse, t.lastClaim = true, c
 		}
 	case c.Slot >= 0 && (t.restored || t.now >= t.claimAfter):
@@ -520,8 +530,8 @@
 	}
 }
 
-// restoreClaim takes the claim of this member's former life as its own. It may be used at once: whoever claims the place meanwhile waits,
-// and is heard by then.
+// restoreClaim takes over the claim of this member's previous incarnation. It may be used at once: a member that
+// claims the same slot meanwhile waits for Config.ConfirmDelay, and its claim is known here by then.
 func (t *Table) restoreClaim(c Claim) {
 	if c.Slot < 0 || c.Slot >= t.cfg.Slots || t.self.Claim.Slot >= 0 || t.leaving {
 		return
@@ -535,7 +545,7 @@
 	t.setClaim(NoClaim)
 }
 
-// slotHolders are the winners of all places.
+// slotHolders returns the holders of all slots: the winners of the claims.
 func (t *Table) slotHolders() []Holder {
 	if !t.holdersStale {
 		return t.holderCache
@@ -561,8 +571,9 @@
 	return holders
 }
 
-// chooseSlot finds a place to claim: the one that it had, if that is free, or else of the free ones, the least used first, the one
-// that is its own among all who have none: members that know the same chooseSlot different ones.
+// chooseSlot selects a slot to claim: the last one used, if it is free, else one of the free slots in the order of
+// their terms, lowest first. The position in that order is this member's rank among the members without a slot, so
+// that members with the same knowledge choose different slots.
 func (t *Table) chooseSlot(holders []Holder) (slot int, ok bool) {
 	var free []int
 	for p, h := range holders {
@@ -573,7 +584,7 @@
 	if slices.Contains(free, t.lastClaim.Slot) {
 		return t.lastClaim.Slot, true
 	}
-	rank, waiting := 0, 1 // how many sort before this one of those that wait for a place; how many wait
+	rank, waiting := 0, 1 // members without a slot that sort before this one; all members without a slot
 	for _, r := range t.members {
 		if c := r.Claim; r.state == Alive && (c.Slot < 0 || c.Slot >= len(holders) || holders[c.Slot].Name != r.Name) {
 			waiting++
@@ -586,7 +597,7 @@
 	if rank >= len(free) {
 		t.claimAfter = t.now + t.cfg.ConfirmDelay
 		if !t.noFreeSlot {
-			t.logf("there is no free place: %d places, waiting members: %d", t.cfg.Slots, waiting)
+			t.logf("no free slot: %d slots, %d waiting members", t.cfg.Slots, waiting)
 		}
 		t.noFreeSlot = true
 		return 0, false
@@ -595,7 +606,7 @@
 	return free[rank], true
 }
 
-// reportAssignment tells how this member stands, if that has changed.
+// reportAssignment reports this member's assignment if it has changed.
 func (t *Table) reportAssignment() {
 	s := Assignment{Slot: -1, Isolated: t.isolated, Holders: t.slotHolders()}
 	if t.slotInUse && !t.resuming {
@@ -611,12 +622,12 @@
 type MemberStatus struct {
 	Member
 	State       State
-	Since       time.Duration // of the state
-	LastContact time.Duration `json:"Heard"` // when it was last told of
+	Since       time.Duration // time of the last state change
+	LastContact time.Duration `json:"Heard"` // time of its last announcement
 	Self        bool
 }
 
-// Members are all members, by name.
+// Members returns all members, sorted by name.
 func (t *Table) Members() (all []MemberStatus) {
 	all = append(all, MemberStatus{Member: t.self, LastContact: t.now, Self: true})
 	for _, r := range t.members {
@@ -626,7 +637,7 @@
 	return all
 }
 
-// MemberState is how a member stands; false: it is not known.
+// MemberState returns the state of a member, and false if it is unknown.
 func (t *Table) MemberState(name string) (s State, known bool) {
 	r := t.members[name]
 	if r == nil {
@@ -635,5 +646,5 @@
 	return r.state, true
 }
 
-// Assignment is how this member stands.
+// Assignment returns this member's current assignment.
 func (t *Table) Assignment() Assignment { return t.reported }
--- a/internal/fleet/script_test.go
+++ b/internal/fleet/script_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-var rewrite = flag.Bool("rewrite", false, "write what comes out into the scripts, to be read before it is committed")
+var rewrite = flag.Bool("rewrite", false, "write the actual output into the scripts; review it before committing")
 
-// TestScripts plays every script of testdata: each line that begins with '>' is an event, and the lines behind it are exactly what
-// must come out.
+// TestScripts runs every script in testdata. Each line that begins with '>' is an event, and the indented lines that
+// follow it are exactly the expected actions.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("there are no scripts", err)
+		t.Fatal("no scripts found", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// runScript returns a script with what came out of its events in place of what should.
+// runScript returns a script with the actual actions in place of the expected ones.
 func runScript(t *testing.T, text string) string {
 	t.Helper()
 	cfg := DefaultConfig()
@@ -79,21 +79,21 @@
 		d, _ := time.ParseDuration(value)
 		n, _ := strconv.Atoi(value)
 		switch name {
-		case "places":
+		case "slots":
 			cfg.Slots = n
-		case "expect":
+		case "expected":
 			cfg.ExpectedMembers = n
 		case "last":
 			cfg.LastClaim = parseClaim(t, value)
-		case "gap":
+		case "pause":
 			cfg.PauseThreshold = d
 		case "lease":
 			cfg.Lease = d
-		case "hold":
+		case "reserve":
 			cfg.ReservationPeriod = d
 		case "forget":
 			cfg.ForgetAfter = d
-		case "return":
+		case "restore":
 			cfg.IsolatedRestoreDelay = d
 		default:
 			t.Fatalf("unknown setting %q", w)
@@ -101,7 +101,7 @@
 	}
 }
 
-// parseClaim reads "2/7": place 2, term 7; "-": none.
+// parseClaim parses "2/7", slot 2 in term 7, or "-", no claim.
 func parseClaim(t *testing.T, s string) Claim {
 	if s == "-" {
 		return NoClaim
@@ -113,7 +113,7 @@
 	return c
 }
 
-// parseEvent reads such as "seen a.3 0/1": life 3 of member a claims place 0 in term 1.
+// parseEvent parses an event such as "alive a.3 0/1": incarnation 3 of member a claims slot 0 in term 1.
 func parseEvent(t *testing.T, words []string) Event {
 	member := func(w, claim string) Member {
 		name, life, _ := strings.Cut(w, ".")
@@ -126,26 +126,26 @@
 	switch words[0] {
 	case "tick":
 		return Tick{}
-	case "expect": // "expect 2": by hand, with another generation of the configuration
+	case "expected": // "expected 2": a change of the settings, with a new generation
 		n, err := strconv.Atoi(words[1])
 		if err != nil {
 			t.Fatal(err)
 		}
 		return ConfigChange{Generation: 1, ExpectedMembers: n}
-	case "heard":
+	case "contact":
 		return MemberContact{}
-	case "synced":
+	case "sync-done":
 		return SyncDone{OK: words[1] == "yes"}
-	case "jumped":
+	case "clock-jump":
 		return ClockJump{}
 	case "leave":
 		return Leave{}
-	case "seen":
+	case "alive":
 		return MemberAlive{member(words[1], words[2])}
 	case "lost", "left":
 		m := member(words[1], "-")
 		return MemberGone{m.Name, m.Incarnation, words[0] == "left"}
-	case "told": // "told lost a.3 0/1 5s": another member says so
+	case "remote": // "remote lost a.3 0/1 5s": as reported by another member
 		state := Lost
 		if words[1] == "left" {
 			state = Left
@@ -155,7 +155,7 @@
 			t.Fatal(err)
 		}
 		return RemoteState{SharedState{Absent: []AbsentMember{{member(words[2], words[3]), state, ago}}}}
-	case "terms":
+	case "remote-terms":
 		var p SharedState
 		for _, w := range words[1:] {
 			n, err := strconv.ParseUint(w, 10, 64)
@@ -182,13 +182,13 @@
 		return fmt.Sprintf("announce %s", claim(a.Self.Claim))
 	case Sync:
 		if a.SkipSeeds {
-			return "sync few"
+			return "sync without seeds"
 		}
 		return "sync"
 	case Superseded:
-		return fmt.Sprintf("yield to life %d", a.By.Incarnation)
+		return fmt.Sprintf("superseded by incarnation %d", a.By.Incarnation)
 	case LogMessage:
-		return "note " + a.Text
+		return "log " + a.Text
 	case AssignmentChange:
 		var names []string
 		for _, h := range a.Holders {
@@ -201,7 +201,7 @@
 				names = append(names, h.Name+":"+h.State.String())
 			}
 		}
-		return fmt.Sprintf("stand %s alone=%v [%s]", claim(Claim{a.Slot, a.Term}), a.Isolated, strings.Join(names, " "))
+		return fmt.Sprintf("assignment %s isolated=%v [%s]", claim(Claim{a.Slot, a.Term}), a.Isolated, strings.Join(names, " "))
 	}
 	return fmt.Sprintf("%T", a)
 }
