--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// This file is a member's part as one that owns duties, or would.
+// This file implements the part of the protocol that a duty's owner and its candidates run.
 
 func (t *Table) receive(from int, m Message) {
 	switch m.Kind {
@@ -44,7 +44,7 @@
 	if 2*len(b.roundGrants) <= len(b.voters) {
 		return
 	}
-	// It counts from when it asked: a voter's lease began later.
+	// The lease counts from when the requests were sent: the voters' leases began later.
 	if until := b.requestedAt + t.cfg.ownerLease(); until > t.now {
 		b.leaseEnd, b.awaiting, b.nextRequest = until, false, b.requestedAt+t.cfg.RenewInterval
 		if !b.isOwner {
@@ -63,7 +63,7 @@
 		if b.awaiting && t.now >= b.requestedAt+t.cfg.AnswerTimeout {
 			b.awaiting = false
 			if !b.isOwner {
-				t.releaseGrants(d, b) // it fell short
+				t.releaseGrants(d, b) // it did not get a majority
 				b.nextRequest = t.now + t.cfg.AnswerTimeout + b.delay
 			}
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-// sendRequests asks all voters.
+// sendRequests asks all voters for a lease.
 func (t *Table) sendRequests(d string, b *candidacy) {
 	t.lastRound++
 	b.round, b.requestedAt, b.awaiting, b.roundGrants = t.lastRound, t.now, true, nil
@@ -88,7 +88,7 @@
 	}
 }
 
-// releaseGrants has those that granted the number grant another one at once.
+// releaseGrants tells the voters that granted the current number that they may grant another one at once.
 func (t *Table) releaseGrants(d string, b *candidacy) {
 	for _, p := range b.grantedBy {
 		t.emit(Send{p, Message{Kind: Release, Duty: d, Number: b.number, Owner: t.identity}})
@@ -96,7 +96,8 @@
 	b.grantedBy = nil
 }
 
-// endOwnership ends an ownership. Answers to its renewal that come later count no more: the next one has a number of its own.
+// endOwnership ends an ownership. Late answers to its renewal are ignored, as the next ownership has a number of its
+// own.
 func (t *Table) endOwnership(d string, b *candidacy) {
 	if b.isOwner {
 		b.isOwner, b.awaiting, b.leaseEnd = false, false, 0
@@ -104,7 +105,7 @@
 	}
 }
 
-// resign ends an ownership before its time. It may not be taken up here for a lease.
+// resign ends an ownership early. This member does not request the duty again for the time of a lease.
 func (t *Table) resign(d string, b *candidacy) {
 	b.awaiting = false
 	t.endOwnership(d, b)
@@ -112,8 +113,9 @@
 	b.resignedUntil = t.now + t.cfg.Lease
 }
 
-// updateOrder finds who proposes itself for which duty, and how much later than the first: a few of each duty's updateOrder, as the others would only ask
-// in vain. When these are gone the members that are alive are others.
+// updateOrder determines for which duties this member is a candidate, and with which delay. Only the first few
+// members in a duty's order are candidates, as requests of more would only be denied. If those fail, others move up,
+// as the order is that of the members that are alive.
 func (t *Table) updateOrder() {
 	t.proposerRank = slices.Index(CandidateOrder(electorateDuty, t.alive), t.cfg.Self)
 	for _, d := range t.cfg.Duties {
@@ -122,10 +124,10 @@
 	}
 }
 
-const maxCandidates = 3 // of a duty
+const maxCandidates = 3 // per duty
 
-// CandidateOrder is in which order members propose themselves for a duty: by rendezvous hashing, so that duties are spread over all and the death of a
-// member moves its own alone.
+// CandidateOrder returns the order in which members request a duty. It uses rendezvous hashing: duties are spread
+// over all members, and the failure of one moves only its own duties.
 func CandidateOrder(duty string, members []string) []string {
 	score := map[string]uint64{}
 	for _, m := range members {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,11 +1,14 @@
-// Package owner decides who does a piece of work on behalf of a fleet: one member at a time, under a number that only rises. It is
-// pure: messages, the fleet's places and time come in as values, messages and ownerships come out. docs/design/owner.md states what
-// holds, and under which assumptions.
+// Package election elects the owner of each duty, a piece of work that one member does for the whole fleet. A duty
+// has at most one owner at a time, under a fencing number that only rises. The package does no I/O: messages, the
+// fleet's slots and the time are passed in, and messages to send and changes of ownership are returned.
+// docs/design/owner.md states the guarantees and the assumptions behind them.
 //
-// A few members, at first those in the lowest places, are voters; one that is gone is replaced (voters.go). Each grants a duty to one member at a time, for a lease by its own clock; who
-// has a majority of all voters owns it for a little less, counted from when it asked. So no two own it at a time, whatever is lost,
-// late or doubled, as long as clocks run about alike and a voter that forgot what it granted abstains until it is over (PaxosLease,
-// Trencseni and Gazso, 2012).
+// A few members are voters, at first those in the lowest slots; a voter that is gone is replaced (electorate.go). A
+// voter grants a duty to one member at a time, for a lease on its own clock. A member with grants from a majority of
+// all voters owns the duty for slightly less than the lease, counted from when it sent its requests. So two members
+// never own a duty at the same time, even if messages are lost, delayed or duplicated, as long as clock drift is
+// bounded and a voter that has lost its memory abstains until all leases that it may have granted are over
+// (PaxosLease, Trencseni and Gazso, 2012).
 //
 // Times are a [time.Duration] on the member's own monotonic clock.
 package election
@@ -16,115 +19,116 @@
 	"time"
 )
 
-// Config is what a member goes by. All members have the same but for Self and Life.
+// Config is the configuration of a member. All members have the same one except for Self and Incarnation.
 type Config struct {
-	Self           string // its name
-	Incarnation    uint64 // of its process: what a former one was granted is not this one's
+	Self           string // name of this member
+	Incarnation    uint64 // of this process: grants to a previous incarnation are not valid for this one
 	Duties         []string
-	InitialVoters  int // at first those in the places below this
+	InitialVoters  int // number of voters, at first the members in the slots below this number
 	Lease          time.Duration
-	ClockDrift     float64       // by which clocks run faster or slower than another, as a share
-	RenewInterval  time.Duration // an owner asks again so often; well under Lease
-	AnswerTimeout  time.Duration // a question is waited for so long
-	CandidateDelay time.Duration // the next one in a duty's order proposes so much later
+	ClockDrift     float64       // largest difference between the rates of two clocks, as a fraction
+	RenewInterval  time.Duration // time between an owner's renewals; well below Lease
+	AnswerTimeout  time.Duration // time to wait for the voters' answers
+	CandidateDelay time.Duration // extra delay per rank in a duty's candidate order before a member requests the duty
 }
 
-// DefaultConfig are times for a local network.
+// DefaultConfig returns settings for a local network.
 func DefaultConfig() Config {
 	return Config{InitialVoters: 5, Lease: 6 * time.Second, ClockDrift: 0.1, RenewInterval: 1500 * time.Millisecond, AnswerTimeout: 500 * time.Millisecond, CandidateDelay: time.Second}
 }
 
-// Validate reports the first value that can't be used.
+// Validate returns an error for the first invalid value.
 func (c *Config) Validate() error {
 	switch {
 	case c.Self == "":
-		return fmt.Errorf("owner: the member has no name")
+		return fmt.Errorf("election: member name is empty")
 	case len(c.Duties) > maxDuties:
-		return fmt.Errorf("owner: %d duties, of which messages have room for %d", len(c.Duties), maxDuties)
+		return fmt.Errorf("election: %d duties, but messages have room for only %d", len(c.Duties), maxDuties)
 	case c.InitialVoters < 1:
-		return fmt.Errorf("owner: %d voters, want 1 or more", c.InitialVoters)
+		return fmt.Errorf("election: invalid number of voters %d, want 1 or more", c.InitialVoters)
 	case c.ClockDrift < 0 || c.ClockDrift >= 0.5:
-		return fmt.Errorf("owner: clocks that differ by a share of %v", c.ClockDrift)
+		return fmt.Errorf("election: invalid clock drift %v, want at least 0 and less than 0.5", c.ClockDrift)
 	case c.RenewInterval <= 0 || c.AnswerTimeout <= 0 || c.RenewInterval+c.AnswerTimeout >= c.ownerLease():
-		return fmt.Errorf("owner: a lease of %v can't be renewed each %v with answers within %v", c.Lease, c.RenewInterval, c.AnswerTimeout)
+		return fmt.Errorf("election: a lease of %v is too short for renewals every %v with an answer timeout of %v", c.Lease, c.RenewInterval, c.AnswerTimeout)
 	}
 	return nil
 }
 
-const maxDuties = 10 // an electorate with their numbers is one message
+const maxDuties = 10 // limited by the size of a message, which carries one grant record per duty
 
-// ownerLease is for how long an owner has a lease, from when it asked.
+// ownerLease returns how long an owner may rely on its lease, from when it sent its requests.
 func (c *Config) ownerLease() time.Duration {
 	return time.Duration(float64(c.Lease) * (1 - c.ClockDrift))
 }
 
-// abstainPeriod is for how long a voter that may have forgotten what it granted grants nothing.
+// abstainPeriod returns how long a voter that may have forgotten its grants must not grant anything.
 func (c *Config) abstainPeriod() time.Duration {
 	return time.Duration(float64(c.Lease) * (1 + c.ClockDrift))
 }
 
-// Kind is what a message is.
+// Kind is the type of a message.
 type Kind byte
 
-// The kinds.
+// The types of messages.
 const (
-	Request Kind = 'a' // for a lease, or for its renewal
+	Request Kind = 'a' // asks for a lease, or for its renewal
 	Grant   Kind = 'g'
-	Deny    Kind = 'd' // with what the voter knows
-	Release Kind = 'f' // lets go of what was granted
-
-	// On who votes.
-	ReadElectorate  Kind = 'r' // asks what holds
-	ElectorateState Kind = 's' // tells it, and what was accepted to hold next
-	Prepare         Kind = 'p' // asks for a promise to take no lower ballot
-	Promise         Kind = 'q' // with the ballot that is promised, and what was accepted
-	Accept          Kind = 'c' // asks to take the next epoch's seats
-	Accepted        Kind = 'y' // with what was granted so far, if it votes
+	Deny    Kind = 'd' // refuses a request, with the highest number and the holder that the voter knows
+	Release Kind = 'f' // releases a grant
+
+	// Messages about the electorate.
+	ReadElectorate  Kind = 'r' // asks for the receiver's electorate
+	ElectorateState Kind = 's' // the sender's electorate, and its accepted proposal for the next one
+	Prepare         Kind = 'p' // asks for a promise to accept no lower ballot
+	Promise         Kind = 'q' // the highest ballot promised, and the accepted proposal
+	Accept          Kind = 'c' // asks to accept the voters of the next epoch
+	Accepted        Kind = 'y' // confirms an Accept; from a voter, with its grants so far
 )
 
-// Message is what members say to each other.
+// Message is a message between members.
 type Message struct {
 	Kind      Kind          `cbor:"1,keyasint"`
 	Duty      string        `cbor:"2,keyasint,omitempty"`
-	Number    uint64        `cbor:"3,keyasint,omitempty"` // of the ownership that is asked for; of a Deny: the highest that the voter granted; of a Promise or Accepted: the ballot
-	Owner     string        `cbor:"4,keyasint,omitempty"` // that asks, by name and life; of a Deny: the holder, "" if there is none
-	Round     uint64        `cbor:"5,keyasint,omitempty"` // names the question, so that a late answer to a former one is told
-	LeaseLeft time.Duration `cbor:"6,keyasint,omitempty"` // of a Deny: of the holder's lease
-
-	Epoch       uint64        `cbor:"7,keyasint,omitempty"`  // of the electorate that the sender knows
-	Voters      []int         `cbor:"8,keyasint,omitempty"`  // of a State: who votes in it
-	Granted     []GrantRecord `cbor:"9,keyasint,omitempty"`  // of a State and Accepted: the highest numbers
-	Ballot      uint64        `cbor:"10,keyasint,omitempty"` // that is proposed, or was accepted
-	NextVoters  []int         `cbor:"11,keyasint,omitempty"` // the next epoch's seats
-	VacantSlots []int         `cbor:"12,keyasint,omitempty"` // seats that the fleet has given up
+	Number    uint64        `cbor:"3,keyasint,omitempty"` // fencing number; of a Deny: the highest granted; of a Promise or Accepted: the ballot
+	Owner     string        `cbor:"4,keyasint,omitempty"` // Identity of the requesting member; of a Deny: of the lease holder, or empty
+	Round     uint64        `cbor:"5,keyasint,omitempty"` // identifies the request: late answers to earlier ones are ignored
+	LeaseLeft time.Duration `cbor:"6,keyasint,omitempty"` // of a Deny: remaining time of the holder's lease
+
+	Epoch       uint64        `cbor:"7,keyasint,omitempty"`  // of the sender's electorate
+	Voters      []int         `cbor:"8,keyasint,omitempty"`  // of an ElectorateState: slots of the voters
+	Granted     []GrantRecord `cbor:"9,keyasint,omitempty"`  // of an ElectorateState or Accepted: the highest numbers granted, by duty
+	Ballot      uint64        `cbor:"10,keyasint,omitempty"` // ballot of the proposal, or of the accepted one
+	NextVoters  []int         `cbor:"11,keyasint,omitempty"` // slots of the voters of the next epoch
+	VacantSlots []int         `cbor:"12,keyasint,omitempty"` // slots of voters that the fleet no longer reserves
 }
 
-// Event is what a Table is told.
+// Event is an input to a Table.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Received is a message of the member in that place.
+	// Received is a message from the member in a slot.
 	Received struct {
 		From    int
 		Message Message
 	}
-	// Tick tells that time has passed. Wall is what the wall clock shows, in milliseconds since 1970: a floor for numbers.
+	// Tick reports that time has passed. WallMillis is the wall clock in milliseconds since 1970, a lower bound for
+	// numbers.
 	Tick struct{ WallMillis uint64 }
-	// FleetUpdate tells this member's place in the fleet (below 0: none), and whose the places are.
-	// Anew: the place is not the one that it had.
+	// FleetUpdate sets this member's slot (negative: none) and the holders of all slots. SlotChanged: this is not the
+	// slot that the member had before.
 	FleetUpdate struct {
 		Slot            int
 		SlotChanged     bool
-		Isolated        bool // cut off from the fleet's majority
-		ExpectedMembers int  // members that the fleet is meant to have
+		Isolated        bool // cut off from the majority of the fleet
+		ExpectedMembers int  // intended size of the fleet
 		Holders         []Holder
 	}
-	// Resumed tells that the process stood still.
+	// Resumed reports that the process was paused.
 	Resumed struct{}
-	// Resign lets go of a duty, so that the next one takes it.
+	// Resign gives up a duty, so that the next candidate takes over.
 	Resign struct{ Duty string }
-	// Rejected tells that a receiver turned this member away, as it has seen a number that is higher.
+	// Rejected reports that a receiver rejected an action of this member because it knows a higher number.
 	Rejected struct {
 		Duty   string
 		Number uint64
@@ -138,30 +142,30 @@
 func (Resign) event()      {}
 func (Rejected) event()    {}
 
-// Holder is whose a place is.
+// Holder is the holder of a slot.
 type Holder struct {
-	Name  string // "": nobody's; the fleet has given it up
+	Name  string // empty: the slot is vacant
 	Alive bool
 }
 
-// Action is what is to be done.
+// Action is an output of a Table, to be carried out by the caller.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send is a message to the member in a place. One to its own place comes back as Heard.
+	// Send sends a message to the member in a slot. One to this member's own slot must be passed back as Received.
 	Send struct {
 		To      int
 		Message Message
 	}
-	// Acquired tells that this member owns a duty under a number. For how long tells Table.May.
+	// Acquired reports that this member owns a duty under a number, for as long as Table.MayAct confirms it.
 	Acquired struct {
 		Duty   string
 		Number uint64
 	}
-	// Lost tells that it owns it no more.
+	// Lost reports that this member no longer owns a duty.
 	Lost struct{ Duty string }
-	// ElectorateChange tells that others vote from now on, or will if this is decided: it is to be kept.
+	// ElectorateChange reports a new electorate, or newly accepted voters of the next one. It is to be stored.
 	ElectorateChange struct{ Electorate }
 )
 
@@ -172,47 +176,47 @@
 
 // grantState is what a voter knows of a duty.
 type grantState struct {
-	number    uint64 // the highest that it granted
-	ownerHash uint32 // markOf who it was granted to; 0: let go
-	holder    string // of the last lease; "": let go
+	number    uint64 // the highest granted
+	ownerHash uint32 // hashOwner of the member it was granted to; 0: released
+	holder    string // of the last lease; empty: released
 	until     time.Duration
 }
 
-// candidacy is what a member knows of a duty as one that owns it or would.
+// candidacy is what a member knows of a duty as its owner or candidate.
 type candidacy struct {
 	number        uint64
-	round         uint64 // of the last question
+	round         uint64 // of the last request
 	requestedAt   time.Duration
 	awaiting      bool
-	epoch         uint64 // of the question
-	voters        []int  // that are asked
-	roundGrants   []int  // places that granted the last question
-	grantedBy     []int  // those that granted the number at all
+	epoch         uint64 // of the last request
+	voters        []int  // slots of the voters that were asked
+	roundGrants   []int  // slots that granted the last request
+	grantedBy     []int  // slots that granted the current number in any round
 	leaseEnd      time.Duration
 	isOwner       bool
-	highestSeen   uint64 // the highest number that was heard of
-	rival         string // who has it, as a voter told ...
+	highestSeen   uint64 // highest number known
+	rival         string // current holder, as reported by a voter
 	rivalUntil    time.Duration
-	nextRequest   time.Duration // no question before this
-	resignedUntil time.Duration // it does not propose before this
+	nextRequest   time.Duration // earliest time of the next request
+	resignedUntil time.Duration // no requests before this time
 
-	candidate bool          // it is among the first in the duty's order ...
-	delay     time.Duration // ... and proposes so much later than the first
+	candidate bool          // this member is among the first in the duty's candidate order
+	delay     time.Duration // extra delay before a request, by rank in that order
 }
 
-// Table is one member's view of all duties. Make it with New.
+// Table is one member's view of all duties. Use New to create one.
 type Table struct {
 	cfg             Config
 	now             time.Duration
-	identity        string // name and life
+	identity        string // name and incarnation
 	slot            int
 	alive           []string
 	holders         []holder
 	expectedMembers int
 	isolated        bool
-	proposerRank    int // in the order of those who propose other voters
+	proposerRank    int // rank in the order of the members that propose changes of the electorate
 	register        register
-	abstainUntil    time.Duration // it grants nothing before this
+	abstainUntil    time.Duration // no grants before this time
 	grants          map[string]*grantState
 	candidacies     map[string]*candidacy
 	lastRound       uint64
@@ -220,16 +224,17 @@
 	actions         []Action
 }
 
-// holder is whose a place is, and since when it is without one.
+// holder is the holder of a slot, and since when the slot has been without one.
 type holder struct {
 	Holder
 	slot        int
-	deadSince   time.Duration // since when nobody is there who is alive
-	vacantSince time.Duration // since when it is nobody's
+	deadSince   time.Duration // since when its holder has not been alive
+	vacantSince time.Duration // since when it has been vacant
 }
 
-// New makes the table of a member without a place, that remembers nothing: it abstains as a voter until what it may have granted
-// before is over. floor are the highest numbers that it knows of, and last is the electorate, such as by its disk; zero values: none.
+// New creates the table of a member that has no slot yet. As it does not remember its grants, it abstains as a voter
+// until all leases that it may have granted are over. floor holds the highest number known of each duty, and last the
+// last known electorate, for example from disk; both may be zero values.
 func New(cfg Config, now time.Duration, floor map[string]uint64, last Electorate) (*Table, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -250,7 +255,7 @@
 
 func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
 
-// Handle takes an event at a time and returns what is to be done, in order.
+// Handle processes an event that occurred at a time, and returns the actions to take, in order.
 func (t *Table) Handle(now time.Duration, e Event) []Action {
 	t.actions = nil
 	t.now = max(t.now, now)
@@ -265,7 +270,7 @@
 		t.updateFleet(e)
 	case Resumed:
 		t.restartRead()
-		for _, d := range t.cfg.Duties { // its leases may be over, and its questions are
+		for _, d := range t.cfg.Duties { // leases may have expired during the pause, and answers may be late
 			b := t.candidacies[d]
 			b.awaiting = false
 			t.endOwnership(d, b)
@@ -278,14 +283,15 @@
 		if b := t.candidacies[e.Duty]; b != nil {
 			b.highestSeen = max(b.highestSeen, e.Number)
 			t.resign(e.Duty, b)
-			b.resignedUntil = 0 // it may try again at once, above that
+			b.resignedUntil = 0 // it may request the duty again at once, under a higher number
 		}
 	}
 	return t.actions
 }
 
-// MayAct reports whether this member may act for a duty at a time on its clock, and under which number. It is to be asked before and
-// after each step that can't be taken back: after it, no means that the outcome is unknown.
+// MayAct reports whether this member may act for a duty at a time on its clock, and under which number. Call it
+// before and after each step that can't be undone: if it returns false afterwards, the outcome of the step is
+// unknown.
 func (t *Table) MayAct(now time.Duration, duty string) (number uint64, ok bool) {
 	b := t.candidacies[duty]
 	if b == nil || !b.isOwner || now >= b.leaseEnd {
@@ -297,12 +303,12 @@
 // DutyStatus is what this member knows of a duty.
 type DutyStatus struct {
 	Duty      string
-	Owner     string        // by name and life; "": not known
-	Number    uint64        // the highest that it knows of
-	LeaseLeft time.Duration `json:"Left"` // of the owner's lease, as far as is known here
+	Owner     string        // name and incarnation; empty: unknown
+	Number    uint64        // highest known
+	LeaseLeft time.Duration `json:"Left"` // remaining time of the owner's lease, as far as known here
 }
 
-// Duties are all duties, in the order of the configuration.
+// Duties returns the status of all duties, in the order of the configuration.
 func (t *Table) Duties(now time.Duration) (all []DutyStatus) {
 	floor := t.HighestNumbers()
 	for _, d := range t.cfg.Duties {
@@ -320,7 +326,8 @@
 	return all
 }
 
-// LeaseEnd is the end of this member's lease on a duty, by its clock, and the number; 0: it has none.
+// LeaseEnd returns the end of this member's lease on a duty, on its clock, and its fencing number; zeros if it has
+// none.
 func (t *Table) LeaseEnd(duty string) (until time.Duration, number uint64) {
 	if b := t.candidacies[duty]; b != nil && b.isOwner {
 		return b.leaseEnd, b.number
@@ -328,10 +335,10 @@
 	return 0, 0
 }
 
-// Identity is this member as others are told: its name and its life.
+// Identity returns the name and incarnation by which others know this member.
 func (t *Table) Identity() string { return t.identity }
 
-// HighestNumbers are the highest numbers that this member knows of: what a disk may keep.
+// HighestNumbers returns the highest number known of each duty, for storage on disk.
 func (t *Table) HighestNumbers() map[string]uint64 {
 	all := map[string]uint64{}
 	for d, v := range t.grants {
@@ -341,7 +348,7 @@
 }
 
 func (t *Table) updateFleet(e FleetUpdate) {
-	if e.Slot != t.slot && (e.SlotChanged || t.slot >= 0) { // a voter's place may have been another's, who granted
+	if e.Slot != t.slot && (e.SlotChanged || t.slot >= 0) { // the grants of that slot may have been given by another member
 		t.restartAbstention()
 	}
 	if e.Slot != t.slot || e.SlotChanged {
--- a/internal/election/electorate.go
+++ b/internal/election/electorate.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// This file is how voters are renewed. Which places vote is a register that all members keep: for each epoch one set of seats, decided
-// by a majority of the whole fleet (single-decree Paxos, Lamport 1998) and by a majority of those voters that are left, who grant
-// nothing under the old epoch from then on. So whoever owns by the old voters was granted its lease before, a voter that stays
-// remembers it, and one that is new abstains until it is over. docs/design/owner.md has the argument.
+// This file implements the replacement of voters. All members keep a register of the electorate: for each epoch, one
+// set of voters. A change is decided by a majority of the whole fleet (single-decree Paxos, Lamport 1998) and by a
+// majority of the remaining voters, which grant nothing under the old epoch from then on. So the lease of an owner
+// under the old electorate was granted before the change: a voter that stays remembers it, and a new voter abstains
+// until it is over. docs/design/owner.md has the proof.
 
-// Electorate is which places vote.
+// Electorate is the set of voters of an epoch.
 type Electorate struct {
 	Epoch   uint64        // rises by one with each change
-	Voters  []int         `json:"Seats"` // places
-	Granted []GrantRecord // the highest numbers of the epochs before, for voters that are new
+	Voters  []int         `json:"Seats"` // their slots
+	Granted []GrantRecord // highest numbers granted in earlier epochs, for new voters
 
-	Ballot     uint64 // under which the next epoch's seats were taken here; 0: they were not
-	NextVoters []int  `json:"Next"` // those seats
+	Ballot     uint64 // of the accepted proposal for the next epoch; 0: none
+	NextVoters []int  `json:"Next"` // slots of the voters in that proposal
 }
 
-// register is what a member knows of the electorate, and what it does about it.
+// register is a member's state of the protocol that changes the electorate.
 type register struct {
 	Electorate
-	promised   uint64        // the highest ballot that asked for the next epoch
-	acceptedAt time.Duration // when they were taken
-	occupied   map[int]bool  // places whose members asked what holds: they are not vacant, whatever the fleet's table says yet
+	promised   uint64        // highest ballot promised for the next epoch
+	acceptedAt time.Duration // time when the proposal was accepted
+	occupied   map[int]bool  // slots whose members asked for the electorate: they are not vacant, even if the fleet's table says so
 
-	confirmed   bool // as a voter it has heard from a majority of the fleet what holds
+	confirmed   bool // a majority of the fleet has confirmed this electorate, which a voter needs before it votes
 	readRound   uint64
-	readReplies map[int]bool // who answered that question
+	readReplies map[int]bool // slots that answered in that round
 
 	proposal     proposal
-	nextProposal time.Duration // no proposal before this
+	nextProposal time.Duration // earliest time of the next proposal
 
-	announcementsLeft int // places that are still to be told of this electorate, as it was decided here
+	announcementsLeft int // slots still to be sent the electorate that was decided here, over all announcement rounds
 }
 
-// proposal is this member's own try to change the electorate.
+// proposal is this member's own proposal for the next electorate.
 type proposal struct {
-	ballot          uint64 // 0: none
+	ballot          uint64 // 0: there is none
 	startedAt       time.Duration
-	accepting       bool // the seats are being taken; before, ballots are promised
+	accepting       bool // in the accept phase; else in the prepare phase
 	voters          []int
-	highestAccepted uint64 // the ballot under which others took those seats
-	vacantSlots     []int  // seats that the fleet has given up
+	highestAccepted uint64 // highest ballot under which these voters were accepted before
+	vacantSlots     []int  // slots of voters that the fleet no longer reserves
 	replies         map[int]bool
 	grants          []GrantRecord
-	nextSlot        int // the place that is told next
+	nextSlot        int // slot from which the next messages are sent
 }
 
 const (
-	maxSendsPerTick    = 64 // messages of a change each tick: a fleet of hundreds is told within seconds
-	ballotStride       = 1 << 12
-	announcementRounds = 3 // times that all are told: who misses all of them learns it when it asks for a duty
+	maxSendsPerTick    = 64      // keeps bursts small; a fleet of hundreds still gets a message within seconds
+	ballotStride       = 1 << 12 // ballots are this number apart plus the slot, so that they differ between members
+	announcementRounds = 3       // a member that misses all of them learns the electorate when it requests a duty
 )
 
-// Electorate is which places vote, as far as this member knows: what a disk may keep.
+// Electorate returns the electorate as far as this member knows it, for storage on disk.
 func (t *Table) Electorate() Electorate {
 	e := t.register.Electorate
 	e.Voters, e.Granted, e.NextVoters = slices.Clone(e.Voters), slices.Clone(e.Granted), slices.Clone(e.NextVoters)
@@ -65,7 +66,7 @@
 
 func (t *Table) isVoter(slot int) bool { return slices.Contains(t.register.Voters, slot) }
 
-// isMajority reports that so many members are a majority of the fleet.
+// isMajority reports whether n members are a majority of the fleet.
 func (t *Table) isMajority(n int) bool {
 	known := 0
 	for _, h := range t.holders {
@@ -76,13 +77,14 @@
 	return 2*n > max(known, t.expectedMembers)
 }
 
-// sendElectorate tells what holds, and what may hold next.
+// sendElectorate sends this member's electorate and its accepted proposal.
 func (t *Table) sendElectorate(to int, round uint64) {
 	r := &t.register
 	t.emit(Send{to, Message{Kind: ElectorateState, Round: round, Epoch: r.Epoch, Voters: r.Voters, Granted: r.Granted, Ballot: r.Ballot, NextVoters: r.NextVoters}})
 }
 
-// sameEpoch reports that a message is of the epoch that is known here. Else the one that is behind is told.
+// sameEpoch reports whether a message has the epoch of the electorate known here. If not, the side with the older one
+// is updated.
 func (t *Table) sameEpoch(from int, m Message) bool {
 	switch {
 	case m.Epoch < t.register.Epoch:
@@ -93,7 +95,7 @@
 	return m.Epoch == t.register.Epoch
 }
 
-// adoptElectorate takes a later electorate.
+// adoptElectorate switches to an electorate of a later epoch.
 func (t *Table) adoptElectorate(e Electorate) {
 	r := &t.register
 	if e.Epoch <= r.Epoch || len(e.Voters) == 0 {
@@ -104,11 +106,11 @@
 	r.promised, r.proposal, r.nextProposal, r.announcementsLeft = 0, proposal{}, 0, 0
 	if t.slot >= 0 && t.isVoter(t.slot) {
 		t.mergeGrants(e.Granted)
-		if !stays { // as one that forgot
+		if !stays { // it is new, or may have been replaced in between, and may not know all leases that were granted
 			t.restartAbstention()
 		}
 	}
-	for _, d := range t.cfg.Duties { // questions to the former voters are void
+	for _, d := range t.cfg.Duties { // requests to the previous voters are void
 		if b := t.candidacies[d]; b.awaiting {
 			b.awaiting, b.nextRequest = false, t.now
 		}
@@ -116,7 +118,7 @@
 	t.emit(ElectorateChange{t.Electorate()})
 }
 
-// restartAbstention forgets the leases that this voter granted, and has it grant nothing until they are over.
+// restartAbstention drops this voter's record of leases, and makes it abstain until they are over.
 func (t *Table) restartAbstention() {
 	t.abstainUntil = max(t.abstainUntil, t.now+t.cfg.abstainPeriod())
 	for _, v := range t.grants {
@@ -124,13 +126,13 @@
 	}
 }
 
-// restartRead has a voter ask what holds before it votes: it may have been replaced meanwhile.
+// restartRead makes a voter confirm its electorate before it votes again, as it may have been replaced meanwhile.
 func (t *Table) restartRead() {
 	t.lastRound++
 	t.register.confirmed, t.register.readRound, t.register.readReplies = false, t.lastRound, map[int]bool{}
 }
 
-// handleElectorateMessage takes a message on the electorate.
+// handleElectorateMessage processes a message about the electorate.
 func (t *Table) handleElectorateMessage(from int, m Message) {
 	r := &t.register
 	switch m.Kind {
@@ -171,29 +173,30 @@
 	}
 }
 
-// acceptProposal takes seats for the next epoch.
+// acceptProposal accepts voters for the next epoch.
 func (t *Table) acceptProposal(m Message) {
 	r := &t.register
 	r.promised, r.Ballot, r.NextVoters, r.acceptedAt = m.Ballot, m.Ballot, m.NextVoters, t.now
 	t.emit(ElectorateChange{t.Electorate()})
 }
 
-// confirmsVacant reports that those seats are nobody's here either.
+// confirmsVacant reports whether those slots are vacant in this member's view too.
 func (t *Table) confirmsVacant(vacant []int) bool {
 	return !slices.ContainsFunc(vacant, func(p int) bool {
 		return t.register.occupied[p] || p < 0 || p >= len(t.holders) || t.holders[p].Name != ""
 	})
 }
 
-// handleReply takes an answer to this member's own proposal.
+// handleReply processes an answer to this member's own proposal.
 func (t *Table) handleReply(from int, m Message) {
 	r := &t.register
 	b := &r.proposal
-	if b.ballot == 0 || m.Epoch != r.Epoch || b.accepting != (m.Kind == Accepted) || t.now >= b.startedAt+t.cfg.Lease { // others may have forgotten it by then
+	// Late answers do not count: by then members may have restarted and forgotten what they promised or accepted.
+	if b.ballot == 0 || m.Epoch != r.Epoch || b.accepting != (m.Kind == Accepted) || t.now >= b.startedAt+t.cfg.Lease {
 		return
 	}
 	if m.Number != b.ballot {
-		if m.Number > b.ballot { // another one is further
+		if m.Number > b.ballot { // another member has a higher ballot
 			r.promised, r.proposal = max(r.promised, m.Number), proposal{}
 			t.deferProposal(-1)
 		}
@@ -212,7 +215,7 @@
 	if t.isVoter(from) {
 		b.grants = mergeHighest(b.grants, m.Granted)
 	}
-	remaining, accepted := 0, 0 // of the voters, who still may grant
+	remaining, accepted := 0, 0 // of the voters that may still grant leases
 	for _, p := range r.Voters {
 		if !slices.Contains(b.vacantSlots, p) {
 			remaining++
@@ -227,7 +230,7 @@
 	}
 }
 
-// mergeHighest are the higher of each two.
+// mergeHighest returns the higher of the two records for each duty.
 func mergeHighest(a, b []GrantRecord) (all []GrantRecord) {
 	for i := range max(len(a), len(b)) {
 		var x GrantRecord
@@ -242,15 +245,15 @@
 	return all
 }
 
-// deferProposal has this member propose nothing while another one does: in a fleet of hundreds a change takes seconds, and two that outbid
-// each other would come to no end.
+// deferProposal delays this member's own proposals while another member proposes: in a fleet of hundreds a change takes
+// seconds, and two members that outbid each other would never finish.
 func (t *Table) deferProposal(from int) {
 	if from != t.slot {
 		t.register.nextProposal = t.now + t.cfg.Lease
 	}
 }
 
-// tickElectorate asks what has to be asked on the electorate.
+// tickElectorate sends the messages about the electorate that are due.
 func (t *Table) tickElectorate() {
 	r := &t.register
 	if t.slot < 0 || t.isolated {
@@ -283,7 +286,7 @@
 	}
 }
 
-// sendUnanswered asks those that are there and have not answered, some of them at a time.
+// sendUnanswered sends a message to members that are alive and have not answered, a limited number at a time.
 func (t *Table) sendUnanswered(cursor *int, answered map[int]bool, m Message) {
 	sent := 0
 	for range t.holders {
@@ -298,7 +301,8 @@
 	}
 }
 
-// maybePropose begins to change the electorate if a voter is gone, or a change that was begun has come to no end.
+// maybePropose starts a change of the electorate if a voter is gone, or if the change begun by another member has
+// stalled.
 func (t *Table) maybePropose() {
 	r := &t.register
 	rank := t.proposerRank
@@ -341,4 +345,4 @@
 	r.proposal = proposal{ballot: ballot, startedAt: t.now, voters: voters, highestAccepted: r.Ballot, vacantSlots: vacant, replies: map[int]bool{}}
 }
 
-const electorateDuty = "\x00voters" // by whose order members propose: no duty has such a name
+const electorateDuty = "\x00voters" // hashed for the order of proposers; no duty can have this name
--- a/internal/election/fence.go
+++ b/internal/election/fence.go
@@ -1,18 +1,19 @@
 package election
 
-// Fence is what a receiver keeps of each duty: the highest number that it took, and whose. The zero value has taken none.
+// Fence is what a receiver keeps of each duty: the highest ownership admitted so far. The zero value is ready to use.
 type Fence struct {
 	admitted map[string]Ownership
-	Rejected map[string]uint64 // actions that were turned away, by who sent them
+	Rejected map[string]uint64 // number of rejected actions, by owner
 }
 
-// Ownership is an ownership.
+// Ownership identifies an ownership of a duty.
 type Ownership struct {
 	Number uint64
 	Owner  string
 }
 
-// Admit reports whether an action of an owner may be carried out: none of a higher number was. If not, it tells what stands above.
+// Admit reports whether an owner's action may be carried out, which is so unless a later ownership was admitted before.
+// Otherwise it returns that one.
 func (f *Fence) Admit(duty string, m Ownership) (above Ownership, ok bool) {
 	if f.admitted == nil {
 		f.admitted, f.Rejected = map[string]Ownership{}, map[string]uint64{}
@@ -27,4 +28,4 @@
 	return m, true
 }
 
-const maxRejectedMembers = 4096 // members that are counted by name
+const maxRejectedMembers = 4096 // members whose rejections are counted
--- a/internal/election/model_test.go
+++ b/internal/election/model_test.go
@@ -10,61 +10,61 @@
 	"time"
 )
 
-// This file is the model that the checks play: members, clocks, a network, and what may happen to them.
+// This file is the model that the tests run: members, their clocks, a network, and faults.
 
-const unit = time.Second // of real time, by which it moves on
+const unit = time.Second // of real time, the model's time step
 
-// testConfig are the figures of the model: clocks differ by a fifth at most.
+// testConfig returns the configuration of the model, in which clock rates differ by a fifth at most.
 func testConfig() Config {
 	return Config{InitialVoters: 3, Duties: []string{"d"}, Lease: 6 * unit, ClockDrift: 0.2, RenewInterval: 2 * unit, AnswerTimeout: 2 * unit, CandidateDelay: unit}
 }
 
-// clockRates are how fast members' clocks run: the fastest and the slowest differ by less than the drift.
+// clockRates are the rates of the members' clocks. The fastest and the slowest differ by less than the drift allows.
 var clockRates = []float64{1.1, 0.92, 1, 1.05, 0.95}
 
-// envelope is a message on its way.
+// envelope is a message in flight.
 type envelope struct {
 	from, to int
 	msg      Message
 }
 
-// model is members, what is on its way between them, and what was seen of them.
+// model is the state of all members and of the network, with what was observed so far.
 type model struct {
 	cfg          Config
-	now          time.Duration // real time
+	now          time.Duration // in real time
 	members      []*member
 	network      []envelope
-	budget       faultBudget // what is left of it
-	lastNumber   uint64      // number of the last ownership
+	budget       faultBudget // faults that may still occur
+	lastNumber   uint64      // highest number of an ownership so far
 	incarnations uint64
 	fence        Fence
-	violation    string            // a broken invariant
-	rateOffset   int               // by which the clocks are dealt out
-	step         time.Duration     // of real time
-	noWallClock  bool              // nobody's wall clock was ever set: numbers rise by memory alone
-	electorates  map[uint64]string // by epoch
-	partition    []int             // what is said from one side to another is held for now; nil: all is heard
+	violation    string            // the invariant that was violated; empty: none
+	rateOffset   int               // rotates the assignment of clock rates to members
+	step         time.Duration     // in real time
+	noWallClock  bool              // wall clocks are not set: only the members' memory makes numbers rise
+	electorates  map[uint64]string // voters by epoch
+	partition    []int             // side of each member: messages between sides are held back for now; nil: no partition
 }
 
-// faultBudget is how many faults there may be: crashes with and without memory, standstills, doubled messages, deaths, and changes of what
-// members think of each other.
+// faultBudget is how often each fault may occur: crashes with and without memory, pauses, duplicated messages,
+// deaths, and changes of what members think of each other.
 type faultBudget [6]int
 
 type member struct {
 	table     *Table
-	startedAt time.Duration // real time of its start
+	startedAt time.Duration // start in real time
 	paused    bool
 	dead      bool
-	views     []view // of the others
+	views     []view // of the other members
 }
 
-// view is what a member thinks of another's place.
+// view is what a member thinks of another one.
 type view int
 
 const (
 	viewAlive view = iota
 	viewDead
-	viewVacant // the fleet has given it up
+	viewVacant // the fleet no longer reserves its slot
 )
 
 const (
@@ -87,7 +87,7 @@
 
 func memberName(i int) string { return fmt.Sprint("m", i) }
 
-// clock is what a member's clock shows.
+// clock returns a member's clock reading.
 func (w *model) clock(i int) time.Duration {
 	return time.Duration(float64(w.now-w.members[i].startedAt) * clockRates[(i+w.rateOffset)%len(w.members)])
 }
@@ -104,7 +104,7 @@
 	w.updateFleet(i, i)
 }
 
-// updateFleet tells a member how it stands.
+// updateFleet passes a member its slot and its view of the others.
 func (w *model) updateFleet(i, slot int) {
 	s := FleetUpdate{Slot: slot, SlotChanged: w.now > w.members[i].startedAt, ExpectedMembers: len(w.members)}
 	for k, v := range w.members[i].views {
@@ -118,8 +118,8 @@
 	w.deliver(i, s)
 }
 
-// viewMoves are what may change in what members think of each other: anyone may seem gone, and be there after all; only who is dead or
-// stands still is given up.
+// viewMoves returns the changes that may occur in what members think of each other. Any member may seem dead and
+// later be seen alive again, but only the slot of a dead or paused member becomes vacant.
 func (w *model) viewMoves() (all []move) {
 	for k, m := range w.members {
 		if m.dead || m.paused {
@@ -139,16 +139,16 @@
 			case v == viewAlive:
 				addMove(i, viewDead, "misses")
 			case v == viewDead && (o.dead || o.paused):
-				addMove(i, viewVacant, "gives up the place of")
+				addMove(i, viewVacant, "frees the slot of")
 			case !o.dead:
-				addMove(i, viewAlive, "hears again of")
+				addMove(i, viewAlive, "sees again")
 			}
 		}
 	}
 	return all
 }
 
-// deliver hands a member an event.
+// deliver passes an event to a member and carries out its actions.
 func (w *model) deliver(i int, e Event) {
 	for _, a := range w.members[i].table.Handle(w.clock(i), e) {
 		switch a := a.(type) {
@@ -156,7 +156,7 @@
 			w.network = append(w.network, envelope{i, a.To, a.Message})
 		case Acquired:
 			if a.Number <= w.lastNumber {
-				w.violation = fmt.Sprintf("%s owns under %d, and %d was used", memberName(i), a.Number, w.lastNumber)
+				w.violation = fmt.Sprintf("%s owns the duty under %d, but %d was used before", memberName(i), a.Number, w.lastNumber)
 			}
 			w.lastNumber = max(w.lastNumber, a.Number)
 			w.sendAction(i)
@@ -164,23 +164,23 @@
 			if old, voters := w.electorates[a.Epoch], fmt.Sprint(a.Voters); old == "" {
 				w.electorates[a.Epoch] = voters
 			} else if old != voters {
-				w.violation = fmt.Sprintf("in epoch %d vote %s and %s", a.Epoch, old, voters)
+				w.violation = fmt.Sprintf("in epoch %d both %s and %s are voters", a.Epoch, old, voters)
 			}
 		}
 	}
 	w.checkSingleOwner()
 }
 
-// sendAction has an owner send an action to a receiver, which keeps the highest number.
+// sendAction has an owner send an action to a receiver with a Fence.
 func (w *model) sendAction(i int) {
 	if n, ok := w.members[i].table.MayAct(w.clock(i), "d"); ok {
 		if above, ok := w.fence.Admit("d", Ownership{n, w.members[i].table.Identity()}); !ok {
-			w.violation = fmt.Sprintf("the owner %s under %d is turned away below %v", memberName(i), n, above)
+			w.violation = fmt.Sprintf("the owner %s under %d is rejected, with %v admitted before", memberName(i), n, above)
 		}
 	}
 }
 
-// checkSingleOwner holds that no two may act at this moment, whoever stands still.
+// checkSingleOwner checks that at most one member may act at this moment, paused members included.
 func (w *model) checkSingleOwner() {
 	var owners []string
 	for i, m := range w.members {
@@ -189,11 +189,11 @@
 		}
 	}
 	if len(owners) > 1 {
-		w.violation = strings.Join(owners, " and ") + " own at once"
+		w.violation = strings.Join(owners, " and ") + " own the duty at the same time"
 	}
 }
 
-// advance lets a unit of real time advance. Who does not stand still notices.
+// advance lets a time step pass. Members that run get a tick.
 func (w *model) advance() {
 	w.now += w.step
 	w.checkSingleOwner()
@@ -208,13 +208,13 @@
 	}
 }
 
-// move is something that may happen next.
+// move is a possible next step of the model.
 type move struct {
 	name string
 	do   func(w *model)
 }
 
-// moves are all that may happen in a state. What is on its way may come in any order, late, twice or never.
+// moves returns all possible next steps. Messages in flight may arrive in any order, late, twice or never.
 func (w *model) moves() (all []move) {
 	all = append(all, move{"time passes", (*model).advance})
 	for k, f := range w.network {
@@ -226,10 +226,10 @@
 			w.network = slices.Delete(slices.Clone(w.network), k, k+1)
 			w.deliver(f.to, Received{From: f.from, Message: f.msg})
 		}
-		moveName := fmt.Sprintf("%s hears %c %d of %s from %s", memberName(f.to), f.msg.Kind, f.msg.Number, f.msg.Owner, memberName(f.from))
+		moveName := fmt.Sprintf("%s gets %c %d of %s from %s", memberName(f.to), f.msg.Kind, f.msg.Number, f.msg.Owner, memberName(f.from))
 		all = append(all, move{moveName, take})
 		if w.budget[duplicates] > 0 {
-			all = append(all, move{moveName + ", and it will come again", func(w *model) {
+			all = append(all, move{moveName + ", which stays in flight", func(w *model) {
 				w.budget[duplicates]--
 				f := w.network[k]
 				w.deliver(f.to, Received{From: f.from, Message: f.msg})
@@ -247,23 +247,23 @@
 			all = append(all, move{memberName(i) + " dies", func(w *model) { w.budget[deaths]--; w.members[i].dead, w.members[i].paused = true, false }})
 		}
 		if m.paused {
-			all = append(all, move{memberName(i) + " goes on", func(w *model) {
+			all = append(all, move{memberName(i) + " resumes", func(w *model) {
 				w.members[i].paused = false
-				w.updateFleet(i, -1) // by the fleet's rule it stands aside until it has heard how things are
+				w.updateFleet(i, -1) // the fleet withholds the slot of a resumed member until its next sync
 				w.updateFleet(i, i)
 			}})
 		} else if m.dead {
 		} else if w.budget[pauses] > 0 {
-			all = append(all, move{memberName(i) + " stands still", func(w *model) { w.budget[pauses]--; w.members[i].paused = true }})
+			all = append(all, move{memberName(i) + " is paused", func(w *model) { w.budget[pauses]--; w.members[i].paused = true }})
 		}
 		if w.budget[crashes] > 0 {
-			all = append(all, move{memberName(i) + " starts anew with what it knew", func(w *model) {
+			all = append(all, move{memberName(i) + " restarts with its stored state", func(w *model) {
 				w.budget[crashes]--
 				w.start(i, w.members[i].table.HighestNumbers(), w.members[i].table.Electorate())
 			}})
 		}
 		if w.budget[amnesia] > 0 {
-			all = append(all, move{memberName(i) + " starts anew and knows no number", func(w *model) { w.budget[amnesia]--; w.start(i, nil, w.members[i].table.Electorate()) }})
+			all = append(all, move{memberName(i) + " restarts without numbers", func(w *model) { w.budget[amnesia]--; w.start(i, nil, w.members[i].table.Electorate()) }})
 		}
 	}
 	return all
@@ -295,7 +295,7 @@
 	return &c
 }
 
-// key tells states apart. Rounds and who is alive follow from the rest.
+// key returns a key that distinguishes states. Rounds and the members that are alive follow from the rest.
 func (w *model) key() string {
 	b := binary.AppendVarint(nil, int64(w.now))
 	put := func(vs ...int64) {
@@ -366,7 +366,7 @@
 	return string(b) + strings.Join(net, ";")
 }
 
-// node is a state with the way to it.
+// node is a state with the path to it.
 type node struct {
 	model  *model
 	parent *node
@@ -382,8 +382,8 @@
 	return out
 }
 
-// explore looks at all states that can be reached, the nearest first, up to so many. It returns the first that breaks an invariant, which
-// has the shortest way, or nil, and how many it saw, all of them to which depth.
+// explore visits the reachable states in breadth-first order, up to a limit. It returns the first state that violates
+// an invariant, which has the shortest path, or nil; the number of states seen; and the depth reached.
 func explore(start *model, most int) (bad *node, states, depth int) {
 	seen := map[string]bool{start.key(): true}
 	queue := []*node{{model: start}}
@@ -407,7 +407,7 @@
 	return nil, len(seen), depth
 }
 
-// settledModel is a model in which one member owns, all that was on its way has come, and so much time has passed since.
+// settledModel returns a model in which one member owns the duty, no messages are in flight, and some time has passed.
 func settledModel(t *testing.T, n, turn int, b faultBudget, since int) *model {
 	t.Helper()
 	cfg := testConfig()
@@ -428,11 +428,11 @@
 		w.network = nil
 	}
 	if !owned() {
-		t.Fatal("nobody owns in peace")
+		t.Fatal("no owner without faults")
 	}
 	for range since {
 		w.advance()
-		w.network = nil // all that was said meanwhile is lost
+		w.network = nil // messages sent meanwhile are lost
 	}
 	if w.violation != "" {
 		t.Fatal(w.violation)
