--- a/internal/fleetreport/reporter.go
+++ b/internal/fleetreport/reporter.go
@@ -1,5 +1,6 @@
-// Package duty does pieces of work on behalf of the fleet, each by the member that owns it. Every step carries the owner's number, and the
-// lease is looked at before and after each step that can't be taken back.
+// Package fleetreport sends reports on the state of the fleet to an outside system, from one member at a time: the
+// owner of the duty "report". Each report carries the owner's fencing number, and the lease is checked before and
+// after each report is sent.
 package fleetreport
 
 import (
@@ -17,42 +18,43 @@
 	"sloepick/internal/election"
 )
 
-// Election tells whether this member may act for a duty, and takes that a receiver knows a higher number.
+// Election tells whether this member owns a duty, and is notified if a receiver knows a higher number.
 type Election interface {
 	MayAct(duty string) (election.Ownership, bool)
 	ReportRejection(duty string, number uint64) error
 }
 
-// DutyName is the duty of telling an outside system how the fleet stands.
+// DutyName is the name of the duty of reporting the fleet's state to an outside system.
 const DutyName = "report"
 
-const maxResponseBytes = 4 << 10 // bytes of a receiver's answer that are read
+const maxResponseBytes = 4 << 10 // of a receiver's answer that are read
 
-// Payload is a step of a duty as a receiver outside the fleet gets it: as JSON, by POST. It must take a step only if it has taken none of a
-// higher number, nor one of the same number by another; else it answers 409 with the number that stands above, as {"Above": 7}.
+// Payload is a report as the receiver gets it, as JSON in a POST request. The receiver must accept it only if it has
+// accepted none with a higher number, and none with the same number from another owner. Otherwise it must answer 409
+// with the highest number, as {"Above": 7}.
 type Payload struct {
 	Duty     string
 	Number   uint64
-	Owner    string `json:"Who"`  // name and life of the owner
-	Sequence uint64 `json:"Step"` // counts this owner's steps
+	Owner    string `json:"Who"`  // name and incarnation of the owner
+	Sequence uint64 `json:"Step"` // sequence number of this owner's reports
 	At       time.Time
 	Body     any
 }
 
-// Reporter tells an outside system how the fleet stands, as long as this member owns that duty.
+// Reporter sends reports to an outside system while this member owns the duty.
 type Reporter struct {
 	URL      string
 	Interval time.Duration
-	Timeout  time.Duration // of one step; well under the lease
-	Body     func() any
+	Timeout  time.Duration // of one request; well below the lease
+	Body     func() any    // returns the content of a report
 	Election Election
 	Log      *slog.Logger
 	Client   *http.Client
 
-	Accepted, Unknown, Rejected, Failed atomic.Uint64 // steps, for operators
+	Accepted, Unknown, Rejected, Failed atomic.Uint64 // counts of reports by outcome
 }
 
-// Run makes a step as often as was said, until the context ends.
+// Run sends a report once per interval until the context ends.
 func (r *Reporter) Run(ctx context.Context) {
 	t := time.NewTicker(r.Interval)
 	defer t.Stop()
@@ -69,22 +71,22 @@
 	}
 }
 
-var errRejected = errors.New("turned away")
+var errRejected = errors.New("rejected by the receiver")
 
-// send makes one send. Its outcome is known only if the lease held all along.
+// send sends one report. Its outcome is known only if the lease was held throughout.
 func (r *Reporter) send(ctx context.Context, ownership election.Ownership, n uint64) {
 	err := r.post(ctx, Payload{Duty: DutyName, Number: ownership.Number, Owner: ownership.Owner, Sequence: n, At: time.Now(), Body: r.Body()})
 	after, still := r.Election.MayAct(DutyName)
 	switch {
 	case errors.Is(err, errRejected):
 		r.Rejected.Add(1)
-		r.Log.Warn("duty: a step was turned away", "duty", DutyName, "number", ownership.Number, "err", err)
+		r.Log.Warn("duty: report rejected", "duty", DutyName, "number", ownership.Number, "err", err)
 	case !still || after != ownership:
 		r.Unknown.Add(1)
-		r.Log.Warn("duty: the lease ran out during a step: its outcome is unknown", "duty", DutyName, "number", ownership.Number, "err", err)
+		r.Log.Warn("duty: lease lost while sending a report; outcome unknown", "duty", DutyName, "number", ownership.Number, "err", err)
 	case err != nil:
 		r.Failed.Add(1)
-		r.Log.Warn("duty: a step failed", "duty", DutyName, "number", ownership.Number, "err", err)
+		r.Log.Warn("duty: sending a report failed", "duty", DutyName, "number", ownership.Number, "err", err)
 	default:
 		r.Accepted.Add(1)
 	}
@@ -95,15 +97,15 @@
 	defer cancel()
 	b, err := json.Marshal(s)
 	if err != nil {
-		return fmt.Errorf("encoding a step: %w", err)
+		return fmt.Errorf("encoding the report: %w", err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.URL, bytes.NewReader(b))
 	if err != nil {
-		return fmt.Errorf("a step's address: %w", err)
+		return fmt.Errorf("creating the request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if _, ok := r.Election.MayAct(s.Duty); !ok { // encoding may have taken its time
-		return errors.New("the lease ran out before the step")
+	if _, ok := r.Election.MayAct(s.Duty); !ok { // the lease may have expired during encoding
+		return errors.New("lease expired before the report was sent")
 	}
 	resp, err := r.Client.Do(req)
 	if err != nil {
@@ -116,10 +118,10 @@
 		if json.Unmarshal(b, &answer) == nil && answer.Above > 0 {
 			err = r.Election.ReportRejection(s.Duty, answer.Above)
 		}
-		return errors.Join(fmt.Errorf("%w below %d", errRejected, answer.Above), err)
+		return errors.Join(fmt.Errorf("%w: its highest number is %d", errRejected, answer.Above), err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("answered %s", resp.Status)
+		return fmt.Errorf("unexpected HTTP status %s", resp.Status)
 	}
 	return err
 }
--- a/internal/maintenance/calendar.go
+++ b/internal/maintenance/calendar.go
@@ -1,9 +1,10 @@
-// Package quiet tells when a region is quiet: its calendar of quiet hours, by its own clock, and the clock that a fleet agrees on. What moves
-// state between regions asks it first. It is pure: the time comes in as a value, and time zones were loaded before.
+// Package maintenance decides when a region is in a maintenance window, by its calendar and its local time, and
+// determines the clock that a fleet agrees on. It must be asked before state is moved between regions. It does no
+// I/O: the time is passed in, and time zones are loaded by the caller.
 //
-// A region is quiet at an instant if its wall clock stands in one of its spans then. So where clocks are set forward a span may be
-// shorter that night or not come at all, and where they are set back it may be longer or come twice: what counts is what the clock on
-// the wall says, as for the people there.
+// A region is in a window at an instant if its local time lies in one of its spans. So when clocks are set forward, a
+// span may be shorter that night or be left out; when they are set back, it may be longer or occur twice. What counts
+// is the local time that people in the region see.
 package maintenance
 
 import (
@@ -13,28 +14,29 @@
 	"time"
 )
 
-// Minutes of a day.
 const minutesPerDay = 24 * 60
 
-// Date is a day by a region's calendar.
+// Date is a day in a region's calendar.
 type Date struct {
 	Year  int
 	Month time.Month
 	Day   int
 }
 
-// Span is a time of some days, in minutes since midnight. To may be up to 24:00; one at or before From is of the next day.
+// Span is a time range on some days of the week, in minutes since midnight. To may be 24:00; if it is not after From,
+// it is on the next day.
 type Span struct {
-	Days     [7]bool // by time.Weekday: those on which it begins
+	Days     [7]bool // by time.Weekday: the days on which the span begins
 	From, To int
 }
 
-// Calendar is a region's calendar. Of a day in Never no minute is quiet, also of a span that began the evening before.
+// Calendar is a region's calendar. No minute of an excluded day is in a window, not even one of a span that began the
+// evening before.
 type Calendar struct {
 	Zone     *time.Location
 	Weekly   []Span
 	Excluded map[Date]bool
-	Extra    map[Date][]Span // spans that begin on single days; their Days don't count
+	Extra    map[Date][]Span // spans that begin on single dates; their Days are ignored
 }
 
 func dateOf(t time.Time) Date {
@@ -42,7 +44,7 @@
 	return Date{y, m, d}
 }
 
-// addDays is the date behind, or before by -1.
+// addDays returns the date that many days later, or earlier if days is negative.
 func (d Date) addDays(days int) Date {
 	return dateOf(time.Date(d.Year, d.Month, d.Day+days, 12, 0, 0, 0, time.UTC))
 }
@@ -51,7 +53,7 @@
 	return time.Date(d.Year, d.Month, d.Day, 12, 0, 0, 0, time.UTC).Weekday()
 }
 
-// Contains reports whether the region is quiet at an instant.
+// Contains reports whether the region is in a maintenance window at an instant.
 func (c *Calendar) Contains(t time.Time) bool {
 	local := t.In(c.Zone)
 	today := dateOf(local)
@@ -63,7 +65,7 @@
 	return c.coversMinute(today, minute) || !c.Excluded[yesterday] && c.coversMinute(yesterday, minute+minutesPerDay)
 }
 
-// coversMinute reports whether a span that begins on a day holds at a minute since its midnight.
+// coversMinute reports whether a span that begins on a day covers a minute counted from that day's midnight.
 func (c *Calendar) coversMinute(day Date, minute int) bool {
 	covers := func(s Span) bool {
 		to := s.To
@@ -81,16 +83,16 @@
 	return slices.ContainsFunc(c.Extra[day], covers)
 }
 
-// Window is a time in which one region, or several at once, are quiet.
+// Window is a time range in which one region, or several at once, are in maintenance.
 type Window struct{ From, To time.Time }
 
-// NextWindow is the window that an instant lies in, from that instant on, or the first one behind it that begins within a time; false: there is
-// none. An end that lies beyond is told as the end of that time.
+// NextWindow returns the rest of the window that an instant lies in, or else the next window that begins within a
+// duration of it; false if there is none. The end is cut off at the end of that duration.
 func NextWindow(from time.Time, within time.Duration, calendars ...*Calendar) (Window, bool) {
 	inWindow := func(t time.Time) bool {
 		return !slices.ContainsFunc(calendars, func(c *Calendar) bool { return !c.Contains(t) })
 	}
-	// Spans begin and end, and zones change, on whole minutes of true time.
+	// Spans begin and end, and zones change their offset, on whole minutes of UTC.
 	at, last := from, from.Add(within)
 	for !inWindow(at) {
 		if at = at.Truncate(time.Minute).Add(time.Minute); at.After(last) {
@@ -107,8 +109,8 @@
 	return w, true
 }
 
-// Remaining is for how long regions go on to be quiet together at an instant that is known up to a doubt; 0: they may not be quiet. It looks no
-// further than a day.
+// Remaining returns for how long all calendars stay in a window, at an instant known with an error of up to doubt; 0
+// if they may not all be in one. It looks at most a day ahead.
 func Remaining(t time.Time, doubt time.Duration, calendars ...*Calendar) time.Duration {
 	early, ok := NextWindow(t.Add(-doubt), 24*time.Hour, calendars...)
 	if !ok || early.From.After(t.Add(-doubt)) {
@@ -117,11 +119,11 @@
 	return max(0, early.To.Sub(t.Add(doubt)))
 }
 
-// ParseSpan reads a span such as "mon-fri 22:00-05:00", "sat sun 20:00-08:00" or "daily 01:00-05:00".
+// ParseSpan parses a span such as "mon-fri 22:00-05:00", "sat sun 20:00-08:00" or "daily 01:00-05:00".
 func ParseSpan(text string) (s Span, err error) {
 	fields := strings.Fields(text)
 	if len(fields) < 2 {
-		return s, fmt.Errorf("%q is no span of days and times, such as \"mon-fri 22:00-05:00\"", text)
+		return s, fmt.Errorf("invalid span %q, want days and times such as \"mon-fri 22:00-05:00\"", text)
 	}
 	for _, days := range fields[:len(fields)-1] {
 		if days == "daily" {
@@ -135,7 +137,7 @@
 			b, okB = a, okA
 		}
 		if !okA || !okB {
-			return s, fmt.Errorf("%q: %q names no days; want mon to sun, a range of them, or daily", text, days)
+			return s, fmt.Errorf("%q: invalid days %q, want mon to sun, a range of them, or daily", text, days)
 		}
 		for d := a; ; d = (d + 1) % 7 {
 			if s.Days[d] = true; d == b {
@@ -147,16 +149,16 @@
 	return s, err
 }
 
-// ParseDate reads a day such as "2026-09-24".
+// ParseDate parses a date such as "2026-09-24".
 func ParseDate(text string) (Date, error) {
 	t, err := time.Parse(time.DateOnly, text)
 	if err != nil {
-		return Date{}, fmt.Errorf("%q is no day, such as \"2026-09-24\"", text)
+		return Date{}, fmt.Errorf("invalid date %q, want one such as \"2026-09-24\"", text)
 	}
 	return dateOf(t), nil
 }
 
-// ParseDatedSpan reads a day and a time on it, such as "2026-12-25 00:00-24:00".
+// ParseDatedSpan parses a date and a time range on it, such as "2026-12-25 00:00-24:00".
 func ParseDatedSpan(text string) (d Date, s Span, err error) {
 	day, clock, _ := strings.Cut(text, " ")
 	if d, err = ParseDate(day); err == nil {
@@ -167,13 +169,13 @@
 
 var weekdays = map[string]time.Weekday{"sun": 0, "mon": 1, "tue": 2, "wed": 3, "thu": 4, "fri": 5, "sat": 6}
 
-// parseTimes reads "22:00-05:00". 24:00 is the end of a day.
+// parseTimes parses a time range such as "22:00-05:00". 24:00 is the end of a day.
 func parseTimes(text string) (from, to int, err error) {
 	a, b, _ := strings.Cut(text, "-")
 	from, okA := parseClock(a)
 	to, okB := parseClock(b)
 	if !okA || !okB || from == minutesPerDay || from == to {
-		return 0, 0, fmt.Errorf("%q is no time of a day, such as \"22:00-05:00\"", text)
+		return 0, 0, fmt.Errorf("invalid time range %q, want one such as \"22:00-05:00\"", text)
 	}
 	return from, to, nil
 }
--- a/internal/maintenance/clock.go
+++ b/internal/maintenance/clock.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// OffsetRange is by how much a clock is ahead of this member's, as far as is known: between these.
+// OffsetRange is the range in which the offset of another clock lies: how far it is ahead of this member's clock.
 type OffsetRange struct{ Min, Max time.Duration }
 
-// EstimateOffset is the reading of a clock that stood at a time when a fact was born that is so old at most, and not younger than none, at this
-// member's time.
+// EstimateOffset returns the offset of a clock that showed wall when it made a record of at most the given age. now
+// is this member's time.
 func EstimateOffset(wall, now time.Time, age time.Duration) OffsetRange {
 	ahead := wall.Sub(now)
 	return OffsetRange{ahead, ahead + age}
 }
 
-// FleetOffset is by how much the fleet's clock is ahead of this member's, whose own reading is 0: within the bounds that those others have in common
-// who agree with most (Marzullo, 1984). A clock that is off, or lies, is outvoted as long as more than half agree, this member's own
-// counted; where no more than half do there is no clock, and it reports false.
+// FleetOffset returns how far the fleet's clock is ahead of this member's clock: the range that the largest set of
+// agreeing members has in common (Marzullo, 1984). This member's own clock counts as a range of 0. A wrong clock is
+// outvoted as long as more than half of all clocks agree; if no more than half do, the fleet has no clock, and ok is
+// false.
 func FleetOffset(others []OffsetRange) (r OffsetRange, agree int, ok bool) {
 	type edge struct {
 		at   time.Duration
@@ -28,9 +29,9 @@
 	for _, x := range others {
 		edges = append(edges, edge{x.Min, 1}, edge{x.Max, -1})
 	}
-	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), b.step-a.step) }) // those that touch agree
+	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), b.step-a.step) }) // at one point, starts sort before ends: ranges that touch overlap
 	overlaps := 0
-	var at time.Duration // where most agree
+	var at time.Duration // the first point in the largest number of ranges
 	for _, e := range edges {
 		if overlaps += e.step; overlaps > agree {
 			agree, at = overlaps, e.at
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 	"time"
-	_ "time/tzdata" // the machine may have none
+	_ "time/tzdata" // the machine may have no zone database
 
 	"sloepick/internal/testbed/seeds"
 )
@@ -44,8 +44,8 @@
 	return x
 }
 
-// TestNextWindow holds the windows that come about in nights of all kinds: over midnight, on days without any, on days added, and where clocks are
-// set forward and back.
+// TestNextWindow covers windows over midnight, on excluded and on extra days, and on days when clocks are set forward
+// or back.
 func TestNextWindow(t *testing.T) {
 	seoul := newCalendar(t, "Asia/Seoul", "mon-fri 22:00-05:00", "sat sun 20:00-24:00")
 	for _, day := range []string{"2026-09-24", "2026-02-16"} { // the days before Chuseok and Seollal
@@ -68,17 +68,17 @@
 		from       string
 		begins, to string // in UTC
 	}{
-		{"an evening", seoul, "2026-12-02 12:00", "2026-12-02T13:00Z", "2026-12-02T20:00Z"},
-		{"in the middle of it", seoul, "2026-12-03 01:00", "2026-12-02T16:00Z", "2026-12-02T20:00Z"},
-		{"friday's goes on on saturday, whose own begins in the evening", seoul, "2026-12-05 05:00", "2026-12-05T11:00Z", "2026-12-05T15:00Z"},
-		{"the evening before a day without any ends at midnight", seoul, "2026-09-23 21:00", "2026-09-23T13:00Z", "2026-09-23T15:00Z"},
-		{"none on that day, and none that would have begun on it", seoul, "2026-09-24 00:00", "2026-09-25T13:00Z", "2026-09-25T20:00Z"},
-		{"a day added", seoul, "2026-12-25 08:00", "2026-12-25T01:00Z", "2026-12-25T03:00Z"},
-		{"half of it does not exist that night", berlin, "2026-03-29 00:00", "2026-03-29T00:30Z", "2026-03-29T01:00Z"},
-		{"the clock is set back in it: it comes twice", berlin, "2026-10-25 00:00", "2026-10-24T23:30Z", "2026-10-25T00:30Z"},
-		{"the second time", berlin, "2026-10-25T00:45Z", "2026-10-25T01:00Z", "2026-10-25T01:30Z"},
-		{"an hour shorter", york, "2026-03-08 00:00", "2026-03-08T06:00Z", "2026-03-08T08:00Z"},
-		{"an hour longer", york, "2026-11-01 00:00", "2026-11-01T05:00Z", "2026-11-01T09:00Z"},
+		{"an evening window", seoul, "2026-12-02 12:00", "2026-12-02T13:00Z", "2026-12-02T20:00Z"},
+		{"inside a window", seoul, "2026-12-03 01:00", "2026-12-02T16:00Z", "2026-12-02T20:00Z"},
+		{"between Friday's window, which ends on Saturday, and Saturday's own", seoul, "2026-12-05 05:00", "2026-12-05T11:00Z", "2026-12-05T15:00Z"},
+		{"the window before an excluded day ends at midnight", seoul, "2026-09-23 21:00", "2026-09-23T13:00Z", "2026-09-23T15:00Z"},
+		{"no window on an excluded day, nor one that begins on it", seoul, "2026-09-24 00:00", "2026-09-25T13:00Z", "2026-09-25T20:00Z"},
+		{"an extra date", seoul, "2026-12-25 08:00", "2026-12-25T01:00Z", "2026-12-25T03:00Z"},
+		{"clock set forward: half of the window is left out", berlin, "2026-03-29 00:00", "2026-03-29T00:30Z", "2026-03-29T01:00Z"},
+		{"clock set back during the window: it occurs twice", berlin, "2026-10-25 00:00", "2026-10-24T23:30Z", "2026-10-25T00:30Z"},
+		{"its second occurrence", berlin, "2026-10-25T00:45Z", "2026-10-25T01:00Z", "2026-10-25T01:30Z"},
+		{"clock set forward: an hour shorter", york, "2026-03-08 00:00", "2026-03-08T06:00Z", "2026-03-08T08:00Z"},
+		{"clock set back: an hour longer", york, "2026-11-01 00:00", "2026-11-01T05:00Z", "2026-11-01T09:00Z"},
 	} {
 		from := parseTime(t, tc.h, tc.from)
 		w, ok := NextWindow(from, 7*24*time.Hour, tc.h)
@@ -88,12 +88,12 @@
 	}
 }
 
-// TestWindowsOverAYear walks through a year in five zones, minute by minute: windows follow each other without overlap, what they say is what the
-// clock on the wall says at each minute, and what is left is never more than there is.
+// TestWindowsOverAYear goes through a year in five zones, minute by minute: windows do not overlap, they agree with
+// Contains at every minute, and Remaining is never too long.
 func TestWindowsOverAYear(t *testing.T) {
 	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) {
 		rnd := seeds.Rand(seed)
-		for _, where := range []string{"Asia/Seoul", "Asia/Muscat", "Europe/Berlin", "America/New_York", "Australia/Lord_Howe"} { // the last moves by half an hour
+		for _, where := range []string{"Asia/Seoul", "Asia/Muscat", "Europe/Berlin", "America/New_York", "Australia/Lord_Howe"} { // Lord Howe moves its clocks by half an hour
 			h := newCalendar(t, where, "mon-thu 22:30-05:15", "fri 23:00-02:00", "sun 01:00-03:00", "sun 02:30-04:00")
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			end, windows, long := now.AddDate(1, 0, 0), 0, 0.0
@@ -104,13 +104,13 @@
 				}
 				for x := now; x.Before(w.To.Add(time.Minute)); x = x.Add(time.Minute) {
 					if in := !x.Before(w.From) && x.Before(w.To); h.Contains(x) != in {
-						t.Fatalf("%s: %v is quiet: %v; the window is %v to %v", where, x.In(h.Zone), !in, w.From.In(h.Zone), w.To.In(h.Zone))
+						t.Fatalf("%s: Contains is wrong at %v: it returns %v; the window is %v to %v", where, x.In(h.Zone), !in, w.From.In(h.Zone), w.To.In(h.Zone))
 					}
 				}
 				doubt := time.Duration(rnd.IntN(300)) * time.Second
 				x := w.From.Add(time.Duration(rnd.Int64N(int64(w.To.Sub(w.From)))))
 				if left := Remaining(x, doubt, h); left > max(0, w.To.Sub(x)-doubt) || left > 0 && x.Add(-doubt).Before(w.From) {
-					t.Fatalf("%s: at %v, known up to %v, %v are left of %v to %v", where, x, doubt, left, w.From, w.To)
+					t.Fatalf("%s: at %v, give or take %v, Remaining is %v; the window is %v to %v", where, x, doubt, left, w.From, w.To)
 				}
 				windows++
 				long += w.To.Sub(w.From).Hours()
@@ -118,13 +118,14 @@
 			}
 			t.Logf("%s: %d windows, %.1f hours", where, windows, long)
 			if windows < 300 || windows > 320 {
-				t.Errorf("%s: %d windows in a year of six nights a week", where, windows)
+				t.Errorf("%s: %d windows in a year, want 300 to 320 with six nights a week", where, windows)
 			}
 		}
 	})
 }
 
-// TestWindowsOfSeveralRegions: two regions are quiet together only while both are; of two whose nights don't meet there is no window.
+// TestWindowsOfSeveralRegions: two regions share a window only while both are in one, and have none if their hours
+// never overlap.
 func TestWindowsOfSeveralRegions(t *testing.T) {
 	seoul, berlin := newCalendar(t, "Asia/Seoul", "daily 02:00-09:00"), newCalendar(t, "Europe/Berlin", "daily 00:00-06:00")
 	from := parseTime(t, seoul, "2026-12-02 00:00")
@@ -133,21 +134,21 @@
 		t.Errorf("%v to %v, %v", w.From.UTC(), w.To.UTC(), ok)
 	}
 	if w, ok := NextWindow(from, 30*24*time.Hour, seoul, newCalendar(t, "Europe/Berlin", "daily 01:00-06:00")); ok {
-		t.Errorf("they meet from %v to %v", w.From, w.To)
+		t.Errorf("unexpected shared window from %v to %v", w.From, w.To)
 	}
 }
 
-// TestParse: what is no span, day or time is told with what is wrong.
+// TestParse checks that errors for invalid spans, dates and times say what is wrong.
 func TestParse(t *testing.T) {
-	for text, want := range map[string]string{"": "no span", "22:00-05:00": "no span", "mon 22-05": "no time", "mon 25:00-05:00": "no time", "mon 24:00-05:00": "no time",
-		"mon 05:00-05:00": "no time", "moon 22:00-05:00": "no days", "mon-someday 22:00-05:00": "no days", "mon 22:60-05:00": "no time", "mon +1:00-05:00": "no time"} {
+	for text, want := range map[string]string{"": "invalid span", "22:00-05:00": "invalid span", "mon 22-05": "invalid time range", "mon 25:00-05:00": "invalid time range", "mon 24:00-05:00": "invalid time range",
+		"mon 05:00-05:00": "invalid time range", "moon 22:00-05:00": "invalid days", "mon-someday 22:00-05:00": "invalid days", "mon 22:60-05:00": "invalid time range", "mon +1:00-05:00": "invalid time range"} {
 		if _, err := ParseSpan(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
 	for _, text := range []string{"2026-13-01", "2026-02-30", "tomorrow"} {
 		if _, err := ParseDate(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 	if s, err := ParseSpan("sat-mon 00:00-24:00"); err != nil || s.Days != [7]bool{0: true, 1: true, 6: true} || s.To != minutesPerDay {
@@ -155,8 +156,8 @@
 	}
 }
 
-// TestFleetOffset: the fleet's clock lies where most agree; one that is an hour or a year off moves nothing, also if it is this member's own, and
-// where no more than half agree there is none.
+// TestFleetOffset: the fleet's clock is where most members agree. A clock that is an hour or a year off changes
+// nothing, even if it is this member's own. If no more than half agree, there is no fleet clock.
 func TestFleetOffset(t *testing.T) {
 	ms := func(least, most int) OffsetRange {
 		return OffsetRange{time.Duration(least) * time.Millisecond, time.Duration(most) * time.Millisecond}
@@ -169,12 +170,12 @@
 		ok     bool
 	}{
 		{"alone", nil, OffsetRange{}, 1, true},
-		{"all agree", []OffsetRange{ms(-20, 30), ms(-5, 80)}, ms(-5, 30), 3, true},
-		{"one is a year off", []OffsetRange{ms(-20, 30), {365 * 24 * time.Hour, 366 * 24 * time.Hour}}, ms(-20, 30), 2, true},
-		{"this one is an hour off", []OffsetRange{ms(3600000, 3600500), ms(3600200, 3600900), ms(3599000, 3600300)}, ms(3600200, 3600300), 3, true},
-		{"two and two", []OffsetRange{ms(-5, 5), ms(9000, 9010), ms(9005, 9020)}, ms(-5, 5), 2, false},
-		{"they touch", []OffsetRange{ms(0, 10)}, ms(0, 10), 2, true},
-		{"one other, who is off", []OffsetRange{ms(500, 510)}, OffsetRange{}, 1, false},
+		{"all members agree", []OffsetRange{ms(-20, 30), ms(-5, 80)}, ms(-5, 30), 3, true},
+		{"one clock a year off", []OffsetRange{ms(-20, 30), {365 * 24 * time.Hour, 366 * 24 * time.Hour}}, ms(-20, 30), 2, true},
+		{"own clock an hour off", []OffsetRange{ms(3600000, 3600500), ms(3600200, 3600900), ms(3599000, 3600300)}, ms(3600200, 3600300), 3, true},
+		{"two against two", []OffsetRange{ms(-5, 5), ms(9000, 9010), ms(9005, 9020)}, ms(-5, 5), 2, false},
+		{"ranges that touch", []OffsetRange{ms(0, 10)}, ms(0, 10), 2, true},
+		{"one other clock, far off", []OffsetRange{ms(500, 510)}, OffsetRange{}, 1, false},
 	} {
 		if r, n, ok := FleetOffset(tc.others); r != tc.want || n != tc.n || ok != tc.ok {
 			t.Errorf("%s: %v, %d, %v; want %v, %d, %v", tc.name, r, n, ok, tc.want, tc.n, tc.ok)
@@ -182,6 +183,6 @@
 	}
 	now := time.Unix(1000, 0)
 	if r := EstimateOffset(now.Add(-2*time.Second), now, 3*time.Second); r != (OffsetRange{-2 * time.Second, time.Second}) {
-		t.Errorf("a clock that told 2 s ago, 3 s at most: %v", r)
+		t.Errorf("a clock 2 s behind, read up to 3 s ago: %v", r)
 	}
 }
