--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -127,11 +127,11 @@
 		}
 	}
 	t.Logf("%d members, no wall clock %v: %d ownerships in %v, by %d of them; %d changes of electorate", n, w.noWallClock, ownerships, w.now, len(owners), len(w.electorates))
-	least := 10
+	minOwnerships := 10
 	if voters < n { // failed members may stay away for long
-		least = 3
+		minOwnerships = 3
 	}
-	if ownerships < least || len(owners) < 2 {
+	if ownerships < minOwnerships || len(owners) < 2 {
 		t.Errorf("only %d ownerships in %v, by %d of %d members", ownerships, w.now, len(owners), n)
 	}
 }
--- a/internal/election/electorate_test.go
+++ b/internal/election/electorate_test.go
@@ -114,7 +114,7 @@
 func TestVotersFailInSequence(t *testing.T) {
 	c := newTestFleet(t, 7)
 	c.waitUntil("an owner", c.hasOwner)
-	most := c.tables[0].cfg.Lease + 6*c.tables[0].cfg.CandidateDelay + c.tables[0].cfg.abstainPeriod() + 2*unit
+	maxDelay := c.tables[0].cfg.Lease + 6*c.tables[0].cfg.CandidateDelay + c.tables[0].cfg.abstainPeriod() + 2*unit
 	for range 3 {
 		dead := c.tables[6].register.Voters[0]
 		c.kill(dead)
@@ -123,8 +123,8 @@
 			return c.hasOwner() && c.now >= c.tables[c.tables[6].register.Voters[0]].abstainUntil
 		})
 		t.Logf("m%d failed: voters are %v, and the duty has an owner, after %v", dead, c.tables[6].register.Voters, took)
-		if took > most {
-			t.Errorf("it took %v, want %v at most", took, most)
+		if took > maxDelay {
+			t.Errorf("it took %v, want %v at most", took, maxDelay)
 		}
 	}
 }
--- a/internal/fleet/script_test.go
+++ b/internal/fleet/script_test.go
@@ -46,14 +46,14 @@
 	var table *Table
 	var b strings.Builder
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
-		words := strings.Fields(line)
+		fields := strings.Fields(line)
 		switch {
 		case strings.HasPrefix(line, "#"), line == "":
 			fmt.Fprintln(&b, line)
-		case words[0] == "config":
-			configure(t, &cfg, words[1:])
+		case fields[0] == "config":
+			configure(t, &cfg, fields[1:])
 			fmt.Fprintln(&b, line)
-		case words[0] == ">":
+		case fields[0] == ">":
 			if table == nil {
 				var err error
 				if table, err = New(cfg); err != nil {
@@ -61,11 +61,11 @@
 				}
 			}
 			fmt.Fprintln(&b, line)
-			at, err := time.ParseDuration(words[1])
+			at, err := time.ParseDuration(fields[1])
 			if err != nil {
 				t.Fatalf("%s: %v", line, err)
 			}
-			for _, a := range table.Handle(time.Hour+at, parseEvent(t, words[2:])) {
+			for _, a := range table.Handle(time.Hour+at, parseEvent(t, fields[2:])) {
 				fmt.Fprintln(&b, "   ", formatAction(a))
 			}
 		}
@@ -73,8 +73,8 @@
 	return b.String()
 }
 
-func configure(t *testing.T, cfg *Config, words []string) {
-	for _, w := range words {
+func configure(t *testing.T, cfg *Config, fields []string) {
+	for _, w := range fields {
 		name, value, _ := strings.Cut(w, "=")
 		d, _ := time.ParseDuration(value)
 		n, _ := strconv.Atoi(value)
@@ -114,20 +114,20 @@
 }
 
 // parseEvent parses an event such as "alive a.3 0/1": incarnation 3 of member a claims slot 0 in term 1.
-func parseEvent(t *testing.T, words []string) Event {
+func parseEvent(t *testing.T, fields []string) Event {
 	member := func(w, claim string) Member {
-		name, life, _ := strings.Cut(w, ".")
-		n, err := strconv.ParseUint(life, 10, 64)
+		name, incarnation, _ := strings.Cut(w, ".")
+		n, err := strconv.ParseUint(incarnation, 10, 64)
 		if err != nil {
 			t.Fatalf("member %q: %v", w, err)
 		}
 		return Member{Name: name, Incarnation: n, Claim: parseClaim(t, claim)}
 	}
-	switch words[0] {
+	switch fields[0] {
 	case "tick":
 		return Tick{}
 	case "expected": // "expected 2": a change of the settings, with a new generation
-		n, err := strconv.Atoi(words[1])
+		n, err := strconv.Atoi(fields[1])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -135,29 +135,29 @@
 	case "contact":
 		return MemberContact{}
 	case "sync-done":
-		return SyncDone{OK: words[1] == "yes"}
+		return SyncDone{OK: fields[1] == "yes"}
 	case "clock-jump":
 		return ClockJump{}
 	case "leave":
 		return Leave{}
 	case "alive":
-		return MemberAlive{member(words[1], words[2])}
+		return MemberAlive{member(fields[1], fields[2])}
 	case "lost", "left":
-		m := member(words[1], "-")
-		return MemberGone{m.Name, m.Incarnation, words[0] == "left"}
+		m := member(fields[1], "-")
+		return MemberGone{m.Name, m.Incarnation, fields[0] == "left"}
 	case "remote": // "remote lost a.3 0/1 5s": as reported by another member
 		state := Lost
-		if words[1] == "left" {
+		if fields[1] == "left" {
 			state = Left
 		}
-		ago, err := time.ParseDuration(words[4])
+		ago, err := time.ParseDuration(fields[4])
 		if err != nil {
 			t.Fatal(err)
 		}
-		return RemoteState{SharedState{Absent: []AbsentMember{{member(words[2], words[3]), state, ago}}}}
+		return RemoteState{SharedState{Absent: []AbsentMember{{member(fields[2], fields[3]), state, ago}}}}
 	case "remote-terms":
 		var p SharedState
-		for _, w := range words[1:] {
+		for _, w := range fields[1:] {
 			n, err := strconv.ParseUint(w, 10, 64)
 			if err != nil {
 				t.Fatal(err)
@@ -166,7 +166,7 @@
 		}
 		return RemoteState{p}
 	}
-	t.Fatalf("unknown event %q", words)
+	t.Fatalf("unknown event %q", fields)
 	return nil
 }
 
