--- a/internal/election/model_test.go
+++ b/internal/election/model_test.go
@@ -384,10 +384,10 @@
 
 // explore visits the reachable states in breadth-first order, up to a limit. It returns the first state that violates
 // an invariant, which has the shortest path, or nil; the number of states seen; and the depth reached.
-func explore(start *model, maxStates int) (bad *node, states, depth int) {
+func explore(start *model, limit int) (bad *node, states, depth int) {
 	seen := map[string]bool{start.key(): true}
 	queue := []*node{{model: start}}
-	for len(queue) > 0 && len(seen) < maxStates {
+	for len(queue) > 0 && len(seen) < limit {
 		n := queue[0]
 		queue = queue[1:]
 		depth = n.depth
