--- a/internal/fleet/script_test.go
+++ b/internal/fleet/script_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-var rewrite = flag.Bool("rewrite", false, "write what comes out into the scripts, to be read before it is committed")
+var rewrite = flag.Bool("rewrite", false, "write the actual output into the scripts; review it before committing")
 
-// TestScripts plays every script of testdata: each line that begins with '>' is an event, and the lines behind it are exactly what
-// must come out.
+// TestScripts runs every script in testdata. Each line that begins with '>' is an event, and the indented lines that
+// follow it are exactly the expected actions.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("there are no scripts", err)
+		t.Fatal("no scripts found", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
@@ -26,7 +26,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := play(t, string(text))
+			got := runScript(t, string(text))
 			if *rewrite {
 				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
@@ -38,22 +38,22 @@
 	}
 }
 
-// play returns a script with what came out of its events in place of what should.
-func play(t *testing.T, text string) string {
+// runScript returns a script with the actual actions in place of the expected ones.
+func runScript(t *testing.T, text string) string {
 	t.Helper()
 	cfg := DefaultConfig()
 	cfg.Slots, cfg.PauseThreshold, cfg.Self = 3, time.Hour, Member{Name: "m", Incarnation: 10, Claim: NoClaim}
 	var table *Table
 	var b strings.Builder
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
-		words := strings.Fields(line)
+		fields := strings.Fields(line)
 		switch {
 		case strings.HasPrefix(line, "#"), line == "":
 			fmt.Fprintln(&b, line)
-		case words[0] == "config":
-			configure(t, &cfg, words[1:])
+		case fields[0] == "config":
+			configure(t, &cfg, fields[1:])
 			fmt.Fprintln(&b, line)
-		case words[0] == ">":
+		case fields[0] == ">":
 			if table == nil {
 				var err error
 				if table, err = New(cfg); err != nil {
@@ -61,39 +61,39 @@
 				}
 			}
 			fmt.Fprintln(&b, line)
-			at, err := time.ParseDuration(words[1])
+			at, err := time.ParseDuration(fields[1])
 			if err != nil {
 				t.Fatalf("%s: %v", line, err)
 			}
-			for _, a := range table.Handle(time.Hour+at, parseEvent(t, words[2:])) {
-				fmt.Fprintln(&b, "   ", show(a))
+			for _, a := range table.Handle(time.Hour+at, parseEvent(t, fields[2:])) {
+				fmt.Fprintln(&b, "   ", formatAction(a))
 			}
 		}
 	}
 	return b.String()
 }
 
-func configure(t *testing.T, cfg *Config, words []string) {
-	for _, w := range words {
+func configure(t *testing.T, cfg *Config, fields []string) {
+	for _, w := range fields {
 		name, value, _ := strings.Cut(w, "=")
 		d, _ := time.ParseDuration(value)
 		n, _ := strconv.Atoi(value)
 		switch name {
-		case "places":
+		case "slots":
 			cfg.Slots = n
-		case "expect":
+		case "expected":
 			cfg.ExpectedMembers = n
 		case "last":
 			cfg.LastClaim = parseClaim(t, value)
-		case "gap":
+		case "pause":
 			cfg.PauseThreshold = d
 		case "lease":
 			cfg.Lease = d
-		case "hold":
+		case "reserve":
 			cfg.ReservationPeriod = d
 		case "forget":
 			cfg.ForgetAfter = d
-		case "return":
+		case "restore":
 			cfg.IsolatedRestoreDelay = d
 		default:
 			t.Fatalf("unknown setting %q", w)
@@ -101,7 +101,7 @@
 	}
 }
 
-// parseClaim reads "2/7": place 2, term 7; "-": none.
+// parseClaim parses "2/7", slot 2 in term 7, or "-", no claim.
 func parseClaim(t *testing.T, s string) Claim {
 	if s == "-" {
 		return NoClaim
@@ -113,51 +113,51 @@
 	return c
 }
 
-// parseEvent reads such as "seen a.3 0/1": life 3 of member a claims place 0 in term 1.
-func parseEvent(t *testing.T, words []string) Event {
+// parseEvent parses an event such as "alive a.3 0/1": incarnation 3 of member a claims slot 0 in term 1.
+func parseEvent(t *testing.T, fields []string) Event {
 	member := func(w, claim string) Member {
-		name, life, _ := strings.Cut(w, ".")
-		n, err := strconv.ParseUint(life, 10, 64)
+		name, incarnation, _ := strings.Cut(w, ".")
+		n, err := strconv.ParseUint(incarnation, 10, 64)
 		if err != nil {
 			t.Fatalf("member %q: %v", w, err)
 		}
 		return Member{Name: name, Incarnation: n, Claim: parseClaim(t, claim)}
 	}
-	switch words[0] {
+	switch fields[0] {
 	case "tick":
 		return Tick{}
-	case "expect": // "expect 2": by hand, with another generation of the configuration
-		n, err := strconv.Atoi(words[1])
+	case "expected": // "expected 2": a change of the settings, with a new generation
+		n, err := strconv.Atoi(fields[1])
 		if err != nil {
 			t.Fatal(err)
 		}
 		return ConfigChange{Generation: 1, ExpectedMembers: n}
-	case "heard":
+	case "contact":
 		return MemberContact{}
-	case "synced":
-		return SyncDone{OK: words[1] == "yes"}
-	case "jumped":
+	case "sync-done":
+		return SyncDone{OK: fields[1] == "yes"}
+	case "clock-jump":
 		return ClockJump{}
 	case "leave":
 		return Leave{}
-	case "seen":
-		return MemberAlive{member(words[1], words[2])}
+	case "alive":
+		return MemberAlive{member(fields[1], fields[2])}
 	case "lost", "left":
-		m := member(words[1], "-")
-		return MemberGone{m.Name, m.Incarnation, words[0] == "left"}
-	case "told": // "told lost a.3 0/1 5s": another member says so
+		m := member(fields[1], "-")
+		return MemberGone{m.Name, m.Incarnation, fields[0] == "left"}
+	case "remote": // "remote lost a.3 0/1 5s": as reported by another member
 		state := Lost
-		if words[1] == "left" {
+		if fields[1] == "left" {
 			state = Left
 		}
-		ago, err := time.ParseDuration(words[4])
+		ago, err := time.ParseDuration(fields[4])
 		if err != nil {
 			t.Fatal(err)
 		}
-		return RemoteState{SharedState{Absent: []AbsentMember{{member(words[2], words[3]), state, ago}}}}
-	case "terms":
+		return RemoteState{SharedState{Absent: []AbsentMember{{member(fields[2], fields[3]), state, ago}}}}
+	case "remote-terms":
 		var p SharedState
-		for _, w := range words[1:] {
+		for _, w := range fields[1:] {
 			n, err := strconv.ParseUint(w, 10, 64)
 			if err != nil {
 				t.Fatal(err)
@@ -166,11 +166,11 @@
 		}
 		return RemoteState{p}
 	}
-	t.Fatalf("unknown event %q", words)
+	t.Fatalf("unknown event %q", fields)
 	return nil
 }
 
-func show(a Action) string {
+func formatAction(a Action) string {
 	claim := func(c Claim) string {
 		if c.Slot < 0 {
 			return "-"
@@ -182,13 +182,13 @@
 		return fmt.Sprintf("announce %s", claim(a.Self.Claim))
 	case Sync:
 		if a.SkipSeeds {
-			return "sync few"
+			return "sync without seeds"
 		}
 		return "sync"
 	case Superseded:
-		return fmt.Sprintf("yield to life %d", a.By.Incarnation)
+		return fmt.Sprintf("superseded by incarnation %d", a.By.Incarnation)
 	case LogMessage:
-		return "note " + a.Text
+		return "log " + a.Text
 	case AssignmentChange:
 		var names []string
 		for _, h := range a.Holders {
@@ -201,7 +201,7 @@
 				names = append(names, h.Name+":"+h.State.String())
 			}
 		}
-		return fmt.Sprintf("stand %s alone=%v [%s]", claim(Claim{a.Slot, a.Term}), a.Isolated, strings.Join(names, " "))
+		return fmt.Sprintf("assignment %s isolated=%v [%s]", claim(Claim{a.Slot, a.Term}), a.Isolated, strings.Join(names, " "))
 	}
 	return fmt.Sprintf("%T", a)
 }
