--- a/internal/blocks/back.go
+++ b/internal/blocks/back.go
@@ -28,8 +28,8 @@
 func Backs(c *operator.Config) map[string]gateway.Backend {
 	all := map[string]gateway.Backend{}
 	for _, s := range c.All("back") {
-		all[s.Label] = h2.NewBack(h2.BackConfig{Streams: s.Count("streams"), Connections: s.Count("connections"),
-			Ping: s.Duration("ping"), Idle: s.Duration("idle")})
+		all[s.Label] = h2.NewBackend(h2.BackendConfig{MaxStreams: s.Count("streams"), MaxConns: s.Count("connections"),
+			PingInterval: s.Duration("ping"), IdleTimeout: s.Duration("idle")})
 	}
 	return all
 }
--- a/internal/blocks/listener.go
+++ b/internal/blocks/listener.go
@@ -68,14 +68,14 @@
 }
 
 // Listeners reads the listeners of a checked configuration.
-func Listeners(c *operator.Config) (all []h2.Listener) {
+func Listeners(c *operator.Config) (all []h2.FrontendConfig) {
 	for _, s := range c.All("listener") {
-		l := h2.Listener{Name: s.Label, Address: s.Word("address"), Streams: s.Count("streams")}
+		l := h2.FrontendConfig{Name: s.Label, Address: s.Word("address"), MaxStreams: s.Count("streams")}
 		if t := s.One("tls"); t.Present() {
-			l.Shake = t.Duration("handshake")
-			l.Files = &h2.Files{Certificate: beside(t, "certificate"), Key: beside(t, "key"), Bind: t.Word("bind") == "customer"}
+			l.HandshakeTimeout = t.Duration("handshake")
+			l.TLS = &h2.TLSFiles{Certificate: beside(t, "certificate"), Key: beside(t, "key"), BindCustomer: t.Word("bind") == "customer"}
 			if t.Has("clients") {
-				l.Files.Clients = beside(t, "clients")
+				l.TLS.ClientCAs = beside(t, "clients")
 			}
 		}
 		all = append(all, l)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 		level.Set(blocks.Level(r.now))
 		cfg.BackendsByKind = blocks.Backs(r.now)
 		for _, l := range blocks.Listeners(r.now) {
-			f, err := h2.NewFront(l)
+			f, err := h2.NewFrontend(l)
 			if err != nil {
 				return err
 			}
@@ -241,7 +241,7 @@
 	log     *slog.Logger
 	level   *slog.LevelVar
 	reloads chan gateway.Reload
-	fronts  []*h2.Front
+	fronts  []*h2.Frontend
 	manager *service.Manager
 	member  *gossip.Engine // nil: of no fleet
 	lock    *os.File       // of the state that is kept; held open for as long as the process lives
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -120,7 +120,7 @@
 		},
 		"HTTP/2": {
 			front: func(ln net.Listener) gateway.Frontend {
-				f, err := h2.NewFront(h2.Listener{Name: "x", Streams: 100})
+				f, err := h2.NewFrontend(h2.FrontendConfig{Name: "x", MaxStreams: 100})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -130,15 +130,15 @@
 			piece: func() ([]byte, int) {
 				c := wire.NewClient(wire.DefaultLimits(), 0)
 				askH2(c, "bad", "a", "b", "c", "worse")
-				return bytes.Clone(c.Out()), 5
+				return bytes.Clone(c.TakeOutput()), 5
 			},
 			answers: func(got []byte) (n int) {
 				c := wire.NewClient(wire.DefaultLimits(), 0)
 				for range 5 {
-					c.Ask([]hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/"}}, nil)
+					c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/"}}, nil)
 				}
 				for _, e := range c.Feed(0, got) {
-					if e.Kind == wire.Answered {
+					if e.Kind == wire.ResponseReceived {
 						n++
 					}
 				}
@@ -155,7 +155,7 @@
 		if len(id) > 1 {
 			class = "none"
 		}
-		c.Ask([]hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/v1/ask/" + class},
+		c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/v1/ask/" + class},
 			{Name: "sloepick-customer", Value: whose}, {Name: "sloepick-plan", Value: "p"}, {Name: "sloepick-id", Value: id},
 			{Name: "sloepick-patience", Value: "30000"}}, nil)
 	}
@@ -483,15 +483,15 @@
 	r := newRun(t, protocols(t)["HTTP/2"], &faultconn.Injector{}, false)
 	c := wire.NewClient(wire.DefaultLimits(), 0)
 	var b bytes.Buffer
-	b.Write(bytes.Clone(c.Out()))
+	b.Write(bytes.Clone(c.TakeOutput()))
 	if err := http2.NewFramer(&b, nil).WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0}); err != nil {
 		t.Fatal(err)
 	}
 	r.far.Write(b.Bytes())
-	left := wire.DefaultLimits().Unsent
+	left := wire.DefaultLimits().MaxUnsentBytes
 	for n := 0; left > 0; n++ {
 		askH2(c, string(rune('a'+n)))
-		r.far.Write(bytes.Clone(c.Out()))
+		r.far.Write(bytes.Clone(c.TakeOutput()))
 		for end := time.Now().Add(endWithin); len(r.back.tries) == 0; r.pump() {
 			if time.Now().After(end) {
 				t.Fatal("the request did not come to its node")
@@ -502,7 +502,7 @@
 		left -= size
 	}
 	askH2(c, "bad", "Z")
-	r.far.Write(bytes.Clone(c.Out()))
+	r.far.Write(bytes.Clone(c.TakeOutput()))
 	before := r.back.served
 	for end := time.Now().Add(endWithin); r.core.Stats().Clients > 0; r.pump() {
 		r.clock.now.Add(int64(100 * time.Millisecond))
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -47,11 +47,11 @@
 				}
 			}
 		}},
-		"HTTP/2": {h2.NewBack(h2.BackConfig{Streams: 100, Connections: 2, Ping: time.Second, Idle: time.Minute}), func(c net.Conn) error {
+		"HTTP/2": {h2.NewBackend(h2.BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: time.Second, IdleTimeout: time.Minute}), func(c net.Conn) error {
 			w := wire.NewServer(wire.DefaultLimits(), 0)
 			b := make([]byte, 4<<10)
 			for {
-				if out := w.Out(); len(out) > 0 {
+				if out := w.TakeOutput(); len(out) > 0 {
 					if _, err := c.Write(out); err != nil {
 						return err
 					}
@@ -61,7 +61,7 @@
 					return err
 				}
 				for _, e := range w.Feed(0, b[:n]) {
-					if e.Kind == wire.Asked {
+					if e.Kind == wire.RequestReceived {
 						w.Respond(e.Stream, 200, nil, []byte("v"))
 					}
 				}
--- a/internal/h2/back.go
+++ b/internal/h2/back.go
@@ -14,28 +14,28 @@
 	"sloepick/internal/h2/wire"
 )
 
-// BackConfig is how nodes of a kind are reached.
-type BackConfig struct {
-	Streams     int           // attempts out on a connection
-	Connections int           // to a node
-	Ping        time.Duration // a connection on which something is open and nothing comes for so long is asked whether it is there
-	Idle        time.Duration // one on which nothing is open is closed after so long
+// BackendConfig is how nodes of a kind are reached.
+type BackendConfig struct {
+	MaxStreams   int           // attempts out on a connection
+	MaxConns     int           // to a node
+	PingInterval time.Duration // a connection on which something is open and nothing comes for so long is asked whether it is there
+	IdleTimeout  time.Duration // one on which nothing is open is closed after so long
 }
 
-// Back reaches nodes that speak HTTP/2 with prior knowledge: an attempt is a stream.
-type Back struct{ cfg BackConfig }
+// Backend reaches nodes that speak HTTP/2 with prior knowledge: an attempt is a stream.
+type Backend struct{ cfg BackendConfig }
 
-// NewBack makes one.
-func NewBack(c BackConfig) *Back { return &Back{c} }
+// NewBackend makes one.
+func NewBackend(c BackendConfig) *Backend { return &Backend{c} }
 
 // NewTransport implements gateway.Back.
-func (b *Back) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
+func (b *Backend) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
 	return &node{cfg: b.cfg, d: d, place: p, spots: map[*gateway.Attempt]spot{}}
 }
 
 // node is a node at an address. All of it is the loop's.
 type node struct {
-	cfg     BackConfig
+	cfg     BackendConfig
 	d       *gateway.Core
 	place   *gateway.Endpoint
 	conns   []*nodeConn
@@ -59,7 +59,7 @@
 		return
 	}
 	switch {
-	case len(n.waiting) >= n.cfg.Streams, !n.dialing && (len(n.conns) >= n.cfg.Connections || !n.place.ReserveConn()):
+	case len(n.waiting) >= n.cfg.MaxStreams, !n.dialing && (len(n.conns) >= n.cfg.MaxConns || !n.place.ReserveConn()):
 		t.Fail(gateway.NoLocalCapacity)
 		return
 	case !n.dialing:
@@ -71,7 +71,7 @@
 // free is the connection that a try may go out on now.
 func (n *node) free() (best *nodeConn) {
 	for _, c := range n.conns {
-		if !c.last && c.clear() && c.wire.Room() > 0 && (best == nil || c.wire.Open() < best.wire.Open()) {
+		if !c.last && c.clear() && c.wire.AvailableStreams() > 0 && (best == nil || c.wire.OpenStreams() < best.wire.OpenStreams()) {
 			best = c
 		}
 	}
@@ -107,7 +107,7 @@
 
 func (n *node) begin(nc net.Conn) {
 	limits := wire.DefaultLimits()
-	limits.Streams = n.cfg.Streams
+	limits.MaxStreams = n.cfg.MaxStreams
 	now := n.d.Now()
 	c := &nodeConn{n: n, nc: nc, out: gateway.NewWriter(nc), wire: wire.NewClient(limits, now), tries: map[uint32]*gateway.Attempt{},
 		heard: now, used: now, resume: gateway.NewMailbox[struct{}]()}
@@ -130,7 +130,7 @@
 			s.c.end()
 			return
 		}
-		s.c.wire.Reset(s.stream, http2.ErrCodeCancel)
+		s.c.wire.ResetStream(s.stream, http2.ErrCodeCancel)
 		s.c.flush()
 	}
 }
@@ -190,7 +190,7 @@
 // send puts a try on the connection.
 func (c *nodeConn) send(t *gateway.Attempt) {
 	v := t.Request()
-	stream, ok := c.wire.Ask(askFields(v, t.RemainingTime()), v.Body)
+	stream, ok := c.wire.SendRequest(askFields(v, t.RemainingTime()), v.Body)
 	if !ok { // free has seen room
 		t.Fail(gateway.NoLocalCapacity)
 		return
@@ -229,7 +229,7 @@
 
 // flush writes what the connection has to say. Tries of which all is handed over may run from then on.
 func (c *nodeConn) flush() {
-	c.unsent = append(c.unsent, c.wire.Out()...)
+	c.unsent = append(c.unsent, c.wire.TakeOutput()...)
 	if c.closed || c.out.Busy() || len(c.unsent) == 0 {
 		return
 	}
@@ -239,7 +239,7 @@
 		return
 	}
 	for stream, t := range c.tries {
-		if c.wire.Unsent(stream) == 0 {
+		if c.wire.UnsentBytes(stream) == 0 {
 			t.MarkFullySent()
 		}
 	}
@@ -295,11 +295,11 @@
 
 func (c *nodeConn) event(e wire.Event) {
 	switch e.Kind {
-	case wire.Away:
+	case wire.GoAwayReceived:
 		c.last = true
 		return
-	case wire.Ended:
-		c.n.d.Log().Debug("an HTTP/2 connection to a node ended", "node", c.n.place.Addr(), "code", e.Code.String(), "why", e.Why)
+	case wire.ConnFailed:
+		c.n.d.Log().Debug("an HTTP/2 connection to a node ended", "node", c.n.place.Addr(), "code", e.Code.String(), "why", e.Reason)
 		c.end()
 		return
 	}
@@ -308,11 +308,11 @@
 		return
 	}
 	switch {
-	case e.Kind == wire.Refused:
+	case e.Kind == wire.RequestRefused:
 		t.Fail(gateway.RefusedByNode)
-	case e.Kind == wire.Answered:
-		conclude(t, e.Answer)
-	case e.Mine:
+	case e.Kind == wire.ResponseReceived:
+		conclude(t, e.Response)
+	case e.Local:
 		t.Fail(gateway.BadResponse)
 	default:
 		t.Fail(gateway.ConnectionLost)
@@ -320,7 +320,7 @@
 }
 
 // conclude takes an answer.
-func conclude(t *gateway.Attempt, a *wire.Answer) {
+func conclude(t *gateway.Attempt, a *wire.Response) {
 	never := slices.ContainsFunc(a.Fields, func(f hpack.HeaderField) bool { return f.Name == fieldRan && f.Value == ranNever })
 	switch {
 	case a.Status == statusOK:
@@ -333,7 +333,7 @@
 }
 
 // figures are what a node told of a request's use.
-func figures(a *wire.Answer) []byte {
+func figures(a *wire.Response) []byte {
 	for _, f := range a.Fields {
 		if f.Name == fieldUse {
 			return []byte(f.Value)
@@ -384,13 +384,13 @@
 	now, next := c.n.d.Now(), time.Duration(0)
 	switch {
 	case len(c.tries) == 0:
-		if next = c.used + c.n.cfg.Idle; next <= now {
+		if next = c.used + c.n.cfg.IdleTimeout; next <= now {
 			c.end()
 			return
 		}
-		next = min(next, now+c.n.cfg.Ping)
-	case now-max(c.heard, c.used) < c.n.cfg.Ping && !c.pinged:
-		next = max(c.heard, c.used) + c.n.cfg.Ping
+		next = min(next, now+c.n.cfg.PingInterval)
+	case now-max(c.heard, c.used) < c.n.cfg.PingInterval && !c.pinged:
+		next = max(c.heard, c.used) + c.n.cfg.PingInterval
 	case c.pinged:
 		c.n.d.Log().Info("a connection to a node is silent", "node", c.n.place.Addr(), "open", len(c.tries))
 		c.end()
@@ -399,7 +399,7 @@
 		c.pinged = true
 		c.wire.Ping()
 		c.flush()
-		next = now + c.n.cfg.Ping
+		next = now + c.n.cfg.PingInterval
 	}
 	if !c.closed {
 		c.alarm = c.n.d.Schedule(next, c.watch)
--- a/internal/h2/back_test.go
+++ b/internal/h2/back_test.go
@@ -14,16 +14,16 @@
 )
 
 // newBackRig is a rig all of whose nodes speak HTTP/2.
-func newBackRig(t *testing.T, nodes int, change func(*BackConfig)) *rig {
+func newBackRig(t *testing.T, nodes int, change func(*BackendConfig)) *rig {
 	t.Helper()
 	p := platform()
 	p.H2Nodes = nodes
-	b := BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience}
+	b := BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: patience, IdleTimeout: patience}
 	if change != nil {
 		change(&b)
 	}
-	return newRigOf(t, p, nodes, func(cfg *gateway.Config, _ *Listener) {
-		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBack(b)}
+	return newRigOf(t, p, nodes, func(cfg *gateway.Config, _ *FrontendConfig) {
+		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(b)}
 	})
 }
 
@@ -110,7 +110,7 @@
 
 // Many attempts share a connection, up to what the node allows, which may be lowered; giving one up leaves the others.
 func TestStreamsShareConnections(t *testing.T) {
-	r := newBackRig(t, 1, func(b *BackConfig) { b.Connections = 1 })
+	r := newBackRig(t, 1, func(b *BackendConfig) { b.MaxConns = 1 })
 	conns := make(chan *testbed.H2NodeConn, 64)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		conns <- s.Conn
@@ -240,7 +240,7 @@
 		ended <- err
 		ln.Close()
 	}()
-	r := newBackRig(t, 1, func(b *BackConfig) { b.Ping = 50 * time.Millisecond })
+	r := newBackRig(t, 1, func(b *BackendConfig) { b.PingInterval = 50 * time.Millisecond })
 	list := r.site.ServerList()
 	list.Version, list.Servers[0].Addr = 99, ln.Addr().String()
 	if err := r.site.Discovery.Set(99, list); err != nil {
@@ -343,8 +343,8 @@
 			}
 			p := platform()
 			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = h2.nodes, true, 8
-			r := newRigOf(t, p, 1, func(cfg *gateway.Config, _ *Listener) {
-				cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+			r := newRigOf(t, p, 1, func(cfg *gateway.Config, _ *FrontendConfig) {
+				cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: patience, IdleTimeout: patience})}
 			})
 			r.site.Nodes[0].SetUseReport(func(testbed.Arrival) string { return figures })
 			c, served := &caller{r: r}, 0
--- a/internal/h2/crossing_test.go
+++ b/internal/h2/crossing_test.go
@@ -17,7 +17,7 @@
 // TestIdleCloseCrossesARequestByHTTP2: a client's next request crosses the end of its connection, which had been idle for too long. It
 // reads which requests were taken and a plain end; the other one reaches no node and can be sent again.
 func TestIdleCloseCrossesARequestByHTTP2(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *Listener) {
+	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Clients.Idle, cfg.Tuning.Clients.Fault = 50*time.Millisecond, patience
 	})
 	c := r.dial(nil)
--- a/internal/h2/floods_test.go
+++ b/internal/h2/floods_test.go
@@ -105,7 +105,7 @@
 
 // A client that opens no window is given up after the stated time, on its stream alone.
 func TestNoWindow(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *Listener) {
+	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Clients.Write = 100 * time.Millisecond
 	})
 	c := r.dial(nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
--- a/internal/h2/front.go
+++ b/internal/h2/front.go
@@ -18,27 +18,27 @@
 	"sloepick/internal/h2/wire"
 )
 
-// Listener is one listener of the operators' file.
-type Listener struct {
-	Name    string
-	Address string // host:port
-	Streams int    // requests open at once on a connection
-	Shake   time.Duration
-	Files   *Files // nil: plain TCP, with prior knowledge
+// FrontendConfig is one listener of the operators' file.
+type FrontendConfig struct {
+	Name             string
+	Address          string // host:port
+	MaxStreams       int    // requests open at once on a connection
+	HandshakeTimeout time.Duration
+	TLS              *TLSFiles // nil: plain TCP, with prior knowledge
 }
 
-// Front serves a listener.
-type Front struct {
+// Frontend serves a listener.
+type Frontend struct {
 	gateway.Listener
-	l   Listener
+	l   FrontendConfig
 	tls *identity // nil: plain TCP
 }
 
-// NewFront makes a front that does not listen yet. It reads the files of its identity.
-func NewFront(l Listener) (f *Front, err error) {
-	f = &Front{Listener: gateway.NewListener("listener "+l.Name, l.Address), l: l}
-	if l.Files != nil {
-		if f.tls, err = newIdentity(*l.Files); err != nil {
+// NewFrontend makes a front that does not listen yet. It reads the files of its identity.
+func NewFrontend(l FrontendConfig) (f *Frontend, err error) {
+	f = &Frontend{Listener: gateway.NewListener("listener "+l.Name, l.Address), l: l}
+	if l.TLS != nil {
+		if f.tls, err = newIdentity(*l.TLS); err != nil {
 			return nil, fmt.Errorf("listener %s: %w", l.Name, err)
 		}
 	}
@@ -47,7 +47,7 @@
 
 // Reload reads the files of its identity again. New connections go by them once take is called; if they can't be used,
 // nothing changes.
-func (f *Front) Reload() (take func(), err error) {
+func (f *Frontend) Reload() (take func(), err error) {
 	if f.tls == nil {
 		return func() {}, nil
 	}
@@ -59,12 +59,12 @@
 }
 
 // Serve implements gateway.Front.
-func (f *Front) Serve(ctx context.Context, d *gateway.Core) {
+func (f *Frontend) Serve(ctx context.Context, d *gateway.Core) {
 	f.AcceptLoop(ctx, d, func(nc net.Conn) { f.take(d, nc) })
 }
 
 // take begins a connection, in the loop.
-func (f *Front) take(d *gateway.Core, nc net.Conn) {
+func (f *Frontend) take(d *gateway.Core, nc net.Conn) {
 	now := d.Now()
 	c := &conn{f: f, d: d, nc: nc, raw: nc, used: now, came: now, asks: map[uint32]*ask{}, resume: gateway.NewMailbox[struct{}]()}
 	if !d.AdmitConn(c) {
@@ -78,7 +78,7 @@
 		c.out = gateway.NewWriter(c.nc)
 	}
 	limits := wire.DefaultLimits()
-	limits.Streams = f.l.Streams
+	limits.MaxStreams = f.l.MaxStreams
 	c.wire = wire.NewServer(limits, now)
 	c.watch()
 	if f.tls == nil {
@@ -89,7 +89,7 @@
 
 // conn is a client's connection. All but read is the loop's.
 type conn struct {
-	f        *Front
+	f        *Frontend
 	d        *gateway.Core
 	nc       net.Conn // raw, or TLS on it, whose closing would wait for the peer
 	raw      net.Conn
@@ -147,7 +147,7 @@
 
 // shake does the TLS handshake, within its time, and reads the peer's identity.
 func (c *conn) shake(t *tls.Conn) bool {
-	if err := c.raw.SetDeadline(time.Now().Add(c.f.l.Shake)); err != nil {
+	if err := c.raw.SetDeadline(time.Now().Add(c.f.l.HandshakeTimeout)); err != nil {
 		return false
 	}
 	if err := t.Handshake(); err != nil {
@@ -160,7 +160,7 @@
 		owner = customerOf(state.PeerCertificates[0])
 	}
 	c.d.Post(func() {
-		c.bound, c.owner = c.f.l.Files.Bind, owner
+		c.bound, c.owner = c.f.l.TLS.BindCustomer, owner
 		c.touch()
 	})
 	return state.NegotiatedProtocol == http2.NextProtoTLS && c.raw.SetDeadline(time.Time{}) == nil
@@ -182,16 +182,16 @@
 
 func (c *conn) event(e wire.Event) {
 	switch e.Kind {
-	case wire.Asked:
+	case wire.RequestReceived:
 		c.begin(e.Stream, e.Request)
-	case wire.TooBig:
+	case wire.RequestTooLarge:
 		c.tell(e.Stream, (&problem{e.Status, "too-large", "the request is larger than this gateway takes"}).tell())
-	case wire.Left:
+	case wire.StreamAborted:
 		if a := c.asks[e.Stream]; a != nil {
 			c.forget(a)
 		}
-	case wire.Ended:
-		c.d.Log().Debug("an HTTP/2 connection ended", "listener", c.f.l.Name, "code", e.Code.String(), "why", e.Why)
+	case wire.ConnFailed:
+		c.d.Log().Debug("an HTTP/2 connection ended", "listener", c.f.l.Name, "code", e.Code.String(), "why", e.Reason)
 		c.end()
 	}
 }
@@ -260,7 +260,7 @@
 	if c.closed {
 		return
 	}
-	c.unsent = append(c.unsent, c.wire.Out()...)
+	c.unsent = append(c.unsent, c.wire.TakeOutput()...)
 	if len(c.unsent) > c.d.Tuning().Clients.Unread {
 		c.Close()
 		return
@@ -289,7 +289,7 @@
 		return
 	}
 	c.unsent = c.unsent[:0]
-	if c.ending || c.draining && c.wire.Idle() {
+	if c.ending || c.draining && c.wire.Drained() {
 		c.finish()
 	}
 }
@@ -332,13 +332,13 @@
 	if c.closed || c.wire.Failed() {
 		return
 	}
-	if c.wire.Stalled(now-t.Write) > 0 {
+	if c.wire.ResetStalled(now-t.Write) > 0 {
 		c.touch()
 	}
 	next := now + t.Write
-	if at, ok := c.wire.Oldest(); ok {
+	if at, ok := c.wire.WaitingSince(); ok {
 		next = min(next, at+t.Write+time.Millisecond)
-	} else if c.wire.Open() == 0 {
+	} else if c.wire.OpenStreams() == 0 {
 		quiet := c.used + t.Idle
 		if c.used == c.came { // nothing was answered yet
 			quiet = c.came + t.FirstCommand
@@ -353,7 +353,7 @@
 }
 
 // Idle reports that nothing is owed.
-func (c *conn) Idle() bool { return c.wire.Open() == 0 && !c.draining && !c.ending }
+func (c *conn) Idle() bool { return c.wire.OpenStreams() == 0 && !c.draining && !c.ending }
 
 // LastUsed is when it was last answered.
 func (c *conn) LastUsed() time.Duration { return c.used }
@@ -369,11 +369,11 @@
 	case <-c.d.Closing():
 		c.wire.Shutdown()
 		c.d.Schedule(c.d.Now()+c.d.Tuning().Stop.LastCall, func() {
-			c.wire.Refuse()
+			c.wire.RefuseNewStreams()
 			c.touch()
 		})
 	default:
-		c.wire.Refuse()
+		c.wire.RefuseNewStreams()
 	}
 	c.touch()
 }
--- a/internal/h2/front_test.go
+++ b/internal/h2/front_test.go
@@ -210,7 +210,7 @@
 
 // The gateway's end: two GOAWAYs, what was open and what crossed the first is answered, and then the connection ends.
 func TestEndInTwoSteps(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *Listener) {
+	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Stop.LastCall = 2 * time.Second // in which the test must send the request that crosses
 	})
 	let := r.hold()
@@ -300,7 +300,7 @@
 
 // Far more silent connections than there are descriptors: the quiet ones make room, and a client that asks is served.
 func TestIdleConnections(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *Listener) { cfg.Sockets = 256 })
+	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) { cfg.Sockets = 256 })
 	good := r.dial(nil)
 	for i := range *idle {
 		nc, err := net.Dial("tcp", r.front.Addr().String())
@@ -375,8 +375,8 @@
 		return path
 	}
 	cert, key := a.leaf("gateway", 2)
-	files := Files{Certificate: put("cert.pem", cert), Key: put("key.pem", key), Clients: put("clients.pem", a.pem), Bind: true}
-	r := newRig(t, platform(), func(_ *gateway.Config, l *Listener) { l.Files = &files })
+	files := TLSFiles{Certificate: put("cert.pem", cert), Key: put("key.pem", key), ClientCAs: put("clients.pem", a.pem), BindCustomer: true}
+	r := newRig(t, platform(), func(_ *gateway.Config, l *FrontendConfig) { l.TLS = &files })
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(a.pem)
 	shows := func(a *authority, name string) *tls.Config {
--- a/internal/h2/lookup_test.go
+++ b/internal/h2/lookup_test.go
@@ -21,7 +21,7 @@
 	for _, by := range []string{"resp", "h2"} {
 		b.Run(by, func(b *testing.B) {
 			node := instant(b)
-			r := newRigOf(b, platform(), 1, func(cfg *gateway.Config, _ *Listener) {
+			r := newRigOf(b, platform(), 1, func(cfg *gateway.Config, _ *FrontendConfig) {
 				cfg.KnownServers.Servers[0].Addr = node
 				cfg.Tuning.Nodes.Rest = 0 // one connection carries all, so that none is made while it counts
 				d, err := testbed.NewDiscovery(cfg.KnownServers.Version, cfg.KnownServers)
--- a/internal/h2/mixed_test.go
+++ b/internal/h2/mixed_test.go
@@ -120,8 +120,8 @@
 func playMix(t *testing.T, seed uint64, h2Nodes int, byH2 func(i int) bool) (units map[string]float64, ends []string) {
 	p := platform()
 	p.H2Nodes = h2Nodes
-	r := newRig(t, p, func(cfg *gateway.Config, _ *Listener) {
-		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBack(BackConfig{Streams: 100, Connections: 2, Ping: patience, Idle: patience})}
+	r := newRig(t, p, func(cfg *gateway.Config, _ *FrontendConfig) {
+		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: patience, IdleTimeout: patience})}
 	})
 	for _, n := range r.site.Nodes {
 		n.SetExtraDelay(func(a testbed.Arrival) time.Duration {
--- a/internal/h2/rig_test.go
+++ b/internal/h2/rig_test.go
@@ -29,9 +29,9 @@
 	t     testing.TB
 	site  *testbed.Site
 	resp  string
-	front *Front
+	front *Frontend
 	cfg   gateway.Config
-	l     Listener
+	l     FrontendConfig
 	stop  context.CancelFunc
 	done  chan error
 }
@@ -49,12 +49,12 @@
 	return p
 }
 
-func newRig(t *testing.T, p *testbed.Platform, change func(*gateway.Config, *Listener)) *rig {
+func newRig(t *testing.T, p *testbed.Platform, change func(*gateway.Config, *FrontendConfig)) *rig {
 	t.Helper()
 	return newRigOf(t, p, 2, change)
 }
 
-func newRigOf(t testing.TB, p *testbed.Platform, nodes int, change func(*gateway.Config, *Listener)) *rig {
+func newRigOf(t testing.TB, p *testbed.Platform, nodes int, change func(*gateway.Config, *FrontendConfig)) *rig {
 	t.Helper()
 	r := &rig{t: t, done: make(chan error, 1)}
 	var err error
@@ -80,7 +80,7 @@
 	}
 	cfg.Tuning = tuning.Default()
 	cfg.Tuning.Stop.Accept, cfg.Tuning.Stop.LastCall, cfg.Tuning.Clients.Fault = 50*time.Millisecond, 50*time.Millisecond, 100*time.Millisecond
-	l := Listener{Name: "test", Address: "127.0.0.1:0", Streams: 100, Shake: 5 * time.Second}
+	l := FrontendConfig{Name: "test", Address: "127.0.0.1:0", MaxStreams: 100, HandshakeTimeout: 5 * time.Second}
 	if change != nil {
 		change(&cfg, &l)
 	}
@@ -94,7 +94,7 @@
 func (r *rig) start() {
 	r.t.Helper()
 	var err error
-	if r.front, err = NewFront(r.l); err != nil {
+	if r.front, err = NewFrontend(r.l); err != nil {
 		r.t.Fatal(err)
 	}
 	r.cfg.Frontends, r.cfg.DefaultBackend = []gateway.Frontend{resp.NewFront(r.cfg.Listen), r.front}, resp.Back{}
--- a/internal/h2/tls.go
+++ b/internal/h2/tls.go
@@ -11,20 +11,20 @@
 	"golang.org/x/net/http2"
 )
 
-// Files name a listener's identity, in PEM.
-type Files struct {
+// TLSFiles name a listener's identity, in PEM.
+type TLSFiles struct {
 	Certificate, Key string
-	Clients          string // authorities of the certificates that clients must show; "": none is asked for
-	Bind             bool   // a client's certificate names the one customer that it may ask for, as its common name
+	ClientCAs        string // authorities of the certificates that clients must show; "": none is asked for
+	BindCustomer     bool   // a client's certificate names the one customer that it may ask for, as its common name
 }
 
 // identity is what the files held when they were last read whole.
 type identity struct {
-	files Files
+	files TLSFiles
 	now   atomic.Pointer[tls.Config]
 }
 
-func newIdentity(f Files) (*identity, error) {
+func newIdentity(f TLSFiles) (*identity, error) {
 	c, err := f.load()
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 func (i *identity) config() *tls.Config { return i.now.Load() }
 
 // load reads the files.
-func (f *Files) load() (*tls.Config, error) {
+func (f *TLSFiles) load() (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("certificate and key: %w", err)
@@ -48,14 +48,14 @@
 			tls.TLS_ECDHE_ECDSA_WITH_AES_128_GCM_SHA256, tls.TLS_ECDHE_RSA_WITH_AES_128_GCM_SHA256,
 			tls.TLS_ECDHE_ECDSA_WITH_AES_256_GCM_SHA384, tls.TLS_ECDHE_RSA_WITH_AES_256_GCM_SHA384,
 			tls.TLS_ECDHE_ECDSA_WITH_CHACHA20_POLY1305_SHA256, tls.TLS_ECDHE_RSA_WITH_CHACHA20_POLY1305_SHA256}}
-	if f.Clients != "" {
-		pem, err := os.ReadFile(f.Clients)
+	if f.ClientCAs != "" {
+		pem, err := os.ReadFile(f.ClientCAs)
 		if err != nil {
 			return nil, fmt.Errorf("authorities of clients: %w", err)
 		}
 		c.ClientCAs, c.ClientAuth = x509.NewCertPool(), tls.RequireAndVerifyClientCert
 		if !c.ClientCAs.AppendCertsFromPEM(pem) {
-			return nil, errors.New("authorities of clients: no certificate in " + f.Clients)
+			return nil, errors.New("authorities of clients: no certificate in " + f.ClientCAs)
 		}
 	}
 	return c, nil
--- a/internal/h2/wire/client.go
+++ b/internal/h2/wire/client.go
@@ -22,24 +22,24 @@
 	c.written(c.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingEnablePush, Val: 0},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamRoom())},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.Fields)}))
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.MaxHeaderListBytes)}))
 	c.widen()
 	return c
 }
 
-// Room is how many requests may be begun now: the server's SETTINGS and GOAWAY bound it, and the numbers of streams.
-func (c *Conn) Room() int {
+// AvailableStreams is how many requests may be begun now: the server's SETTINGS and GOAWAY bound it, and the numbers of streams.
+func (c *Conn) AvailableStreams() int {
 	if !c.client || c.failed || c.away || c.last >= streamHighest-2 {
 		return 0
 	}
-	return max(0, int(min(int64(c.most), int64(c.limits.Streams)))-len(c.streams))
+	return max(0, int(min(int64(c.most), int64(c.limits.MaxStreams)))-len(c.streams))
 }
 
-// Ask begins a request, as far as the server's windows take its body, and tells its stream. It is owed one event: Answered,
+// SendRequest begins a request, as far as the server's windows take its body, and tells its stream. It is owed one event: Answered,
 // Refused or Left, unless Reset ends it. It reports false, and nothing has gone out, where there is no Room, or where more
 // than Limits.Unsent bytes of bodies would wait for the server's windows.
-func (c *Conn) Ask(fields []hpack.HeaderField, body []byte) (id uint32, ok bool) {
-	if c.Room() == 0 || c.unsent+len(body) > c.limits.Unsent {
+func (c *Conn) SendRequest(fields []hpack.HeaderField, body []byte) (id uint32, ok bool) {
+	if c.AvailableStreams() == 0 || c.unsent+len(body) > c.limits.MaxUnsentBytes {
 		return 0, false
 	}
 	if id = c.last + 2; c.last == 0 {
@@ -62,8 +62,8 @@
 	return id, true
 }
 
-// Unsent is how many bytes of a request wait for the server's windows. While there are any, it can't have run.
-func (c *Conn) Unsent(id uint32) int {
+// UnsentBytes is how many bytes of a request wait for the server's windows. While there are any, it can't have run.
+func (c *Conn) UnsentBytes(id uint32) int {
 	if s := c.streams[id]; s != nil {
 		return len(s.unsent)
 	}
@@ -87,7 +87,7 @@
 		c.charge(1) // it crossed the RST_STREAM
 	case err != nil || len(b.status) != 3 || status < 100 || b.bad || interim && (b.ends || status == 101):
 		c.reset(s.id, http2.ErrCodeProtocol) // malformed; 101 has no place here (RFC 9113, 8.6)
-	case b.size > c.limits.Fields:
+	case b.size > c.limits.MaxHeaderListBytes:
 		c.tooBig(s, 0)
 	case interim:
 		c.charge(1)
@@ -108,14 +108,14 @@
 		c.written(c.framer.WriteRSTStream(s.id, http2.ErrCodeNo))
 	}
 	c.forget(s, len(s.unsent) > 0)
-	c.events = append(c.events, Event{Kind: Answered, Stream: s.id, Answer: &Answer{s.status, s.req.Fields, s.req.Body}})
+	c.events = append(c.events, Event{Kind: ResponseReceived, Stream: s.id, Response: &Response{s.status, s.req.Fields, s.req.Body}})
 }
 
 // goneAway takes GOAWAY. A server did nothing for streams over the last that it names (RFC 9113, 6.8).
 func (c *Conn) goneAway(f *http2.GoAwayFrame) {
 	if !c.away {
 		c.away = true
-		c.events = append(c.events, Event{Kind: Away, Code: f.ErrCode})
+		c.events = append(c.events, Event{Kind: GoAwayReceived, Code: f.ErrCode})
 	}
 	if !c.client {
 		return
@@ -123,7 +123,7 @@
 	for _, id := range c.ids() {
 		if id > f.LastStreamID {
 			c.forget(c.streams[id], true)
-			c.events = append(c.events, Event{Kind: Refused, Stream: id, Code: f.ErrCode})
+			c.events = append(c.events, Event{Kind: RequestRefused, Stream: id, Code: f.ErrCode})
 		}
 	}
 }
--- a/internal/h2/wire/conn.go
+++ b/internal/h2/wire/conn.go
@@ -28,33 +28,33 @@
 	creditByData = 2    // given back for each DATA frame sent: the peer may answer it by two WINDOW_UPDATEs
 )
 
-// Kind tells events apart.
-type Kind int
+// EventKind tells events apart.
+type EventKind int
 
 const (
-	Asked    Kind = iota + 1 // a request is whole; it is owed one Respond, or Reset
-	TooBig                   // a request is larger than the limits: Status is owed by Respond
-	Left                     // nobody waits for the stream any more: nothing can be sent on it
-	Away                     // the peer sent GOAWAY: it begins nothing new and takes what is owed
-	Ended                    // the connection is at its end: what Out holds is the last
-	Answered                 // at a client: an answer is whole
-	Refused                  // at a client: the request never ran (RFC 9113, 8.7)
+	RequestReceived  EventKind = iota + 1 // a request is whole; it is owed one Respond, or Reset
+	RequestTooLarge                       // a request is larger than the limits: Status is owed by Respond
+	StreamAborted                         // nobody waits for the stream any more: nothing can be sent on it
+	GoAwayReceived                        // the peer sent GOAWAY: it begins nothing new and takes what is owed
+	ConnFailed                            // the connection is at its end: what Out holds is the last
+	ResponseReceived                      // at a client: an answer is whole
+	RequestRefused                        // at a client: the request never ran (RFC 9113, 8.7)
 )
 
 // Event is something that the peer did.
 type Event struct {
-	Kind    Kind
-	Stream  uint32
-	Request *Request      // of Asked
-	Status  int           // of TooBig: 413 or 431
-	Answer  *Answer       // of Answered
-	Code    http2.ErrCode // of Left and Ended: what was told
-	Mine    bool          // of Left: for an error of the peer's that was found here
-	Why     string        // of Ended, for the log
+	Kind     EventKind
+	Stream   uint32
+	Request  *Request      // of Asked
+	Status   int           // of TooBig: 413 or 431
+	Response *Response     // of Answered
+	Code     http2.ErrCode // of Left and Ended: what was told
+	Local    bool          // of Left: for an error of the peer's that was found here
+	Reason   string        // of Ended, for the log
 }
 
-// Answer is an answer as it came.
-type Answer struct {
+// Response is an answer as it came.
+type Response struct {
 	Status int
 	Fields []hpack.HeaderField
 	Body   []byte
@@ -133,35 +133,35 @@
 func NewServer(l Limits, now time.Duration) *Conn {
 	c := begin(l, now)
 	c.written(c.framer.WriteSettings(
-		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(l.Streams)},
+		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(l.MaxStreams)},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamRoom())},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.Fields)}))
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.MaxHeaderListBytes)}))
 	c.widen()
 	return c
 }
 
 func begin(l Limits, now time.Duration) *Conn {
 	c := &Conn{limits: l, now: now, streams: map[uint32]*stream{}, room: windowFirst, window: windowFirst, firstOut: windowFirst,
-		calm: l.Calm.Most, calmed: now}
+		calm: l.Overhead.Burst, calmed: now}
 	c.framer = http2.NewFramer(&c.out, &c.source)
 	c.framer.SetReuseFrames()
 	c.framer.SetMaxReadFrameSize(frameMost)
 	c.decoder = hpack.NewDecoder(tableSize, c.field)
-	c.decoder.SetMaxStringLength(l.Fields)
+	c.decoder.SetMaxStringLength(l.MaxHeaderListBytes)
 	c.encoder = hpack.NewEncoder(&c.encoded)
 	return c
 }
 
 // widen opens the connection's window as far as the limits go.
 func (c *Conn) widen() {
-	if more := int64(c.limits.Window) - c.room; more > 0 {
+	if more := int64(c.limits.ConnWindow) - c.room; more > 0 {
 		c.written(c.framer.WriteWindowUpdate(0, uint32(more)))
 		c.room += more
 	}
 }
 
 // streamRoom is a stream's window: one byte more than a body may have, so that a longer one shows and is refused.
-func (c *Conn) streamRoom() int64 { return max(windowFirst, int64(c.limits.Body)+1) }
+func (c *Conn) streamRoom() int64 { return max(windowFirst, int64(c.limits.MaxBodyBytes)+1) }
 
 // written takes the error of a frame that the framer would not write: a slip of this package, as the buffer takes all.
 func (c *Conn) written(err error) {
@@ -179,15 +179,15 @@
 	return n, nil
 }
 
-// Out is what is to be written, and empties it. It is valid until the connection is used again.
-func (c *Conn) Out() []byte {
+// TakeOutput is what is to be written, and empties it. It is valid until the connection is used again.
+func (c *Conn) TakeOutput() []byte {
 	b := c.out.Bytes()
 	c.out.Reset()
 	return b
 }
 
-// Open is how many streams are owed something or still send.
-func (c *Conn) Open() int { return len(c.streams) }
+// OpenStreams is how many streams are owed something or still send.
+func (c *Conn) OpenStreams() int { return len(c.streams) }
 
 // Failed reports that the connection is at its end.
 func (c *Conn) Failed() bool { return c.failed }
@@ -316,7 +316,7 @@
 // charge takes from the store of calm. It reports false, and ends the connection, if there is not enough.
 func (c *Conn) charge(n float64) bool {
 	if c.now > c.calmed {
-		c.calm = min(c.limits.Calm.Most, c.calm+c.limits.Calm.PerSecond*(c.now-c.calmed).Seconds())
+		c.calm = min(c.limits.Overhead.Burst, c.calm+c.limits.Overhead.PerSecond*(c.now-c.calmed).Seconds())
 		c.calmed = c.now
 	}
 	if c.calm -= n; c.calm < 0 {
@@ -339,10 +339,10 @@
 	c.written(c.framer.WriteGoAway(last, code, []byte(why)))
 	for _, id := range c.ids() {
 		if c.streams[id].told {
-			c.events = append(c.events, Event{Kind: Left, Stream: id, Code: code, Mine: true})
+			c.events = append(c.events, Event{Kind: StreamAborted, Stream: id, Code: code, Local: true})
 		}
 	}
 	clear(c.streams)
 	c.waiting, c.unsent = nil, 0
-	c.events = append(c.events, Event{Kind: Ended, Code: code, Why: why})
+	c.events = append(c.events, Event{Kind: ConnFailed, Code: code, Reason: why})
 }
--- a/internal/h2/wire/data.go
+++ b/internal/h2/wire/data.go
@@ -49,7 +49,7 @@
 	case s.refused:
 		c.owed += int64(len(body))
 		s.got -= int64(len(body))
-	case s.got > int64(c.limits.Body):
+	case s.got > int64(c.limits.MaxBodyBytes):
 		s.refused = true
 		c.tooBig(s, 413)
 	default:
@@ -79,7 +79,7 @@
 		c.reset(s.id, http2.ErrCodeCancel)
 		return
 	}
-	c.events = append(c.events, Event{Kind: TooBig, Stream: s.id, Status: status})
+	c.events = append(c.events, Event{Kind: RequestTooLarge, Stream: s.id, Status: status})
 }
 
 // whole hands a request or an answer on.
@@ -90,7 +90,7 @@
 	}
 	s.whole, s.told = true, true
 	c.owed += s.got
-	c.events = append(c.events, Event{Kind: Asked, Stream: s.id, Request: s.req})
+	c.events = append(c.events, Event{Kind: RequestReceived, Stream: s.id, Request: s.req})
 	s.req = nil
 }
 
--- a/internal/h2/wire/headers.go
+++ b/internal/h2/wire/headers.go
@@ -83,7 +83,7 @@
 func (c *Conn) piece(p []byte, last bool) {
 	b := &c.block
 	b.bytes += len(p)
-	if b.pieces++; b.bytes > c.limits.Block || b.pieces > piecesMost {
+	if b.pieces++; b.bytes > c.limits.MaxHeaderBlockBytes || b.pieces > piecesMost {
 		c.fail(http2.ErrCodeEnhanceYourCalm, "a header block that is too long")
 		return
 	}
@@ -104,7 +104,7 @@
 // field takes a decoded field.
 func (c *Conn) field(f hpack.HeaderField) {
 	b := &c.block
-	if b.size += len(f.Name) + len(f.Value) + fieldOverhead; b.size > c.limits.Fields {
+	if b.size += len(f.Name) + len(f.Value) + fieldOverhead; b.size > c.limits.MaxHeaderListBytes {
 		c.decoder.SetEmitEnabled(false) // what follows is decoded for the table's sake and not kept
 		return
 	}
@@ -191,9 +191,9 @@
 		c.charge(1)
 	case b.self:
 		c.reset(b.stream, http2.ErrCodeProtocol)
-	case len(c.streams) >= c.limits.Streams:
+	case len(c.streams) >= c.limits.MaxStreams:
 		c.reset(b.stream, http2.ErrCodeRefusedStream)
-	case b.bad || b.size <= c.limits.Fields && !b.whole():
+	case b.bad || b.size <= c.limits.MaxHeaderListBytes && !b.whole():
 		c.reset(b.stream, http2.ErrCodeProtocol)
 	default:
 		c.begin()
@@ -207,7 +207,7 @@
 	s := &stream{id: b.stream, req: b.req, length: b.length, room: c.streamRoom(), window: c.firstOut, since: c.now}
 	c.streams[s.id] = s
 	switch {
-	case b.size > c.limits.Fields:
+	case b.size > c.limits.MaxHeaderListBytes:
 		s.whole, s.refused = b.ends, true
 		c.tooBig(s, 431)
 	case b.ends && b.length > 0:
--- a/internal/h2/wire/reset.go
+++ b/internal/h2/wire/reset.go
@@ -31,7 +31,7 @@
 	if s := c.streams[id]; s != nil {
 		c.forget(s, true)
 		if s.told {
-			c.events = append(c.events, Event{Kind: Left, Stream: id, Code: code, Mine: true})
+			c.events = append(c.events, Event{Kind: StreamAborted, Stream: id, Code: code, Local: true})
 		}
 		return
 	}
@@ -74,9 +74,9 @@
 		c.forget(s, false)
 		switch {
 		case c.client && f.ErrCode == http2.ErrCodeRefusedStream:
-			c.events = append(c.events, Event{Kind: Refused, Stream: s.id, Code: f.ErrCode})
+			c.events = append(c.events, Event{Kind: RequestRefused, Stream: s.id, Code: f.ErrCode})
 		case s.told:
-			c.events = append(c.events, Event{Kind: Left, Stream: s.id, Code: f.ErrCode})
+			c.events = append(c.events, Event{Kind: StreamAborted, Stream: s.id, Code: f.ErrCode})
 		}
 	}
 }
--- a/internal/h2/wire/script_test.go
+++ b/internal/h2/wire/script_test.go
@@ -36,7 +36,7 @@
 }
 
 func small() Limits {
-	return Limits{Streams: 3, Body: 100, Window: windowFirst, Fields: 1000, Block: 2000, Unsent: 300000, Calm: Calm{PerSecond: 1, Most: 20}}
+	return Limits{MaxStreams: 3, MaxBodyBytes: 100, ConnWindow: windowFirst, MaxHeaderListBytes: 1000, MaxHeaderBlockBytes: 2000, MaxUnsentBytes: 300000, Overhead: OverheadBudget{PerSecond: 1, Burst: 20}}
 }
 
 // player is a client that sends what its script says, broken or not.
@@ -67,7 +67,7 @@
 	switch {
 	case strings.HasSuffix(name, "(client)"):
 		p.c = NewClient(small(), p.now)
-		if out := p.c.Out(); !bytes.HasPrefix(out, []byte(http2.ClientPreface)) {
+		if out := p.c.TakeOutput(); !bytes.HasPrefix(out, []byte(http2.ClientPreface)) {
 			t.Fatalf("the connection begins with %q", out)
 		}
 		p.send([]string{"settings"})
@@ -236,29 +236,29 @@
 		body := bytes.Repeat([]byte("y"), int(number(w[3])))
 		p.c.Respond(number(w[1]), int(number(w[2])), []hpack.HeaderField{{Name: "a", Value: "b"}}, body)
 	case "ask": // bytes of body
-		if _, ok := p.c.Ask([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, bytes.Repeat([]byte("y"), int(number(w[1])))); !ok {
+		if _, ok := p.c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, bytes.Repeat([]byte("y"), int(number(w[1])))); !ok {
 			p.t.Fatal("there is no room")
 		}
 	case "room": // that there is
-		if got := p.c.Room(); got != int(number(w[1])) {
+		if got := p.c.AvailableStreams(); got != int(number(w[1])) {
 			p.t.Fatalf("there is room for %d, want %s", got, w[1])
 		}
 	case "unsent": // stream bytes
-		if got := p.c.Unsent(number(w[1])); got != int(number(w[2])) {
+		if got := p.c.UnsentBytes(number(w[1])); got != int(number(w[2])) {
 			p.t.Fatalf("%d bytes are unsent, want %s", got, w[2])
 		}
 	case "ping":
 		p.c.Ping()
 	case "reset":
-		p.c.Reset(number(w[1]), code(w[2]))
+		p.c.ResetStream(number(w[1]), code(w[2]))
 	case "pass": // seconds
 		p.now += time.Duration(number(w[1])) * time.Second
 	case "stalled": // for so many seconds
-		p.c.Stalled(p.now - time.Duration(number(w[1]))*time.Second)
+		p.c.ResetStalled(p.now - time.Duration(number(w[1]))*time.Second)
 	case "shutdown":
 		p.c.Shutdown()
 	case "refuse":
-		p.c.Refuse()
+		p.c.RefuseNewStreams()
 	default:
 		p.t.Fatalf("unknown word %q", w[0])
 	}
@@ -266,7 +266,7 @@
 
 // told writes what came of a step: frames first, then events.
 func (p *player) told(events []Event) (all []string) {
-	p.back.b = bytes.Clone(p.c.Out())
+	p.back.b = bytes.Clone(p.c.TakeOutput())
 	for len(p.back.b) > 0 {
 		f, err := p.reader.ReadFrame()
 		if err != nil {
@@ -316,28 +316,28 @@
 
 func describe(e Event) string {
 	switch e.Kind {
-	case Asked:
+	case RequestReceived:
 		s := fmt.Sprintf("asked %d %s %s", e.Stream, e.Request.Method, e.Request.Path)
 		for _, f := range e.Request.Fields {
 			s += " " + f.Name + "=" + f.Value
 		}
 		return fmt.Sprintf("%s body=%d", s, len(e.Request.Body))
-	case TooBig:
+	case RequestTooLarge:
 		return fmt.Sprintf("toobig %d %d", e.Stream, e.Status)
-	case Answered:
-		s := fmt.Sprintf("answered %d %d", e.Stream, e.Answer.Status)
-		for _, f := range e.Answer.Fields {
+	case ResponseReceived:
+		s := fmt.Sprintf("answered %d %d", e.Stream, e.Response.Status)
+		for _, f := range e.Response.Fields {
 			s += " " + f.Name + "=" + f.Value
 		}
-		return fmt.Sprintf("%s body=%d", s, len(e.Answer.Body))
-	case Refused:
+		return fmt.Sprintf("%s body=%d", s, len(e.Response.Body))
+	case RequestRefused:
 		return fmt.Sprintf("refused %d %s", e.Stream, e.Code)
-	case Left:
-		if e.Mine {
+	case StreamAborted:
+		if e.Local {
 			return fmt.Sprintf("left %d %s mine", e.Stream, e.Code)
 		}
 		return fmt.Sprintf("left %d %s", e.Stream, e.Code)
-	case Away:
+	case GoAwayReceived:
 		return fmt.Sprintf("away %s", e.Code)
 	}
 	return fmt.Sprintf("ended %s", e.Code)
--- a/internal/h2/wire/send.go
+++ b/internal/h2/wire/send.go
@@ -63,14 +63,14 @@
 		c.written(c.framer.WriteData(id, last, s.unsent[:n]))
 		s.unsent = s.unsent[n:]
 		s.window, c.window, c.unsent = s.window-n, c.window-n, c.unsent-int(n)
-		c.calm = min(c.limits.Calm.Most, c.calm+creditByData)
+		c.calm = min(c.limits.Overhead.Burst, c.calm+creditByData)
 		if last {
 			c.sent(s)
 		} else {
 			c.waiting = append(c.waiting, id)
 		}
 	}
-	if c.unsent > c.limits.Unsent {
+	if c.unsent > c.limits.MaxUnsentBytes {
 		c.fail(http2.ErrCodeEnhanceYourCalm, "too much of the answers is not taken")
 	}
 }
@@ -88,8 +88,8 @@
 	c.giveBack()
 }
 
-// Reset ends a stream from this end, whatever of its answer is not sent yet.
-func (c *Conn) Reset(id uint32, code http2.ErrCode) {
+// ResetStream ends a stream from this end, whatever of its answer is not sent yet.
+func (c *Conn) ResetStream(id uint32, code http2.ErrCode) {
 	if s := c.streams[id]; s != nil && !c.failed {
 		c.written(c.framer.WriteRSTStream(id, code))
 		c.forget(s, true)
@@ -97,20 +97,20 @@
 	}
 }
 
-// Stalled ends the streams for which the peer has been waited for since before a time: requests that are not whole, and
+// ResetStalled ends the streams for which the peer has been waited for since before a time: requests that are not whole, and
 // answers that it gives no window for. Streams that wait for this end are let alone. It tells how many it ended.
-func (c *Conn) Stalled(before time.Duration) (ended int) {
+func (c *Conn) ResetStalled(before time.Duration) (ended int) {
 	for _, id := range c.ids() {
 		if s := c.streams[id]; s.since < before && (!s.told || s.answered) {
-			c.Reset(id, http2.ErrCodeCancel)
+			c.ResetStream(id, http2.ErrCodeCancel)
 			ended++
 		}
 	}
 	return ended
 }
 
-// Oldest is since when the peer has been waited for, of all streams, or false if it is not.
-func (c *Conn) Oldest() (at time.Duration, ok bool) {
+// WaitingSince is since when the peer has been waited for, of all streams, or false if it is not.
+func (c *Conn) WaitingSince() (at time.Duration, ok bool) {
 	for _, s := range c.streams {
 		if (!s.told || s.answered) && (!ok || s.since < at) {
 			at, ok = s.since, true
@@ -127,9 +127,9 @@
 	}
 }
 
-// Refuse tells the last stream that was taken. Higher ones are let alone from now on, and their client knows that they
+// RefuseNewStreams tells the last stream that was taken. Higher ones are let alone from now on, and their client knows that they
 // never ran.
-func (c *Conn) Refuse() {
+func (c *Conn) RefuseNewStreams() {
 	if c.failed || c.refuseFrom > 0 {
 		return
 	}
@@ -137,5 +137,5 @@
 	c.refuseFrom = max(c.last, 1)
 }
 
-// Idle reports that the connection can be closed with nothing lost: Refuse was called and nothing is open.
-func (c *Conn) Idle() bool { return c.failed || c.refuseFrom > 0 && len(c.streams) == 0 }
+// Drained reports that the connection can be closed with nothing lost: Refuse was called and nothing is open.
+func (c *Conn) Drained() bool { return c.failed || c.refuseFrom > 0 && len(c.streams) == 0 }
--- a/internal/h2/wire/wire_test.go
+++ b/internal/h2/wire/wire_test.go
@@ -30,13 +30,13 @@
 		}
 	}
 	switch l := c.limits; {
-	case len(c.waiting) != len(waiting), unsent != c.unsent, unsent > l.Unsent:
+	case len(c.waiting) != len(waiting), unsent != c.unsent, unsent > l.MaxUnsentBytes:
 		t.Fatalf("%d unsent bytes, counted as %d; %d streams wait, %d of them once", unsent, c.unsent, len(c.waiting), len(waiting))
-	case len(c.streams) > l.Streams:
+	case len(c.streams) > l.MaxStreams:
 		t.Fatalf("%d streams", len(c.streams))
 	case len(c.left) > frameMost+frameHeader:
 		t.Fatalf("%d bytes are kept of a frame", len(c.left))
-	case !c.failed && (c.room < 0 || c.room > max(windowFirst, int64(l.Window)) || c.owed != 0):
+	case !c.failed && (c.room < 0 || c.room > max(windowFirst, int64(l.ConnWindow)) || c.owed != 0):
 		t.Fatalf("the window is %d, %d of it owed", c.room, c.owed)
 	}
 }
@@ -124,9 +124,9 @@
 				p.send([]string{"frame", fmt.Sprint(r.IntN(11)), fmt.Sprint(r.IntN(256)), fmt.Sprint(r.IntN(9)), strings.Repeat("00", r.IntN(12))})
 			}
 		case 9:
-			p.c.Reset(id(), http2.ErrCodeCancel)
+			p.c.ResetStream(id(), http2.ErrCodeCancel)
 		case 10:
-			p.c.Stalled(p.now - time.Duration(r.IntN(4))*time.Second)
+			p.c.ResetStalled(p.now - time.Duration(r.IntN(4))*time.Second)
 		default:
 			id := id()
 			if answered := p.c.Respond(id, 200, []hpack.HeaderField{{Name: "k", Value: "v"}}, make([]byte, r.IntN(70000))); answered && !open[id] {
@@ -140,12 +140,12 @@
 		p.bytes.Reset()
 		for _, e := range events {
 			switch e.Kind {
-			case Asked:
+			case RequestReceived:
 				asked++
 				open[e.Stream] = true
-			case TooBig:
+			case RequestTooLarge:
 				p.c.Respond(e.Stream, e.Status, nil, nil)
-			case Left:
+			case StreamAborted:
 				delete(open, e.Stream)
 			}
 		}
@@ -183,7 +183,7 @@
 			b.Fatal(got)
 		}
 		in.Reset()
-		c.Out()
+		c.TakeOutput()
 		id += 2
 	}
 }
@@ -215,7 +215,7 @@
 		at := int(cut) % (len(b) + 1)
 		for _, p := range [][]byte{b[:at], b[at:]} {
 			for _, e := range c.Feed(now, p) {
-				if e.Kind == Asked || e.Kind == TooBig {
+				if e.Kind == RequestReceived || e.Kind == RequestTooLarge {
 					c.Respond(e.Stream, 200, nil, make([]byte, int(cut)))
 				}
 			}
@@ -224,8 +224,8 @@
 			}
 			now += time.Second
 		}
-		c.Stalled(now)
-		c.Out()
+		c.ResetStalled(now)
+		c.TakeOutput()
 	})
 }
 
@@ -249,11 +249,11 @@
 		c, now, owed := NewClient(small(), time.Hour), time.Hour, map[uint32]bool{}
 		at := int(cut) % (len(b) + 1)
 		for _, p := range [][]byte{b[:at], b[at:]} {
-			if id, ok := c.Ask([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, make([]byte, int(cut)%200)); ok {
+			if id, ok := c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, make([]byte, int(cut)%200)); ok {
 				owed[id] = true
 			}
 			for _, e := range c.Feed(now, p) {
-				if e.Kind == Answered || e.Kind == Refused || e.Kind == Left {
+				if e.Kind == ResponseReceived || e.Kind == RequestRefused || e.Kind == StreamAborted {
 					if !owed[e.Stream] {
 						t.Fatalf("stream %d ended twice, or was never begun", e.Stream)
 					}
@@ -262,8 +262,8 @@
 			}
 			if !c.Failed() {
 				holds(t, c)
-				if len(owed) != c.Open() {
-					t.Fatalf("%d requests are owed an event, %d streams are open", len(owed), c.Open())
+				if len(owed) != c.OpenStreams() {
+					t.Fatalf("%d requests are owed an event, %d streams are open", len(owed), c.OpenStreams())
 				}
 			} else if len(owed) > 0 {
 				t.Fatalf("%d requests have had no event, and the connection is at its end", len(owed))
