--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,9 +67,9 @@
 	if err != nil {
 		return err
 	}
-	clients := resp.NewFront(cfg.Listen)
+	clients := resp.NewFrontend(cfg.Listen)
 	give(sockets, clientsName, &clients.Listener)
-	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Back{}
+	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Backend{}
 	r := reloader{file: file, cfg: &cfg, getenv: getenv, log: log, level: &level, reloads: make(chan gateway.Reload)}
 	if file != "" {
 		var warnings sloe.Diags
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -100,7 +100,7 @@
 	return map[string]protocol{
 		"RESP2": {
 			front: func(ln net.Listener) gateway.Frontend {
-				f := resp.NewFront(netip.AddrPort{})
+				f := resp.NewFrontend(netip.AddrPort{})
 				f.UseSocket(ln)
 				return f
 			},
--- a/internal/gateway/nodes_test.go
+++ b/internal/gateway/nodes_test.go
@@ -26,7 +26,7 @@
 
 func nodeSides() map[string]nodeSide {
 	return map[string]nodeSide{
-		"RESP2": {resp.Back{}, func(c net.Conn) error {
+		"RESP2": {resp.Backend{}, func(c net.Conn) error {
 			var buf []byte
 			b := make([]byte, 4<<10)
 			for {
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -124,8 +124,8 @@
 	t.Helper()
 	r := &rig{moves: make(chan gateway.Reload), done: make(chan error, 1)}
 	r.reg, cfg.Discovery = newRegistry(t, cfg.KnownServers)
-	front := resp.NewFront(netip.MustParseAddrPort("127.0.0.1:0"))
-	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{front}, resp.Back{}
+	front := resp.NewFrontend(netip.MustParseAddrPort("127.0.0.1:0"))
+	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{front}, resp.Backend{}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	go func() { r.done <- gateway.Run(ctx, cfg, r.moves, slog.New(slog.DiscardHandler)) }()
--- a/internal/h2/rig_test.go
+++ b/internal/h2/rig_test.go
@@ -97,7 +97,7 @@
 	if r.front, err = NewFront(r.l); err != nil {
 		r.t.Fatal(err)
 	}
-	r.cfg.Frontends, r.cfg.DefaultBackend = []gateway.Frontend{resp.NewFront(r.cfg.Listen), r.front}, resp.Back{}
+	r.cfg.Frontends, r.cfg.DefaultBackend = []gateway.Frontend{resp.NewFrontend(r.cfg.Listen), r.front}, resp.Backend{}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	go func() { r.done <- gateway.Run(ctx, r.cfg, nil, slog.New(slog.DiscardHandler)) }()
--- a/internal/resp/back.go
+++ b/internal/resp/back.go
@@ -13,11 +13,11 @@
 
 const readFirst = 1 << 10 // bytes of a connection's first read buffer
 
-// Back reaches nodes: an attempt is a command on a connection that carries nothing else meanwhile.
-type Back struct{}
+// Backend reaches nodes: an attempt is a command on a connection that carries nothing else meanwhile.
+type Backend struct{}
 
 // NewTransport implements gateway.Back.
-func (Back) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
+func (Backend) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
 	return &node{d: d, place: p}
 }
 
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -16,16 +16,16 @@
 
 const clientBuffer = 1 << 10 // bytes of a connection's read buffer between commands
 
-// Front serves clients at an address.
-type Front struct{ gateway.Listener }
+// Frontend serves clients at an address.
+type Frontend struct{ gateway.Listener }
 
-// NewFront makes a front that does not listen yet.
-func NewFront(addr netip.AddrPort) *Front {
-	return &Front{gateway.NewListener("listening for clients", addr.String())}
+// NewFrontend makes a front that does not listen yet.
+func NewFrontend(addr netip.AddrPort) *Frontend {
+	return &Frontend{gateway.NewListener("listening for clients", addr.String())}
 }
 
 // Serve implements gateway.Front.
-func (f *Front) Serve(ctx context.Context, d *gateway.Core) {
+func (f *Frontend) Serve(ctx context.Context, d *gateway.Core) {
 	f.AcceptLoop(ctx, d, func(nc net.Conn) { take(d, nc) })
 }
 
--- a/internal/resp/rig_test.go
+++ b/internal/resp/rig_test.go
@@ -42,7 +42,7 @@
 }
 
 func (h *held) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
-	n := &heldNode{Back{}.NewTransport(d, p).(*node), h}
+	n := &heldNode{Backend{}.NewTransport(d, p).(*node), h}
 	h.nodes = append(h.nodes, n)
 	return n
 }
