--- a/decide/api.go
+++ b/decide/api.go
@@ -118,7 +118,7 @@
 	TrackChanges   bool // what changes is marked for Gateway.Changed
 }
 
-func finite(field string, v float64) error {
+func checkNonNegative(field string, v float64) error {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return fmt.Errorf("decide: %s is %v, want a number of 0 or more", field, v)
 	}
@@ -147,7 +147,7 @@
 		v    float64
 	}{{"Safety.ColdFrom", c.Safety.ColdCapacity}, {"Safety.FallMultiple", c.Safety.OverloadFactor},
 		{"PeerIntake", c.PeerIntake}, {"MaxUnits", c.MaxUnits}} {
-		if err := finite(f.name, f.v); err != nil {
+		if err := checkNonNegative(f.name, f.v); err != nil {
 			return err
 		}
 	}
@@ -164,19 +164,19 @@
 	return nil
 }
 
-func (k *Class) validate(at string) error {
+func (k *Class) validate(path string) error {
 	if k.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", at)
+		return fmt.Errorf("decide: %s.Name is empty", path)
 	}
 	if k.LatencyTarget <= 0 {
-		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", at, k.LatencyTarget)
+		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", path, k.LatencyTarget)
 	}
-	return finite(at+".Worth", k.Worth)
+	return checkNonNegative(path+".Worth", k.Worth)
 }
 
-func validatePlan(p *Plan, at string) error {
+func validatePlan(p *Plan, path string) error {
 	if p.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", at)
+		return fmt.Errorf("decide: %s.Name is empty", path)
 	}
 	for _, f := range []struct {
 		name string
@@ -184,7 +184,7 @@
 	}{{"Rate", p.Rate}, {"Burst", p.Burst}, {"CeilingRate", p.CeilingRate},
 		{"CeilingBurst", p.CeilingBurst}, {"CeilingSlack", p.CeilingSlack}, {"MaxOpen", float64(p.MaxOpen)},
 		{"Price", p.Price}, {"OverWorth", p.OverWorth}, {"OverCost", p.OverCost}} {
-		if err := finite(at+"."+f.name, f.v); err != nil {
+		if err := checkNonNegative(path+"."+f.name, f.v); err != nil {
 			return err
 		}
 	}
--- a/decide/attempts.go
+++ b/decide/attempts.go
@@ -7,121 +7,121 @@
 
 // This file decides on further attempts: when, how many, and none where a repeat could do harm.
 const (
-	overdueX   = 4.0                    // times its estimate: an attempt is overdue ...
-	overdueMin = 150 * time.Millisecond // ... and this at least
-	budgetPart = 0.15                   // further attempts a first attempt, by this much the retry budget grows ...
-	budgetMost = 10.0                   // ... up to this many
-	copyFrom   = 0.2                    // of the cap on open work, where second copies stop: before anything is shed
+	overdueFactor    = 4.0                    // times its estimate: an attempt is overdue ...
+	minOverdueTime   = 150 * time.Millisecond // ... and this at least
+	retryBudgetShare = 0.15                   // further attempts a first attempt, by this much the retry budget grows ...
+	maxRetryBudget   = 10.0                   // ... up to this many
+	maxHedgeLoad     = 0.2                    // of the cap on open work, where second copies stop: before anything is shed
 )
 
-func (g *Gateway) send(r *request, s *server) {
-	writeBy := repeatBy(r)
-	a := &attempt{server: s, n: len(r.attempts), at: g.now, ran: true, work: g.work(r)}
+func (g *Gateway) sendAttempt(r *request, s *server) {
+	writeBy := repeatDeadline(r)
+	a := &attempt{server: s, index: len(r.attempts), sentAt: g.now, mayHaveRun: true, work: g.requestWork(r)}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	r.cust.Open++
-	s.outAvg += 0.05 * (g.load(s) - s.outAvg)
-	if s.down > 0 {
-		g.leaveAlone(s) // until it is known how this one fares
+	r.openAttempts++
+	r.customer.Open++
+	s.meanLoad += 0.05 * (g.currentLoad(s) - s.meanLoad)
+	if s.connectFailures > 0 {
+		g.avoid(s) // until it is known how this one fares
 	}
 	if s.coldUntil > g.now {
-		s.budget -= a.work
-	}
-	wait := max(overdueMin, time.Duration(overdueX*g.estimate(s, r)*float64(time.Second)))
-	s.out++
-	s.work += a.work
-	g.all.open += a.work
-	s.sends.Add(g.now, a.work)
-	allow := max(r.until-g.now, time.Millisecond)
+		s.coldBudget -= a.work
+	}
+	overdueAfter := max(minOverdueTime, time.Duration(overdueFactor*g.estimatedTime(s, r)*float64(time.Second)))
+	s.openAttempts++
+	s.openWork += a.work
+	g.totals.openWork += a.work
+	s.sendRate.Add(g.now, a.work)
+	timeout := max(r.expires-g.now, time.Millisecond)
 	if b := r.RetryPolicy; b != nil {
 		if b.AttemptTimeout > 0 {
-			allow = min(allow, b.AttemptTimeout)
+			timeout = min(timeout, b.AttemptTimeout)
 		}
-		if b.Hedge && b.HedgeDelay > 0 && b.HedgeDelay < allow {
-			g.wake(r.ID, a.n, g.now+b.HedgeDelay, forCopy)
+		if b.Hedge && b.HedgeDelay > 0 && b.HedgeDelay < timeout {
+			g.setTimer(r.ID, a.index, g.now+b.HedgeDelay, timerHedge)
 		}
 	}
-	g.do(SendAttempt{r.ID, s.ID, allow, writeBy})
-	if wait < allow {
-		g.wake(r.ID, a.n, g.now+wait, forOverdue)
+	g.emit(SendAttempt{r.ID, s.ID, timeout, writeBy})
+	if overdueAfter < timeout {
+		g.setTimer(r.ID, a.index, g.now+overdueAfter, timerOverdue)
 	}
 }
 
-// overdue looks at an attempt that should have been answered. If the server has answered others since, the
+// handleOverdue looks at an attempt that should have been answered. If the server has answered others since, the
 // request is merely costly; if it has not, the server may be silent.
-func (g *Gateway) overdue(r *request, a *attempt) {
+func (g *Gateway) handleOverdue(r *request, a *attempt) {
 	s := a.server
-	g.saw(s, r, g.now-a.at, true, true) // it may still come: no sign of a jam yet
-	if s.lastGood > a.at {
+	g.recordOwnSample(s, r, g.now-a.sentAt, true, true) // it may still come: no sign of a jam yet
+	if s.lastAnswer > a.sentAt {
 		return
 	}
 	if b := r.RetryPolicy; b != nil {
 		if b.Hedge && b.HedgeDelay == 0 {
-			g.copy(r, a)
+			g.hedge(r, a)
 		}
 		return // its own time limit ends the attempt
 	}
-	if r.finished || r.streaming || g.budget < 1 || r.class.Effect == Unsafe {
+	if r.finished || r.streaming || g.retryBudget < 1 || r.class.Effect == Unsafe {
 		return
 	}
 	if !g.cfg.Limits.ParallelAttempts {
 		if g.cfg.Limits.Cancel {
-			g.do(CancelAttempt{r.ID, a.n}) // its end, as Cancelled, brings the next attempt
+			g.emit(CancelAttempt{r.ID, a.index}) // its end, as Cancelled, brings the next attempt
 		}
 		return
 	}
-	g.again(r, s, false)
+	g.retry(r, s, false)
 }
 
-// copy sends a second copy within a request's bounds. Copies are the first to stop where the servers are
+// hedge sends a second hedge within a request's bounds. Copies are the first to stop where the servers are
 // full, and none goes out that has too little time to win.
-func (g *Gateway) copy(r *request, a *attempt) {
+func (g *Gateway) hedge(r *request, a *attempt) {
 	b := r.RetryPolicy
-	if r.finished || r.streaming || r.class.Effect == Unsafe || r.waiting != nil || r.out != 1 {
+	if r.finished || r.streaming || r.class.Effect == Unsafe || r.retryServer != nil || r.openAttempts != 1 {
 		return
 	}
-	if r.until-g.now >= b.HedgeMinTimeLeft && g.pressed() <= copyFrom && g.again(r, a.server, false) {
-		g.saw(a.server, r, g.now-a.at, true, true) // else a slow one would hide behind its copies
+	if r.expires-g.now >= b.HedgeMinTimeLeft && g.loadRatio() <= maxHedgeLoad && g.retry(r, a.server, false) {
+		g.recordOwnSample(a.server, r, g.now-a.sentAt, true, true) // else a slow one would hide behind its copies
 	}
 }
 
-// again sends a further attempt if the rules, the budget and the time left allow one, at once or after the
+// retry sends a further attempt if the rules, the budget and the time left allow one, at once or after the
 // wait that the request's bounds ask for. What waits has its place in the budget, so it waits for an attempt.
 // The module's own budget keeps repeats from feeding a jam: one that no server heard of is not in it.
-func (g *Gateway) again(r *request, last *server, unheard bool) bool {
-	b, most, wait := r.RetryPolicy, g.cfg.Limits.MaxAttempts, time.Duration(0)
+func (g *Gateway) retry(r *request, last *server, notDelivered bool) bool {
+	b, maxAttempts, wait := r.RetryPolicy, g.cfg.Limits.MaxAttempts, time.Duration(0)
 	if b != nil {
 		if b.MaxAttempts > 0 {
-			most = min(most, b.MaxAttempts)
+			maxAttempts = min(maxAttempts, b.MaxAttempts)
 		}
-		if r.out == 0 {
-			wait = g.waitFor(r)
+		if r.openAttempts == 0 {
+			wait = g.backoff(r)
 		}
 	}
-	own := (b == nil || b.Budget == nil) && !unheard
-	if (own && g.budget < 1) || len(r.attempts) >= most || (r.out > 0 && !g.cfg.Limits.ParallelAttempts) {
+	ownBudget := (b == nil || b.Budget == nil) && !notDelivered
+	if (ownBudget && g.retryBudget < 1) || len(r.attempts) >= maxAttempts || (r.openAttempts > 0 && !g.cfg.Limits.ParallelAttempts) {
 		return false
 	}
-	s, cost := g.choose(r, last)
-	if s == nil || cost > (r.until-g.now-wait).Seconds() || (r.out > 0 && s == last) {
+	s, cost := g.chooseServer(r, last)
+	if s == nil || cost > (r.expires-g.now-wait).Seconds() || (r.openAttempts > 0 && s == last) {
 		return false
 	}
-	if own {
-		g.budget--
+	if ownBudget {
+		g.retryBudget--
 	} else if b != nil && b.Budget != nil && !b.Budget.TakeRetry(g.now, &s.Server) {
 		return false
 	}
 	if wait > 0 {
-		r.waiting = s
-		g.wake(r.ID, len(r.attempts), g.now+wait, forAgain)
+		r.retryServer = s
+		g.setTimer(r.ID, len(r.attempts), g.now+wait, timerRetry)
 		return true
 	}
-	g.send(r, s)
+	g.sendAttempt(r, s)
 	return true
 }
 
-// waitFor is how long a request waits before its next attempt.
-func (g *Gateway) waitFor(r *request) time.Duration {
+// backoff is how long a request waits before its next attempt.
+func (g *Gateway) backoff(r *request) time.Duration {
 	b := r.RetryPolicy
 	wait := float64(b.InitialBackoff) * math.Pow(max(1, b.BackoffFactor), float64(len(r.attempts)-1))
 	if b.MaxBackoff > 0 {
@@ -130,67 +130,67 @@
 	return time.Duration(wait * (1 + b.Jitter*(2*g.rng.Float64()-1)))
 }
 
-// waited ends a wait. The server that was chosen may be cold or drained by now; then another may do that the
+// retryAfterBackoff ends a wait. The server that was chosen may be cold or drained by now; then another may do that the
 // rules allow.
-func (g *Gateway) waited(r *request) {
-	if r == nil || r.finished || r.waiting == nil {
+func (g *Gateway) retryAfterBackoff(r *request) {
+	if r == nil || r.finished || r.retryServer == nil {
 		return
 	}
-	s, b := r.waiting, r.RetryPolicy
-	r.waiting = nil
+	s, b := r.retryServer, r.RetryPolicy
+	r.retryServer = nil
 	if g.servers[s.ID] != s || !g.usable(s, r) {
-		if s, _ = g.choose(r, nil); s != nil && b.Budget != nil && !b.Budget.TakeRetry(g.now, &s.Server) {
+		if s, _ = g.chooseServer(r, nil); s != nil && b.Budget != nil && !b.Budget.TakeRetry(g.now, &s.Server) {
 			s = nil
 		}
 	}
-	if s == nil || g.now >= r.until {
+	if s == nil || g.now >= r.expires {
 		g.giveUp(r)
 		return
 	}
-	g.send(r, s)
+	g.sendAttempt(r, s)
 }
 
-func (g *Gateway) ended(e AttemptEnded) {
-	r, a := g.requests[e.ID], g.attempt(e.ID, e.Attempt)
-	if a == nil || a.over {
+func (g *Gateway) handleAttemptEnded(e AttemptEnded) {
+	r, a := g.requests[e.ID], g.findAttempt(e.ID, e.Attempt)
+	if a == nil || a.ended {
 		return
 	}
-	a.over = true
-	a.ran = !e.Outcome.neverRan()
-	r.out--
-	a.server.out--
-	r.cust.Open--
-	if r.cust.Plan.MaxOpen > 0 {
-		g.quota.QueueUpdate(r.cust)
+	a.ended = true
+	a.mayHaveRun = !e.Outcome.neverRan()
+	r.openAttempts--
+	a.server.openAttempts--
+	r.customer.Open--
+	if r.customer.Plan.MaxOpen > 0 {
+		g.quota.QueueUpdate(r.customer)
 	}
-	g.judge(r, a, e)
+	g.recordOutcome(r, a, e)
 	if e.ActualUnits > 0 && g.cfg.SettledLater {
-		g.quota.Charge(r.cust, e.ActualUnits-r.units)
-		r.more += e.ActualUnits - r.units
+		g.quota.Charge(r.customer, e.ActualUnits-r.units)
+		r.extraUnits += e.ActualUnits - r.units
 		r.units = e.ActualUnits
 	}
 	if e.MeteredPercentPlusOne > 0 {
-		g.quota.RecordMetered(r.cust, e.MeteredPercentPlusOne)
+		g.quota.RecordMetered(r.customer, e.MeteredPercentPlusOne)
 	}
 	if e.RequestDone {
 		g.finish(r)
 	}
 	if r.finished {
-		g.forget(r)
+		g.forgetRequest(r)
 		return
 	}
 	if e.Outcome == NotSent && len(r.attempts) == 1 {
-		g.quota.Charge(r.cust, -r.units) // nothing was sent, so the quota took nothing
+		g.quota.Charge(r.customer, -r.units) // nothing was sent, so the quota took nothing
 		switch {
-		case g.quota.Mesh || r.granted == g.quota.Rank:
-			r.cust.CeilingTokens += r.units
-		case r.granted < 0:
-			r.cust.FallbackTokens += r.units
+		case g.quota.Mesh || r.grantedBy == g.quota.Rank:
+			r.customer.CeilingTokens += r.units
+		case r.grantedBy < 0:
+			r.customer.FallbackTokens += r.units
 		}
-		r.more = -r.units
+		r.extraUnits = -r.units
 	}
-	worth := e.Outcome != NotSent && (r.RetryPolicy == nil || r.RetryPolicy.RetryOn.Has(e.Outcome))
-	if r.out > 0 || r.waiting != nil || (worth && g.again(r, a.server, e.Outcome == NoConnection)) {
+	mayRetry := e.Outcome != NotSent && (r.RetryPolicy == nil || r.RetryPolicy.RetryOn.Has(e.Outcome))
+	if r.openAttempts > 0 || r.retryServer != nil || (mayRetry && g.retry(r, a.server, e.Outcome == NoConnection)) {
 		return
 	}
 	g.giveUp(r)
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestColdServerOverAllGateways: of 300 gateways with two and a half requests a second each, all together send a
+// TestColdServerLoadOverAllGateways: of 300 gateways with two and a half requests a second each, all together send a
 // server that starts a trickle: some of what a warm one gets, less than the rule allows, and not one request each.
-func TestColdServerOverAllGateways(t *testing.T) {
+func TestColdServerLoadOverAllGateways(t *testing.T) {
 	var servers []Server
 	for i := 0; i < 20; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -26,12 +26,12 @@
 		g.Handle(0, ServerListUpdate{Kind: ListFull, Servers: servers})
 		for n := 0; n < 30; n++ {
 			now := time.Duration(n+1) * 400 * ms
-			g.Handle(now, TimerFired{beatToken})
+			g.Handle(now, TimerFired{tickToken})
 			if n == 25 {
 				g.Handle(now, ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s0", Zone: "a", Started: now}}})
 			}
 			id := fmt.Sprint(n)
-			for _, s := range find[SendAttempt](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
+			for _, s := range actionsOf[SendAttempt](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
 				Units: 1, Deadline: now + time.Second, GatewayCount: 1})) {
 				if n >= 25 && s.Server == "s0" {
 					cold++
--- a/decide/crossing_test.go
+++ b/decide/crossing_test.go
@@ -7,38 +7,39 @@
 
 // The tests here force one order of two events that can cross in the module. docs/design/crossings.md lists them.
 
-// fire rings the timers among the actions, at the time of the latest, and returns what follows.
-func (r *rig) fire(acts []Action) (out []Action) {
-	timers := find[SetTimer](acts)
+// fireTimers rings the timers among the actions, at the time of the latest, and returns what follows.
+func (r *rig) fireTimers(acts []Action) (out []Action) {
+	timers := actionsOf[SetTimer](acts)
 	for _, t := range timers {
 		r.now = max(r.now, t.At)
 	}
 	for _, t := range timers {
-		out = append(out, r.do(TimerFired{t.Token})...)
+		out = append(out, r.handle(TimerFired{t.Token})...)
 	}
 	return out
 }
 
-// waiting is a request whose first attempt failed and whose next one waits.
-func waiting(t *testing.T, deadline time.Duration) (r *rig, id string, timers []Action) {
+// rigWithPendingRetry is a request whose first attempt failed and whose next one waits.
+func rigWithPendingRetry(t *testing.T, deadline time.Duration) (r *rig, id string, timers []Action) {
 	t.Helper()
 	r = newRig(t, nil, Server{ID: "s1", Zone: "a"})
 	id = "q"
 	bounds := &RetryPolicy{MaxAttempts: 3, InitialBackoff: 500 * ms, RetryOn: NewOutcomeSet(Error)}
-	sent := find[SendAttempt](r.do(Request{ID: id, Class: "get", Plan: "wide", Customer: "c", Units: 1, GatewayCount: 3, Deadline: r.now + deadline, RetryPolicy: bounds}))
+	sent := actionsOf[SendAttempt](r.handle(Request{ID: id, Class: "get", Plan: "wide", Customer: "c", Units: 1, GatewayCount: 3,
+		Deadline: r.now + deadline, RetryPolicy: bounds}))
 	if len(sent) != 1 {
 		t.Fatal("the request is not sent")
 	}
 	r.now += 10 * ms
 	timers = r.end(id, 0, "s1", Error)
-	if len(find[SetTimer](timers)) == 0 || len(find[SendAttempt](timers)) != 0 {
+	if len(actionsOf[SetTimer](timers)) == 0 || len(actionsOf[SendAttempt](timers)) != 0 {
 		t.Fatalf("after the failure: %+v", timers)
 	}
 	return r, id, timers
 }
 
-// TestRetryTimerAfter: what happened while a further attempt waited for its timer counts when the timer fires.
-func TestRetryTimerAfter(t *testing.T) {
+// TestRetryTimerSeesEventsDuringBackoff: what happened while a further attempt waited for its timer counts when the timer fires.
+func TestRetryTimerSeesEventsDuringBackoff(t *testing.T) {
 	for name, x := range map[string]struct {
 		meanwhile Event
 		sends     int
@@ -49,14 +50,14 @@
 		"a list without it":        {ServerListUpdate{Kind: ListFull, Servers: []Server{}}, 0},
 		"its server's replacement": {ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "s2", Zone: "a"}}}, 1},
 	} {
-		r, id, timers := waiting(t, 2*time.Second)
+		r, id, timers := rigWithPendingRetry(t, 2*time.Second)
 		ended := 0
 		if x.meanwhile != nil {
-			acts := r.do(x.meanwhile)
-			ended += len(find[Refuse](acts)) + len(find[Fail](acts))
+			acts := r.handle(x.meanwhile)
+			ended += len(actionsOf[Refuse](acts)) + len(actionsOf[Fail](acts))
 		}
-		acts := r.fire(timers)
-		sent := find[SendAttempt](acts)
+		acts := r.fireTimers(timers)
+		sent := actionsOf[SendAttempt](acts)
 		if len(sent) != x.sends {
 			t.Errorf("%s: %d attempts", name, len(sent))
 		}
@@ -65,30 +66,30 @@
 				t.Errorf("%s: sent %+v", name, s)
 			}
 		}
-		if ended += len(find[Refuse](acts)) + len(find[Fail](acts)); x.sends == 0 && name != "the client's end" && ended != 1 {
+		if ended += len(actionsOf[Refuse](acts)) + len(actionsOf[Fail](acts)); x.sends == 0 && name != "the client's end" && ended != 1 {
 			t.Errorf("%s: %d final answers", name, ended)
 		}
 	}
 }
 
-// TestRetryTimerAfterTheDeadline: a timer that comes late, behind the request's time, sends nothing.
-func TestRetryTimerAfterTheDeadline(t *testing.T) {
-	r, _, timers := waiting(t, 2*time.Second)
+// TestRetryTimerAfterDeadline: a timer that comes late, behind the request's time, sends nothing.
+func TestRetryTimerAfterDeadline(t *testing.T) {
+	r, _, timers := rigWithPendingRetry(t, 2*time.Second)
 	r.now += 2 * time.Second
-	acts := r.fire(timers)
-	if len(find[SendAttempt](acts)) != 0 || len(find[Refuse](acts))+len(find[Fail](acts)) != 1 {
+	acts := r.fireTimers(timers)
+	if len(actionsOf[SendAttempt](acts)) != 0 || len(actionsOf[Refuse](acts))+len(actionsOf[Fail](acts)) != 1 {
 		t.Errorf("behind the deadline: %+v", acts)
 	}
 }
 
-// TestClientLeavesWhileItsHomeIsAsked: the home's word comes after the client has left, and sends nothing.
-func TestClientLeavesWhileItsHomeIsAsked(t *testing.T) {
+// TestClientDisconnectsWhileGrantIsPending: the home's word comes after the client has left, and sends nothing.
+func TestClientDisconnectsWhileGrantIsPending(t *testing.T) {
 	for name, leaves := range map[string]bool{"stays": false, "leaves": true} {
-		j := join(t, 60, func(cfg *Config) { cfg.PeerIntake = 10 })
+		j := newTestFleet(t, 60, func(cfg *Config) { cfg.PeerIntake = 10 })
 		j.loss = 0
 		asked, sent := 0, 0
-		j.watch = func(_ int, acts []Action) {
-			for _, s := range find[SendAttempt](acts) {
+		j.onActions = func(_ int, acts []Action) {
+			for _, s := range actionsOf[SendAttempt](acts) {
 				if s.ID[0] == 'w' {
 					sent++
 				}
@@ -97,7 +98,8 @@
 		for i := range 20 { // some of these gateways are the customer's homes, and ask nobody
 			id := string([]byte{'w', byte('a' + i)})
 			before := sent
-			j.handle(i, Request{ID: id, Class: "get", Plan: "wide", Customer: "x", Units: 1, Deadline: j.now + time.Second, GatewayCount: 60})
+			j.handle(i, Request{ID: id, Class: "get", Plan: "wide", Customer: "x", Units: 1,
+				Deadline: j.now + time.Second, GatewayCount: 60})
 			if sent > before {
 				sent--
 				continue
@@ -106,7 +108,7 @@
 			if leaves {
 				j.handle(i, ClientDisconnected{ID: id})
 			}
-			j.pass(100 * ms)
+			j.advance(100 * ms)
 		}
 		if asked < 10 {
 			t.Fatalf("%d of 20 asked a home: the test shows nothing", asked)
@@ -117,9 +119,9 @@
 	}
 }
 
-// TestRepeatIsToldItsTime: a further attempt of a keyed request that may have run tells by when it must be written, by the first
+// TestRetryHasWriteDeadline: a further attempt of a keyed request that may have run tells by when it must be written, by the first
 // of the windows; others tell no time.
-func TestRepeatIsToldItsTime(t *testing.T) {
+func TestRetryHasWriteDeadline(t *testing.T) {
 	r := newRig(t, nil)
 	began := r.now
 	id, first := r.send("put", "wide")
@@ -127,39 +129,40 @@
 		t.Errorf("the first attempt must be written by %v", first.WriteDeadline)
 	}
 	r.now += 100 * ms
-	second := find[SendAttempt](r.end(id, 0, first.Server, Reset))
-	if len(second) != 1 || second[0].WriteDeadline != began+2*time.Second-aimMargin {
+	second := actionsOf[SendAttempt](r.end(id, 0, first.Server, Reset))
+	if len(second) != 1 || second[0].WriteDeadline != began+2*time.Second-targetMargin {
 		t.Fatalf("after one that may have run: %+v", second)
 	}
 	r.now += 100 * ms
-	third := find[SendAttempt](r.end(id, 1, second[0].Server, Reset))
+	third := actionsOf[SendAttempt](r.end(id, 1, second[0].Server, Reset))
 	if len(third) != 1 || third[0].WriteDeadline != second[0].WriteDeadline {
 		t.Errorf("after two that may have run: %+v", third)
 	}
 	id, first = r.send("put", "wide")
-	if again := find[SendAttempt](r.end(id, 0, first.Server, NoConnection)); len(again) != 1 || again[0].WriteDeadline != 0 {
+	if again := actionsOf[SendAttempt](r.end(id, 0, first.Server, NoConnection)); len(again) != 1 || again[0].WriteDeadline != 0 {
 		t.Errorf("after one that never ran: %+v", again)
 	}
 	id, first = r.send("get", "wide")
-	if again := find[SendAttempt](r.end(id, 0, first.Server, Reset)); len(again) != 1 || again[0].WriteDeadline != 0 {
+	if again := actionsOf[SendAttempt](r.end(id, 0, first.Server, Reset)); len(again) != 1 || again[0].WriteDeadline != 0 {
 		t.Errorf("a safe one: %+v", again)
 	}
 }
 
-// TestUnsafeIsNeverOutTwice: whatever else happens while an attempt of an unsafe request is out, or after it may have run, there is no
+// TestUnsafeRequestNeverRunsTwice: whatever else happens while an attempt of an unsafe request is out, or after it may have run, there is no
 // other.
-func TestUnsafeIsNeverOutTwice(t *testing.T) {
-	for outcome, again := range map[Outcome]bool{Error: false, Reset: false, TimedOut: false, Cancelled: false, Rejected: true, NoConnection: true} {
+func TestUnsafeRequestNeverRunsTwice(t *testing.T) {
+	for outcome, again := range map[Outcome]bool{Error: false, Reset: false, TimedOut: false, Cancelled: false,
+		Rejected: true, NoConnection: true} {
 		r := newRig(t, func(c *Config) { c.Limits.ParallelAttempts = true })
-		id, acts := r.ask("pay", "wide", "c", 1)
-		s, timers := find[SendAttempt](acts)[0], find[SetTimer](acts)
+		id, acts := r.request("pay", "wide", "c", 1)
+		s, timers := actionsOf[SendAttempt](acts)[0], actionsOf[SetTimer](acts)
 		if len(timers) == 0 || timers[0].At >= r.now+time.Second {
 			t.Fatalf("no look at an overdue attempt: %+v", acts)
 		}
-		if more := find[SendAttempt](r.fire([]Action{timers[0]})); len(more) != 0 {
+		if more := actionsOf[SendAttempt](r.fireTimers([]Action{timers[0]})); len(more) != 0 {
 			t.Fatalf("a second copy: %+v", more)
 		}
-		if more := find[SendAttempt](r.end(id, 0, s.Server, outcome)); len(more) > 0 != again {
+		if more := actionsOf[SendAttempt](r.end(id, 0, s.Server, outcome)); len(more) > 0 != again {
 			t.Errorf("after outcome %v: %+v", outcome, more)
 		}
 	}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -8,71 +8,71 @@
 
 // Handle takes one event at the time now and returns what is to be done, in order.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
-	g.out = nil
+	g.actions = nil
 	g.now = max(now, g.now)
 	g.quota.Now = g.now
-	if !g.begun {
-		g.begun, g.started = true, g.now
+	if !g.initialized {
+		g.initialized, g.started = true, g.now
 		g.quota.Start(g.now)
-		g.do(SetTimer{g.now + g.quota.TickInterval(), beatToken})
+		g.emit(SetTimer{g.now + g.quota.TickInterval(), tickToken})
 	}
 	switch e := ev.(type) {
 	case ServerListUpdate:
-		g.fleet(e)
+		g.updateServerList(e)
 	case Request:
-		g.request(e)
+		g.handleRequest(e)
 	case ResponseStarted:
-		if a := g.attempt(e.ID, e.Attempt); a != nil {
+		if a := g.findAttempt(e.ID, e.Attempt); a != nil {
 			g.requests[e.ID].streaming = true
-			a.server.lastGood = g.now
+			a.server.lastAnswer = g.now
 		}
 	case AttemptEnded:
-		g.ended(e)
+		g.handleAttemptEnded(e)
 	case ClientDisconnected:
 		g.finish(g.requests[e.ID])
 	case TimerFired:
-		g.timer(e.Token)
+		g.handleTimer(e.Token)
 	case PeerMessage:
 		if !g.quota.Mesh && g.quota.IsPeer(e.From) {
-			g.word(e.From, e.Text)
+			g.handlePeerMessage(e.From, e.Text)
 		}
 		g.quota.ReceiveTotals(e.From, e.Text)
 	case MembershipUpdate:
 		g.quota.SetMembership(e.Rank, e.RankReassigned, e.Isolated, e.Peers)
 	case StateRestored:
 		g.quota.Restore(e.Buckets, e.LeakedSeconds)
-		g.before = max(g.before, e.WarmServerRate)
+		g.warmServerRate = max(g.warmServerRate, e.WarmServerRate)
 	case Shutdown:
 		g.quota.HandOver()
 		g.quota.AnnounceLeave()
 	}
-	return g.out
+	return g.actions
 }
 
-func (g *Gateway) timer(token uint64) {
-	if token == beatToken {
-		g.beat()
+func (g *Gateway) handleTimer(token uint64) {
+	if token == tickToken {
+		g.tick()
 		return
 	}
 	ref, ok := g.timers[token]
 	delete(g.timers, token)
-	if r := g.requests[ref.id]; ok && ref.n < 0 && r != nil && r.asking {
-		g.unheard(r, ref.due)
-	} else if ok && ref.why == forAgain {
-		g.waited(r)
-	} else if a := g.attempt(ref.id, ref.n); ok && a != nil && !a.over {
-		if ref.why == forCopy {
-			g.copy(r, a)
+	if r := g.requests[ref.requestID]; ok && ref.attempt < 0 && r != nil && r.awaitingGrant {
+		g.grantTimedOut(r, ref.at)
+	} else if ok && ref.purpose == timerRetry {
+		g.retryAfterBackoff(r)
+	} else if a := g.findAttempt(ref.requestID, ref.attempt); ok && a != nil && !a.ended {
+		if ref.purpose == timerHedge {
+			g.hedge(r, a)
 		} else {
-			g.overdue(r, a)
+			g.handleOverdue(r, a)
 		}
 	}
 }
 
-// beat is the upkeep: peers are told, servers counted, customers forgotten of whom nothing is left to know.
-func (g *Gateway) beat() {
-	g.do(SetTimer{g.now + g.quota.TickInterval(), beatToken})
+// tick is the upkeep: peers are told, servers counted, customers forgotten of whom nothing is left to know.
+func (g *Gateway) tick() {
+	g.emit(SetTimer{g.now + g.quota.TickInterval(), tickToken})
 	g.quota.SendTotals()
-	g.survey()
+	g.updateTotals()
 	g.quota.Sweep()
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -53,20 +53,20 @@
 		servers = []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a", Cell: 1}}
 	}
 	r := &rig{t: t, g: g, now: time.Hour}
-	r.do(ServerListUpdate{Kind: ListStale, Servers: servers})
+	r.handle(ServerListUpdate{Kind: ListStale, Servers: servers})
 	return r
 }
 
-func (r *rig) do(ev Event) []Action { return r.g.Handle(r.now, ev) }
+func (r *rig) handle(ev Event) []Action { return r.g.Handle(r.now, ev) }
 
-func (r *rig) ask(class, plan, customer string, units float64) (string, []Action) {
+func (r *rig) request(class, plan, customer string, units float64) (string, []Action) {
 	r.n++
 	id := fmt.Sprint("q", r.n)
-	return id, r.do(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
+	return id, r.handle(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
 		Deadline: r.now + 2*time.Second, GatewayCount: 3})
 }
 
-func find[A Action](acts []Action) (out []A) {
+func actionsOf[A Action](acts []Action) (out []A) {
 	for _, a := range acts {
 		if x, ok := a.(A); ok {
 			out = append(out, x)
@@ -78,8 +78,8 @@
 // send asks and fails the test unless the request is sent on.
 func (r *rig) send(class, plan string) (string, SendAttempt) {
 	r.t.Helper()
-	id, acts := r.ask(class, plan, "c", 1)
-	s := find[SendAttempt](acts)
+	id, acts := r.request(class, plan, "c", 1)
+	s := actionsOf[SendAttempt](acts)
 	if len(s) != 1 {
 		r.t.Fatalf("%s on %s: got %#v, want one Send", class, plan, acts)
 	}
@@ -88,8 +88,8 @@
 
 // serve asks, answers at once if the request is sent on, and tells whether it was.
 func (r *rig) serve(class, plan, customer string, units float64) bool {
-	id, acts := r.ask(class, plan, customer, units)
-	s := find[SendAttempt](acts)
+	id, acts := r.request(class, plan, customer, units)
+	s := actionsOf[SendAttempt](acts)
 	if len(s) == 1 {
 		r.end(id, 0, s[0].Server, OK)
 	}
@@ -97,7 +97,7 @@
 }
 
 func (r *rig) end(id string, n int, server string, o Outcome) []Action {
-	return r.do(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Latency: 20 * ms, RequestDone: o == OK})
+	return r.handle(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Latency: 20 * ms, RequestDone: o == OK})
 }
 
 func TestBucket(t *testing.T) {
@@ -130,7 +130,7 @@
 	id, s := r.send("get", "wide")
 	c := r.g.quota.Find(peermsg.Key("c"))
 	before := c.Level
-	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, ActualUnits: 6})
+	r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, ActualUnits: 6})
 	if got := c.Level - before; got != 5 {
 		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
 	}
@@ -150,13 +150,13 @@
 
 func TestCeiling(t *testing.T) {
 	r := newRig(t, nil)
-	if _, acts := r.ask("get", "hard", "x", 8); len(find[SendAttempt](acts)) != 0 {
+	if _, acts := r.request("get", "hard", "x", 8); len(actionsOf[SendAttempt](acts)) != 0 {
 		t.Fatal("sent on from the ceiling's store at the start, when it must count as empty")
 	}
 	sent, start := 0.0, r.now
 	for ; r.now < start+20*time.Second; r.now += 50 * ms {
-		id, acts := r.ask("get", "hard", "x", 4)
-		if s := find[SendAttempt](acts); len(s) == 1 {
+		id, acts := r.request("get", "hard", "x", 4)
+		if s := actionsOf[SendAttempt](acts); len(s) == 1 {
 			sent += 4
 			r.end(id, 0, s[0].Server, OK)
 		}
@@ -185,19 +185,19 @@
 		r := newRig(t, nil)
 		id, s := r.send(c.class, "wide")
 		acts := r.end(id, 0, s.Server, c.outcome)
-		more := find[SendAttempt](acts)
+		more := actionsOf[SendAttempt](acts)
 		if (len(more) == 1) != c.again {
 			t.Errorf("%s after %v: got %#v, want again=%v", c.class, c.outcome, acts, c.again)
 		}
 		if len(more) == 1 && c.class == "put" && !c.outcome.neverRan() && (more[0].Server == "s3") != (s.Server == "s3") {
 			t.Errorf("%s after %v: sent to %s after %s, another cell", c.class, c.outcome, more[0].Server, s.Server)
 		}
-		r.g.budget = 0 // no further attempts: the final answer
+		r.g.retryBudget = 0 // no further attempts: the final answer
 		for i := 1; len(more) == 1; i++ {
 			acts = r.end(id, i, more[0].Server, c.outcome)
-			more = find[SendAttempt](acts)
+			more = actionsOf[SendAttempt](acts)
 		}
-		if refused, failed := len(find[Refuse](acts)), len(find[Fail](acts)); refused+failed != 1 || (refused == 1) != c.refuse {
+		if refused, failed := len(actionsOf[Refuse](acts)), len(actionsOf[Fail](acts)); refused+failed != 1 || (refused == 1) != c.refuse {
 			t.Errorf("%s after %v: final %#v, want refuse=%v", c.class, c.outcome, acts, c.refuse)
 		}
 	}
@@ -207,35 +207,35 @@
 	r := newRig(t, func(c *Config) { c.Classes[2].LatencyTarget, c.Classes[2].DedupWindow = 3*time.Second, time.Second })
 	id, s := r.send("putall", "wide")
 	r.now += 1100 * ms
-	if acts := r.end(id, 0, s.Server, Error); len(find[SendAttempt](acts)) != 0 {
+	if acts := r.end(id, 0, s.Server, Error); len(actionsOf[SendAttempt](acts)) != 0 {
 		t.Errorf("sent again after the window: %#v", acts)
 	}
 }
 
 func TestNoServer(t *testing.T) {
 	r := newRig(t, nil, []Server{}...)
-	r.do(ServerListUpdate{Kind: ListFull})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Refuse](acts)) != 1 {
+	r.handle(ServerListUpdate{Kind: ListFull})
+	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Refuse](acts)) != 1 {
 		t.Errorf("without servers: got %#v, want Refuse", acts)
 	}
 }
 
-func TestDrains(t *testing.T) {
+func TestDrainingAndGoneServersAreSkipped(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", State: Draining}}})
-	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s2", State: Gone}}})
+	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", State: Draining}}})
+	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s2", State: Gone}}})
 	for i := 0; i < 8; i++ {
 		if _, s := r.send("get", "wide"); s.Server != "s3" {
 			t.Fatalf("sent to %s, want s3", s.Server)
 		}
 		r.end(fmt.Sprint("q", r.n), 0, "s3", OK)
 	}
-	r.do(ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "s2"}}})
+	r.handle(ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "s2"}}})
 	if _, s := r.send("get", "wide"); s.Server != "s2" {
 		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
 	}
-	r.do(ServerListUpdate{Kind: ListFailed})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[SendAttempt](acts)) != 1 {
+	r.handle(ServerListUpdate{Kind: ListFailed})
+	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[SendAttempt](acts)) != 1 {
 		t.Errorf("a failed list call lost the former list: %#v", acts)
 	}
 }
@@ -253,7 +253,7 @@
 		return n
 	}
 	run(10 * time.Second)
-	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - ms}}})
+	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
 	if most := coldMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
@@ -276,7 +276,7 @@
 			continue
 		}
 		fails++
-		for _, m := range find[SendAttempt](r.end(id, 0, "s1", Error)) {
+		for _, m := range actionsOf[SendAttempt](r.end(id, 0, "s1", Error)) {
 			r.end(id, 1, m.Server, OK)
 		}
 	}
@@ -285,17 +285,17 @@
 	}
 	all := newRig(t, nil)
 	for i := 0; i < 100; i++ {
-		id, acts := all.ask("pay", "wide", "c", 1)
+		id, acts := all.request("pay", "wide", "c", 1)
 		all.now += 20 * ms
-		if s := find[SendAttempt](acts); len(s) == 1 {
+		if s := actionsOf[SendAttempt](acts); len(s) == 1 {
 			all.end(id, 0, s[0].Server, Error)
 		}
 	}
 	got := map[string]bool{}
 	for i := 0; i < 60; i++ {
-		if _, acts := all.ask("pay", "wide", "c", 1); len(find[SendAttempt](acts)) == 1 {
-			got[find[SendAttempt](acts)[0].Server] = true
-			all.end(fmt.Sprint("q", all.n), 0, find[SendAttempt](acts)[0].Server, Error)
+		if _, acts := all.request("pay", "wide", "c", 1); len(actionsOf[SendAttempt](acts)) == 1 {
+			got[actionsOf[SendAttempt](acts)[0].Server] = true
+			all.end(fmt.Sprint("q", all.n), 0, actionsOf[SendAttempt](acts)[0].Server, Error)
 		}
 	}
 	if len(got) < 3 {
@@ -303,7 +303,7 @@
 	}
 }
 
-func TestSilentServerIsLeft(t *testing.T) {
+func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	r := newRig(t, nil)
 	lost := 0
 	for i := 0; i < 200; i++ {
@@ -315,8 +315,8 @@
 			lost++
 		}
 		for token, ref := range r.g.timers {
-			if a := r.g.attempt(ref.id, ref.n); a != nil && r.now > a.at+time.Second {
-				r.do(TimerFired{token})
+			if a := r.g.findAttempt(ref.requestID, ref.attempt); a != nil && r.now > a.sentAt+time.Second {
+				r.handle(TimerFired{token})
 			}
 		}
 	}
@@ -327,48 +327,48 @@
 
 func TestSlownessFades(t *testing.T) {
 	r := newRig(t, nil)
-	s := r.g.order[0]
+	s := r.g.serversByID[0]
 	for i := 0; i < 10; i++ {
-		r.g.saw(s, &request{class: r.g.classes["get"]}, 3*time.Second, false, false)
+		r.g.recordOwnSample(s, &request{class: r.g.classes["get"]}, 3*time.Second, false, false)
 	}
 	slow := r.g.slowness(s)
 	r.now += time.Minute
-	r.do(TimerFired{beatToken})
+	r.handle(TimerFired{tickToken})
 	if got := r.g.slowness(s); slow < 1.3 || got > 1.1 {
 		t.Errorf("slowness went from %v to %v in a minute without answers, want it to fade to about 1", slow, got)
 	}
 }
 
-func TestGhostsCloseTheCap(t *testing.T) {
+func TestAbandonedAttemptsCountAsLoad(t *testing.T) {
 	r := newRig(t, nil)
-	for range int(openFree+openLeast) + 1 { // of three servers and as many gateways
-		id, acts := r.ask("get", "wide", "c", 1)
-		if s := find[SendAttempt](acts); len(s) == 1 {
+	for range int(freeOpenWork+minOpenPerServer) + 1 { // of three servers and as many gateways
+		id, acts := r.request("get", "wide", "c", 1)
+		if s := actionsOf[SendAttempt](acts); len(s) == 1 {
 			r.end(id, 0, s[0].Server, Cancelled)
 		}
 	}
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Refuse](acts)) != 1 {
+	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Refuse](acts)) != 1 {
 		t.Errorf("sent on to servers that still work on what nobody waits for: %#v", acts)
 	}
-	r.now += ghostFor + time.Second
+	r.now += abandonedLoadTime + time.Second
 	r.send("get", "wide")
 }
 
 func TestBadInput(t *testing.T) {
 	r := newRig(t, nil)
 	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
-		if acts := r.do(e); len(find[Refuse](acts)) != 1 {
+		if acts := r.handle(e); len(actionsOf[Refuse](acts)) != 1 {
 			t.Errorf("%#v: got %#v, want Refuse", e, acts)
 		}
 	}
 	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OK}, ClientDisconnected{"zz"}, TimerFired{1 << 60},
 		ResponseStarted{ID: "zz"}, ProbeEnded{Server: "zz"}, CounterCallEnded{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
-		if acts := r.do(e); len(acts) != 0 {
+		if acts := r.handle(e); len(acts) != 0 {
 			t.Errorf("%#v: got %#v, want nothing", e, acts)
 		}
 	}
 	id, s := r.send("get", "wide")
-	r.do(ClientDisconnected{id})
+	r.handle(ClientDisconnected{id})
 	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
 		t.Errorf("answered a request whose client is gone: %#v", acts)
 	}
@@ -395,7 +395,7 @@
 	}
 }
 
-type flight struct {
+type trackedRequest struct {
 	req      Request
 	class    Class
 	attempts []SendAttempt
@@ -407,7 +407,7 @@
 
 // A few requests out at one gateway are chance, not a jam: with one or two at each server of all gateways, cheap
 // work must not be shed. Once they stand for a queue at every server it is.
-func TestFewOpenRequestsPressNobody(t *testing.T) {
+func TestFewOpenRequestsAreNotShed(t *testing.T) {
 	var servers []Server
 	for i := range 12 {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -422,11 +422,11 @@
 	}
 	pressedBy := func(open int) bool {
 		for range open {
-			r.ask("get", "wide", "x", 1)
+			r.request("get", "wide", "x", 1)
 		}
-		r.g.survey()
-		_, acts := r.ask("get", "cheap", "y", 1)
-		return len(find[SendAttempt](acts)) == 0
+		r.g.updateTotals()
+		_, acts := r.request("get", "cheap", "y", 1)
+		return len(actionsOf[SendAttempt](acts)) == 0
 	}
 	if pressedBy(6) { // 24 of all gateways at 12 servers
 		t.Error("cheap work is shed with two requests a server")
@@ -436,8 +436,8 @@
 	}
 }
 
-// TestQuickAnswersPressNobody: where answers take a small part of the aim, bursts of open work are no reason to shed.
-func TestQuickAnswersPressNobody(t *testing.T) {
+// TestFastAnswersRaiseShedThreshold: where answers take a small part of the aim, bursts of open work are no reason to shed.
+func TestFastAnswersRaiseShedThreshold(t *testing.T) {
 	shedAt := func(took time.Duration) int {
 		var servers []Server
 		for i := range 12 {
@@ -448,11 +448,11 @@
 		}, servers...)
 		for range 400 {
 			r.now += 100 * ms
-			id, acts := r.ask("get", "wide", "x", 1)
-			r.do(AttemptEnded{ID: id, Server: find[SendAttempt](acts)[0].Server, Outcome: OK, Latency: took, RequestDone: true})
+			id, acts := r.request("get", "wide", "x", 1)
+			r.handle(AttemptEnded{ID: id, Server: actionsOf[SendAttempt](acts)[0].Server, Outcome: OK, Latency: took, RequestDone: true})
 		}
 		for n := range 400 {
-			if _, acts := r.ask("get", "cheap", "y", 1); len(find[SendAttempt](acts)) == 0 {
+			if _, acts := r.request("get", "cheap", "y", 1); len(actionsOf[SendAttempt](acts)) == 0 {
 				return n
 			}
 		}
@@ -469,19 +469,19 @@
 func TestGoneServersAreForgotten(t *testing.T) {
 	r := newRig(t, nil)
 	id, s := r.send("get", "wide")
-	r.do(ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
-	if len(r.g.servers) != 2 || len(r.g.order) != 2 || len(r.g.shorts) != 2 {
+	r.handle(ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
+	if len(r.g.servers) != 2 || len(r.g.serversByID) != 2 || len(r.g.serversByKey) != 2 {
 		t.Errorf("%d, %d and %d are known, want the new one and the one with an attempt out",
-			len(r.g.servers), len(r.g.order), len(r.g.shorts))
+			len(r.g.servers), len(r.g.serversByID), len(r.g.serversByKey))
 	}
 	r.end(id, 0, s.Server, OK)
-	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "new", State: Gone}, {ID: "never", State: Gone}}})
+	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "new", State: Gone}, {ID: "never", State: Gone}}})
 	if cold := r.g.servers["new"]; len(r.g.servers) != 1 || cold == nil || cold.State != Gone {
 		t.Errorf("known are %v, want the cold one", r.g.servers)
 	}
 	r.now += r.g.cfg.Safety.ColdDuration
-	r.do(TimerFired{Token: beatToken})
-	if len(r.g.servers)+len(r.g.order)+len(r.g.shorts) != 0 {
+	r.handle(TimerFired{Token: tickToken})
+	if len(r.g.servers)+len(r.g.serversByID)+len(r.g.serversByKey) != 0 {
 		t.Errorf("still known are %v", r.g.servers)
 	}
 }
@@ -490,32 +490,32 @@
 func TestGoneServerKeepsItsCell(t *testing.T) {
 	r := newRig(t, nil, Server{ID: "s", Zone: "a", Cell: 7})
 	r.send("put", "wide")
-	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s", State: Gone}}})
+	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s", State: Gone}}})
 	if s := r.g.servers["s"]; s.State != Gone || s.Cell != 7 || s.Zone != "a" {
 		t.Errorf("known is %+v", s.Server)
 	}
 }
 
 // A client that the quota refuses is told when it has room: sooner it would be refused again, later it waits in vain.
-func TestAdviceFitsTheBucket(t *testing.T) {
+func TestRetryAfterMatchesBucket(t *testing.T) {
 	r := newRig(t, func(c *Config) { c.Limits.MaxRetryAfter = time.Minute })
 	r.now += time.Minute
 	var acts []Action
-	for len(find[Refuse](acts)) == 0 {
-		id, a := r.ask("get", "small", "x", 1)
-		if acts = a; len(find[SendAttempt](acts)) > 0 {
-			r.end(id, 0, find[SendAttempt](acts)[0].Server, OK)
+	for len(actionsOf[Refuse](acts)) == 0 {
+		id, a := r.request("get", "small", "x", 1)
+		if acts = a; len(actionsOf[SendAttempt](acts)) > 0 {
+			r.end(id, 0, actionsOf[SendAttempt](acts)[0].Server, OK)
 		}
 	}
-	wait := find[Refuse](acts)[0].RetryAfter
+	wait := actionsOf[Refuse](acts)[0].RetryAfter
 	c := r.g.quota.Find(peermsg.Key("x"))
 	asked := c.Demand
 	for _, at := range []time.Duration{wait * 9 / 10, wait * 11 / 10} {
 		then := *c
 		r.g.quota.Now = r.now + at
 		r.g.quota.Leak(&then)
-		if room(&then, 1) != (at > wait) {
-			t.Errorf("advice is %v; room after %v: %v", wait, at, room(&then, 1))
+		if hasRoom(&then, 1) != (at > wait) {
+			t.Errorf("advice is %v; room after %v: %v", wait, at, hasRoom(&then, 1))
 		}
 	}
 	if c.Demand != asked || wait <= 0 {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -10,58 +10,58 @@
 	"sloepick/decide/quota"
 )
 
-// joined is a few gateways whose messages reach each other late, some never, in an order that a seed decides.
-type joined struct {
-	t        *testing.T
-	cfg      Config
-	gws      []*Gateway
-	rnd      *rand.Rand
-	now      time.Duration
-	due      []letter
-	taken    []int // messages that each gateway was sent
-	used     float64
-	refused  int
-	inFlight map[string]float64
-	loss     float64
-	lossAt   map[int]float64 // of what comes to a gateway that takes in too little
-	down     map[int]bool
-	watch    func(i int, acts []Action) // nil: nobody
-	deafFrom float64                    // used when all were cut off last
+// testFleet is a few gateways whose messages reach each other late, some never, in an order that a seed decides.
+type testFleet struct {
+	t               *testing.T
+	cfg             Config
+	gateways        []*Gateway
+	rng             *rand.Rand
+	now             time.Duration
+	deliveries      []delivery
+	received        []int // messages that each gateway was sent
+	admittedUnits   float64
+	refused         int
+	unitsByID       map[string]float64
+	loss            float64
+	lossByGateway   map[int]float64 // of what comes to a gateway that takes in too little
+	down            map[int]bool
+	onActions       func(i int, acts []Action) // nil: nobody
+	unitsBeforeLoss float64                    // used when all were cut off last
 }
 
-type letter struct {
-	at time.Duration
-	to int
-	ev Event
+type delivery struct {
+	at    time.Duration
+	to    int
+	event Event
 }
 
-func join(t *testing.T, n int, edit func(*Config)) *joined {
+func newTestFleet(t *testing.T, n int, edit func(*Config)) *testFleet {
 	t.Helper()
-	j := &joined{t: t, cfg: testConfig(), rnd: rand.New(rand.NewSource(5)), now: time.Hour, gws: make([]*Gateway, n),
-		taken: make([]int, n), inFlight: map[string]float64{}, loss: 0.05, down: map[int]bool{}}
+	j := &testFleet{t: t, cfg: testConfig(), rng: rand.New(rand.NewSource(5)), now: time.Hour, gateways: make([]*Gateway, n),
+		received: make([]int, n), unitsByID: map[string]float64{}, loss: 0.05, down: map[int]bool{}}
 	j.cfg.Gateways = n
 	if edit != nil {
 		edit(&j.cfg)
 	}
-	for i := range j.gws {
+	for i := range j.gateways {
 		j.start(i)
 	}
 	return j
 }
 
-func (j *joined) start(i int) {
+func (j *testFleet) start(i int) {
 	cfg := j.cfg
 	cfg.Rank = i
-	g, err := New(cfg, j.rnd.Int63())
+	g, err := New(cfg, j.rng.Int63())
 	if err != nil {
 		j.t.Fatal(err)
 	}
-	j.gws[i] = g
-	j.due = keepLetters(j.due, func(l letter) bool { return l.to != i })
+	j.gateways[i] = g
+	j.deliveries = filterDeliveries(j.deliveries, func(l delivery) bool { return l.to != i })
 	j.handle(i, ServerListUpdate{Kind: ListStale, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
 }
 
-func keepLetters(ls []letter, want func(letter) bool) (out []letter) {
+func filterDeliveries(ls []delivery, want func(delivery) bool) (out []delivery) {
 	for _, l := range ls {
 		if want(l) {
 			out = append(out, l)
@@ -70,24 +70,24 @@
 	return out
 }
 
-func (j *joined) handle(i int, ev Event) {
-	acts := j.gws[i].Handle(j.now, ev)
-	if j.watch != nil {
-		j.watch(i, acts)
+func (j *testFleet) handle(i int, ev Event) {
+	acts := j.gateways[i].Handle(j.now, ev)
+	if j.onActions != nil {
+		j.onActions(i, acts)
 	}
 	for _, a := range acts {
 		switch a := a.(type) {
 		case SendToPeer:
-			j.taken[a.To]++
-			if j.rnd.Float64() >= max(j.loss, j.lossAt[a.To]) && !j.down[a.To] {
-				late := time.Duration(2+j.rnd.Intn(16)) * ms
-				j.due = append(j.due, letter{at: j.now + late, to: a.To, ev: PeerMessage{i, a.Text}})
+			j.received[a.To]++
+			if j.rng.Float64() >= max(j.loss, j.lossByGateway[a.To]) && !j.down[a.To] {
+				delay := time.Duration(2+j.rng.Intn(16)) * ms
+				j.deliveries = append(j.deliveries, delivery{at: j.now + delay, to: a.To, event: PeerMessage{i, a.Text}})
 			}
 		case SetTimer:
-			j.due = append(j.due, letter{at: a.At, to: i, ev: TimerFired{a.Token}})
+			j.deliveries = append(j.deliveries, delivery{at: a.At, to: i, event: TimerFired{a.Token}})
 		case SendAttempt:
-			j.used += j.inFlight[a.ID]
-			j.due = append(j.due, letter{at: j.now + 30*ms, to: i, ev: AttemptEnded{ID: a.ID, Server: a.Server,
+			j.admittedUnits += j.unitsByID[a.ID]
+			j.deliveries = append(j.deliveries, delivery{at: j.now + 30*ms, to: i, event: AttemptEnded{ID: a.ID, Server: a.Server,
 				Outcome: OK, Latency: 30 * ms, RequestDone: true}})
 		case Refuse:
 			j.refused++
@@ -96,23 +96,23 @@
 }
 
 // run plays on to a time, with a request asked for every gap at a gateway that pick names.
-func (j *joined) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
+func (j *testFleet) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
 	for end, n := j.now+d, 0; j.now < end; n++ {
 		if i := pick(n); !j.down[i] {
 			id := fmt.Sprint(j.now, "-", n)
-			j.inFlight[id] = units
+			j.unitsByID[id] = units
 			j.handle(i, Request{ID: id, Class: "get", Plan: plan, Customer: "x", Units: units,
-				Deadline: j.now + 2*time.Second, GatewayCount: len(j.gws)})
+				Deadline: j.now + 2*time.Second, GatewayCount: len(j.gateways)})
 		}
-		j.pass(gap)
+		j.advance(gap)
 	}
 }
 
-// pass lets time pass, in turns.
-func (j *joined) pass(d time.Duration) {
+// advance lets time advance, in turns.
+func (j *testFleet) advance(d time.Duration) {
 	for next := j.now + d; j.now < next; j.now += 4 * ms {
-		var ready []letter
-		j.due = keepLetters(j.due, func(l letter) bool {
+		var ready []delivery
+		j.deliveries = filterDeliveries(j.deliveries, func(l delivery) bool {
 			if l.at <= j.now {
 				ready = append(ready, l)
 			}
@@ -120,7 +120,7 @@
 		})
 		for _, l := range ready {
 			if !j.down[l.to] {
-				j.handle(l.to, l.ev)
+				j.handle(l.to, l.event)
 			}
 		}
 	}
@@ -131,18 +131,18 @@
 func TestQuotaOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		for _, ask := range []float64{0.5, 4} { // times the rate
-			j := join(t, n, nil)
+			j := newTestFleet(t, n, nil)
 			j.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
 			const rate, units, secs = 3.0, 2.0, 24.0
 			gap := time.Duration(units / (ask * rate) * float64(time.Second))
 			for k := 0; k < 3; k++ { // the traffic gathers on a tenth of the gateways, then on others
 				few := max(1, n/10)
-				j.run(8*time.Second, gap, "small", units, func(int) int { return (k*few + j.rnd.Intn(few)) % n })
+				j.run(8*time.Second, gap, "small", units, func(int) int { return (k*few + j.rng.Intn(few)) % n })
 			}
-			most := rate*secs + 12 + 2*units
-			least := 0.8 * min(ask*rate*secs, rate*secs)
-			if j.used > 1.15*most || j.used < least {
-				t.Errorf("%d gateways, %v times the rate: used %v, want %v to %v", n, ask, j.used, least, most)
+			maxUnits := rate*secs + 12 + 2*units
+			minUnits := 0.8 * min(ask*rate*secs, rate*secs)
+			if j.admittedUnits > 1.15*maxUnits || j.admittedUnits < minUnits {
+				t.Errorf("%d gateways, %v times the rate: used %v, want %v to %v", n, ask, j.admittedUnits, minUnits, maxUnits)
 			}
 		}
 	}
@@ -155,50 +155,50 @@
 	gap := 167 * ms // twice the rate
 	for _, c := range []struct {
 		name        string
-		edit        func(j *joined)
+		edit        func(j *testFleet)
 		at          func(n int) int
 		least, most float64 // of the rate
 	}{
-		{"stopped", func(j *joined) {
+		{"stopped", func(j *testFleet) {
 			for i := 1; i < 3; i++ {
 				j.handle(i, Shutdown{})
 				j.down[i] = true
 			}
 		}, func(int) int { return 0 }, 0.93, 1.1},
-		{"dead", func(j *joined) { j.down[1], j.down[2] = true, true }, func(int) int { return 0 }, 0.5, 1.1},
-		{"cut off", func(j *joined) { j.loss = 1 }, func(n int) int { return n % 3 }, 0.9, 1.1},
+		{"dead", func(j *testFleet) { j.down[1], j.down[2] = true, true }, func(int) int { return 0 }, 0.5, 1.1},
+		{"cut off", func(j *testFleet) { j.loss = 1 }, func(n int) int { return n % 3 }, 0.9, 1.1},
 	} {
-		j := join(t, 3, nil)
+		j := newTestFleet(t, 3, nil)
 		j.run(6*time.Second, gap, "small", units, func(n int) int { return n % 3 })
 		c.edit(j)
 		j.run(2*time.Second, gap, "small", units, c.at) // until it is noticed
-		before := j.used
+		before := j.admittedUnits
 		j.run(secs*time.Second, gap, "small", units, c.at)
-		if got := (j.used - before) / (rate * secs); got < c.least || got > c.most {
+		if got := (j.admittedUnits - before) / (rate * secs); got < c.least || got > c.most {
 			t.Errorf("%s: %.2f of the quota was let in, want %.2f to %.2f", c.name, got, c.least, c.most)
 		}
 	}
 }
 
-// TestHomesOfOneCustomerShareItsBucket: most of what comes to a flooding customer's first home is lost, so that many ask the
+// TestCoordinatorsShareOneBucket: most of what comes to a flooding customer's first home is lost, so that many ask the
 // second one: both together grant the quota once.
-func TestHomesOfOneCustomerShareItsBucket(t *testing.T) {
-	j := join(t, 300, nil)
-	j.lossAt = map[int]float64{j.gws[0].quota.Coordinator(peermsg.Key("x"), 0): 0.6}
+func TestCoordinatorsShareOneBucket(t *testing.T) {
+	j := newTestFleet(t, 300, nil)
+	j.lossByGateway = map[int]float64{j.gateways[0].quota.Coordinator(peermsg.Key("x"), 0): 0.6}
 	const rate, burst, units, secs = 3.0, 12.0, 2.0, 30.0
-	j.run(secs*time.Second, 100*ms, "small", units, func(int) int { return j.rnd.Intn(300) })
-	if most := 1.35 * (rate*secs + burst); j.used > most || j.used < 0.8*rate*secs {
-		t.Errorf("%v units let in of %v asked, want %v to %v", j.used, units*secs*10, 0.8*rate*secs, most)
+	j.run(secs*time.Second, 100*ms, "small", units, func(int) int { return j.rng.Intn(300) })
+	if most := 1.35 * (rate*secs + burst); j.admittedUnits > most || j.admittedUnits < 0.8*rate*secs {
+		t.Errorf("%v units let in of %v asked, want %v to %v", j.admittedUnits, units*secs*10, 0.8*rate*secs, most)
 	}
 }
 
-// TestTwinWordsDoNoHarm: what a home is told by one that is no home of the customer counts for nothing, nor does what a home
+// TestInvalidGrantTotalsAreIgnored: what a home is told by one that is no home of the customer counts for nothing, nor does what a home
 // that began anew tells first; what is lost in between is made good by the next total.
-func TestTwinWordsDoNoHarm(t *testing.T) {
-	j := join(t, 300, nil)
+func TestInvalidGrantTotalsAreIgnored(t *testing.T) {
+	j := newTestFleet(t, 300, nil)
 	key := peermsg.Key("x")
-	first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
-	g := j.gws[second]
+	first, second := j.gateways[0].quota.Coordinator(key, 0), j.gateways[0].quota.Coordinator(key, 1)
+	g := j.gateways[second]
 	c := g.quota.Customer(key, 1)
 	before := c.FleetLevel
 	for _, step := range []struct {
@@ -220,13 +220,13 @@
 
 // TestMessagesStayWithinIntake: one customer that asks for many times its quota at all of 300 gateways.
 func TestMessagesStayWithinIntake(t *testing.T) {
-	j := join(t, 300, nil)
-	j.run(12*time.Second, 4*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
-	for i := range j.taken {
-		j.taken[i] = 0
+	j := newTestFleet(t, 300, nil)
+	j.run(12*time.Second, 4*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
+	for i := range j.received {
+		j.received[i] = 0
 	}
-	j.run(5*time.Second, 4*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
-	for i, n := range j.taken {
+	j.run(5*time.Second, 4*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
+	for i, n := range j.received {
 		if float64(n)/5 > j.cfg.PeerIntake {
 			t.Errorf("gateway %d was sent %d messages in 5 s, want %v a second at most", i, n, j.cfg.PeerIntake)
 		}
@@ -236,128 +236,131 @@
 // TestCeilingOverAllGateways: under restarts of most gateways the sum over all stays under the ceiling.
 func TestCeilingOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		j := join(t, n, nil)
+		j := newTestFleet(t, n, nil)
 		store, last, used := 60.0, j.now, 0.0
 		for k := 0; k < 60; k++ {
 			if k%10 == 5 {
-				for i := range j.gws {
-					if j.rnd.Float64() < 0.9 {
+				for i := range j.gateways {
+					if j.rng.Float64() < 0.9 {
 						j.start(i)
 					}
 				}
 			}
-			j.run(100*ms, 10*ms, "hard", 4, func(int) int { return j.rnd.Intn(n) })
-			store = min(60, store+30*(j.now-last).Seconds()) - (j.used - used)
-			if last, used = j.now, j.used; store < -6 {
+			j.run(100*ms, 10*ms, "hard", 4, func(int) int { return j.rng.Intn(n) })
+			store = min(60, store+30*(j.now-last).Seconds()) - (j.admittedUnits - used)
+			if last, used = j.now, j.admittedUnits; store < -6 {
 				t.Fatalf("%d gateways: the ceiling's store fell to %v, want -6 at least", n, store)
 			}
 		}
-		if j.used < 30 {
-			t.Errorf("%d gateways: passed on %v in 6 s under a ceiling of 30 a second", n, j.used)
+		if j.admittedUnits < 30 {
+			t.Errorf("%d gateways: passed on %v in 6 s under a ceiling of 30 a second", n, j.admittedUnits)
 		}
 	}
 }
 
-// TestDeadHomeCostsLittle: with both homes of a customer down, the bucket of each gateway decides.
-func TestDeadHomeCostsLittle(t *testing.T) {
-	j := join(t, 300, nil)
+// TestBothCoordinatorsDown: with both homes of a customer down, the bucket of each gateway decides.
+func TestBothCoordinatorsDown(t *testing.T) {
+	j := newTestFleet(t, 300, nil)
 	key := peermsg.Key("x")
 	for n := 0; n < quota.MaxCoordinators; n++ {
-		j.down[j.gws[0].quota.Coordinator(key, n)] = true
+		j.down[j.gateways[0].quota.Coordinator(key, n)] = true
 	}
-	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
-	if j.used < 20 {
-		t.Errorf("used %v of 60 with both homes down, want 20 or more", j.used)
+	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
+	if j.admittedUnits < 20 {
+		t.Errorf("used %v of 60 with both homes down, want 20 or more", j.admittedUnits)
 	}
 	j.down = map[int]bool{}
-	before := j.used
-	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
-	if got := j.used - before; got < 24 {
+	before := j.admittedUnits
+	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
+	if got := j.admittedUnits - before; got < 24 {
 		t.Errorf("used %v of 30 asked after the homes came back, want 24 or more", got)
 	}
 }
 
-// TestWordsDoNoHarm: words that are malformed, of unknown plans or come to the wrong home change nothing.
-func TestWordsDoNoHarm(t *testing.T) {
-	j := join(t, 300, nil)
+// TestInvalidCustomerMessagesAreIgnored: words that are malformed, of unknown plans or come to the wrong home change nothing.
+func TestInvalidCustomerMessagesAreIgnored(t *testing.T) {
+	j := newTestFleet(t, 300, nil)
 	key := peermsg.Key("x")
-	home := j.gws[j.gws[0].quota.Coordinator(key, 0)]
+	coordinator := j.gateways[j.gateways[0].quota.Coordinator(key, 0)]
 	ask := peermsg.CustomerMessage{Kind: 'a', Key: key, Plan: 1, RequestNo: 7, NumValues: 1, Values: [4]float64{2}}
 	other := ask
 	other.Plan = 40
 	for _, text := range []string{"", "a", ask.Encode(0)[:11], ask.Encode(0) + "!!", "Z" + ask.Encode(0)[1:], other.Encode(0),
-		peermsg.CustomerMessage{Kind: 'a', Key: key + 1, Plan: 1, NumValues: 1}.Encode(0), peermsg.CustomerMessage{Kind: 'r', Key: key, NumValues: 4}.Encode(0),
+		peermsg.CustomerMessage{Kind: 'a', Key: key + 1, Plan: 1, NumValues: 1}.Encode(0),
+		peermsg.CustomerMessage{Kind: 'r', Key: key, NumValues: 4}.Encode(0),
 		peermsg.CustomerMessage{Kind: 'a', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{-2}}.Encode(0)} {
-		if acts := home.Handle(j.now, PeerMessage{From: 299, Text: text}); len(acts) != 0 || home.quota.Find(key) != nil || home.quota.Find(key+1) != nil {
+		if acts := coordinator.Handle(j.now, PeerMessage{From: 299, Text: text}); len(acts) != 0 ||
+			coordinator.quota.Find(key) != nil || coordinator.quota.Find(key+1) != nil {
 			t.Errorf("%q: got %#v", text, acts)
 		}
 	}
-	for _, from := range []int{-1, 300, home.quota.Rank} {
-		if acts := home.Handle(j.now, PeerMessage{From: from, Text: ask.Encode(0)}); len(acts) != 0 {
+	for _, from := range []int{-1, 300, coordinator.quota.Rank} {
+		if acts := coordinator.Handle(j.now, PeerMessage{From: from, Text: ask.Encode(0)}); len(acts) != 0 {
 			t.Errorf("from %d: got %#v", from, acts)
 		}
 	}
-	first := home.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
-	again := home.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
-	if len(first) != 1 || len(again) != 1 || home.quota.Find(key).FleetLevel > quota.InitialFill*12+2 {
-		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.quota.Find(key).FleetLevel)
+	first := coordinator.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
+	second := coordinator.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
+	if len(first) != 1 || len(second) != 1 || coordinator.quota.Find(key).FleetLevel > quota.InitialFill*12+2 {
+		t.Errorf("the same question twice: %#v, %#v, whole %v", first, second, coordinator.quota.Find(key).FleetLevel)
 	}
 }
 
-// TestWaitForAHomeEndsInTime: with both homes silent a request is still answered before its client leaves.
-func TestWaitForAHomeEndsInTime(t *testing.T) {
-	g := join(t, 300, nil).gws[4]
+// TestGrantWaitEndsBeforeDeadline: with both homes silent a request is still answered before its client leaves.
+func TestGrantWaitEndsBeforeDeadline(t *testing.T) {
+	g := newTestFleet(t, 300, nil).gateways[4]
 	until := time.Hour + 30*ms
 	acts := g.Handle(time.Hour, Request{ID: "q", Class: "get", Plan: "small", Customer: "x", Units: 2,
 		Deadline: until, GatewayCount: 300})
 	for i := 0; i < 5; i++ {
-		if timers := find[SetTimer](acts); len(timers) > 0 && timers[0].At <= until {
+		if timers := actionsOf[SetTimer](acts); len(timers) > 0 && timers[0].At <= until {
 			acts = g.Handle(timers[0].At, TimerFired{timers[0].Token})
 		}
-		if len(find[Refuse](acts)) == 1 {
+		if len(actionsOf[Refuse](acts)) == 1 {
 			return
 		}
 	}
 	t.Errorf("no answer by the deadline: %#v", acts)
 }
 
-// TestToldMissesCloseTheFlow: a gateway that is told that most answers are missed lets in less, before it has
+// TestPeerSamplesReduceAdmission: a gateway that is told that most answers are missed lets in less, before it has
 // met the jam itself, and opens again when they come.
-func TestToldMissesCloseTheFlow(t *testing.T) {
-	j := join(t, 300, nil)
-	g := j.gws[3]
-	told := func(missed bool, n int) {
+func TestPeerSamplesReduceAdmission(t *testing.T) {
+	j := newTestFleet(t, 300, nil)
+	g := j.gateways[3]
+	report := func(missed bool, n int) {
 		for i := 0; i < n; i++ {
 			v := peermsg.ServerSample{Server: peermsg.Key("s1") & peermsg.ServerKeyMask, RelativeTime: 1, Unsuccessful: missed}
-			w := peermsg.CustomerMessage{Kind: 'd', Key: 1, Plan: 0, NumValues: 1, NumSamples: 1, Samples: [peermsg.MaxSamples]peermsg.ServerSample{v}}
+			w := peermsg.CustomerMessage{Kind: 'd', Key: 1, Plan: 0, NumValues: 1, NumSamples: 1,
+				Samples: [peermsg.MaxSamples]peermsg.ServerSample{v}}
 			g.Handle(j.now, PeerMessage{From: 9, Text: w.Encode(0)})
 		}
 	}
 	asked := func() (n int) {
 		for i := 0; i < 100; i++ {
 			id := fmt.Sprint(j.now, i)
-			n += len(find[SendToPeer](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+			n += len(actionsOf[SendToPeer](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
 				Deadline: j.now + time.Second, GatewayCount: 300})))
 		}
 		return n
 	}
-	told(true, 40)
+	report(true, 40)
 	if n := asked(); n > 40 {
 		t.Errorf("%d of 100 asked for after 40 missed answers, want 40 at most", n)
 	}
-	told(false, 120)
+	report(false, 120)
 	if n := asked(); n < 90 {
 		t.Errorf("%d of 100 asked for after 120 answers that came, want 90 or more", n)
 	}
 }
 
-// TestClassFailureIsAvoided: told that a server leaves one class, a gateway sends it the others only.
-func TestClassFailureIsAvoided(t *testing.T) {
+// TestServerFailingOneClassIsAvoided: told that a server leaves one class, a gateway sends it the others only.
+func TestServerFailingOneClassIsAvoided(t *testing.T) {
 	r := newRig(t, nil)
 	for i := 0; i < 8; i++ {
-		r.g.note(r.g.servers["s1"], r.g.classes["pay"], 5, true, false)
+		r.g.recordSample(r.g.servers["s1"], r.g.classes["pay"], 5, true, false)
 	}
-	r.g.flow = flowMost
+	r.g.admitShare = maxAdmitShare
 	got := map[string]int{}
 	for i := 0; i < 30; i++ {
 		for _, class := range []string{"pay", "get"} {
@@ -390,9 +393,9 @@
 		key := fmt.Sprint("c", i%2000)
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
-		for no, r := range g.asks {
-			w := peermsg.CustomerMessage{Kind: 'r', Key: r.cust.Key, RequestNo: no, NumValues: 4, Values: [4]float64{1}}
-			g.Handle(now, PeerMessage{From: g.quota.Coordinator(r.cust.Key, 0), Text: w.Encode(0)})
+		for no, r := range g.pendingGrants {
+			w := peermsg.CustomerMessage{Kind: 'r', Key: r.customer.Key, RequestNo: no, NumValues: 4, Values: [4]float64{1}}
+			g.Handle(now, PeerMessage{From: g.quota.Coordinator(r.customer.Key, 0), Text: w.Encode(0)})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
 			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].server.ID, Outcome: OK, Latency: ms, RequestDone: true})
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -10,9 +10,9 @@
 	"unicode/utf8"
 )
 
-// TestModuleLimits keeps what decides short enough to be read aloud, and all of it named in the deploy file: each file here but the
+// TestPolicyFilesAreListedAndSmall keeps what decides short enough to be read aloud, and all of it named in the deploy file: each file here but the
 // interface and the types of what is kept.
-func TestModuleLimits(t *testing.T) {
+func TestPolicyFilesAreListedAndSmall(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -10,47 +10,48 @@
 )
 
 func entry(key string, plan, used, asked, level int) peermsg.Entry {
-	return entryOpen(key, plan, used, asked, 0, level)
+	return entryWithOpen(key, plan, used, asked, 0, level)
 }
 
-func entryOpen(key string, plan, used, asked, open, level int) peermsg.Entry {
-	return peermsg.Entry{Key: peermsg.Key(key), Plan: plan, Used: float64(used), Requested: float64(asked), Open: open, Level: float64(level) / 30}
+func entryWithOpen(key string, plan, used, asked, open, level int) peermsg.Entry {
+	return peermsg.Entry{Key: peermsg.Key(key), Plan: plan, Used: float64(used), Requested: float64(asked),
+		Open: open, Level: float64(level) / 30}
 }
 
-func message(epoch, seq int, entries ...peermsg.Entry) string {
+func totalsText(epoch, seq int, entries ...peermsg.Entry) string {
 	return peermsg.Totals{Epoch: epoch, Seq: seq, Entries: entries}.Encode()
 }
 
-func TestPartFollowsDemand(t *testing.T) {
+func TestShareFollowsDemand(t *testing.T) {
 	r := newRig(t, nil)
-	r.ask("get", "wide", "x", 100)
+	r.request("get", "wide", "x", 100)
 	c := r.g.quota.Find(peermsg.Key("x"))
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 1)})
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 0, 900, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 1, entry("x", 0, 0, 0, 0))})
+	r.handle(PeerMessage{From: 2, Text: totalsText(1, 1)})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 2, entry("x", 0, 0, 900, 0))})
 	r.g.quota.Leak(c)
 	if math.Abs(c.Share-1.0/3) > 1e-9 {
 		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.Share)
 	}
-	r.ask("get", "wide", "x", 2700)
+	r.request("get", "wide", "x", 2700)
 	r.g.quota.Leak(c)
 	if c.Share < 0.65 || c.Share > 0.8 {
 		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.Share)
 	}
 }
 
-// TestSilentPeersLastWordStands: of a gateway that fell silent nobody knows whether it died or is cut off. The part
+// TestLastTotalsOfSilentPeersCount: of a gateway that fell silent nobody knows whether it died or is cut off. The part
 // grows only by the traffic that comes here from then on, and is never over what both asked for before.
-func TestSilentPeersLastWordStands(t *testing.T) {
+func TestLastTotalsOfSilentPeersCount(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 1, entry("x", 0, 0, 0, 0))})
+	r.handle(PeerMessage{From: 2, Text: totalsText(1, 1, entry("x", 0, 0, 0, 0))})
 	c := r.g.quota.Find(peermsg.Key("x"))
 	for n := range 100 { // all three ask alike; the last second is silent
-		r.ask("get", "wide", "x", 20)
+		r.request("get", "wide", "x", 20)
 		if n < 75 {
 			for from := 1; from < 3; from++ {
-				r.do(PeerMessage{From: from, Text: message(1, 2+n, entry("x", 0, 0, 20*(n+1), 0))})
+				r.handle(PeerMessage{From: from, Text: totalsText(1, 2+n, entry("x", 0, 0, 20*(n+1), 0))})
 			}
 		}
 		r.now += 50 * ms
@@ -60,7 +61,7 @@
 		t.Errorf("part is %.3f while the others are silent and the traffic is as before, want a third", c.Share)
 	}
 	for range 100 { // they died: all of it comes here
-		r.ask("get", "wide", "x", 60)
+		r.request("get", "wide", "x", 60)
 		r.now += 50 * ms
 	}
 	r.g.quota.Leak(c)
@@ -69,28 +70,28 @@
 	}
 }
 
-// TestGatewayThatLeavesIsNotCounted: a stopping gateway says so; its part is shared at once and until a new life of it
+// TestLeftGatewayIsNotCounted: a stopping gateway says so; its part is shared at once and until a new life of it
 // is heard. Late words of the former life change nothing.
-func TestGatewayThatLeavesIsNotCounted(t *testing.T) {
+func TestLeftGatewayIsNotCounted(t *testing.T) {
 	r := newRig(t, nil)
 	leave := func(from, epoch, seq int) {
-		r.do(PeerMessage{From: from, Text: peermsg.Totals{Epoch: epoch, Seq: seq, Leaving: true}.Encode()})
+		r.handle(PeerMessage{From: from, Text: peermsg.Totals{Epoch: epoch, Seq: seq, Leaving: true}.Encode()})
 	}
 	part := func() float64 {
-		r.ask("get", "wide", "x", 100)
+		r.request("get", "wide", "x", 100)
 		c := r.g.quota.Find(peermsg.Key("x"))
 		r.g.quota.Leak(c)
 		return c.Share
 	}
 	for from := 1; from < 3; from++ {
-		r.do(PeerMessage{From: from, Text: message(7, 1, entry("x", 0, 0, 0, 0))})
-		r.do(PeerMessage{From: from, Text: message(7, 2, entry("x", 0, 0, 1900, 0))})
+		r.handle(PeerMessage{From: from, Text: totalsText(7, 1, entry("x", 0, 0, 0, 0))})
+		r.handle(PeerMessage{From: from, Text: totalsText(7, 2, entry("x", 0, 0, 1900, 0))})
 	}
 	if got := part(); got > 0.4 {
 		t.Errorf("part is %.2f beside two that ask for much more, want the even floor", got)
 	}
 	leave(1, 7, 3)
-	r.do(PeerMessage{From: 1, Text: message(7, 2, entry("x", 0, 0, 1900, 0))}) // overtaken by the leave
+	r.handle(PeerMessage{From: 1, Text: totalsText(7, 2, entry("x", 0, 0, 1900, 0))}) // overtaken by the leave
 	leave(2, 7, 3)
 	for range 3 { // it also stays so when it is not heard for long
 		if got := part(); got < 0.99 {
@@ -98,84 +99,84 @@
 		}
 		r.now += 2 * time.Second
 	}
-	r.do(PeerMessage{From: 1, Text: message(9, 1, entry("x", 0, 0, 0, 0))})
-	r.do(PeerMessage{From: 1, Text: message(9, 2, entry("x", 0, 0, 1900, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(9, 1, entry("x", 0, 0, 0, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(9, 2, entry("x", 0, 0, 1900, 0))})
 	leave(1, 7, 3) // of the former life, late
 	if got := part(); got > 0.4 {
 		t.Errorf("part is %.2f beside a new life of one that asks for much more, want the even floor", got)
 	}
 }
 
-// TestLeavingIsTold: each peer is told often enough that a loss does no harm, and by a message that it takes.
-func TestLeavingIsTold(t *testing.T) {
-	r, told := newRig(t, nil), map[int]int{}
-	for _, m := range find[SendToPeer](r.do(Shutdown{})) {
+// TestShutdownIsAnnounced: each peer is told often enough that a loss does no harm, and by a message that it takes.
+func TestShutdownIsAnnounced(t *testing.T) {
+	r, announced := newRig(t, nil), map[int]int{}
+	for _, m := range actionsOf[SendToPeer](r.handle(Shutdown{})) {
 		if totals, ok := peermsg.ParseTotals(m.Text, nil); ok && totals.Leaving {
-			told[m.To]++
+			announced[m.To]++
 		}
 	}
-	if len(told) != 2 || told[1] != 3 || told[2] != 3 {
-		t.Errorf("told %v, want gateways 1 and 2 three times each", told)
+	if len(announced) != 2 || announced[1] != 3 || announced[2] != 3 {
+		t.Errorf("told %v, want gateways 1 and 2 three times each", announced)
 	}
-	if acts := newRig(t, func(c *Config) { c.Gateways, c.PeerIntake = 300, 1 }).do(Shutdown{}); len(acts) != 0 {
+	if acts := newRig(t, func(c *Config) { c.Gateways, c.PeerIntake = 300, 1 }).handle(Shutdown{}); len(acts) != 0 {
 		t.Errorf("where customers have homes nobody counts parts, yet it tells %#v", acts)
 	}
 }
 
-func TestToldUseSettlesTheLevel(t *testing.T) {
+func TestPeerTotalsSettleTheLevel(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 1, 0, 0, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 1)})
-	_, acts := r.ask("get", "small", "x", 1)
-	if len(find[SendAttempt](acts)) != 1 {
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 1, entry("x", 1, 0, 0, 0))})
+	r.handle(PeerMessage{From: 2, Text: totalsText(1, 1)})
+	_, acts := r.request("get", "small", "x", 1)
+	if len(actionsOf[SendAttempt](acts)) != 1 {
 		t.Fatalf("refused though all peers told that nothing was used: %#v", acts)
 	}
 	r.now += 100 * ms
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 1, 12, 12, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 2)})
-	if _, acts = r.ask("get", "small", "x", 1); len(find[SendAttempt](acts)) != 0 {
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 2, entry("x", 1, 12, 12, 0))})
+	r.handle(PeerMessage{From: 2, Text: totalsText(1, 2)})
+	if _, acts = r.request("get", "small", "x", 1); len(actionsOf[SendAttempt](acts)) != 0 {
 		t.Errorf("sent on though a peer told that the whole burst is used")
 	}
 	r.now += 2 * time.Second // the peers have fallen silent; their told use leaks away
-	if _, acts = r.ask("get", "small", "x", 1); len(find[SendAttempt](acts)) != 1 {
+	if _, acts = r.request("get", "small", "x", 1); len(actionsOf[SendAttempt](acts)) != 1 {
 		t.Errorf("refused after two seconds of leaking: %#v", acts)
 	}
 }
 
-func TestPeerMessagesDoNoHarm(t *testing.T) {
+func TestInvalidTotalsAreIgnored(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))})
-	r.do(PeerMessage{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 5, entry("x", 1, 0, 0, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 6, entry("x", 1, 4, 4, 0))})
 	c := r.g.quota.Find(peermsg.Key("x"))
 	for _, e := range []PeerMessage{
-		{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))},  // again
-		{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))},  // late
-		{From: 0, Text: message(1, 9, entry("x", 1, 9, 9, 0))},  // own rank
-		{From: 9, Text: message(1, 9, entry("x", 1, 9, 9, 0))},  // no such gateway
-		{From: -1, Text: message(1, 9, entry("x", 1, 9, 9, 0))}, // nor this
-		{From: 1, Text: "Z" + message(1, 9, entry("x", 1, 9, 9, 0))[1:]},
-		{From: 1, Text: message(1, 9, entry("x", 1, 9, 9, 0)) + "!"},
-		{From: 1, Text: message(1, 9) + "!!!!!!!!!!!!"},
+		{From: 1, Text: totalsText(1, 6, entry("x", 1, 4, 4, 0))},  // again
+		{From: 1, Text: totalsText(1, 5, entry("x", 1, 0, 0, 0))},  // late
+		{From: 0, Text: totalsText(1, 9, entry("x", 1, 9, 9, 0))},  // own rank
+		{From: 9, Text: totalsText(1, 9, entry("x", 1, 9, 9, 0))},  // no such gateway
+		{From: -1, Text: totalsText(1, 9, entry("x", 1, 9, 9, 0))}, // nor this
+		{From: 1, Text: "Z" + totalsText(1, 9, entry("x", 1, 9, 9, 0))[1:]},
+		{From: 1, Text: totalsText(1, 9, entry("x", 1, 9, 9, 0)) + "!"},
+		{From: 1, Text: totalsText(1, 9) + "!!!!!!!!!!!!"},
 		{From: 1, Text: ""},
 	} {
-		r.do(e)
+		r.handle(e)
 		if c.FleetLevel != 4 {
 			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.FleetLevel)
 		}
 	}
-	r.do(PeerMessage{From: 1, Text: message(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
 	// A new life of the peer counts from 0 again, and all that it used since is news.
-	r.do(PeerMessage{From: 1, Text: message(2, 1, entry("x", 1, 3, 3, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(2, 1, entry("x", 1, 3, 3, 0))})
 	if c.FleetLevel != 7 {
 		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.FleetLevel)
 	}
 }
 
-func TestRestartLearnsWhatPeersKnow(t *testing.T) {
+func TestRestartedGatewayLearnsFromPeers(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 40, entry("x", 1, 700, 800, 30))})
-	r.do(PeerMessage{From: 2, Text: message(3, 50)})
-	if _, acts := r.ask("get", "small", "x", 1); len(find[SendAttempt](acts)) != 0 {
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 40, entry("x", 1, 700, 800, 30))})
+	r.handle(PeerMessage{From: 2, Text: totalsText(3, 50)})
+	if _, acts := r.request("get", "small", "x", 1); len(actionsOf[SendAttempt](acts)) != 0 {
 		t.Error("a restarted gateway sent on though its peers told that the burst is used up")
 	}
 }
@@ -185,26 +186,26 @@
 	for i := 0; i < 100; i++ {
 		r.serve("get", "wide", fmt.Sprint("c", i), 1)
 	}
-	told := map[int]int{}
+	reported := map[int]int{}
 	for i := 0; i < 20; i++ {
 		r.now += 200 * ms
-		for _, m := range find[SendToPeer](r.do(TimerFired{beatToken})) {
+		for _, m := range actionsOf[SendToPeer](r.handle(TimerFired{tickToken})) {
 			if len(m.Text) > peermsg.MaxSize {
 				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), peermsg.MaxSize)
 			}
 			totals, _ := peermsg.ParseTotals(m.Text, nil)
-			told[m.To] += len(totals.Entries)
+			reported[m.To] += len(totals.Entries)
 		}
 	}
-	if told[1] != 100 || told[2] != 100 || told[0] != 0 {
-		t.Errorf("told of %v customers by gateway, want 100 each for 1 and 2", told)
+	if reported[1] != 100 || reported[2] != 100 || reported[0] != 0 {
+		t.Errorf("told of %v customers by gateway, want 100 each for 1 and 2", reported)
 	}
 }
 
 func TestOpenCap(t *testing.T) {
 	r := newRig(t, nil)
 	r.send("get", "open")
-	if _, acts := r.ask("get", "open", "c", 1); len(find[Refuse](acts)) != 1 {
+	if _, acts := r.request("get", "open", "c", 1); len(actionsOf[Refuse](acts)) != 1 {
 		t.Errorf("a second attempt out with a third of 3: got %#v, want Refuse", acts)
 	}
 	r.end("q1", 0, "s1", OK)
@@ -216,12 +217,12 @@
 	r, seq := newRig(t, nil), 0
 	tell := func(from, open int) {
 		seq++
-		r.do(PeerMessage{From: from, Text: message(1, seq, entryOpen("c", 3, 0, 0, open, 0))})
+		r.handle(PeerMessage{From: from, Text: totalsText(1, seq, entryWithOpen("c", 3, 0, 0, open, 0))})
 	}
-	most := func() (n int) {
+	openUntilRefused := func() (n int) {
 		var sent []string
 		for range 5 {
-			if id, acts := r.ask("get", "open", "c", 1); len(find[SendAttempt](acts)) == 1 {
+			if id, acts := r.request("get", "open", "c", 1); len(actionsOf[SendAttempt](acts)) == 1 {
 				sent = append(sent, id)
 			}
 		}
@@ -253,18 +254,18 @@
 		if step.b >= 0 {
 			tell(2, step.b)
 		}
-		if got := most(); got != step.want {
+		if got := openUntilRefused(); got != step.want {
 			t.Errorf("%s: %d let out, want %d", step.name, got, step.want)
 		}
 	}
 }
 
-// TestOpenAttemptsAreTold: peers hear of an attempt under a cap, and that it ended.
-func TestOpenAttemptsAreTold(t *testing.T) {
+// TestOpenAttemptsAreAnnounced: peers hear of an attempt under a cap, and that it ended.
+func TestOpenAttemptsAreAnnounced(t *testing.T) {
 	r := newRig(t, nil)
-	told := func() int {
+	reportedOpen := func() int {
 		r.now += r.g.quota.TickInterval()
-		for _, m := range find[SendToPeer](r.do(TimerFired{Token: beatToken})) {
+		for _, m := range actionsOf[SendToPeer](r.handle(TimerFired{Token: tickToken})) {
 			if totals, _ := peermsg.ParseTotals(m.Text, nil); m.To == 1 && len(totals.Entries) > 0 {
 				return totals.Entries[0].Open
 			}
@@ -272,20 +273,20 @@
 		return -1
 	}
 	id, s := r.send("get", "open")
-	if got := told(); got != 1 {
+	if got := reportedOpen(); got != 1 {
 		t.Errorf("told of %d attempts out, want 1", got)
 	}
 	r.end(id, 0, s.Server, OK)
-	if got := told(); got != 0 {
+	if got := reportedOpen(); got != 0 {
 		t.Errorf("told of %d attempts out after the end, want 0", got)
 	}
 }
 
-func TestMeterDecidesThePartWherePeersAreSilent(t *testing.T) {
+func TestMeterSetsShareWithoutPeers(t *testing.T) {
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
 		r := newRig(t, nil)
 		id, s := r.send("get", "wide")
-		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, MeteredPercentPlusOne: metered})
+		r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, MeteredPercentPlusOne: metered})
 		c := r.g.quota.Find(peermsg.Key("c"))
 		r.g.quota.Charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
 		if r.g.quota.Leak(c); math.Abs(c.Share-want) > 0.01 {
@@ -295,14 +296,14 @@
 }
 
 // A peer that has forgotten a customer counts anew. Its lower totals must not be taken for use given back.
-func TestPeerThatForgotCountsAnew(t *testing.T) {
+func TestPeerTotalsRestartAfterForgetting(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 50, 50, 1))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 1, entry("x", 0, 0, 0, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 2, entry("x", 0, 50, 50, 1))})
 	r.now += 10 * time.Second
 	r.serve("get", "wide", "x", 900)
 	before := r.g.quota.Find(peermsg.Key("x")).FleetLevel
-	r.do(PeerMessage{From: 1, Text: message(1, 3, entry("x", 0, 2, 2, 0))})
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 3, entry("x", 0, 2, 2, 0))})
 	if now := r.g.quota.Find(peermsg.Key("x")).FleetLevel; now < before {
 		t.Errorf("the customer's level fell from %v to %v", before, now)
 	}
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -10,9 +10,9 @@
 
 // TestDeterminism plays the same random events to two gateways, one alone and one beside others.
 func TestDeterminism(t *testing.T) {
-	one := playRandom(t, 3)
-	playRandom(t, 4)
-	if two := playRandom(t, 3); !reflect.DeepEqual(one, two) {
+	one := runRandomEvents(t, 3)
+	runRandomEvents(t, 4)
+	if two := runRandomEvents(t, 3); !reflect.DeepEqual(one, two) {
 		t.Error("the same events gave other actions")
 	}
 }
@@ -20,12 +20,12 @@
 // TestRulesUnderRandomEvents checks the five rules over long random legal events.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(10); seed < 30; seed++ {
-		playRandom(t, seed)
+		runRandomEvents(t, seed)
 	}
 }
 
-// playRandom plays the servers, the clients, the list and a peer at random, and checks each action.
-func playRandom(t *testing.T, seed int64) (log []Action) {
+// runRandomEvents plays the servers, the clients, the list and a peer at random, and checks each action.
+func runRandomEvents(t *testing.T, seed int64) (log []Action) {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
 	cfg := testConfig()
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	now, start := time.Duration(0), time.Duration(0)
-	flights := map[string]*flight{}
+	flights := map[string]*trackedRequest{}
 	var order []string
 	state := map[string]State{}
 	cells := map[string]int{}
@@ -123,7 +123,7 @@
 				Customer: fmt.Sprint("c", rnd.Intn(6)), Units: float64(1 + rnd.Intn(4)),
 				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, GatewayCount: 3}
 			q.Customer += q.Plan
-			flights[id] = &flight{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
+			flights[id] = &trackedRequest{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
 			order = append(order, id)
 			handle(q)
 		case k < 11:
@@ -135,10 +135,10 @@
 			state[s.ID] = s.State
 			handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{*s}})
 		case k < 12:
-			handle(PeerMessage{From: 1 + rnd.Intn(2), Text: message(rnd.Intn(2), rnd.Intn(4096),
+			handle(PeerMessage{From: 1 + rnd.Intn(2), Text: totalsText(rnd.Intn(2), rnd.Intn(4096),
 				entry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
 		case k < 13:
-			handle(TimerFired{beatToken})
+			handle(TimerFired{tickToken})
 		}
 		for _, id := range order {
 			f := flights[id]
--- a/decide/reach_test.go
+++ b/decide/reach_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// downRig is a gateway whose server s1 can't be reached, and a second of whose requests is answered by the others at once.
-func downRig(t *testing.T, reachable func(id string) bool) (r *rig, second func() (sent map[string]int, refused int)) {
+// rigWithUnreachableServer is a gateway whose server s1 can't be reached, and a second of whose requests is answered by the others at once.
+func rigWithUnreachableServer(t *testing.T, reachable func(id string) bool) (r *rig, second func() (sent map[string]int, refused int)) {
 	r = newRig(t, nil)
 	return r, func() (map[string]int, int) {
 		sent, refused := map[string]int{}, 0
 		for n := range 40 {
-			id, acts := r.ask([]string{"get", "pay"}[n%2], "wide", "c", 1)
+			id, acts := r.request([]string{"get", "pay"}[n%2], "wide", "c", 1)
 			for attempt := 0; ; attempt++ {
-				s := find[SendAttempt](acts)
+				s := actionsOf[SendAttempt](acts)
 				if len(s) == 0 {
-					refused += len(find[Refuse](acts))
+					refused += len(actionsOf[Refuse](acts))
 					break
 				}
 				sent[s[0].Server]++
 				if reachable(s[0].Server) {
-					r.do(AttemptEnded{ID: id, Attempt: attempt, Server: s[0].Server, Outcome: OK, Latency: 20 * ms, RequestDone: true})
+					r.handle(AttemptEnded{ID: id, Attempt: attempt, Server: s[0].Server, Outcome: OK, Latency: 20 * ms, RequestDone: true})
 					break
 				}
 				acts = r.end(id, attempt, s[0].Server, NoConnection)
@@ -31,20 +31,20 @@
 	}
 }
 
-// TestUnreachableServerIsLeftAlone guards against a server, or a zone, that is gone for longer than the list of servers
+// TestUnreachableServerIsAvoided guards against a server, or a zone, that is gone for longer than the list of servers
 // knows: each class went on trying it several times a second, and each time cost a request an attempt.
-func TestUnreachableServerIsLeftAlone(t *testing.T) {
+func TestUnreachableServerIsAvoided(t *testing.T) {
 	up := false
-	r, second := downRig(t, func(id string) bool { return id != "s1" || up })
-	tries := 0
+	r, second := rigWithUnreachableServer(t, func(id string) bool { return id != "s1" || up })
+	attempts := 0
 	for n := range 20 {
 		sent, refused := second()
-		if tries += sent["s1"]; refused > 0 {
+		if attempts += sent["s1"]; refused > 0 {
 			t.Errorf("second %d: %d requests were refused with two servers up", n, refused)
 		}
 	}
-	if tries > 10 || tries < 5 {
-		t.Errorf("a server that is down for 20 s was tried %d times, want 5 (to find out that it is back) to 10", tries)
+	if attempts > 10 || attempts < 5 {
+		t.Errorf("a server that is down for 20 s was tried %d times, want 5 (to find out that it is back) to 10", attempts)
 	}
 	up = true
 	for range 6 { // downMost and a bit
@@ -54,18 +54,18 @@
 		t.Errorf("a server that is back gets %d of 40 requests, want its share", sent["s1"])
 	}
 	up = false
-	for s := r.g.servers["s1"]; s.downTill <= r.now; {
+	for s := r.g.servers["s1"]; s.avoidUntil <= r.now; {
 		second()
 	}
-	r.do(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - r.g.cfg.Safety.ColdDuration/2}}})
-	if s := r.g.servers["s1"]; s.downTill > r.now {
+	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - r.g.cfg.Safety.ColdDuration/2}}})
+	if s := r.g.servers["s1"]; s.avoidUntil > r.now {
 		t.Error("a server that is listed with a new start is still left alone")
 	}
 }
 
-// TestUnreachedOnceIsNotDown: what broke before an answer that came since says nothing, nor does a second failure of the
+// TestOutdatedConnectFailuresAreIgnored: what broke before an answer that came since says nothing, nor does a second failure of the
 // same moment.
-func TestUnreachedOnceIsNotDown(t *testing.T) {
+func TestOutdatedConnectFailuresAreIgnored(t *testing.T) {
 	r := newRig(t, nil, Server{ID: "s1", Zone: "a"})
 	var ids []string
 	for range 4 {
@@ -75,8 +75,8 @@
 	r.now += 50 * ms
 	r.end(ids[0], 0, "s1", OK)
 	r.end(ids[1], 0, "s1", NoConnection)
-	if s := r.g.servers["s1"]; s.down != 0 {
-		t.Errorf("down counts %d by an attempt from before a good answer", s.down)
+	if s := r.g.servers["s1"]; s.connectFailures != 0 {
+		t.Errorf("down counts %d by an attempt from before a good answer", s.connectFailures)
 	}
 	r.now += 50 * ms
 	var late []string
@@ -88,15 +88,15 @@
 	for _, id := range late {
 		r.end(id, 0, "s1", NoConnection)
 	}
-	if s := r.g.servers["s1"]; s.down != 1 {
-		t.Errorf("down counts %d by four attempts of one moment, want 1", s.down)
+	if s := r.g.servers["s1"]; s.connectFailures != 1 {
+		t.Errorf("down counts %d by four attempts of one moment, want 1", s.connectFailures)
 	}
 }
 
 // TestAllServersDownAreTried: where nothing can be reached the fault may be here, and the first that can be is found.
 func TestAllServersDownAreTried(t *testing.T) {
 	up := ""
-	_, second := downRig(t, func(id string) bool { return id == up })
+	_, second := rigWithUnreachableServer(t, func(id string) bool { return id == up })
 	for range 3 {
 		second()
 	}
@@ -106,18 +106,18 @@
 	}
 }
 
-// TestUnheardRepeatsAreFree: a repeat of what no server heard can't feed a jam, so the retry budget doesn't stop it.
-func TestUnheardRepeatsAreFree(t *testing.T) {
+// TestRetryAfterNoConnectionIsNotBudgeted: a repeat of what no server heard can't feed a jam, so the retry budget doesn't stop it.
+func TestRetryAfterNoConnectionIsNotBudgeted(t *testing.T) {
 	r := newRig(t, nil)
-	for n := range 3 * int(budgetMost) {
+	for n := range 3 * int(maxRetryBudget) {
 		id, s := r.send("pay", "wide")
 		acts := r.end(id, 0, s.Server, NoConnection)
-		again := find[SendAttempt](acts)
+		again := actionsOf[SendAttempt](acts)
 		if len(again) != 1 || again[0].Server == s.Server {
 			t.Fatalf("request %d was not sent to another server after no connection to %s: %#v", n, s.Server, acts)
 		}
 		r.end(id, 1, again[0].Server, OK)
 		r.now += time.Second
-		r.do(TimerFired{Token: beatToken})
+		r.handle(TimerFired{Token: tickToken})
 	}
 }
--- a/decide/standing_test.go
+++ b/decide/standing_test.go
@@ -9,10 +9,10 @@
 	"sloepick/decide/quota"
 )
 
-// stand tells all gateways how the fleet stands; who is not named is present.
-func (j *joined) stand(peers map[int]PeerStatus, alone func(i int) bool) {
-	for i := range j.gws {
-		s := MembershipUpdate{Rank: i, Isolated: alone(i), Peers: make([]PeerStatus, len(j.gws))}
+// setMembership tells all gateways how the fleet stands; who is not named is present.
+func (j *testFleet) setMembership(peers map[int]PeerStatus, alone func(i int) bool) {
+	for i := range j.gateways {
+		s := MembershipUpdate{Rank: i, Isolated: alone(i), Peers: make([]PeerStatus, len(j.gateways))}
 		for k, p := range peers {
 			s.Peers[k] = p
 		}
@@ -24,73 +24,73 @@
 
 func never(int) bool { return false }
 
-// flood plays one customer asking 250 times a second at random gateways of those that are named, and returns the units a second let
+// runOverload plays one customer asking 250 times a second at random gateways of those that are named, and returns the units a second let
 // in.
-func (j *joined) flood(d time.Duration, at ...int) float64 {
-	rnd, used := rand.New(rand.NewSource(9)), j.used
+func (j *testFleet) runOverload(d time.Duration, at ...int) float64 {
+	rnd, used := rand.New(rand.NewSource(9)), j.admittedUnits
 	j.run(d, 4*ms, j.cfg.Plans[0].Name, 1, func(int) int { return at[rnd.Intn(len(at))] })
-	return (j.used - used) / d.Seconds()
+	return (j.admittedUnits - used) / d.Seconds()
 }
 
-// fleets are one in which all tell all, and one whose customers have homes, as the intake is small.
-var fleets = map[string]func(c *Config){
+// fleetConfigs are one in which all tell all, and one whose customers have homes, as the intake is small.
+var fleetConfigs = map[string]func(c *Config){
 	"mesh":  func(c *Config) { c.Plans = []Plan{{Name: "p", Rate: 20, Burst: 20, Price: 1}} },
 	"homes": func(c *Config) { c.Plans, c.PeerIntake = []Plan{{Name: "p", Rate: 20, Burst: 20, Price: 1}}, 7 },
 }
 
-const inFleet = 4
+const fleetSize = 4
 
-var everywhere = []int{0, 1, 2, 3}
+var allGateways = []int{0, 1, 2, 3}
 
-// TestAloneKeepsToTheEvenPart: where all gateways are cut off from each other they do not let in more than the whole quota
+// TestIsolatedGatewaysKeepEvenShares: where all gateways are cut off from each other they do not let in more than the whole quota
 // together, though one of them had nearly all of it before, and none asks the others in vain.
-func TestAloneKeepsToTheEvenPart(t *testing.T) {
-	for name, edit := range fleets {
-		j := join(t, inFleet, edit)
-		j.flood(5*time.Second, 0)
+func TestIsolatedGatewaysKeepEvenShares(t *testing.T) {
+	for name, edit := range fleetConfigs {
+		j := newTestFleet(t, fleetSize, edit)
+		j.runOverload(5*time.Second, 0)
 		j.loss = 1
-		j.stand(nil, func(int) bool { return true })
-		j.flood(4*time.Second, everywhere...) // room that buckets had
-		before := j.taken[0] + j.taken[1] + j.taken[2] + j.taken[3]
-		if got := j.flood(20*time.Second, everywhere...); got > 21 || got < 17 {
+		j.setMembership(nil, func(int) bool { return true })
+		j.runOverload(4*time.Second, allGateways...) // room that buckets had
+		before := j.received[0] + j.received[1] + j.received[2] + j.received[3]
+		if got := j.runOverload(20*time.Second, allGateways...); got > 21 || got < 17 {
 			t.Errorf("%s, all cut off: %.1f units a second let in of 20", name, got)
 		}
-		if asked := j.taken[0] + j.taken[1] + j.taken[2] + j.taken[3] - before; name == "homes" && asked > 0 {
+		if asked := j.received[0] + j.received[1] + j.received[2] + j.received[3] - before; name == "homes" && asked > 0 {
 			t.Errorf("homes that can't be reached were asked %d times", asked)
 		}
 	}
 }
 
-// TestMissingKeepsItsEvenPart: of one that is missing, and may be at work cut off, the even part is kept, though it had no traffic
+// TestUnreachablePeerKeepsItsEvenShare: of one that is missing, and may be at work cut off, the even part is kept, though it had no traffic
 // before; of a vacant number nothing is.
-func TestMissingKeepsItsEvenPart(t *testing.T) {
+func TestUnreachablePeerKeepsItsEvenShare(t *testing.T) {
 	for presence, want := range map[PeerStatus]float64{PeerUnreachable: 15, PeerAbsent: 20} {
-		j := join(t, inFleet, fleets["mesh"])
+		j := newTestFleet(t, fleetSize, fleetConfigs["mesh"])
 		j.down[3] = presence == PeerAbsent // it was never heard
-		j.flood(5*time.Second, 0, 1, 2)
+		j.runOverload(5*time.Second, 0, 1, 2)
 		j.down[3] = true
-		j.flood(time.Second, 0, 1, 2) // what it said last has come
-		j.stand(map[int]PeerStatus{3: presence}, never)
-		j.flood(3*time.Second, 0, 1, 2)
-		if got := j.flood(20*time.Second, 0, 1, 2); got < 0.9*want || got > 1.1*want {
+		j.runOverload(time.Second, 0, 1, 2) // what it said last has come
+		j.setMembership(map[int]PeerStatus{3: presence}, never)
+		j.runOverload(3*time.Second, 0, 1, 2)
+		if got := j.runOverload(20*time.Second, 0, 1, 2); got < 0.9*want || got > 1.1*want {
 			t.Errorf("presence %d: %.1f units a second let in, want about %.0f", presence, got, want)
 		}
 		j.down[3] = false
 		j.start(3)
-		j.flood(3*time.Second, everywhere...)
-		if got := j.flood(20*time.Second, everywhere...); got < 17 || got > 22 {
+		j.runOverload(3*time.Second, allGateways...)
+		if got := j.runOverload(20*time.Second, allGateways...); got < 17 || got > 22 {
 			t.Errorf("presence %d, and back: %.1f units a second let in, want about 20", presence, got)
 		}
 	}
 }
 
-// TestNumberTakenAnew: whoever takes a number begins with buckets that are half full at the least, and with nothing that was told
+// TestReassignedRankStartsHalfFull: whoever takes a number begins with buckets that are half full at the least, and with nothing that was told
 // to another number.
-func TestNumberTakenAnew(t *testing.T) {
-	j := join(t, inFleet, fleets["mesh"])
-	j.flood(3*time.Second, everywhere...)
+func TestReassignedRankStartsHalfFull(t *testing.T) {
+	j := newTestFleet(t, fleetSize, fleetConfigs["mesh"])
+	j.runOverload(3*time.Second, allGateways...)
 	j.run(5*time.Second, time.Second, "p", 1, func(int) int { return 0 }) // buckets leak
-	g := j.gws[2]
+	g := j.gateways[2]
 	c := g.quota.Find(peermsg.Key("x"))
 	c.FallbackTokens = 7
 	j.handle(2, MembershipUpdate{Rank: 2, RankReassigned: true, Peers: make([]PeerStatus, 4)})
@@ -104,105 +104,106 @@
 	if g.quota.Rank != 3 {
 		t.Error("it goes by its former number")
 	}
-	for _, bad := range []MembershipUpdate{{Rank: 4, Peers: make([]PeerStatus, 4)}, {Rank: -1, Peers: make([]PeerStatus, 4)}, {Rank: 1, Peers: make([]PeerStatus, 3)}} {
+	for _, bad := range []MembershipUpdate{{Rank: 4, Peers: make([]PeerStatus, 4)},
+		{Rank: -1, Peers: make([]PeerStatus, 4)}, {Rank: 1, Peers: make([]PeerStatus, 3)}} {
 		if j.handle(2, bad); g.quota.Rank != 3 {
 			t.Errorf("a standing of another fleet is taken: %+v", bad)
 		}
 	}
 }
 
-// TestHomesMove: where a home of a customer is gone another keeps its bucket, half full at first, and no more than the quota is let
+// TestCoordinatorsMove: where a home of a customer is gone another keeps its bucket, half full at first, and no more than the quota is let
 // in while it takes over; nor does a request wait in vain.
-func TestHomesMove(t *testing.T) {
-	j := join(t, inFleet, fleets["homes"])
+func TestCoordinatorsMove(t *testing.T) {
+	j := newTestFleet(t, fleetSize, fleetConfigs["homes"])
 	key := peermsg.Key("x")
-	first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
+	first, second := j.gateways[0].quota.Coordinator(key, 0), j.gateways[0].quota.Coordinator(key, 1)
 	var rest []int
-	for _, i := range everywhere {
+	for _, i := range allGateways {
 		if i != first && i != second {
 			rest = append(rest, i)
 		}
 	}
-	j.flood(5*time.Second, everywhere...)
-	before := j.flood(20*time.Second, everywhere...)
+	j.runOverload(5*time.Second, allGateways...)
+	before := j.runOverload(20*time.Second, allGateways...)
 	j.down[first], j.down[second] = true, true
-	j.stand(map[int]PeerStatus{first: PeerAbsent, second: PeerUnreachable}, never)
+	j.setMembership(map[int]PeerStatus{first: PeerAbsent, second: PeerUnreachable}, never)
 	for _, i := range rest {
-		a, b := j.gws[i].quota.Coordinator(key, 0), j.gws[i].quota.Coordinator(key, 1)
+		a, b := j.gateways[i].quota.Coordinator(key, 0), j.gateways[i].quota.Coordinator(key, 1)
 		if a == b || j.down[a] || j.down[b] {
 			t.Fatalf("gateway %d takes %d and %d for the homes", i, a, b)
 		}
-		c := j.gws[i].quota.Customer(key, 0)
+		c := j.gateways[i].quota.Customer(key, 0)
 		c.FleetLevel, c.CeilingTokens = 0, 1000
-		if ok, _ := j.gws[i].grant(c, i, 1, 11); ok || c.CeilingTokens != 0 {
+		if ok, _ := j.gateways[i].grant(c, i, 1, 11); ok || c.CeilingTokens != 0 {
 			t.Errorf("gateway %d begins a bucket of 20 with room for 11, and %v units under the ceiling", i, c.CeilingTokens)
 		}
 		c.FleetLevel, c.CeilingTokens = 0, 1000
-		if ok, _ := j.gws[i].grant(c, i, 2, 11); !ok {
+		if ok, _ := j.gateways[i].grant(c, i, 2, 11); !ok {
 			t.Errorf("gateway %d begins the bucket twice", i)
 		}
 	}
-	j.flood(3*time.Second, rest...)
+	j.runOverload(3*time.Second, rest...)
 	// At such an intake homes have refused ones wait for long, and two that answer late count apart for a while.
-	if got := j.flood(20*time.Second, rest...); got < 12 || got > 24 {
+	if got := j.runOverload(20*time.Second, rest...); got < 12 || got > 24 {
 		t.Errorf("%.1f units a second let in of 20; %.1f before", got, before)
 	}
 }
 
-// TestCeilingWhileCutOff: a ceiling holds while every gateway is cut off, while all come back, and over both again and again.
-func TestCeilingWhileCutOff(t *testing.T) {
-	for name, edit := range fleets {
-		j := join(t, inFleet, func(c *Config) {
+// TestCeilingWhileIsolated: a ceiling holds while every gateway is cut off, while all come back, and over both again and again.
+func TestCeilingWhileIsolated(t *testing.T) {
+	for name, edit := range fleetConfigs {
+		j := newTestFleet(t, fleetSize, func(c *Config) {
 			edit(c)
 			c.Plans[0] = Plan{Name: "p", Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4, Price: 1}
 		})
-		used, began, loss := j.used, j.now, j.loss
+		used, began, loss := j.admittedUnits, j.now, j.loss
 		for round := range 4 {
 			j.loss = 1
-			j.stand(nil, func(int) bool { return true })
-			alone := j.flood(4*time.Second, everywhere...)
+			j.setMembership(nil, func(int) bool { return true })
+			isolated := j.runOverload(4*time.Second, allGateways...)
 			j.loss = loss
-			j.stand(nil, never)
-			j.flood(time.Duration(1+round)*time.Second, everywhere...)
-			if alone < 10 {
-				t.Errorf("%s: %.1f units a second let in while cut off, of 20", name, alone)
+			j.setMembership(nil, never)
+			j.runOverload(time.Duration(1+round)*time.Second, allGateways...)
+			if isolated < 10 {
+				t.Errorf("%s: %.1f units a second let in while cut off, of 20", name, isolated)
 			}
-			if got, most := j.used-used, 40+4+20*(j.now-began).Seconds(); got > most {
+			if got, most := j.admittedUnits-used, 40+4+20*(j.now-began).Seconds(); got > most {
 				t.Errorf("%s, round %d: %.0f units let in, the ceiling allows %.0f", name, round, got, most)
 			}
 		}
 	}
 }
 
-// TestCeilingWhileSomeCutOff: all but a customer's home are cut off from the fleet and know it, while the home goes on to grant: what
+// TestCeilingWhileSomeAreIsolated: all but a customer's home are cut off from the fleet and know it, while the home goes on to grant: what
 // all pass on together stays under the ceiling, and the home passes on its half of it.
-func TestCeilingWhileSomeCutOff(t *testing.T) {
-	j := join(t, inFleet, func(c *Config) {
+func TestCeilingWhileSomeAreIsolated(t *testing.T) {
+	j := newTestFleet(t, fleetSize, func(c *Config) {
 		c.PeerIntake = 7
 		c.Plans = []Plan{{Name: "p", Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, CeilingSlack: 4, Price: 1}}
 	})
-	home := j.gws[0].quota.Coordinator(peermsg.Key("x"), 0)
-	used, began := j.used, j.now
+	coordinator := j.gateways[0].quota.Coordinator(peermsg.Key("x"), 0)
+	used, began := j.admittedUnits, j.now
 	for round := range 3 {
-		apart := round%2 == 1
-		if j.loss = 0; apart {
+		split := round%2 == 1
+		if j.loss = 0; split {
 			j.loss = 1
 		}
-		j.stand(nil, func(i int) bool { return apart && i != home })
-		got := j.flood(30*time.Second, everywhere...)
+		j.setMembership(nil, func(i int) bool { return split && i != coordinator })
+		got := j.runOverload(30*time.Second, allGateways...)
 		if got < 9.5 { // the home's half
 			t.Errorf("round %d: %.1f units a second let in of 20", round, got)
 		}
-		if got, most := j.used-used, 40+4+20*(j.now-began).Seconds(); got > most {
+		if got, most := j.admittedUnits-used, 40+4+20*(j.now-began).Seconds(); got > most {
 			t.Fatalf("round %d: %.0f units let in, the ceiling allows %.0f", round, got, most)
 		}
 	}
 }
 
-// TestListeningIsNoRequest: a question for nothing, put to hear whether others are back, does not make a flood look smaller.
-func TestListeningIsNoRequest(t *testing.T) {
-	j := join(t, inFleet, fleets["homes"])
-	g := j.gws[0]
+// TestPeerProbeIsNotARequest: a question for nothing, put to hear whether others are back, does not make a flood look smaller.
+func TestPeerProbeIsNotARequest(t *testing.T) {
+	j := newTestFleet(t, fleetSize, fleetConfigs["homes"])
+	g := j.gateways[0]
 	c := g.quota.Customer(peermsg.Key("x"), 0)
 	c.OverShare = 0.5
 	if g.grant(c, 1, 1, 0); c.OverShare != 0.5 {
@@ -210,51 +211,51 @@
 	}
 }
 
-// TestAdviceUnderCeiling: who refuses by the home's word tells to return when the home has said, and who is cut off when its own slice
+// TestRetryAfterUnderCeiling: who refuses by the home's word tells to return when the home has said, and who is cut off when its own slice
 // of the ceiling has room.
-func TestAdviceUnderCeiling(t *testing.T) {
-	j := join(t, inFleet, func(c *Config) {
+func TestRetryAfterUnderCeiling(t *testing.T) {
+	j := newTestFleet(t, fleetSize, func(c *Config) {
 		c.PeerIntake = 7
 		c.Plans = []Plan{{Name: "p", Rate: 1000, Burst: 1000, CeilingRate: 20, CeilingBurst: 40, Price: 1}}
 	})
 	key := peermsg.Key("x")
-	g := j.gws[(j.gws[0].quota.Coordinator(key, 0)+1)%inFleet]
+	g := j.gateways[(j.gateways[0].quota.Coordinator(key, 0)+1)%fleetSize]
 	c := g.quota.Customer(key, 0)
 	c.RefuseUntil = g.now + 300*ms
-	if got := g.roomIn(c, 2); got != 300*ms {
+	if got := g.timeUntilRoom(c, 2); got != 300*ms {
 		t.Errorf("the home said 300 ms, the client is told %v", got)
 	}
 	g.quota.Isolated, c.RefuseUntil, c.FallbackTokens = true, 0, 1
-	if got := g.roomIn(c, 2); got != 400*ms { // one unit at 20/8 a second
+	if got := g.timeUntilRoom(c, 2); got != 400*ms { // one unit at 20/8 a second
 		t.Errorf("cut off, the client is told %v, want 400ms", got)
 	}
 }
 
-// TestHomeHandsOver: a home that stops tells the next one how full its customers' buckets are: of one that floods next to nothing more is let
+// TestCoordinatorHandsOver: a home that stops tells the next one how full its customers' buckets are: of one that floods next to nothing more is let
 // in than leaks, where else its bucket would begin half full; one that hardly asks is not held up.
-func TestHomeHandsOver(t *testing.T) {
+func TestCoordinatorHandsOver(t *testing.T) {
 	more := map[bool]float64{}
-	for _, told := range []bool{false, true} {
-		j := join(t, inFleet, fleets["homes"])
-		j.stand(nil, never)
+	for _, announced := range []bool{false, true} {
+		j := newTestFleet(t, fleetSize, fleetConfigs["homes"])
+		j.setMembership(nil, never)
 		key := peermsg.Key("x")
-		first, second := j.gws[0].quota.Coordinator(key, 0), j.gws[0].quota.Coordinator(key, 1)
-		j.flood(8*time.Second, everywhere...)
-		if j.loss = 0; told {
+		first, second := j.gateways[0].quota.Coordinator(key, 0), j.gateways[0].quota.Coordinator(key, 1)
+		j.runOverload(8*time.Second, allGateways...)
+		if j.loss = 0; announced {
 			j.handle(first, Shutdown{})
-			j.pass(40 * ms)
+			j.advance(40 * ms)
 		}
 		j.down[first] = true
-		j.stand(map[int]PeerStatus{first: PeerAbsent}, never)
+		j.setMembership(map[int]PeerStatus{first: PeerAbsent}, never)
 		for n := range quota.MaxCoordinators {
-			i := j.gws[second].quota.Coordinator(key, n)
+			i := j.gateways[second].quota.Coordinator(key, n)
 			if i == second {
 				continue
 			}
-			c := j.gws[i].quota.Customer(key, 0)
-			j.gws[i].quota.Leak(c)
-			j.gws[i].quota.BecomeCoordinator(c)
-			more[told] = c.Plan.Burst - c.FleetLevel
+			c := j.gateways[i].quota.Customer(key, 0)
+			j.gateways[i].quota.Leak(c)
+			j.gateways[i].quota.BecomeCoordinator(c)
+			more[announced] = c.Plan.Burst - c.FleetLevel
 		}
 	}
 	t.Logf("room in the bucket of a flood at its new homes: %v", more)
