--- a/decide/admission.go
+++ b/decide/admission.go
@@ -8,15 +8,15 @@
 	"sloepick/decide/quota"
 )
 
-// This file decides whether a request is let in: by its quota, and by how pressed the servers are.
+// This file decides whether a request is admitted: by its customer's quota and by the load of the servers.
 const (
-	openTimeShare      = 0.7  // work that nobody waits for counts as load for so long
-	minOpenPerServer   = 8.0  // attempts out a server, of all gateways, that press nobody: chance
-	referenceTimeShare = 0.2  // of the shortest aim: if a usual request takes that, openLeast is as it stands ...
-	maxOpenFactor      = 4.0  // ... and so many times as much at most, where it takes less
-	freeOpenWork       = 4.0  // attempts out that press nobody where evidence is thin: one alone says nothing
-	minShedLoad        = 0.25 // of the cap on open work, where the least worth work is shed
-	maxTimeShare       = 0.8  // of the time left: an estimate over it is hopeless
+	openTimeShare      = 0.7  // share of the shortest latency target that open work should take to be answered
+	minOpenPerServer   = 8.0  // open attempts per server, of all gateways, that count as chance and not as load
+	referenceTimeShare = 0.2  // share of the shortest target at which minOpenPerServer holds as it is ...
+	maxOpenFactor      = 4.0  // ... and highest factor on it where typical requests take less
+	freeOpenWork       = 4.0  // open work that is not counted where answers are sparse: a single attempt says nothing
+	minShedLoad        = 0.25 // load ratio from which the requests of the lowest worth are shed
+	maxTimeShare       = 0.8  // share of the time left: a request with a higher estimate has no chance
 )
 
 func (g *Gateway) handleRequest(e Request) {
@@ -42,7 +42,7 @@
 	switch {
 	case g.quota.Mesh:
 		g.finishAdmission(r, g.admitLocally(c, r))
-	case c.RefuseUntil > g.now: // a home is not asked in vain
+	case c.RefuseUntil > g.now: // the coordinator would refuse it
 		c.Demand.Add(g.now, r.units)
 		g.quota.RecordDecision(c, false)
 		g.finishAdmission(r, false)
@@ -58,24 +58,25 @@
 	}
 }
 
-// finishAdmission ends the wait of a request: it is sent on if the quota has room and the servers have.
-func (g *Gateway) finishAdmission(r *request, room bool) {
+// finishAdmission ends the admission of a request: it is sent if the quota and the servers have room, and refused
+// otherwise.
+func (g *Gateway) finishAdmission(r *request, quotaHasRoom bool) {
 	s, cost := (*server)(nil), 0.0
-	if room {
+	if quotaHasRoom {
 		s, cost = g.chooseServer(r, nil)
 	}
 	if s == nil || cost > maxTimeShare*(r.expires-g.now).Seconds() || (g.quota.Mesh && g.shouldShed(r)) {
 		r.extraUnits = -r.units
 		wait := defaultRetryAfter
-		if !room {
+		if !quotaHasRoom {
 			wait = g.timeUntilRoom(r.customer, r.units)
 		}
-		g.refuse(r.ID, wait, !room && !r.shedByLoad)
+		g.refuse(r.ID, wait, !quotaHasRoom && !r.shedByLoad)
 		g.finish(r)
 		return
 	}
 	if g.quota.Mesh {
-		r.customer.CeilingTokens -= r.units // else the home or roomAlone has taken them
+		r.customer.CeilingTokens -= r.units // otherwise the coordinator or admitWithoutCoordinator has taken them
 	}
 	g.quota.Charge(r.customer, r.units)
 	if b := r.RetryPolicy; b != nil && b.Budget != nil {
@@ -86,9 +87,9 @@
 	g.sendAttempt(r, s)
 }
 
-// loadRatio is the open work over its cap. By Little's law open work is the answers a second times their time,
-// so a cap at the answers that do come times the time they should take holds the wait down whatever the
-// servers can do, and closes when they jam. A few may always be out, to find out that a jam is over.
+// loadRatio is the open work in relation to its cap. By Little's law, open work is the rate of answers times their
+// time. A cap at the actual rate times the time that answers should take bounds the wait whatever the servers can do,
+// and closes when they get stuck. A few attempts may always be open, to detect that an overload is over.
 func (g *Gateway) loadRatio() float64 {
 	n := g.totals.servers
 	observed := 1 - math.Exp(-max(g.now-g.started, time.Second/4).Seconds()/quota.RateTimeConstant.Seconds())
@@ -97,7 +98,7 @@
 	return max(0, g.totals.openWork-freeOpenWork*g.sparseness()) / max(capacity, minCapacity*n/float64(g.cfg.Gateways))
 }
 
-// shouldShed decides whether the wait is too long for what the request is worth.
+// shouldShed reports whether the servers are too loaded for what the request is worth.
 func (g *Gateway) shouldShed(r *request) bool {
 	value := r.class.Worth * r.customer.Plan.Price * r.units / r.class.expectedTime(r.units)
 	g.meanValue += 0.01 * (value - g.meanValue)
@@ -105,8 +106,8 @@
 	return g.loadRatio() > threshold || g.rng.Float64() > math.Pow(g.admitShare, g.sparseness()*g.sparseness()*(1+1/threshold)/2)
 }
 
-func (g *Gateway) refuse(id string, wait time.Duration, quota bool) {
-	a := Refuse{ID: id, OverQuota: quota}
+func (g *Gateway) refuse(id string, wait time.Duration, overQuota bool) {
+	a := Refuse{ID: id, OverQuota: overQuota}
 	if g.cfg.Limits.RetryAfter {
 		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, wait)
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,12 +1,12 @@
-// Package decide makes the decisions of a quota-keeping API gateway: whom to let in, which server to
-// send a request to, when to try again and when to stop.
+// Package decide makes the decisions of an API gateway that keeps quotas: which requests to admit, which server to send a
+// request to, when to retry and when to stop.
 //
 // A [Gateway] is a plain state machine. The caller owns the clock, the network and the queue of events; it
 // calls [Gateway.Handle] once for each [Event] and carries out the returned actions in order. The package
 // does no I/O, reads no clock, starts no goroutine and keeps no state outside the Gateway: the same
 // configuration, seed and events always give the same actions. A Gateway is not safe for concurrent use.
 //
-// All times are a [time.Duration] since an origin of the caller's choice; they must never run backwards.
+// All times are a [time.Duration] since an origin of the caller's choice; they never run backwards.
 package decide
 
 import (
@@ -22,15 +22,15 @@
 
 // The effects a class may have.
 const (
-	Unsafe Effect = iota // must never run twice
-	Keyed                // servers of one Group drop a repeat within the class's Window
+	Unsafe Effect = iota // must not run twice
+	Keyed                // servers of one Group drop a repeat within the class's DedupWindow
 	Safe                 // may run any number of times
 )
 
 // Group says which servers drop each other's repeats of a keyed request.
 type Group int
 
-// The groups of servers.
+// The groups of servers that do.
 const (
 	GroupCell Group = iota
 	GroupZone
@@ -42,16 +42,16 @@
 	Name                 string
 	Effect               Effect
 	Group                Group         // for Keyed
-	DedupWindow          time.Duration // for Keyed: how long a repeat is dropped
-	LatencyTarget        time.Duration // an answer within this earns the full worth
-	LatencyTargetStretch float64       // the aim grows by this multiple of a request's own work
-	Deadline             time.Duration // what a client waits for over all of its tries
+	DedupWindow          time.Duration // for Keyed: for how long servers drop a repeat
+	LatencyTarget        time.Duration // an answer within it earns the full worth
+	LatencyTargetStretch float64       // the target grows by this multiple of a request's own work
+	Deadline             time.Duration // how long a client waits over all of its attempts
 	Worth                float64
-	LateWorthFraction    float64 // part of the worth that an answer past the aim earns
+	LateWorthFraction    float64 // fraction of the worth that an answer after the target earns
 	Stream               bool
 }
 
-// What customers have, and what is known of it, is package quota's.
+// Package quota keeps what customers are allowed and what they have used.
 type (
 	// Plan describes the quota of each customer on it, over all gateways together.
 	Plan = quota.Plan
@@ -59,21 +59,21 @@
 	BucketSnapshot = quota.BucketSnapshot
 	// Allowance is what a customer's bucket at this gateway has room for.
 	Allowance = quota.Allowance
-	// PeerStatus is whether the gateway of a number is there.
+	// PeerStatus says whether the gateway of a rank takes part in the fleet.
 	PeerStatus = quota.PeerStatus
 )
 
-// The presences.
+// The statuses of a peer.
 const (
 	PeerActive      = quota.PeerActive
 	PeerUnreachable = quota.PeerUnreachable
 	PeerAbsent      = quota.PeerAbsent
 )
 
-// Limits tells what a gateway is allowed to do.
+// Limits says what a gateway is allowed to do.
 type Limits struct {
 	MaxAttempts      int
-	ParallelAttempts bool // two attempts of a request may be out at once
+	ParallelAttempts bool // a request may have two open attempts
 	Cancel           bool
 	PeerMessages     bool
 	Probes           bool
@@ -82,32 +82,32 @@
 	ConnectTimeout   time.Duration
 }
 
-// Safety holds the figures of the rules.
+// Safety holds the parameters of the safety rules.
 type Safety struct {
 	AnswerSlack    time.Duration
 	DrainGrace     time.Duration
-	ColdCapacity   float64       // part of its capacity that a started server has at least
-	ColdDuration   time.Duration // it is warm no later than this
-	OverloadFactor float64       // work beyond this multiple of its present capacity ...
-	OverloadWindow time.Duration // ... for this long makes it fall over
-	ListMaxAge     time.Duration // with Subscribe: how long an unasked list stays good
+	ColdCapacity   float64       // fraction of its capacity that a server has at least after its start
+	ColdDuration   time.Duration // a started server is warm after this at the latest
+	OverloadFactor float64       // load above this multiple of its present capacity ...
+	OverloadWindow time.Duration // ... for this long makes a server fail
+	ListMaxAge     time.Duration // with Subscribe: for how long a list that was not asked for stays valid
 }
 
-// Prices are points taken off the result, each for one unit of what it names.
+// Prices are points deducted from the result, each for one unit of what it names.
 type Prices struct {
 	CrossZone, Waste, Probe, Peer, LateFail, Counter float64
 }
 
-// Config is all that a gateway is told when it starts.
+// Config configures a gateway.
 type Config struct {
 	Rank, Gateways int // this gateway's number, from 0, and how many there are
 	Zone           string
 	Classes        []Class
 	Plans          []Plan
-	SettledLater   bool // units told with a request are a guess; the answer tells the true ones
+	SettledLater   bool // a request's units are an estimate; its answer reports the actual ones
 	MaxUnits       float64
 	MeterPeriod    time.Duration // 0: no meter
-	PeerIntake     float64       // messages a second that a gateway takes in
+	PeerIntake     float64       // messages a second that a gateway accepts
 	Counter        bool          // a shared counter may be called
 	CounterTimeout time.Duration
 	Limits         Limits
@@ -115,7 +115,7 @@
 	Prices         Prices
 	ReportsOnProbe bool // load reports come with probe results only
 	Subscribe      bool // list changes come only when asked for
-	TrackChanges   bool // what changes is marked for Gateway.Changed
+	TrackChanges   bool // changed buckets are marked for Gateway.AppendChanged
 }
 
 func checkNonNegative(field string, v float64) error {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// Validate reports the first setting that a gateway can't work with.
+// Validate reports the first setting that a gateway can't work with, by its path in the settings.
 func (c *Config) Validate() error {
 	if c.Gateways < 1 {
 		return fmt.Errorf("decide: Gateways is %d, want 1 or more", c.Gateways)
@@ -191,25 +191,25 @@
 	return nil
 }
 
-// Outcome tells how an attempt, a probe or a counter call ended.
+// Outcome says how an attempt, a probe or a counter call ended.
 type Outcome int
 
 // The outcomes. Rejected, NoConnection and NotSent prove that the attempt never ran.
 const (
 	OK Outcome = 1 + iota
 	Error
-	Rejected
+	Rejected // the server declined to run it
 	TimedOut
-	NoConnection
-	Reset
+	NoConnection // no connection was made, or it broke before the last byte was written
+	Reset        // the connection broke after the last byte was written
 	Cancelled
-	NotSent
+	NotSent // this gateway could not send anything
 )
 
 // neverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) neverRan() bool { return o == Rejected || o == NoConnection || o == NotSent }
 
-// State is what the list of servers says of one of them.
+// State is the state of a server in the list of servers.
 type State int
 
 // The states of a server.
@@ -230,14 +230,14 @@
 	Weight  float64
 }
 
-// LoadReport is a server's own account of its load, by name of the figure (queue, util, qps, latency_ms,
-// inflight, errors_per_s).
+// LoadReport is a server's own report of its load, by name of the figure (queue, util, qps, latency_ms, inflight,
+// errors_per_s).
 type LoadReport map[string]float64
 
 // OutcomeSet is a set of outcomes.
 type OutcomeSet uint16
 
-// NewOutcomeSet is the set of those outcomes.
+// NewOutcomeSet returns the set of those outcomes.
 func NewOutcomeSet(all ...Outcome) (s OutcomeSet) {
 	for _, o := range all {
 		s |= 1 << o
@@ -248,46 +248,46 @@
 // Has reports whether an outcome is in the set.
 func (s OutcomeSet) Has(o Outcome) bool { return s&(1<<o) != 0 }
 
-// RetryPolicy narrow what is decided for one request. They never widen what the settings and the rules allow. A RetryPolicy is
-// shared by many requests and not changed while one of them is open.
+// RetryPolicy restricts the attempts of a request. It never widens what the settings and the rules allow. A
+// RetryPolicy is shared by many requests and must not be changed while one of them is open.
 type RetryPolicy struct {
-	MaxAttempts    int           // in all; 0: as many as the settings allow
-	AttemptTimeout time.Duration // longest time for one; 0: to the request's end
-	TotalTimeout   time.Duration // longest time for all, from the request on; 0: to its deadline
-	RetryOn        OutcomeSet    // those after which another may be made; Moot is never followed by one
-	// InitialBackoff is the time before the first further attempt; each further one waits WaitGrowth times as long, MaxBackoff at
-	// most, give or take the share Jitter. A second copy does not wait.
+	MaxAttempts    int           // including the first; 0: as many as the settings allow
+	AttemptTimeout time.Duration // 0: until the request's end
+	TotalTimeout   time.Duration // for all attempts, from the request on; 0: until its deadline
+	RetryOn        OutcomeSet    // outcomes after which a retry may be made; NotSent is never followed by one
+	// InitialBackoff is the wait before the first retry; each further wait is BackoffFactor times as long, up to
+	// MaxBackoff, plus or minus a random part of at most the fraction Jitter. A hedged attempt does not wait.
 	InitialBackoff, MaxBackoff time.Duration
 	BackoffFactor, Jitter      float64
-	Hedge                      bool          // a second copy may go out while an attempt is ...
-	HedgeDelay                 time.Duration // ... after this; 0: when the attempt is overdue by the module's own guess ...
-	HedgeMinTimeLeft           time.Duration // ... if so much time is left to it
-	RetryAfter                 time.Duration // told with a refusal for want of an answer; 0: the module's own
+	Hedge                      bool          // a hedged attempt may be sent while another is open ...
+	HedgeDelay                 time.Duration // ... after this; 0: once the module finds that one overdue ...
+	HedgeMinTimeLeft           time.Duration // ... if at least this much time is left
+	RetryAfter                 time.Duration // advice of a refusal after attempts failed; 0: the module's own
 	Budget                     RetryBudget   // nil: the module's own
 }
 
-// RetryBudget bounds further attempts. It is called from within Handle only.
+// RetryBudget limits retries and hedged attempts. It is called from within Handle only.
 type RetryBudget interface {
-	RecordFirstAttempt(now time.Duration, s *Server) // a first attempt goes to the server
-	TakeRetry(now time.Duration, s *Server) bool     // whether a further one may, which is then made
+	RecordFirstAttempt(now time.Duration, s *Server) // a first attempt is sent to the server
+	TakeRetry(now time.Duration, s *Server) bool     // reports whether a further one may be sent, which is then made
 }
 
-// Event is something that a gateway is told.
+// Event is something that happened, for a gateway to handle.
 type Event interface{ event() }
 
-// ListKind tells how a FleetUpdate is to be read.
+// ListKind says how a ServerListUpdate is to be read.
 type ListKind int
 
 // The kinds of update.
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // the whole list
-	ListStale                  // the whole list as last held, maybe long out of date
-	ListFailed                 // asking failed; the former list stays
+	ListStale                  // the whole list as last known, maybe long out of date
+	ListFailed                 // the list could not be fetched; the former one stays
 )
 
 type (
-	// ServerListUpdate brings news of the list of servers.
+	// ServerListUpdate changes or replaces the list of servers.
 	ServerListUpdate struct {
 		Kind    ListKind
 		Version uint64
@@ -298,62 +298,62 @@
 		ID, Class, Plan, Customer  string
 		Units                      float64
 		Deadline                   time.Duration
-		FirstGateway, GatewayCount int // the customer's gateways: number of the first, and how many
+		FirstGateway, GatewayCount int // the gateways that receive the customer's requests: rank of the first, and how many
 		ClientRetry                bool
 		Write                      bool
-		RetryPolicy                *RetryPolicy // nil: none beyond the settings
+		RetryPolicy                *RetryPolicy // nil: no restrictions beyond the settings
 	}
-	// ResponseStarted says that a streamed answer has begun.
+	// ResponseStarted reports that a streamed answer has begun.
 	ResponseStarted struct {
 		ID, Server string
 		Attempt    int
 		Latency    time.Duration
 	}
-	// AttemptEnded tells how an attempt ended. Done: the request is finished.
+	// AttemptEnded reports how an attempt ended. RequestDone: the request is finished.
 	AttemptEnded struct {
 		ID, Server            string
 		Attempt               int
 		Outcome               Outcome
 		Latency               time.Duration
 		RequestDone           bool
-		MeteredPercentPlusOne int     // 1 + the customer's use in percent of its rate; 0: not told
-		ActualUnits           float64 // 0: not told
+		MeteredPercentPlusOne int     // 1 + the customer's use in percent of its rate; 0: not reported
+		ActualUnits           float64 // 0: not reported
 		Report                LoadReport
 	}
-	// ClientDisconnected says that the client left; no answer is owed.
+	// ClientDisconnected reports that the client left; no answer is owed.
 	ClientDisconnected struct{ ID string }
-	// TimerFired is the answer to SetTimer.
+	// TimerFired reports that the time of a SetTimer has come.
 	TimerFired struct{ Token uint64 }
-	// ProbeEnded is the answer to Probe.
+	// ProbeEnded reports the result of a Probe.
 	ProbeEnded struct {
 		Server  string
 		Outcome Outcome
 		Latency time.Duration
 		Report  LoadReport
 	}
-	// PeerMessage is what another gateway told.
+	// PeerMessage is a message from another gateway.
 	PeerMessage struct {
 		From int
 		Text string
 	}
-	// MembershipUpdate is what the gateways of a fleet have agreed on. Without one, each has the number that its Config tells and all are
-	// there.
+	// MembershipUpdate is what the gateways of a fleet have agreed on. Without one, each has the rank of its Config
+	// and all peers are active.
 	MembershipUpdate struct {
 		Rank           int  // this gateway's number
-		RankReassigned bool // it was not this gateway's before, or may have been another's since
-		Isolated       bool // it is cut off: it keeps to its even part
+		RankReassigned bool // the rank is new to this gateway, or may have been another's in between
+		Isolated       bool // cut off from the fleet: it keeps to its even share
 		Peers          []PeerStatus
 	}
-	// StateRestored is what is believed of the time before the start. What is known already is only raised by it.
+	// StateRestored carries what is believed of the time before the start. It only raises what is known already.
 	StateRestored struct {
-		Buckets []BucketSnapshot // as full as they are now
-		// LeakedSeconds is for how many seconds the buckets of all others have leaked since they may have been half full.
+		Buckets []BucketSnapshot // filled as they are now
+		// LeakedSeconds is how long the buckets of all others have leaked since they may have been half full.
 		LeakedSeconds  float64
 		WarmServerRate float64 // usual requests a second that this gateway sent a warm server; 0: not known
-	}
-	// Shutdown says that the gateway stops and owes nothing any more: the last event that it takes.
+	} // typical requests a second that this gateway sent a warm server; 0: not known
+	// Shutdown reports that the gateway stops and owes no more answers. It is the last event.
 	Shutdown struct{}
-	// CounterCallEnded is the answer to Count.
+	// CounterCallEnded reports the result of an IncrementCounter.
 	CounterCallEnded struct {
 		Name    uint64
 		Outcome Outcome
@@ -375,7 +375,7 @@
 func (CounterCallEnded) event()   {}
 func (StateRestored) event()      {}
 
-// Action is something that a gateway wants done.
+// Action is something for the caller to carry out.
 type Action interface{ action() }
 
 type (
@@ -383,8 +383,8 @@
 	SendAttempt struct {
 		ID, Server string
 		Timeout    time.Duration // 0: until the client gives up
-		// WriteDeadline is when the last byte must be written, or nothing may be: servers forget the key of a request that may have
-		// run. 0: there is no such time.
+		// WriteDeadline is when the last byte must be written, or nothing may be: later, servers may have forgotten
+		// the key of a request that may have run. 0: none.
 		WriteDeadline time.Duration
 	}
 	// CancelAttempt stops waiting for an attempt.
@@ -392,39 +392,39 @@
 		ID      string
 		Attempt int
 	}
-	// Refuse is a final answer that promises the client that trying again does no harm.
+	// Refuse is a final answer that promises the client that a retry does no harm.
 	Refuse struct {
 		ID         string
 		RetryAfter time.Duration // 0: no advice
-		OverQuota  bool          // it is the customer's quota that has no room; else it is the servers, or an attempt that never ran
+		OverQuota  bool          // the customer's quota has no room; otherwise the servers have none, or no attempt ran
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer without that promise.
 	Fail struct{ ID string }
-	// SetTimer asks for a TimerFired.
+	// SetTimer requests a TimerFired.
 	SetTimer struct {
 		At    time.Duration
 		Token uint64
 	}
 	// Probe asks a server for its load.
 	Probe struct{ Server string }
-	// CloseIdle drops the idle connections to a server.
+	// CloseIdle closes the idle connections to a server.
 	CloseIdle struct{ Server string }
-	// Subscribe asks for changes of the list of servers, or no more of them.
+	// Subscribe starts or ends the subscription to changes of the list of servers.
 	Subscribe struct{ On bool }
-	// FetchServerList asks for the whole list once.
+	// FetchServerList requests the whole list once.
 	FetchServerList struct{}
 	// SendToPeer sends a message to one peer.
 	SendToPeer struct {
 		To   int
 		Text string
 	}
-	// IncrementCounter adds to a named number of the shared counter.
+	// IncrementCounter adds to a named value of the shared counter.
 	IncrementCounter struct {
 		Name  uint64
 		Delta float64
 		TTL   time.Duration
 	}
-	// Log adds a line to the operator's log.
+	// Log writes a line to the operator's log.
 	Log struct{ Text string }
 )
 
--- a/decide/coordinator.go
+++ b/decide/coordinator.go
@@ -7,19 +7,20 @@
 	"sloepick/decide/quota"
 )
 
-// This file decides whether to wait for the word of a customer's home, and for how long, where customers have homes.
+// This file decides whether a request waits for the reply of its customer's coordinator, and for how long, in fleets
+// that have them.
 const (
-	initialRoundTrip       = 30 * time.Millisecond  // wait for a home's word, until round trips were seen ...
-	grantTimeoutFactor     = 2.0                    // ... then so many times the usual one, and askLeast more
-	grantTimeoutMargin     = 12 * time.Millisecond  // a turn or two of either side
-	silentCoordinatorPause = 1 * time.Second        // a home that twice gave no answer is not asked for so long
-	grantValidity          = 100 * time.Millisecond // a grant under a ceiling is used within this, which the slack bears
-	peersLostAfter         = 3                      // questions in a row in whose time no word came from anyone: none is waited for ...
-	peerProbeInterval      = 200 * time.Millisecond // ... but one is put so often, to hear when others are back
+	initialRoundTrip       = 30 * time.Millisecond  // assumed round trip to a coordinator, until one was measured
+	grantTimeoutFactor     = 2.0                    // a grant request times out after this many mean round trips ...
+	grantTimeoutMargin     = 12 * time.Millisecond  // ... and this, for a scheduling delay or two on either side
+	silentCoordinatorPause = 1 * time.Second        // a coordinator that failed to answer twice is skipped for this long
+	grantValidity          = 100 * time.Millisecond // a grant under a ceiling is used within this: the slack covers it
+	peersLostAfter         = 3                      // grant requests in a row without any message, after which no request waits ...
+	peerProbeInterval      = 200 * time.Millisecond // ... and a probe is sent at this interval, to detect that peers are back
 )
 
-// requestGrant gets the home's word on a request. Each home is asked twice, as words may be lost; one that was silent
-// is left out for a while. Without any word the gateway's own bucket decides, but nothing passes a ceiling.
+// requestGrant asks the customer's coordinators. Each is asked twice, as messages may be lost; one that did not
+// answer is skipped for a while. Without any reply this gateway's own bucket decides, but no ceiling is exceeded.
 func (g *Gateway) requestGrant(r *request) {
 	c := r.customer
 	if g.peersLost() {
@@ -52,11 +53,12 @@
 	g.finishAdmission(r, g.openCapHasRoom(c) && g.admitWithoutCoordinator(c, r.units))
 }
 
-// peersLost reports that nobody is heard: each request would else wait out its questions, a third of a second, for a
-// word that can't come.
+// peersLost reports whether messages of peers fail to arrive. Each request would otherwise wait out its grant
+// requests, a third of a second, for a reply that can't come.
 func (g *Gateway) peersLost() bool { return g.silentTimeouts >= peersLostAfter }
 
-// probePeers asks a home for a request that does not wait for it: any word tells that others are heard again.
+// probePeers sends a coordinator a grant request that no request waits for: any message in return shows that peers
+// are reachable.
 func (g *Gateway) probePeers(r *request) {
 	if g.now-g.lastPeerProbe < peerProbeInterval {
 		return
@@ -70,8 +72,8 @@
 	}
 }
 
-// grantTimedOut takes that a home gave no answer in time. A gateway that itself stood still waits a little more:
-// the answer may be among all that it finds now.
+// grantTimedOut handles a grant request without a reply in time. A gateway that was itself stalled waits a little
+// longer, as the reply may be among the events that it has yet to handle.
 func (g *Gateway) grantTimedOut(r *request, due time.Duration) {
 	if g.now-due > grantTimeoutMargin && g.now < r.expires {
 		g.setTimer(r.ID, -1, min(r.expires, g.now+grantTimeoutMargin), timerOverdue)
@@ -87,7 +89,8 @@
 	g.requestGrant(r)
 }
 
-// handlePeerMessage takes a handlePeerMessage of another gateway. What is malformed, unknown or comes to the wrong home is dropped.
+// handlePeerMessage handles a message about one customer. One that is malformed, of an unknown plan or for another
+// coordinator is dropped.
 func (g *Gateway) handlePeerMessage(from int, text string) {
 	w, ok := peermsg.Parse(g.now, text)
 	if !ok || w.Plan >= len(g.cfg.Plans) {
@@ -128,7 +131,8 @@
 	}
 }
 
-// handleGrantReply takes the home's word: it settles part and level, and then the bucket decides.
+// handleGrantReply handles a coordinator's reply: it updates the customer's share and level, and the request is
+// admitted or refused.
 func (g *Gateway) handleGrantReply(from int, w *peermsg.CustomerMessage) {
 	r := g.pendingGrants[w.RequestNo]
 	if r == nil || r.customer.Key != w.Key {
@@ -155,7 +159,7 @@
 	g.finishAdmission(r, ok)
 }
 
-// settleGrant settles a request with the home that granted it: true units, and that its attempt is over.
+// settleGrant informs the coordinator that granted a request of its actual units and that its attempt has ended.
 func (g *Gateway) settleGrant(r *request, extraUnits float64) {
 	if r.grantedBy < 0 || (extraUnits == 0 && r.customer.Plan.MaxOpen == 0) {
 		return
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// This file takes events to what decides on them: letin.go, admit.go and ask.go whether a request is let in; choose.go, servers.go and
-// cold.go which server it goes to; attempts.go whether it is tried again; rules.go what the rules forbid. state.go holds what a gateway
-// keeps, api.go the interface; packages quota and words what gateways know and tell of customers' quotas.
+// This file dispatches events to the files that decide on them: admission.go, quotacheck.go and coordinator.go decide
+// whether a request is admitted; serverchoice.go, servers.go and slowstart.go which server it goes to; retry.go
+// whether it is tried again; rules.go what the rules forbid. state.go holds a gateway's state and api.go the
+// interface; packages quota and peermsg hold what gateways know about customers' quotas and how they tell each other.
 
-// Handle takes one event at the time now and returns what is to be done, in order.
+// Handle processes one event at the time now and returns the actions to carry out, in order.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
 	g.actions = nil
 	g.now = max(now, g.now)
@@ -69,7 +70,7 @@
 	}
 }
 
-// tick is the upkeep: peers are told, servers counted, customers forgotten of whom nothing is left to know.
+// tick does the periodic work: it informs the peers, sums up the servers and removes customers without any state left.
 func (g *Gateway) tick() {
 	g.emit(SetTimer{g.now + g.quota.TickInterval(), tickToken})
 	g.quota.SendTotals()
--- a/decide/quotacheck.go
+++ b/decide/quotacheck.go
@@ -8,23 +8,23 @@
 	"sloepick/decide/quota"
 )
 
-// This file decides whether a customer's quota has room: by this gateway's bucket, as a home for all gateways, and without a home's word.
-// What is known of a customer's quota is package quota's.
+// This file checks whether a customer's quota has room: by this gateway's own bucket, as the customer's coordinator
+// for all gateways, or without a coordinator's reply. Package quota keeps the buckets.
 const (
-	grantIntakeShare    = 0.4                    // of the intake is for questions; beyond it refused ones wait longer
-	maxRetryWait        = 30 * time.Second       // longest wait that a home puts on those it refuses
-	minRetryWaitSeconds = 0.1                    // seconds that refused ones wait where questions fill the intake ...
-	retryWaitGrowth     = 1.15                   // ... and longer with each ...
-	retryWaitDecay      = 0.9                    // ... and less where they don't
-	defaultRetryAfter   = 200 * time.Millisecond // where no bucket tells when to come back
+	grantIntakeShare    = 0.4                    // share of the intake for grant requests; beyond it refused requests wait longer
+	maxRetryWait        = 30 * time.Second       // longest wait that a coordinator sets for refused requests
+	minRetryWaitSeconds = 0.1                    // shortest wait once grant requests exceed their share of the intake ...
+	retryWaitGrowth     = 1.15                   // ... which each refusal then multiplies by this ...
+	retryWaitDecay      = 0.9                    // ... and any other grant request by this
+	defaultRetryAfter   = 200 * time.Millisecond // if no bucket determines when there is room
 )
 
-// hasRoom reports whether a customer's bucket at this gateway has hasRoom for so many units.
+// hasRoom reports whether a customer's bucket at this gateway has room for that many units.
 func hasRoom(c *quota.Customer, units float64) bool {
 	return c.Plan.Rate == 0 || c.Level+c.Share*units <= c.Share*c.Plan.Burst
 }
 
-// admitLocally decides whether the quota has room.
+// admitLocally decides by this gateway's own buckets.
 func (g *Gateway) admitLocally(c *quota.Customer, r *request) bool {
 	g.quota.Leak(c)
 	g.quota.AddDemand(c, r.units)
@@ -32,13 +32,14 @@
 		(c.Plan.CeilingRate == 0 || ceilingHasRoom(c, r.units))
 }
 
-// ceilingHasRoom reports that an even slice of the ceiling's store, empty at a start, has so many units.
+// ceilingHasRoom reports whether this gateway's even share of the ceiling, empty after a start, has that many units left.
 func ceilingHasRoom(c *quota.Customer, units float64) bool {
 	return c.CeilingTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) >= units
 }
 
-// openCapHasRoom holds the cap on attempts out. Caps are small: parts of them, rounded up, are one too many in
-// all or one too few where the traffic is. So what peers told counts, and the part decides without it.
+// openCapHasRoom enforces the cap on open attempts. Caps are small, so that shares of them, rounded up, add up to one
+// too many or are one too few where the traffic is. The counts that peers reported decide if known, the share only
+// without them.
 func (g *Gateway) openCapHasRoom(c *quota.Customer) bool {
 	limit := c.Plan.MaxOpen
 	if limit == 0 {
@@ -50,7 +51,7 @@
 	return float64(c.Open) < math.Ceil(c.Share*float64(limit))
 }
 
-// timeUntilRoom is how long the quota needs to have room for so many units: what the client is told to wait.
+// timeUntilRoom returns how long the quota needs to have room for that many units, which the client is advised to wait.
 func (g *Gateway) timeUntilRoom(c *quota.Customer, units float64) time.Duration {
 	wait := (c.RefuseUntil - g.now).Seconds()
 	if p := c.Plan; p.Rate > 0 {
@@ -62,21 +63,22 @@
 	case c.Plan.CeilingRate == 0:
 	case share > 0:
 		wait = max(wait, (units-slack-c.CeilingTokens)/(c.Plan.CeilingRate*share))
-	case g.quota.Isolated: // else the home has said how long
+	case g.quota.Isolated: // otherwise the coordinator has said how long
 		wait = max(wait, (units-slack-c.FallbackTokens)/(c.Plan.CeilingRate*fallbackShare))
 	}
-	if wait <= 0 { // it is the cap on attempts out, which says nothing of time
+	if wait <= 0 { // the cap on open attempts refused, which says nothing about time
 		return defaultRetryAfter
 	}
 	return time.Duration(min(wait, maxRetryWait.Seconds()) * float64(time.Second))
 }
 
-// admitWithoutCoordinator decides without a home's word. Who is cut off from a fleet keeps to its even part. Else, of a customer
-// that is known to flood, by word or by its home's last answer, the share passes that its rate bears. Of others so
-// little comes to one gateway that its own count says nothing until it is some times the even part, and they pass
-// up to that: to hold each to the even part would refuse nearly all. A ceiling is kept by an even slice of what no
-// home grants from, by those that are cut off too: some may be cut off while homes grant to the others. The platform
-// spreads a customer under a ceiling so that half of its burst, so parted, holds a request.
+// admitWithoutCoordinator decides without a coordinator's reply. An isolated gateway keeps to its even share.
+// Otherwise a customer known to be over its quota, by reports or by its coordinator's last reply, gets the share of
+// its requests that its rate allows. Of any other customer one gateway sees so few requests that its own count says
+// nothing until it is several times the even share; they pass up to that, as holding each to the even share would
+// refuse nearly all. A ceiling is enforced by an even share of the part that coordinators do not grant from, at
+// isolated gateways too: coordinators may still grant to the others. The platform spreads a customer under a ceiling
+// so that half of its burst, divided evenly, holds one request.
 func (g *Gateway) admitWithoutCoordinator(c *quota.Customer, units float64) bool {
 	if c.Plan.CeilingRate > 0 && c.FallbackTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) < units {
 		return false
@@ -90,7 +92,8 @@
 	return true
 }
 
-// takeFallbackQuota takes so many units of what passes here of a customer whose homes are silent, if there is room.
+// takeFallbackQuota takes that many units of what may pass here while the customer's coordinators don't reply, if
+// there is room.
 func (g *Gateway) takeFallbackQuota(c *quota.Customer, units float64) bool {
 	share := min(1, quota.FallbackFactor/float64(c.GatewayCount))
 	c.FallbackLevel = max(0, c.FallbackLevel-share*c.Plan.Rate*(g.now-c.FallbackLevelAt).Seconds())
@@ -102,8 +105,9 @@
 	return true
 }
 
-// grant decides as a home, by the bucket of the whole customer, and tells how long those refused may wait.
-// It guards quota, cap on attempts out and ceiling; a question that comes twice gets the same answer once.
+// grant decides as the customer's coordinator, by the bucket of all gateways, and returns how long refused requests
+// may wait. It enforces quota, cap on open attempts and ceiling. A grant request that arrives twice gets the same
+// answer and is charged once.
 func (g *Gateway) grant(c *quota.Customer, from int, requestNo uint64, units float64) (ok bool, wait float64) {
 	g.quota.Leak(c)
 	g.quota.BecomeCoordinator(c)
@@ -121,7 +125,7 @@
 	c.Grants = slices.DeleteFunc(c.Grants, func(d quota.Grant) bool { return g.now-d.At > quota.GrantRetention })
 	c.FleetDemand.Add(g.now, units)
 	withinQuota := c.Plan.Rate == 0 || c.FleetLevel+units <= c.Plan.Burst
-	if units > 0 { // else nothing is asked for: see listen
+	if units > 0 { // a probe asks for nothing: see probePeers
 		g.quota.RecordDecision(c, withinQuota)
 	}
 	ok = withinQuota &&
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// This file decides on further attempts: when, how many, and none where a repeat could do harm.
+// This file decides on retries and hedged attempts: when, how many, and none where running twice could do harm.
 const (
-	overdueFactor    = 4.0                    // times its estimate: an attempt is overdue ...
-	minOverdueTime   = 150 * time.Millisecond // ... and this at least
-	retryBudgetShare = 0.15                   // further attempts a first attempt, by this much the retry budget grows ...
+	overdueFactor    = 4.0                    // an attempt is overdue after this many times its estimated time ...
+	minOverdueTime   = 150 * time.Millisecond // ... and no earlier than this
+	retryBudgetShare = 0.15                   // retries that each first attempt adds to the retry budget ...
 	maxRetryBudget   = 10.0                   // ... up to this many
-	maxHedgeLoad     = 0.2                    // of the cap on open work, where second copies stop: before anything is shed
+	maxHedgeLoad     = 0.2                    // load ratio above which hedging stops: before any request is shed
 )
 
 func (g *Gateway) sendAttempt(r *request, s *server) {
-	writeBy := repeatDeadline(r)
+	writeDeadline := repeatDeadline(r)
 	a := &attempt{server: s, index: len(r.attempts), sentAt: g.now, mayHaveRun: true, work: g.requestWork(r)}
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
 	r.customer.Open++
 	s.meanLoad += 0.05 * (g.currentLoad(s) - s.meanLoad)
 	if s.connectFailures > 0 {
-		g.avoid(s) // until it is known how this one fares
+		g.avoid(s) // until the outcome of this attempt is known
 	}
 	if s.coldUntil > g.now {
 		s.coldBudget -= a.work
@@ -41,17 +41,17 @@
 			g.setTimer(r.ID, a.index, g.now+b.HedgeDelay, timerHedge)
 		}
 	}
-	g.emit(SendAttempt{r.ID, s.ID, timeout, writeBy})
+	g.emit(SendAttempt{r.ID, s.ID, timeout, writeDeadline})
 	if overdueAfter < timeout {
 		g.setTimer(r.ID, a.index, g.now+overdueAfter, timerOverdue)
 	}
 }
 
-// handleOverdue looks at an attempt that should have been answered. If the server has answered others since, the
-// request is merely costly; if it has not, the server may be silent.
+// handleOverdue handles an attempt that should have been answered. If the server has answered others since, the
+// request is merely expensive; otherwise the server may be unresponsive.
 func (g *Gateway) handleOverdue(r *request, a *attempt) {
 	s := a.server
-	g.recordOwnSample(s, r, g.now-a.sentAt, true, true) // it may still come: no sign of a jam yet
+	g.recordOwnSample(s, r, g.now-a.sentAt, true, true) // the answer may still come: no sign of overload yet
 	if s.lastAnswer > a.sentAt {
 		return
 	}
@@ -59,35 +59,35 @@
 		if b.Hedge && b.HedgeDelay == 0 {
 			g.hedge(r, a)
 		}
-		return // its own time limit ends the attempt
+		return // the policy's time-out ends the attempt
 	}
 	if r.finished || r.streaming || g.retryBudget < 1 || r.class.Effect == Unsafe {
 		return
 	}
 	if !g.cfg.Limits.ParallelAttempts {
 		if g.cfg.Limits.Cancel {
-			g.emit(CancelAttempt{r.ID, a.index}) // its end, as Cancelled, brings the next attempt
+			g.emit(CancelAttempt{r.ID, a.index}) // the attempt's end, as Cancelled, causes the retry
 		}
 		return
 	}
 	g.retry(r, s, false)
 }
 
-// hedge sends a second hedge within a request's bounds. Copies are the first to stop where the servers are
-// full, and none goes out that has too little time to win.
+// hedge sends a hedged attempt if the request's policy allows one. Hedging is the first thing to stop as servers fill
+// up, and no attempt is sent that has too little time left to win.
 func (g *Gateway) hedge(r *request, a *attempt) {
 	b := r.RetryPolicy
 	if r.finished || r.streaming || r.class.Effect == Unsafe || r.retryServer != nil || r.openAttempts != 1 {
 		return
 	}
 	if r.expires-g.now >= b.HedgeMinTimeLeft && g.loadRatio() <= maxHedgeLoad && g.retry(r, a.server, false) {
-		g.recordOwnSample(a.server, r, g.now-a.sentAt, true, true) // else a slow one would hide behind its copies
+		g.recordOwnSample(a.server, r, g.now-a.sentAt, true, true) // otherwise hedging would hide a slow server
 	}
 }
 
-// retry sends a further attempt if the rules, the budget and the time left allow one, at once or after the
-// wait that the request's bounds ask for. What waits has its place in the budget, so it waits for an attempt.
-// The module's own budget keeps repeats from feeding a jam: one that no server heard of is not in it.
+// retry sends a further attempt if the rules, the budget and the time left allow one, at once or after the backoff of
+// the request's policy. A retry is taken from the budget before its backoff begins. The module's own budget keeps
+// retries from feeding an overload; an attempt that reached no server is not charged to it.
 func (g *Gateway) retry(r *request, last *server, notDelivered bool) bool {
 	b, maxAttempts, wait := r.RetryPolicy, g.cfg.Limits.MaxAttempts, time.Duration(0)
 	if b != nil {
@@ -120,7 +120,7 @@
 	return true
 }
 
-// backoff is how long a request waits before its next attempt.
+// backoff returns how long a request waits before its next attempt.
 func (g *Gateway) backoff(r *request) time.Duration {
 	b := r.RetryPolicy
 	wait := float64(b.InitialBackoff) * math.Pow(max(1, b.BackoffFactor), float64(len(r.attempts)-1))
@@ -130,8 +130,8 @@
 	return time.Duration(wait * (1 + b.Jitter*(2*g.rng.Float64()-1)))
 }
 
-// retryAfterBackoff ends a wait. The server that was chosen may be cold or drained by now; then another may do that the
-// rules allow.
+// retryAfterBackoff sends the retry whose backoff has ended. If its server has become cold or draining, another one
+// that the rules allow takes its place.
 func (g *Gateway) retryAfterBackoff(r *request) {
 	if r == nil || r.finished || r.retryServer == nil {
 		return
@@ -180,7 +180,7 @@
 		return
 	}
 	if e.Outcome == NotSent && len(r.attempts) == 1 {
-		g.quota.Charge(r.customer, -r.units) // nothing was sent, so the quota took nothing
+		g.quota.Charge(r.customer, -r.units) // nothing was sent, so no units were used
 		switch {
 		case g.quota.Mesh || r.grantedBy == g.quota.Rank:
 			r.customer.CeilingTokens += r.units
--- a/decide/rules.go
+++ b/decide/rules.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// This file guards the rules: on effects, and on what a final answer promises.
+// This file enforces the rules on effects and on what a final answer promises.
 
-const targetMargin = 6 * time.Millisecond // an answer must be back at the client within the aim
+const targetMargin = 6 * time.Millisecond // time for an answer to get back to the client within the latency target
 
-// mayRunOn guards the rule on effects: whether the server may get the request, given the attempts that
+// mayRunOn enforces the rule on effects: it reports whether the server may get the request, given the attempts that
 // may have run.
 func (g *Gateway) mayRunOn(r *request, s *server) bool {
 	for _, a := range r.attempts {
@@ -26,8 +26,8 @@
 	return deadline == 0 || g.now < deadline
 }
 
-// repeatDeadline is until when servers surely know the key of a request that may have run: a further attempt must be with them by then,
-// however long its connection takes to come up. 0: there is no such time.
+// repeatDeadline returns until when servers surely remember the key of a request that may have run: a further attempt
+// must reach them by then, however long its connection takes to open. 0: there is no such deadline.
 func repeatDeadline(r *request) (deadline time.Duration) {
 	for _, a := range r.attempts {
 		if end := a.sentAt + r.class.DedupWindow - targetMargin; r.class.Effect == Keyed && a.mayHaveRun &&
@@ -38,7 +38,7 @@
 	return deadline
 }
 
-// giveUp gives the final answer: a refusal where that may be promised, else a failure.
+// giveUp sends the final answer: a refusal if what it promises holds, else a failure.
 func (g *Gateway) giveUp(r *request) {
 	mayHaveRun := func(a *attempt) bool { return a.mayHaveRun }
 	mayRefuse := r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, mayHaveRun) ||
@@ -55,7 +55,7 @@
 	g.finish(r)
 }
 
-// finish ends a request; what is still out is called off.
+// finish ends a request and cancels its open attempts.
 func (g *Gateway) finish(r *request) {
 	if r == nil {
 		return
@@ -70,7 +70,7 @@
 	g.forgetRequest(r)
 }
 
-// forgetRequest drops a finished request once nothing of it is out.
+// forgetRequest removes a finished request that has no open attempts.
 func (g *Gateway) forgetRequest(r *request) {
 	if r.finished && r.openAttempts == 0 && g.requests[r.ID] != nil {
 		g.settleGrant(r, r.extraUnits)
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -9,24 +9,24 @@
 	"sloepick/decide/quota"
 )
 
-// This file decides what a server is held to be like: slow, missing a class's requests, out of reach, loaded.
+// This file estimates the state of the servers: slow, failing a class's requests, unreachable, loaded.
 const (
-	meanTimeGain        = 0.01                    // gain of the usual work of what is sent, which loads are counted in
-	classTimeGain       = 0.03                    // gain of a class's usual time: slow, it is the fleet's yardstick
-	slowFactorGain      = 0.2                     // gain of a server's slowness against that: a few answers tell
-	initialTimeShare    = 0.2                     // of the aim: the usual time before any answer
-	minServerMemory     = 2 * time.Second         // slowness fades at least so slowly: the unused get another look
-	memoryAnswers       = 4.0                     // answers of a server are how long its slowness is known ...
-	maxServerMemory     = 20.0                    // ... in seconds, this at most
-	missMemoryFactor    = 2.0                     // times that: known of a class's failures
-	missRateGain        = 0.25                    // gain of a server's share of a class's requests that it leaves or fails
-	initialAvoidSeconds = 0.25                    // seconds that a server is left alone which no connection reached ...
-	maxAvoidSeconds     = 4.0                     // ... twice as long with each further one, up to this
-	abandonedLoadTime   = 1500 * time.Millisecond // work that nobody waits for counts as load no longer than this
-	admitShareDecrease  = 0.85                    // of the flow let in on thin evidence, for each answer missed here or as told ...
-	admitShareIncrease  = 1.03                    // ... and for each that came: it holds where one of six is missed
-	minAdmitShare       = 0.08                    // the flow that finds out that a jam is over
-	maxAdmitShare       = 2.2                     // over 1 nothing is shed: room for chance
+	meanTimeGain        = 0.01                    // gain of the mean time of requests, the unit in which load is counted
+	classTimeGain       = 0.03                    // gain of a class's mean time: low, as servers are compared with it
+	slowFactorGain      = 0.2                     // gain of a server's slow factor relative to that: a few answers suffice
+	initialTimeShare    = 0.2                     // share of the latency target: a class's mean time before its first answer
+	minServerMemory     = 2 * time.Second         // shortest time constant of slow factors: they fade, so unused servers are retried
+	memoryAnswers       = 4.0                     // mean number of a server's answers that the time constant spans ...
+	maxServerMemory     = 20.0                    // ... up to this many seconds
+	missMemoryFactor    = 2.0                     // time constant of miss rates, as a multiple of that
+	missRateGain        = 0.25                    // gain of a server's miss rate for a class
+	initialAvoidSeconds = 0.25                    // seconds for which a server is avoided that no connection reached ...
+	maxAvoidSeconds     = 4.0                     // ... doubled by each further failure, up to this
+	abandonedLoadTime   = 1500 * time.Millisecond // abandoned attempts count as load no longer than this
+	admitShareDecrease  = 0.85                    // factor on the admitted share for a missed answer, own or reported ...
+	admitShareIncrease  = 1.03                    // ... and for one that came: the share holds where one of six is missed
+	minAdmitShare       = 0.08                    // lowest admitted share: enough to detect that an overload is over
+	maxAdmitShare       = 2.2                     // above 1 nothing is shed: room for chance
 )
 
 func (g *Gateway) updateServerList(e ServerListUpdate) {
@@ -49,7 +49,7 @@
 }
 
 func (g *Gateway) updateServer(e Server, stale bool) {
-	if e.State == Gone { // its cell and zone may be left out, and stay as told first: repeats go by them
+	if e.State == Gone { // its cell and zone may be missing here and are kept, as retries depend on them
 		if s := g.servers[e.ID]; s != nil {
 			s.State = Gone
 		}
@@ -64,26 +64,27 @@
 	s.Server = e
 }
 
-// slowness is a server's, faded by the time since its last answer.
+// slowness returns the server's slow factor, decayed by the time since its last answer.
 func (g *Gateway) slowness(s *server) float64 {
 	return 1 + (s.slowFactor-1)*math.Exp(-(g.now-s.slowFactorAt).Seconds()/g.serverMemory())
 }
 
-// serverMemory is how long, in seconds, what is known of a server holds: longer where answers of it are rare.
+// serverMemory returns the time constant, in seconds, of what is known about a server: longer where its answers are rare.
 func (g *Gateway) serverMemory() float64 {
 	return min(maxServerMemory, max(minServerMemory.Seconds(), memoryAnswers*g.totals.servers/max(g.sampleRate.Get(g.now), 1e-3)))
 }
 
-// missRate is the share of a class's requests that a server leaves unanswered or fails.
+// missRate returns the share of a class's requests that a server fails or leaves unanswered.
 func (g *Gateway) missRate(s *server, k *class) float64 {
 	m := &s.missRates[k.index]
 	return m.value * math.Exp(-(g.now-m.at).Seconds()/(missMemoryFactor*g.serverMemory()))
 }
 
-// recordSample takes how a request of a class fared at a server, here or at a gateway that told it: x times the usual
-// time, answered or not, or an error. It guards against servers that are slow or fail one class and serve the
-// others; it should catch what a server's age, a bad disk or a lost dependency do too, whoever met it first.
-// It could harm a server that only costly requests went to.
+// recordSample records how a request of a class fared at a server, here or at a gateway that reported it: its time as
+// a multiple of the expected one, whether it was unsuccessful, and if so whether that is no sign of overload. It
+// guards against servers that are slow, or that fail one class and serve the others, whatever the cause (age, a bad
+// disk, a lost dependency) and whichever gateway finds it first. It could do harm to a server that only expensive
+// requests went to.
 func (g *Gateway) recordSample(s *server, k *class, relativeTime float64, unsuccessful, notOverload bool) {
 	g.sampleRate.Add(g.now, 1)
 	v, target := g.missRate(s, k), 0.0
@@ -102,7 +103,7 @@
 	}
 }
 
-// recordOwnSample notes how an own request fared and keeps it to be told.
+// recordOwnSample records how a request of this gateway fared and keeps the sample for messages to peers.
 func (g *Gateway) recordOwnSample(s *server, r *request, latency time.Duration, unsuccessful, notOverload bool) {
 	k, relativeTime := r.class, latency.Seconds()/r.class.expectedTime(r.units)
 	g.recordSample(s, k, relativeTime, unsuccessful, notOverload)
@@ -113,9 +114,9 @@
 	}
 }
 
-// currentLoad is what this gateway has at the server: attempts out, and ghosts. A jammed server works on what has
-// timed out while its attempts out look few; without ghosts the jam feeds itself. Where a server drops such
-// work the first later answer clears them, so they cost little.
+// currentLoad returns this gateway's work at the server: open attempts and abandoned ones. An overloaded server works
+// on attempts that have timed out while few are open; not counting those would feed the overload. Where a server
+// drops such work, the first later answer clears it, so that it costs little.
 func (g *Gateway) currentLoad(s *server) float64 {
 	for len(s.abandoned) > 0 && g.now-s.abandoned[0].sentAt > abandonedLoadTime {
 		g.removeWork(s, s.abandoned[0].work)
@@ -124,13 +125,13 @@
 	return s.openWork
 }
 
-// removeWork takes work off a server.
+// removeWork subtracts work from a server's load.
 func (g *Gateway) removeWork(s *server, work float64) {
 	s.openWork = max(0, s.openWork-work)
 	g.totals.openWork -= work
 }
 
-// requestWork is what a request asks of a server, in usual requests.
+// requestWork returns the work of a request, in typical requests.
 func (g *Gateway) requestWork(r *request) float64 {
 	w := r.class.expectedTime(r.units)
 	if g.meanTime == 0 {
@@ -158,9 +159,9 @@
 	g.updateWarmServerRate()
 }
 
-// updateReachability takes whether an attempt updateReachability its server. One that no connection reaches is down for all
-// classes; it is left alone for longer and longer, and then one request at a time finds out. An attempt that
-// began before the last failure, or before a later answer, tells nothing new.
+// updateReachability records whether an attempt reached its server. A server that no connection reaches is down for
+// all classes: it is avoided for longer and longer, and then tried by one request at a time. An attempt that began
+// before the last failure, or before a later answer, says nothing new.
 func (g *Gateway) updateReachability(s *server, a *attempt, o Outcome) {
 	switch {
 	case o == OK || o == Error || o == Rejected:
@@ -176,12 +177,13 @@
 	s.avoidUntil = g.now + time.Duration(wait*float64(time.Second))
 }
 
-// sparseness is 1 where this gateway sees fewer answers in its memory than there are servers, and less where more.
+// sparseness is 1 where this gateway gets fewer answers in its memory than there are servers, and less where it gets
+// more.
 func (g *Gateway) sparseness() float64 {
 	return min(1, g.totals.servers/max(g.answeredWork.Get(g.now)*quota.RateTimeConstant.Seconds(), 1))
 }
 
-// recordOutcome takes what an outcome says of its server.
+// recordOutcome updates what is known about an attempt's server by its outcome.
 func (g *Gateway) recordOutcome(r *request, a *attempt, e AttemptEnded) {
 	s := a.server
 	g.updateReachability(s, a, e.Outcome)
@@ -205,7 +207,7 @@
 		g.recordOwnSample(s, r, e.Latency, true, true)
 		s.lastAnswer = g.now
 	case Rejected:
-		g.recordOwnSample(s, r, e.Latency, true, false) // its queue is full: a jam as well
+		g.recordOwnSample(s, r, e.Latency, true, false) // its queue is full: overload as well
 		s.lastAnswer = g.now
 	case NoConnection, Reset:
 		g.recordOwnSample(s, r, e.Latency, true, true)
@@ -214,8 +216,9 @@
 	}
 }
 
-// removeGoneServers drops servers that are gone and of which nothing is out. A cold one stays until it would be warm,
-// so that its budget holds if it comes back; where a request may be repeated stands with its attempts.
+// removeGoneServers removes servers that are gone and have no open attempts. A cold one is kept until it would be
+// warm, so that its budget holds if it comes back. Attempts keep their server, which decides where a request may be
+// repeated.
 func (g *Gateway) removeGoneServers() {
 	removable := func(s *server) bool { return s.State == Gone && s.openAttempts == 0 && s.coldUntil <= g.now }
 	g.serversByHash = slices.DeleteFunc(g.serversByHash, removable)
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// This file decides how much a server that has just started may be sent.
+// This file limits what a recently started server is sent (slow start).
 const (
-	coldMargin           = 0.8              // of the cold budget is used: costs vary, others' traffic is guessed ...
-	maxColdLoadFactor    = 2.0              // ... and at most so many times what it can do: more is answered late
-	subsetDeviations     = 2.0              // deviations by which more gateways than the mean may keep to a cold server
-	warmRateTimeConstant = 10 * time.Second // of what is sent to a warm server: some answers of each
-	minMeanTime          = 1e-3             // seconds that a usual request takes at least, where no warm server is known
+	coldMargin           = 0.8              // share of the overload factor that is used: costs vary, others' traffic is estimated
+	maxColdLoadFactor    = 2.0              // highest multiple of a server's present capacity that is sent: more is answered late
+	subsetDeviations     = 2.0              // standard deviations over the mean number of gateways whose subsets include a server
+	warmRateTimeConstant = 10 * time.Second // time constant of the rate to a warm server: spans several answers of each
+	minMeanTime          = 1e-3             // seconds; shortest mean time assumed while no server is warm
 )
 
-// coldServerRate guards the rule on cold servers: requests a second that this gateway may send to it. What this
-// gateway sends a usual server is its own share of the fleet's traffic, so that all gateways together stay
-// within the multiple without agreement.
+// coldServerRate enforces the rule on cold servers: the requests a second that this gateway may send to one. What
+// this gateway sends a warm server is its own share of the fleet's traffic, so that all gateways together stay within
+// the overload factor without coordination.
 func (g *Gateway) coldServerRate(s *server) float64 {
 	rate := g.currentWarmRate()
-	deviation := 1.0
+	chanceFactor := 1.0
 	if n := float64(g.subsetSize()); n < g.totals.servers {
-		rate *= g.totals.servers / n // it has more of this gateway's traffic, and none of most others'
-		deviation += subsetDeviations / math.Sqrt(float64(g.cfg.Gateways)*n/g.totals.servers)
+		rate *= g.totals.servers / n // it gets more of this gateway's traffic, and none of most others'
+		chanceFactor += subsetDeviations / math.Sqrt(float64(g.cfg.Gateways)*n/g.totals.servers)
 	}
 	initial := g.cfg.Safety.ColdCapacity
 	elapsed := 1 - (s.coldUntil-g.now).Seconds()/g.cfg.Safety.ColdDuration.Seconds()
-	return coldLoadFactor(g.cfg.Safety, deviation) * (initial + (1-initial)*elapsed) * rate
+	return coldLoadFactor(g.cfg.Safety, chanceFactor) * (initial + (1-initial)*elapsed) * rate
 }
 
 func (g *Gateway) coldBudgetExhausted(s *server) bool {
@@ -38,8 +38,9 @@
 	return s.coldBudget < 1
 }
 
-// currentWarmRate is what this gateway sends a warm server, in usual requests a second. Where none is warm, as after a loss of power, it is
-// what it was before or, if that is not known, this gateway's even part of what a server can do that works on one request at a time.
+// currentWarmRate returns what this gateway sends a warm server, in typical requests a second. While none is warm, as
+// after a power failure, it is the last known rate, and at least this gateway's even share of a server's capacity at
+// one request at a time.
 func (g *Gateway) currentWarmRate() float64 {
 	if g.totals.warmServers > 0 {
 		return g.totals.warmSendRate / g.totals.warmServers
@@ -51,15 +52,15 @@
 	return max(g.warmServerRate, 1/(max(meanTime, minMeanTime)*float64(g.cfg.Gateways)))
 }
 
-// ColdLoadFactor is how many times what it can do a cold server may be sent.
+// ColdLoadFactor returns the multiple of its present capacity that a cold server may be sent.
 func ColdLoadFactor(s Safety) float64 { return coldLoadFactor(s, 1) }
 
-// coldLoadFactor is that where chance may make it so many times as much.
-func coldLoadFactor(s Safety, deviation float64) float64 {
-	return min(maxColdLoadFactor, coldMargin*s.OverloadFactor/deviation)
+// coldLoadFactor is that multiple where chance may raise the load by chanceFactor.
+func coldLoadFactor(s Safety, chanceFactor float64) float64 {
+	return min(maxColdLoadFactor, coldMargin*s.OverloadFactor/chanceFactor)
 }
 
-// updateWarmServerRate follows what a warm server is sent, for a time when none is.
+// updateWarmServerRate tracks the rate to a warm server, for times in which none is warm.
 func (g *Gateway) updateWarmServerRate() {
 	if g.totals.warmServers > 0 {
 		g.warmServerRate += (1 - math.Exp(-(g.now-g.warmServerRateAt).Seconds()/warmRateTimeConstant.Seconds())) *
@@ -68,5 +69,5 @@
 	g.warmServerRateAt = g.now
 }
 
-// WarmServerRate is what this gateway sends a warm server of late, in usual requests a second; 0: not known.
+// WarmServerRate returns the recent rate to a warm server, in typical requests a second; 0: not known.
 func (g *Gateway) WarmServerRate() float64 { return g.warmServerRate }
--- a/decide/state.go
+++ b/decide/state.go
@@ -12,9 +12,9 @@
 	"sloepick/decide/quota"
 )
 
-// The types of what a gateway keeps.
+// This file holds the state of a gateway.
 
-// Gateway decides for one gateway. Make it with New.
+// Gateway makes the decisions of one gateway. Create it with New.
 type Gateway struct {
 	cfg           Config
 	rng           *rand.Rand
@@ -24,44 +24,44 @@
 	classes       map[string]*class
 	planIndex     map[string]int
 	servers       map[string]*server
-	serversByID   []*server // by ID
-	serversByHash []*server // in this gateway's own order, by luck
+	serversByID   []*server
+	serversByHash []*server // in this gateway's own order: see rendezvousHash
 	requests      map[string]*request
 	timers        map[uint64]timerRef
 	nextToken     uint64
 	quota         *quota.Tracker
 	retryBudget   float64
-	answeredWork  quota.Rate // answers of all servers
-	meanTime      float64    // usual time of what is sent, seconds
-	minTarget     float64    // shortest aim of a class, seconds
-	meanValue     float64    // usual worth per unit of work of what is let in
+	answeredWork  quota.Rate // rate of work that all servers answered, in typical requests
+	meanTime      float64    // mean time of the requests sent, seconds: that of a typical request
+	minTarget     float64    // shortest latency target of a class, seconds
+	meanValue     float64    // mean worth of requests per second of work
 
-	pendingGrants    map[uint64]*request // that wait for a home, by number
+	pendingGrants    map[uint64]*request // requests that wait for a coordinator, by request number
 	lastRequestNo    uint64
-	admitShare       float64    // part of the requests that servers bear; over 1, all
-	sampleRate       quota.Rate // answers that were seen or told
+	admitShare       float64    // share of the requests that the servers can take; above 1, all
+	sampleRate       quota.Rate // rate of samples, own and reported
 	serversByKey     map[uint64]*server
-	grantRequestRate quota.Rate            // questions that came in
-	meanRoundTrip    time.Duration         // usual time of a home's answer
-	silentUntil      map[int]time.Duration // homes that gave no answer, until then
+	grantRequestRate quota.Rate            // rate of received grant requests
+	meanRoundTrip    time.Duration         // mean round trip to a coordinator
+	silentUntil      map[int]time.Duration // until when coordinators that did not answer are skipped, by rank
 	totals           serverTotals
 
-	lastPeerMessage, lastPeerProbe time.Duration // when any word came; when one was last asked for that no request waits for
-	silentTimeouts                 int           // questions in a row in whose time no word came
+	lastPeerMessage, lastPeerProbe time.Duration // last message of any peer; last probe of one
+	silentTimeouts                 int           // grant requests in a row that timed out without a message of any peer
 
-	warmServerRate   float64       // usual requests a second that a warm server was sent of late, or before the start ...
+	warmServerRate   float64       // recent rate to a warm server, or the one before the start, in typical requests a second ...
 	warmServerRateAt time.Duration // ... as of then
 }
 
 type class struct {
 	Class
 	index       int
-	meanTime    float64             // usual seconds of an answer
-	answers     float64             // answers seen
-	timeByUnits latencymodel.Linear // how it goes with the units
+	meanTime    float64 // seconds of an answer
+	answers     float64
+	timeByUnits latencymodel.Linear // how the time depends on the units
 }
 
-// expectedTime is the expectedTime time in seconds of an answer to a request of so many units.
+// expectedTime returns the time in seconds that an answer to a request of that many units should take.
 func (k *class) expectedTime(units float64) float64 {
 	return max(k.meanTime, 1e-6) * k.timeByUnits.RelativeTime(units)
 }
@@ -74,19 +74,19 @@
 
 type server struct {
 	Server
-	slowFactor, meanLoad           float64 // times the usual time of a class; its usual load
+	slowFactor, meanLoad           float64 // relative to a class's expected time; mean of openWork
 	slowFactorAt                   time.Duration
 	openAttempts                   int
-	openWork                       float64 // of the attempts out and of the ghosts, in usual requests
+	openWork                       float64 // of the open and the abandoned attempts, in typical requests
 	abandoned                      []abandonedAttempt
-	missRates                      []timedValue // by class: share left or failed, and when that was known
+	missRates                      []timedValue // by class: share left unanswered or failed
 	key                            uint64       // its name in messages
-	hash                           uint64       // its place in this gateway's order
+	hash                           uint64       // its position in this gateway's order
 	sendRate                       quota.Rate
 	lastAnswer, coldBudgetAt       time.Duration
-	coldBudget                     float64       // cold budget, in requests
-	connectFailures                int           // attempts in a row that no connection was made for
-	lastConnectFailure, avoidUntil time.Duration // when the last one failed; the server is left alone until then
+	coldBudget                     float64       // in typical requests
+	connectFailures                int           // attempts in a row without a connection
+	lastConnectFailure, avoidUntil time.Duration // when the last one failed; the server is avoided until then
 	coldUntil                      time.Duration
 }
 
@@ -96,13 +96,13 @@
 	at    time.Duration
 }
 
-// abandonedAttempt is an attempt that ended unanswered and may still run.
+// abandonedAttempt is an attempt that ended without an answer and may still run.
 type abandonedAttempt struct {
-	sentAt time.Duration // when it was sent
+	sentAt time.Duration
 	work   float64
 }
 
-// serverTotals counts the servers at each beat and each change of the list, so that no request needs to.
+// serverTotals sums up the servers at each tick and each change of the list, so that no request needs to.
 type serverTotals struct {
 	servers, warmServers, warmSendRate, openWork float64
 }
@@ -111,7 +111,7 @@
 	server            *server
 	index             int
 	sentAt            time.Duration
-	ended, mayHaveRun bool // ran: it may have run
+	ended, mayHaveRun bool
 	work              float64
 }
 
@@ -122,7 +122,7 @@
 	purpose   timerPurpose
 }
 
-// timerPurpose is what a timer of an attempt is about.
+// timerPurpose is what the timer of a request is for.
 type timerPurpose int
 
 const (
@@ -136,21 +136,21 @@
 	class                     *class
 	customer                  *quota.Customer
 	units                     float64
-	expires                   time.Duration // no use after this
+	expires                   time.Duration // an answer is of no use after this
 	attempts                  []*attempt
 	openAttempts              int
 	streaming, finished       bool
-	shedByLoad                bool   // the servers are pressed
-	requestNo                 uint64 // of the question to the home
-	grantTries                int    // questions put
+	shedByLoad                bool   // refused because of the servers' load
+	requestNo                 uint64 // identifies its grant requests
+	grantTries                int    // grant requests sent or skipped, two per coordinator
 	firstAskedAt, lastAskedAt time.Duration
 	awaitingGrant             bool
-	grantedBy                 int     // the home that let it in, or -1
-	retryServer               *server // a further attempt is to go to it after a wait; nil: none
-	extraUnits                float64 // units used beyond those told at first
+	grantedBy                 int     // rank of the coordinator that granted it, or -1
+	retryServer               *server // server of the retry whose backoff has not ended; nil: none
+	extraUnits                float64 // units used beyond those of the request
 }
 
-const tickToken = 1 // timer of the beat; tokens above it name attempts and questions
+const tickToken = 1 // token of the timer of the tick; those above it belong to requests
 
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
@@ -179,9 +179,9 @@
 	return g, nil
 }
 
-// setTimer sets a timer for an attempt, or for a question that the number -1 stands for.
-func (g *Gateway) setTimer(id string, n int, at time.Duration, why timerPurpose) {
-	g.timers[g.nextToken] = timerRef{id, n, at, why}
+// setTimer sets a timer for an attempt, or for a grant request if the attempt is -1.
+func (g *Gateway) setTimer(id string, n int, at time.Duration, purpose timerPurpose) {
+	g.timers[g.nextToken] = timerRef{id, n, at, purpose}
 	g.emit(SetTimer{at, g.nextToken})
 	g.nextToken++
 }
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// ensureServer finds a ensureServer, or makes it.
+// ensureServer returns the server of that ID, creating it if needed.
 func (g *Gateway) ensureServer(id string) *server {
 	if s := g.servers[id]; s != nil {
 		return s
@@ -212,18 +212,18 @@
 	return s
 }
 
-// Allowance reads a customer's bucket. It changes nothing. It reports false for a plan without a rate; a customer that is not
-// known here is told the bucket of one that was not seen for long.
+// Allowance returns what a customer's bucket has room for. It changes nothing. It reports false for a plan without a
+// rate; a customer that is not known here gets the allowance of one without recent requests.
 func (g *Gateway) Allowance(now time.Duration, customer, plan string) (Allowance, bool) {
-	no, ok := g.planIndex[plan]
+	planIndex, ok := g.planIndex[plan]
 	if !ok {
 		return Allowance{}, false
 	}
-	return g.quota.Allowance(now, peermsg.Key(customer), no)
+	return g.quota.Allowance(now, peermsg.Key(customer), planIndex)
 }
 
-// AppendChanged appends to a list what changed of the customers' buckets since it was last taken, so many at most; the others wait
-// for the next call. There is nothing unless Config.Remember is set.
+// AppendChanged appends to list the customers' buckets that changed since they were last returned, at most limit of
+// them; the others wait for the next call. There are none unless Config.TrackChanges is set.
 func (g *Gateway) AppendChanged(list []BucketSnapshot, limit int) []BucketSnapshot {
 	return g.quota.AppendChanged(list, limit)
 }
