--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -31,7 +31,7 @@
 			OverloadWindow: time.Second}}
 }
 
-// rig drives a gateway by hand.
+// rig drives one gateway step by step.
 type rig struct {
 	t   *testing.T
 	g   *Gateway
@@ -75,18 +75,18 @@
 	return out
 }
 
-// send asks and fails the test unless the request is sent on.
+// send makes a request and fails the test unless it is sent to a server.
 func (r *rig) send(class, plan string) (string, SendAttempt) {
 	r.t.Helper()
 	id, acts := r.request(class, plan, "c", 1)
 	s := actionsOf[SendAttempt](acts)
 	if len(s) != 1 {
-		r.t.Fatalf("%s on %s: got %#v, want one Send", class, plan, acts)
+		r.t.Fatalf("%s on %s: got %#v, want one SendAttempt", class, plan, acts)
 	}
 	return id, s[0]
 }
 
-// serve asks, answers at once if the request is sent on, and tells whether it was.
+// serve makes a request, answers it at once if it is sent, and reports whether it was.
 func (r *rig) serve(class, plan, customer string, units float64) bool {
 	id, acts := r.request(class, plan, customer, units)
 	s := actionsOf[SendAttempt](acts)
@@ -108,8 +108,8 @@
 			admitted++
 		}
 	}
-	// A third of the mark of 12, of which half counts as used after a start; a request may fill a third of its
-	// own units over it.
+	// A third of the burst of 12, half of which counts as used after a start; a request may exceed it by a third of
+	// its own units.
 	if admitted < 1 || admitted > 3 {
 		t.Errorf("admitted %d at once after a start, want 1 to 3", admitted)
 	}
@@ -138,20 +138,20 @@
 	before = c.Level
 	r.end(id, 0, s.Server, NotSent)
 	if got := before - c.Level; got != 1 {
-		t.Errorf("a moot send gave back %v, want 1", got)
+		t.Errorf("an attempt that was not sent gave back %v, want 1", got)
 	}
 	id, _ = r.send("pay", "wide")
 	before = c.Level
 	r.end(id, 0, "s1", Error)
 	if c.Level != before {
-		t.Errorf("a failed send moved the level from %v to %v, want it kept", before, c.Level)
+		t.Errorf("a failed attempt moved the level from %v to %v, want it kept", before, c.Level)
 	}
 }
 
 func TestCeiling(t *testing.T) {
 	r := newRig(t, nil)
 	if _, acts := r.request("get", "hard", "x", 8); len(actionsOf[SendAttempt](acts)) != 0 {
-		t.Fatal("sent on from the ceiling's store at the start, when it must count as empty")
+		t.Fatal("sent a request at the start, when the ceiling's bucket must count as empty")
 	}
 	sent, start := 0.0, r.now
 	for ; r.now < start+20*time.Second; r.now += 50 * ms {
@@ -161,11 +161,11 @@
 			r.end(id, 0, s[0].Server, OK)
 		}
 		if most := 10*(r.now-start).Seconds() + 2; sent > most+1e-6 {
-			t.Fatalf("passed on %v by %v, want a third of the ceiling: %v", sent, r.now-start, most)
+			t.Fatalf("sent %v units in %v, want a third of the ceiling: %v", sent, r.now-start, most)
 		}
 	}
 	if sent < 100 {
-		t.Errorf("passed on %v in 20 s, want over 100", sent)
+		t.Errorf("sent %v units in 20 s, want over 100", sent)
 	}
 }
 
@@ -173,8 +173,8 @@
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
-		again   bool // a further attempt is allowed
-		refuse  bool // else: a refusal is allowed
+		again   bool // a retry is allowed
+		refuse  bool // otherwise: a refusal is allowed
 	}{
 		{"get", Error, true, true}, {"get", TimedOut, true, true}, {"get", Rejected, true, true},
 		{"put", Error, true, false}, {"put", Rejected, true, true}, {"put", Reset, true, false},
@@ -192,7 +192,7 @@
 		if len(more) == 1 && c.class == "put" && !c.outcome.neverRan() && (more[0].Server == "s3") != (s.Server == "s3") {
 			t.Errorf("%s after %v: sent to %s after %s, another cell", c.class, c.outcome, more[0].Server, s.Server)
 		}
-		r.g.retryBudget = 0 // no further attempts: the final answer
+		r.g.retryBudget = 0 // no retries: the final answer
 		for i := 1; len(more) == 1; i++ {
 			acts = r.end(id, i, more[0].Server, c.outcome)
 			more = actionsOf[SendAttempt](acts)
@@ -236,7 +236,7 @@
 	}
 	r.handle(ServerListUpdate{Kind: ListFailed})
 	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[SendAttempt](acts)) != 1 {
-		t.Errorf("a failed list call lost the former list: %#v", acts)
+		t.Errorf("a failed list request dropped the former list: %#v", acts)
 	}
 }
 
@@ -257,11 +257,11 @@
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
 	if most := coldMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
-		t.Errorf("cold server got %d in its first second, want %v at most", n["s1"], most)
+		t.Errorf("the cold server got %d requests in its first second, want %v at most", n["s1"], most)
 	}
 	run(10 * time.Second)
 	if n = run(2 * time.Second); n["s1"] < n["s2"]/2 {
-		t.Errorf("warm again, the server gets %d of %v", n["s1"], n)
+		t.Errorf("the server gets %d of %v once it is warm", n["s1"], n)
 	}
 }
 
@@ -281,7 +281,7 @@
 		}
 	}
 	if fails > 12 {
-		t.Errorf("%d of 200 went to a server that fails all, quickly", fails)
+		t.Errorf("%d of 200 requests went to a server that quickly fails all of them", fails)
 	}
 	all := newRig(t, nil)
 	for i := 0; i < 100; i++ {
@@ -299,7 +299,7 @@
 		}
 	}
 	if len(got) < 3 {
-		t.Errorf("only %v get requests for a fault that all servers share", got)
+		t.Errorf("only %v get requests although all servers fail alike", got)
 	}
 }
 
@@ -321,7 +321,7 @@
 		}
 	}
 	if lost > 40 {
-		t.Errorf("%d of 200 went to a server that never answers", lost)
+		t.Errorf("%d of 200 requests went to a server that never answers", lost)
 	}
 }
 
@@ -341,14 +341,14 @@
 
 func TestAbandonedAttemptsCountAsLoad(t *testing.T) {
 	r := newRig(t, nil)
-	for range int(freeOpenWork+minOpenPerServer) + 1 { // of three servers and as many gateways
+	for range int(freeOpenWork+minOpenPerServer) + 1 { // by three servers and three gateways
 		id, acts := r.request("get", "wide", "c", 1)
 		if s := actionsOf[SendAttempt](acts); len(s) == 1 {
 			r.end(id, 0, s[0].Server, Cancelled)
 		}
 	}
 	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Refuse](acts)) != 1 {
-		t.Errorf("sent on to servers that still work on what nobody waits for: %#v", acts)
+		t.Errorf("sent a request to servers that still work on abandoned attempts: %#v", acts)
 	}
 	r.now += abandonedLoadTime + time.Second
 	r.send("get", "wide")
@@ -370,10 +370,10 @@
 	id, s := r.send("get", "wide")
 	r.handle(ClientDisconnected{id})
 	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
-		t.Errorf("answered a request whose client is gone: %#v", acts)
+		t.Errorf("actions for a request whose client has left: %#v", acts)
 	}
 	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
-		t.Errorf("answered an outcome told twice: %#v", acts)
+		t.Errorf("actions for an outcome that was reported twice: %#v", acts)
 	}
 }
 
@@ -400,13 +400,14 @@
 	class    Class
 	attempts []SendAttempt
 	at       []time.Duration
-	out      map[int]bool
+	open     map[int]bool
 	mayRun   map[int]bool
 	done     bool
 }
 
-// A few requests out at one gateway are chance, not a jam: with one or two at each server of all gateways, cheap
-// work must not be shed. Once they stand for a queue at every server it is.
+// TestFewOpenRequestsAreNotShed: a few open requests at one gateway are chance, not overload. With one or two at each
+// server from all gateways together, requests of low worth must not be shed; once they amount to a queue at every
+// server, they must.
 func TestFewOpenRequestsAreNotShed(t *testing.T) {
 	var servers []Server
 	for i := range 12 {
@@ -416,11 +417,11 @@
 		c.Gateways = 4
 		c.Plans = append(c.Plans, Plan{Name: "cheap", Rate: 1000, Burst: 3000, Price: 0.1})
 	}, servers...)
-	for range 400 { // some ten answers a second, as of a small site
+	for range 400 { // about ten answers a second, as at a small site
 		r.now += 100 * ms
 		r.serve("get", "wide", "x", 1)
 	}
-	pressedBy := func(open int) bool {
+	shedWith := func(open int) bool {
 		for range open {
 			r.request("get", "wide", "x", 1)
 		}
@@ -428,17 +429,18 @@
 		_, acts := r.request("get", "cheap", "y", 1)
 		return len(actionsOf[SendAttempt](acts)) == 0
 	}
-	if pressedBy(6) { // 24 of all gateways at 12 servers
-		t.Error("cheap work is shed with two requests a server")
+	if shedWith(6) { // by all gateways 24, at 12 servers
+		t.Error("requests of low worth are shed at two open requests per server")
 	}
-	if !pressedBy(60) {
-		t.Error("cheap work is let in with twenty requests a server")
+	if !shedWith(60) {
+		t.Error("requests of low worth are admitted at twenty open requests per server")
 	}
 }
 
-// TestFastAnswersRaiseShedThreshold: where answers take a small part of the aim, bursts of open work are no reason to shed.
+// TestFastAnswersRaiseShedThreshold: where answers take a small part of the latency target, bursts of open work are
+// no reason to shed.
 func TestFastAnswersRaiseShedThreshold(t *testing.T) {
-	shedAt := func(took time.Duration) int {
+	shedAt := func(latency time.Duration) int {
 		var servers []Server
 		for i := range 12 {
 			servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -449,7 +451,7 @@
 		for range 400 {
 			r.now += 100 * ms
 			id, acts := r.request("get", "wide", "x", 1)
-			r.handle(AttemptEnded{ID: id, Server: actionsOf[SendAttempt](acts)[0].Server, Outcome: OK, Latency: took, RequestDone: true})
+			r.handle(AttemptEnded{ID: id, Server: actionsOf[SendAttempt](acts)[0].Server, Outcome: OK, Latency: latency, RequestDone: true})
 		}
 		for n := range 400 {
 			if _, acts := r.request("get", "cheap", "y", 1); len(actionsOf[SendAttempt](acts)) == 0 {
@@ -458,45 +460,49 @@
 		}
 		return 400
 	}
-	quick, usual, slow := shedAt(20*ms), shedAt(200*ms), shedAt(600*ms)
-	if quick < 3*usual || slow > usual {
-		t.Errorf("cheap work is shed from %d, %d and %d open on, want over three times as many where answers are quick", quick, usual, slow)
+	fast, usual, slow := shedAt(20*ms), shedAt(200*ms), shedAt(600*ms)
+	if fast < 3*usual || slow > usual {
+		t.Errorf("requests of low worth are shed from %d, %d and %d open ones on, want over three times as many where answers are fast",
+			fast, usual, slow)
 	}
 }
 
-// A server that is gone is forgotten once nothing of it is out, and not while it would still be cold: coming back
-// under its id must not renew its budget. Without this the tables grow with every release of the fleet.
+// TestGoneServersAreForgotten: a server that is gone is removed once it has no open attempts, but not while it would
+// still be cold, as returning under its ID must not renew its budget. Without the removal the tables grow with every
+// release of the servers.
 func TestGoneServersAreForgotten(t *testing.T) {
 	r := newRig(t, nil)
 	id, s := r.send("get", "wide")
 	r.handle(ServerListUpdate{Kind: ListFull, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
 	if len(r.g.servers) != 2 || len(r.g.serversByID) != 2 || len(r.g.serversByKey) != 2 {
-		t.Errorf("%d, %d and %d are known, want the new one and the one with an attempt out",
+		t.Errorf("%d, %d and %d servers are known, want the new one and the one with an open attempt",
 			len(r.g.servers), len(r.g.serversByID), len(r.g.serversByKey))
 	}
 	r.end(id, 0, s.Server, OK)
 	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "new", State: Gone}, {ID: "never", State: Gone}}})
 	if cold := r.g.servers["new"]; len(r.g.servers) != 1 || cold == nil || cold.State != Gone {
-		t.Errorf("known are %v, want the cold one", r.g.servers)
+		t.Errorf("the known servers are %v, want the cold one", r.g.servers)
 	}
 	r.now += r.g.cfg.Safety.ColdDuration
 	r.handle(TimerFired{Token: tickToken})
 	if len(r.g.servers)+len(r.g.serversByID)+len(r.g.serversByKey) != 0 {
-		t.Errorf("still known are %v", r.g.servers)
+		t.Errorf("servers still known: %v", r.g.servers)
 	}
 }
 
-// What is gone may be told without its cell. Where a keyed request may be repeated hangs on it, so it stays.
+// TestGoneServerKeepsItsCell: the list may omit the cell of a server that is gone. It is kept, as retries of keyed
+// requests depend on it.
 func TestGoneServerKeepsItsCell(t *testing.T) {
 	r := newRig(t, nil, Server{ID: "s", Zone: "a", Cell: 7})
 	r.send("put", "wide")
 	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s", State: Gone}}})
 	if s := r.g.servers["s"]; s.State != Gone || s.Cell != 7 || s.Zone != "a" {
-		t.Errorf("known is %+v", s.Server)
+		t.Errorf("the server is known as %+v", s.Server)
 	}
 }
 
-// A client that the quota refuses is told when it has room: sooner it would be refused again, later it waits in vain.
+// TestRetryAfterMatchesBucket: a refused client is advised to come back when its quota has room: earlier it would be
+// refused again, later it would wait for nothing.
 func TestRetryAfterMatchesBucket(t *testing.T) {
 	r := newRig(t, func(c *Config) { c.Limits.MaxRetryAfter = time.Minute })
 	r.now += time.Minute
@@ -515,10 +521,10 @@
 		r.g.quota.Now = r.now + at
 		r.g.quota.Leak(&then)
 		if hasRoom(&then, 1) != (at > wait) {
-			t.Errorf("advice is %v; room after %v: %v", wait, at, hasRoom(&then, 1))
+			t.Errorf("advised wait is %v; room after %v: %v", wait, at, hasRoom(&then, 1))
 		}
 	}
 	if c.Demand != asked || wait <= 0 {
-		t.Errorf("advice is %v", wait)
+		t.Errorf("advised wait is %v", wait)
 	}
 }
--- a/decide/eventorder_test.go
+++ b/decide/eventorder_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The tests here force one order of two events that can cross in the module. docs/design/crossings.md lists them.
+// The tests here force the order of two events that may arrive in either order. docs/design/crossings.md lists them.
 
-// fireTimers rings the timers among the actions, at the time of the latest, and returns what follows.
+// fireTimers fires the timers among the actions, at the time of the latest, and returns the actions that follow.
 func (r *rig) fireTimers(acts []Action) (out []Action) {
 	timers := actionsOf[SetTimer](acts)
 	for _, t := range timers {
@@ -19,16 +19,16 @@
 	return out
 }
 
-// rigWithPendingRetry is a request whose first attempt failed and whose next one waits.
+// rigWithPendingRetry returns a rig with a request whose first attempt failed and whose retry waits for its backoff.
 func rigWithPendingRetry(t *testing.T, deadline time.Duration) (r *rig, id string, timers []Action) {
 	t.Helper()
 	r = newRig(t, nil, Server{ID: "s1", Zone: "a"})
 	id = "q"
-	bounds := &RetryPolicy{MaxAttempts: 3, InitialBackoff: 500 * ms, RetryOn: NewOutcomeSet(Error)}
+	policy := &RetryPolicy{MaxAttempts: 3, InitialBackoff: 500 * ms, RetryOn: NewOutcomeSet(Error)}
 	sent := actionsOf[SendAttempt](r.handle(Request{ID: id, Class: "get", Plan: "wide", Customer: "c", Units: 1, GatewayCount: 3,
-		Deadline: r.now + deadline, RetryPolicy: bounds}))
+		Deadline: r.now + deadline, RetryPolicy: policy}))
 	if len(sent) != 1 {
-		t.Fatal("the request is not sent")
+		t.Fatal("the request was not sent")
 	}
 	r.now += 10 * ms
 	timers = r.end(id, 0, "s1", Error)
@@ -38,7 +38,7 @@
 	return r, id, timers
 }
 
-// TestRetryTimerSeesEventsDuringBackoff: what happened while a further attempt waited for its timer counts when the timer fires.
+// TestRetryTimerSeesEventsDuringBackoff: what happens during a backoff counts when its timer fires.
 func TestRetryTimerSeesEventsDuringBackoff(t *testing.T) {
 	for name, x := range map[string]struct {
 		meanwhile Event
@@ -72,17 +72,17 @@
 	}
 }
 
-// TestRetryTimerAfterDeadline: a timer that comes late, behind the request's time, sends nothing.
+// TestRetryTimerAfterDeadline: a timer that fires late, after the request's deadline, sends nothing.
 func TestRetryTimerAfterDeadline(t *testing.T) {
 	r, _, timers := rigWithPendingRetry(t, 2*time.Second)
 	r.now += 2 * time.Second
 	acts := r.fireTimers(timers)
 	if len(actionsOf[SendAttempt](acts)) != 0 || len(actionsOf[Refuse](acts))+len(actionsOf[Fail](acts)) != 1 {
-		t.Errorf("behind the deadline: %+v", acts)
+		t.Errorf("after the deadline: %+v", acts)
 	}
 }
 
-// TestClientDisconnectsWhileGrantIsPending: the home's word comes after the client has left, and sends nothing.
+// TestClientDisconnectsWhileGrantIsPending: a coordinator's reply that arrives after the client has left sends nothing.
 func TestClientDisconnectsWhileGrantIsPending(t *testing.T) {
 	for name, leaves := range map[string]bool{"stays": false, "leaves": true} {
 		j := newTestFleet(t, 60, func(cfg *Config) { cfg.PeerIntake = 10 })
@@ -95,7 +95,7 @@
 				}
 			}
 		}
-		for i := range 20 { // some of these gateways are the customer's homes, and ask nobody
+		for i := range 20 { // some of these gateways are the customer's coordinators and ask nobody
 			id := string([]byte{'w', byte('a' + i)})
 			before := sent
 			j.handle(i, Request{ID: id, Class: "get", Plan: "wide", Customer: "x", Units: 1,
@@ -111,7 +111,7 @@
 			j.advance(100 * ms)
 		}
 		if asked < 10 {
-			t.Fatalf("%d of 20 asked a home: the test shows nothing", asked)
+			t.Fatalf("only %d of 20 asked a coordinator: the test proves nothing", asked)
 		}
 		if want := map[bool]int{false: asked, true: 0}[leaves]; sent != want {
 			t.Errorf("%s: %d of %d were sent on", name, sent, asked)
@@ -119,37 +119,37 @@
 	}
 }
 
-// TestRetryHasWriteDeadline: a further attempt of a keyed request that may have run tells by when it must be written, by the first
-// of the windows; others tell no time.
+// TestRetryHasWriteDeadline: a retry of a keyed request that may have run has a write deadline, by the first of the
+// deduplication windows; other attempts have none.
 func TestRetryHasWriteDeadline(t *testing.T) {
 	r := newRig(t, nil)
 	began := r.now
 	id, first := r.send("put", "wide")
 	if first.WriteDeadline != 0 {
-		t.Errorf("the first attempt must be written by %v", first.WriteDeadline)
+		t.Errorf("the first attempt has the write deadline %v, want none", first.WriteDeadline)
 	}
 	r.now += 100 * ms
 	second := actionsOf[SendAttempt](r.end(id, 0, first.Server, Reset))
 	if len(second) != 1 || second[0].WriteDeadline != began+2*time.Second-targetMargin {
-		t.Fatalf("after one that may have run: %+v", second)
+		t.Fatalf("after one attempt that may have run: %+v", second)
 	}
 	r.now += 100 * ms
 	third := actionsOf[SendAttempt](r.end(id, 1, second[0].Server, Reset))
 	if len(third) != 1 || third[0].WriteDeadline != second[0].WriteDeadline {
-		t.Errorf("after two that may have run: %+v", third)
+		t.Errorf("after two attempts that may have run: %+v", third)
 	}
 	id, first = r.send("put", "wide")
 	if again := actionsOf[SendAttempt](r.end(id, 0, first.Server, NoConnection)); len(again) != 1 || again[0].WriteDeadline != 0 {
-		t.Errorf("after one that never ran: %+v", again)
+		t.Errorf("after an attempt that never ran: %+v", again)
 	}
 	id, first = r.send("get", "wide")
 	if again := actionsOf[SendAttempt](r.end(id, 0, first.Server, Reset)); len(again) != 1 || again[0].WriteDeadline != 0 {
-		t.Errorf("a safe one: %+v", again)
+		t.Errorf("retry of a safe request: %+v", again)
 	}
 }
 
-// TestUnsafeRequestNeverRunsTwice: whatever else happens while an attempt of an unsafe request is out, or after it may have run, there is no
-// other.
+// TestUnsafeRequestNeverRunsTwice: whatever happens while an attempt of an unsafe request is open, or after it may
+// have run, there is no other attempt.
 func TestUnsafeRequestNeverRunsTwice(t *testing.T) {
 	for outcome, again := range map[Outcome]bool{Error: false, Reset: false, TimedOut: false, Cancelled: false,
 		Rejected: true, NoConnection: true} {
@@ -157,10 +157,10 @@
 		id, acts := r.request("pay", "wide", "c", 1)
 		s, timers := actionsOf[SendAttempt](acts)[0], actionsOf[SetTimer](acts)
 		if len(timers) == 0 || timers[0].At >= r.now+time.Second {
-			t.Fatalf("no look at an overdue attempt: %+v", acts)
+			t.Fatalf("no timer for an overdue attempt: %+v", acts)
 		}
 		if more := actionsOf[SendAttempt](r.fireTimers([]Action{timers[0]})); len(more) != 0 {
-			t.Fatalf("a second copy: %+v", more)
+			t.Fatalf("a second attempt while the first is open: %+v", more)
 		}
 		if more := actionsOf[SendAttempt](r.end(id, 0, s.Server, outcome)); len(more) > 0 != again {
 			t.Errorf("after outcome %v: %+v", outcome, more)
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"sloepick/decide"
 )
 
-// A gateway is told what happens and says what to do; the caller does it.
+// A gateway is given events and returns actions, which the caller carries out.
 func Example() {
 	cfg := decide.Config{
 		Gateways: 1,
@@ -32,7 +32,7 @@
 			fmt.Println("refuse", a.ID)
 		}
 	}
-	// Tell the gateway how the attempt ended; Done says that its answer went to the client.
+	// Report how the attempt ended; RequestDone says that its answer went to the client.
 	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80", Outcome: decide.OK,
 		Latency: 20 * time.Millisecond, RequestDone: true})
 	// Output: send r1 to 10.0.0.1:80
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -10,7 +10,7 @@
 	"sloepick/decide/quota"
 )
 
-// testFleet is a few gateways whose messages reach each other late, some never, in an order that a seed decides.
+// testFleet is several gateways whose messages to each other are delayed, reordered and lost as a seed decides.
 type testFleet struct {
 	t               *testing.T
 	cfg             Config
@@ -18,15 +18,15 @@
 	rng             *rand.Rand
 	now             time.Duration
 	deliveries      []delivery
-	received        []int // messages that each gateway was sent
+	received        []int // messages sent to each gateway
 	admittedUnits   float64
 	refused         int
 	unitsByID       map[string]float64
 	loss            float64
-	lossByGateway   map[int]float64 // of what comes to a gateway that takes in too little
+	lossByGateway   map[int]float64 // for the messages to single gateways
 	down            map[int]bool
-	onActions       func(i int, acts []Action) // nil: nobody
-	unitsBeforeLoss float64                    // used when all were cut off last
+	onActions       func(i int, acts []Action) // may be nil
+	unitsBeforeLoss float64                    // admittedUnits when all messages began to be lost
 }
 
 type delivery struct {
@@ -95,7 +95,7 @@
 	}
 }
 
-// run plays on to a time, with a request asked for every gap at a gateway that pick names.
+// run lets the fleet run for a time, with a request every gap at the gateway that pick names.
 func (j *testFleet) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
 	for end, n := j.now+d, 0; j.now < end; n++ {
 		if i := pick(n); !j.down[i] {
@@ -108,7 +108,7 @@
 	}
 }
 
-// advance lets time advance, in turns.
+// advance lets time pass, in steps.
 func (j *testFleet) advance(d time.Duration) {
 	for next := j.now + d; j.now < next; j.now += 4 * ms {
 		var ready []delivery
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestQuotaOverAllGateways: whatever the fleet's size, what all let in stays near rate and burst while the
-// traffic shifts, and most of it is let in where it is within the quota.
+// TestQuotaOverAllGateways: whatever the fleet's size, all gateways together admit about the rate and the burst while
+// the traffic shifts between them, and most requests within the quota.
 func TestQuotaOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		for _, ask := range []float64{0.5, 4} { // times the rate
@@ -135,29 +135,29 @@
 			j.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
 			const rate, units, secs = 3.0, 2.0, 24.0
 			gap := time.Duration(units / (ask * rate) * float64(time.Second))
-			for k := 0; k < 3; k++ { // the traffic gathers on a tenth of the gateways, then on others
+			for k := 0; k < 3; k++ { // the traffic concentrates on a tenth of the gateways, then on others
 				few := max(1, n/10)
 				j.run(8*time.Second, gap, "small", units, func(int) int { return (k*few + j.rng.Intn(few)) % n })
 			}
 			maxUnits := rate*secs + 12 + 2*units
 			minUnits := 0.8 * min(ask*rate*secs, rate*secs)
 			if j.admittedUnits > 1.15*maxUnits || j.admittedUnits < minUnits {
-				t.Errorf("%d gateways, %v times the rate: used %v, want %v to %v", n, ask, j.admittedUnits, minUnits, maxUnits)
+				t.Errorf("%d gateways, %v times the rate: admitted %v units, want %v to %v", n, ask, j.admittedUnits, minUnits, maxUnits)
 			}
 		}
 	}
 }
 
-// TestQuotaWhileGatewaysAreDown: two of three gateways are stopped, or die, and their traffic comes to the third. The
-// customer's quota is still its own; and while nothing died and all are cut off from each other, it is not passed.
+// TestQuotaWhileGatewaysAreDown: two of three gateways stop, or crash, and their traffic comes to the third. The
+// customer still gets its quota; and while all are up but cut off from each other, no more than that.
 func TestQuotaWhileGatewaysAreDown(t *testing.T) {
 	const rate, units, secs = 3.0, 1.0, 20.0
 	gap := 167 * ms // twice the rate
 	for _, c := range []struct {
-		name        string
-		edit        func(j *testFleet)
-		at          func(n int) int
-		least, most float64 // of the rate
+		name               string
+		edit               func(j *testFleet)
+		at                 func(n int) int
+		minShare, maxShare float64 // of the rate
 	}{
 		{"stopped", func(j *testFleet) {
 			for i := 1; i < 3; i++ {
@@ -171,29 +171,30 @@
 		j := newTestFleet(t, 3, nil)
 		j.run(6*time.Second, gap, "small", units, func(n int) int { return n % 3 })
 		c.edit(j)
-		j.run(2*time.Second, gap, "small", units, c.at) // until it is noticed
+		j.run(2*time.Second, gap, "small", units, c.at) // until they notice
 		before := j.admittedUnits
 		j.run(secs*time.Second, gap, "small", units, c.at)
-		if got := (j.admittedUnits - before) / (rate * secs); got < c.least || got > c.most {
-			t.Errorf("%s: %.2f of the quota was let in, want %.2f to %.2f", c.name, got, c.least, c.most)
+		if got := (j.admittedUnits - before) / (rate * secs); got < c.minShare || got > c.maxShare {
+			t.Errorf("%s: %.2f of the quota was admitted, want %.2f to %.2f", c.name, got, c.minShare, c.maxShare)
 		}
 	}
 }
 
-// TestCoordinatorsShareOneBucket: most of what comes to a flooding customer's first home is lost, so that many ask the
-// second one: both together grant the quota once.
+// TestCoordinatorsShareOneBucket: most messages to the first coordinator of a customer over its quota are lost, so
+// that many gateways ask the second one: both together grant the quota once.
 func TestCoordinatorsShareOneBucket(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	j.lossByGateway = map[int]float64{j.gateways[0].quota.Coordinator(peermsg.Key("x"), 0): 0.6}
 	const rate, burst, units, secs = 3.0, 12.0, 2.0, 30.0
 	j.run(secs*time.Second, 100*ms, "small", units, func(int) int { return j.rng.Intn(300) })
 	if most := 1.35 * (rate*secs + burst); j.admittedUnits > most || j.admittedUnits < 0.8*rate*secs {
-		t.Errorf("%v units let in of %v asked, want %v to %v", j.admittedUnits, units*secs*10, 0.8*rate*secs, most)
+		t.Errorf("%v units admitted of %v requested, want %v to %v", j.admittedUnits, units*secs*10, 0.8*rate*secs, most)
 	}
 }
 
-// TestInvalidGrantTotalsAreIgnored: what a home is told by one that is no home of the customer counts for nothing, nor does what a home
-// that began anew tells first; what is lost in between is made good by the next total.
+// TestInvalidGrantTotalsAreIgnored: a grant total from a gateway that does not coordinate the customer is ignored,
+// and so is the first total from a coordinator that has restarted; what was lost in between is made up for by the
+// next total.
 func TestInvalidGrantTotalsAreIgnored(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	key := peermsg.Key("x")
@@ -202,23 +203,23 @@
 	c := g.quota.Customer(key, 1)
 	before := c.FleetLevel
 	for _, step := range []struct {
-		from     int
-		given    float64
-		adds     float64
-		whatItIs string
-	}{{first, 100, 0, "the first total"}, {first, 103, 3, "a step"}, {(first + second + 1) % 300, 109, 0, "a stranger's"},
-		{first, 109, 6, "two steps, one lost"}, {first, 109, 0, "the same again"}, {first, 127, 0, "more than a burst"},
+		from  int
+		total float64
+		adds  float64
+		name  string
+	}{{first, 100, 0, "the first total"}, {first, 103, 3, "a step"}, {(first + second + 1) % 300, 109, 0, "of no coordinator"},
+		{first, 109, 6, "two steps, one of them lost"}, {first, 109, 0, "a repetition"}, {first, 127, 0, "more than a burst"},
 		{first, 4, 5, "a step over the wrap"}} {
-		text := peermsg.CustomerMessage{Kind: 'g', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{step.given}}.Encode(0)
+		text := peermsg.CustomerMessage{Kind: 'g', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{step.total}}.Encode(0)
 		g.Handle(j.now, PeerMessage{From: step.from, Text: text})
 		if got := c.FleetLevel - before; got != step.adds {
-			t.Errorf("%s: the bucket rose by %v, want %v", step.whatItIs, got, step.adds)
+			t.Errorf("%s: the bucket rose by %v, want %v", step.name, got, step.adds)
 		}
 		before = c.FleetLevel
 	}
 }
 
-// TestMessagesStayWithinIntake: one customer that asks for many times its quota at all of 300 gateways.
+// TestMessagesStayWithinIntake: a customer makes many times the requests of its quota at each of 300 gateways.
 func TestMessagesStayWithinIntake(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	j.run(12*time.Second, 4*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
@@ -233,11 +234,11 @@
 	}
 }
 
-// TestCeilingOverAllGateways: under restarts of most gateways the sum over all stays under the ceiling.
+// TestCeilingOverAllGateways: while most gateways restart repeatedly, all together stay under the ceiling.
 func TestCeilingOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		j := newTestFleet(t, n, nil)
-		store, last, used := 60.0, j.now, 0.0
+		tokens, last, used := 60.0, j.now, 0.0
 		for k := 0; k < 60; k++ {
 			if k%10 == 5 {
 				for i := range j.gateways {
@@ -247,18 +248,18 @@
 				}
 			}
 			j.run(100*ms, 10*ms, "hard", 4, func(int) int { return j.rng.Intn(n) })
-			store = min(60, store+30*(j.now-last).Seconds()) - (j.admittedUnits - used)
-			if last, used = j.now, j.admittedUnits; store < -6 {
-				t.Fatalf("%d gateways: the ceiling's store fell to %v, want -6 at least", n, store)
+			tokens = min(60, tokens+30*(j.now-last).Seconds()) - (j.admittedUnits - used)
+			if last, used = j.now, j.admittedUnits; tokens < -6 {
+				t.Fatalf("%d gateways: the ceiling's bucket fell to %v, want -6 at least", n, tokens)
 			}
 		}
 		if j.admittedUnits < 30 {
-			t.Errorf("%d gateways: passed on %v in 6 s under a ceiling of 30 a second", n, j.admittedUnits)
+			t.Errorf("%d gateways: sent %v units in 6 s under a ceiling of 30 a second", n, j.admittedUnits)
 		}
 	}
 }
 
-// TestBothCoordinatorsDown: with both homes of a customer down, the bucket of each gateway decides.
+// TestBothCoordinatorsDown: while both coordinators of a customer are down, the bucket of each gateway decides.
 func TestBothCoordinatorsDown(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	key := peermsg.Key("x")
@@ -267,25 +268,26 @@
 	}
 	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
 	if j.admittedUnits < 20 {
-		t.Errorf("used %v of 60 with both homes down, want 20 or more", j.admittedUnits)
+		t.Errorf("admitted %v of 60 units with both coordinators down, want 20 or more", j.admittedUnits)
 	}
 	j.down = map[int]bool{}
 	before := j.admittedUnits
 	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
 	if got := j.admittedUnits - before; got < 24 {
-		t.Errorf("used %v of 30 asked after the homes came back, want 24 or more", got)
+		t.Errorf("admitted %v of 30 units after the coordinators came back, want 24 or more", got)
 	}
 }
 
-// TestInvalidCustomerMessagesAreIgnored: words that are malformed, of unknown plans or come to the wrong home change nothing.
+// TestInvalidCustomerMessagesAreIgnored: messages that are malformed, name an unknown plan or are for another
+// coordinator change nothing.
 func TestInvalidCustomerMessagesAreIgnored(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	key := peermsg.Key("x")
 	coordinator := j.gateways[j.gateways[0].quota.Coordinator(key, 0)]
-	ask := peermsg.CustomerMessage{Kind: 'a', Key: key, Plan: 1, RequestNo: 7, NumValues: 1, Values: [4]float64{2}}
-	other := ask
+	request := peermsg.CustomerMessage{Kind: 'a', Key: key, Plan: 1, RequestNo: 7, NumValues: 1, Values: [4]float64{2}}
+	other := request
 	other.Plan = 40
-	for _, text := range []string{"", "a", ask.Encode(0)[:11], ask.Encode(0) + "!!", "Z" + ask.Encode(0)[1:], other.Encode(0),
+	for _, text := range []string{"", "a", request.Encode(0)[:11], request.Encode(0) + "!!", "Z" + request.Encode(0)[1:], other.Encode(0),
 		peermsg.CustomerMessage{Kind: 'a', Key: key + 1, Plan: 1, NumValues: 1}.Encode(0),
 		peermsg.CustomerMessage{Kind: 'r', Key: key, NumValues: 4}.Encode(0),
 		peermsg.CustomerMessage{Kind: 'a', Key: key, Plan: 1, NumValues: 1, Values: [4]float64{-2}}.Encode(0)} {
@@ -295,18 +297,18 @@
 		}
 	}
 	for _, from := range []int{-1, 300, coordinator.quota.Rank} {
-		if acts := coordinator.Handle(j.now, PeerMessage{From: from, Text: ask.Encode(0)}); len(acts) != 0 {
+		if acts := coordinator.Handle(j.now, PeerMessage{From: from, Text: request.Encode(0)}); len(acts) != 0 {
 			t.Errorf("from %d: got %#v", from, acts)
 		}
 	}
-	first := coordinator.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
-	second := coordinator.Handle(j.now, PeerMessage{From: 9, Text: ask.Encode(0)})
+	first := coordinator.Handle(j.now, PeerMessage{From: 9, Text: request.Encode(0)})
+	second := coordinator.Handle(j.now, PeerMessage{From: 9, Text: request.Encode(0)})
 	if len(first) != 1 || len(second) != 1 || coordinator.quota.Find(key).FleetLevel > quota.InitialFill*12+2 {
-		t.Errorf("the same question twice: %#v, %#v, whole %v", first, second, coordinator.quota.Find(key).FleetLevel)
+		t.Errorf("the same grant request twice: %#v, %#v, level %v", first, second, coordinator.quota.Find(key).FleetLevel)
 	}
 }
 
-// TestGrantWaitEndsBeforeDeadline: with both homes silent a request is still answered before its client leaves.
+// TestGrantWaitEndsBeforeDeadline: if neither coordinator replies, a request is still answered before its client leaves.
 func TestGrantWaitEndsBeforeDeadline(t *testing.T) {
 	g := newTestFleet(t, 300, nil).gateways[4]
 	until := time.Hour + 30*ms
@@ -323,8 +325,8 @@
 	t.Errorf("no answer by the deadline: %#v", acts)
 }
 
-// TestPeerSamplesReduceAdmission: a gateway that is told that most answers are missed lets in less, before it has
-// met the jam itself, and opens again when they come.
+// TestPeerSamplesReduceAdmission: a gateway that receives reports of mostly missed answers admits less, before it has
+// met the overload itself, and admits all again after reports of answers that came.
 func TestPeerSamplesReduceAdmission(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	g := j.gateways[3]
@@ -336,7 +338,7 @@
 			g.Handle(j.now, PeerMessage{From: 9, Text: w.Encode(0)})
 		}
 	}
-	asked := func() (n int) {
+	grantRequests := func() (n int) {
 		for i := 0; i < 100; i++ {
 			id := fmt.Sprint(j.now, i)
 			n += len(actionsOf[SendToPeer](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
@@ -345,16 +347,17 @@
 		return n
 	}
 	report(true, 40)
-	if n := asked(); n > 40 {
-		t.Errorf("%d of 100 asked for after 40 missed answers, want 40 at most", n)
+	if n := grantRequests(); n > 40 {
+		t.Errorf("grants were requested for %d of 100 after 40 missed answers, want 40 at most", n)
 	}
 	report(false, 120)
-	if n := asked(); n < 90 {
-		t.Errorf("%d of 100 asked for after 120 answers that came, want 90 or more", n)
+	if n := grantRequests(); n < 90 {
+		t.Errorf("grants were requested for %d of 100 after 120 answers that came, want 90 or more", n)
 	}
 }
 
-// TestServerFailingOneClassIsAvoided: told that a server leaves one class, a gateway sends it the others only.
+// TestServerFailingOneClassIsAvoided: a server that leaves requests of one class unanswered is sent the other classes
+// only.
 func TestServerFailingOneClassIsAvoided(t *testing.T) {
 	r := newRig(t, nil)
 	for i := 0; i < 8; i++ {
@@ -370,7 +373,7 @@
 		}
 	}
 	if got["pays1"] > 0 {
-		t.Errorf("sent %d of a class to a server that leaves it: %v", got["pays1"], got)
+		t.Errorf("sent %d requests of a class to a server that does not answer it: %v", got["pays1"], got)
 	}
 }
 
--- a/decide/peerloss_test.go
+++ b/decide/peerloss_test.go
@@ -9,8 +9,8 @@
 	"sloepick/decide/peermsg"
 )
 
-// runCustomers plays requests of many customers, one each gap, at gateways drawn at random. What becomes of each is told
-// with how long it waited.
+// runCustomers sends requests of many customers to random gateways, one every gap, and reports for each request
+// whether it was sent and how long it waited.
 func (j *testFleet) runCustomers(d, gap time.Duration, plan string, units float64, customer func(n int) string,
 	seen func(customer string, sent bool, waited time.Duration)) {
 	type open struct {
@@ -18,7 +18,7 @@
 		at       time.Duration
 	}
 	asked := map[string]open{}
-	watch := func(i int, acts []Action) {
+	onActions := func(i int, acts []Action) {
 		for _, a := range acts {
 			id, sent := "", false
 			switch a := a.(type) {
@@ -33,7 +33,7 @@
 			}
 		}
 	}
-	j.onActions = watch
+	j.onActions = onActions
 	defer func() { j.onActions = nil }()
 	for end, n := j.now+d, 0; j.now < end; n++ {
 		id, c := fmt.Sprint("c", j.now, "-", n), customer(n)
@@ -45,18 +45,19 @@
 	}
 }
 
-// TestGatewaysWithoutPeersDecideImmediately: from one moment on no gateway hears another. After its first silent questions none lets requests
-// wait for a word; customers that keep to their quotas are let in, those that were known to flood are not let in more than their
-// quota bears, give or take; and when words come again homes decide again.
+// TestGatewaysWithoutPeersDecideImmediately: all messages between gateways are lost from one moment on. After the
+// first unanswered grant requests no gateway lets requests wait for a reply; customers within their quotas are
+// admitted, those known to be over their quotas get about what their quotas allow; and once messages arrive again
+// coordinators decide again.
 func TestGatewaysWithoutPeersDecideImmediately(t *testing.T) {
 	j := newTestFleet(t, 60, func(cfg *Config) { cfg.PeerIntake = 10 })
-	pick := func(n int) string { // one in two is of a customer at eight times its rate, the others of forty that ask little
+	pick := func(n int) string { // half of the requests are of a customer at eight times its rate, the others of forty that ask little
 		if n%2 == 0 {
 			return "flood"
 		}
 		return fmt.Sprint("calm", j.rng.Intn(40))
 	}
-	type tally struct{ asked, sent, waited, late int }
+	type tally struct{ asked, sent, waited, timedOut int }
 	runMixed := func(d time.Duration) map[bool]*tally {
 		got := map[bool]*tally{true: {}, false: {}}
 		j.runCustomers(d, 40*ms, "small", 2, pick, func(c string, sent bool, waited time.Duration) {
@@ -69,7 +70,7 @@
 				x.waited++
 			}
 			if waited > 60*ms {
-				x.late++
+				x.timedOut++
 			}
 		})
 		return got
@@ -78,26 +79,26 @@
 	j.loss = 1
 	runMixed(10 * time.Second) // until all have noticed
 	afterLoss := runMixed(6 * time.Second)
-	for flooding, x := range afterLoss {
-		if x.late > x.asked/10 {
-			t.Errorf("flooding %v: %d of %d waited for a word that can't come", flooding, x.late, x.asked)
+	for overQuota, x := range afterLoss {
+		if x.timedOut > x.asked/10 {
+			t.Errorf("over quota %v: %d of %d waited for a reply that can't come", overQuota, x.timedOut, x.asked)
 		}
 	}
 	if x := afterLoss[false]; x.sent < x.asked*8/10 {
-		t.Errorf("%d of %d within their quotas let in", x.sent, x.asked)
+		t.Errorf("%d of %d requests within their quotas were admitted", x.sent, x.asked)
 	}
 	if x := afterLoss[true]; x.sent > x.asked*4/10 {
-		t.Errorf("%d of %d let in of a customer at eight times its rate", x.sent, x.asked)
+		t.Errorf("%d of %d requests were admitted of a customer at eight times its rate", x.sent, x.asked)
 	}
 	j.loss = 0.05
 	runMixed(2 * time.Second)
 	if x := runMixed(6 * time.Second)[false]; x.sent < x.asked*8/10 || x.waited < x.asked*8/10 {
-		t.Errorf("after it %d of %d were let in and %d asked their homes", x.sent, x.asked, x.waited)
+		t.Errorf("afterwards %d of %d were admitted and %d asked their coordinators", x.sent, x.asked, x.waited)
 	}
 }
 
-// TestOverQuotaCustomersAreThinned: without homes, of customers that are told to flood that part is let in that their quotas bear, and of
-// others all.
+// TestOverQuotaCustomersAreThinned: without coordinators, customers reported to be over their quotas get the share of
+// their requests that the quotas allow, and others get all of them.
 func TestOverQuotaCustomersAreThinned(t *testing.T) {
 	g := newTestFleet(t, 300, nil).gateways[4]
 	g.silentTimeouts = peersLostAfter
@@ -110,7 +111,7 @@
 					Reports: [peermsg.MaxReports]peermsg.OverQuotaReport{{Key: peermsg.Key(id) & peermsg.CustomerKeyMask,
 						AllowedShare: allowed, At: time.Hour}}}
 				g.Handle(time.Hour, PeerMessage{From: 9, Text: w.Encode(time.Hour)})
-				g.silentTimeouts = peersLostAfter // that was told before
+				g.silentTimeouts = peersLostAfter // what was reported before still holds
 			}
 			sent += len(actionsOf[SendAttempt](g.Handle(time.Hour, Request{ID: id, Class: "get", Plan: "small", Customer: id, Units: 1,
 				Deadline: time.Hour + time.Second, GatewayCount: 300})))
@@ -118,18 +119,19 @@
 			g.Handle(time.Hour, ClientDisconnected{ID: id})
 		}
 		if got := float64(sent) / 400; got < 0.8*allowed || got > 1.2*allowed {
-			t.Errorf("%.2f let in where %.2f is borne", got, allowed)
+			t.Errorf("%.2f of the requests admitted where the quota allows %.2f", got, allowed)
 		}
 	}
 }
 
-// TestCeilingDuringMessageLoss: a customer asks for far more than its ceiling at all gateways of its set, some of which are cut off from
-// its home, all of them, and none again: what all pass on stays under the ceiling throughout, and some passes.
+// TestCeilingDuringMessageLoss: a customer asks for far more than its ceiling at all its gateways, while some of them
+// are cut off from its coordinator, then all, then none, repeatedly: what all admit stays under the ceiling
+// throughout, and some is admitted.
 func TestCeilingDuringMessageLoss(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	const set = 7
 	j.lossByGateway = map[int]float64{}
-	store, last, used := 60.0, j.now, 0.0
+	tokens, last, used := 60.0, j.now, 0.0
 	for k := range 240 {
 		switch k % 80 {
 		case 20:
@@ -149,20 +151,21 @@
 				Deadline: j.now + time.Second, GatewayCount: set})
 			j.advance(10 * ms)
 		}
-		store = math.Min(60, store+30*(j.now-last).Seconds()) - (j.admittedUnits - used)
-		if last, used = j.now, j.admittedUnits; store < -6 {
-			t.Fatalf("step %d: the ceiling's store fell to %v, want -6 at least", k, store)
+		tokens = math.Min(60, tokens+30*(j.now-last).Seconds()) - (j.admittedUnits - used)
+		if last, used = j.now, j.admittedUnits; tokens < -6 {
+			t.Fatalf("step %d: the ceiling's bucket fell to %v, want -6 at least", k, tokens)
 		}
 		if k%80 == 40 {
 			j.unitsBeforeLoss = j.admittedUnits
 		}
 		if k%80 == 59 && j.admittedUnits-j.unitsBeforeLoss < 4 {
-			t.Errorf("step %d: nothing let in while all are deaf", k)
+			t.Errorf("step %d: nothing admitted while all messages are lost", k)
 		}
 	}
 }
 
-// TestOverQuotaBucketsAreFilledAfterPeerLoss: as words come again, a home takes the buckets of those that flood to be full, and leaves the others as they are.
+// TestOverQuotaBucketsAreFilledAfterPeerLoss: when messages arrive again, a coordinator takes the buckets of
+// customers over their quotas to be full and leaves the others as they are.
 func TestOverQuotaBucketsAreFilledAfterPeerLoss(t *testing.T) {
 	j := newTestFleet(t, 300, nil)
 	key := peermsg.Key("x")
@@ -176,6 +179,6 @@
 	g.silentTimeouts = peersLostAfter
 	g.Handle(j.now, PeerMessage{From: 9, Text: peermsg.CustomerMessage{Kind: 'd', Key: 1, NumValues: 1}.Encode(0)})
 	if g.quota.Leak(withinQuota); overQuota.FleetLevel != overQuota.Plan.Burst || withinQuota.FleetLevel != 0 || g.peersLost() {
-		t.Errorf("buckets at %v and %v, deaf %v", overQuota.FleetLevel, withinQuota.FleetLevel, g.peersLost())
+		t.Errorf("buckets at %v and %v, peers lost %v", overQuota.FleetLevel, withinQuota.FleetLevel, g.peersLost())
 	}
 }
--- a/decide/peers_test.go
+++ b/decide/peers_test.go
@@ -31,23 +31,23 @@
 	r.handle(PeerMessage{From: 1, Text: totalsText(1, 2, entry("x", 0, 0, 900, 0))})
 	r.g.quota.Leak(c)
 	if math.Abs(c.Share-1.0/3) > 1e-9 {
-		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.Share)
+		t.Errorf("share is %v with a tenth of the demand, want the even floor", c.Share)
 	}
 	r.request("get", "wide", "x", 2700)
 	r.g.quota.Leak(c)
 	if c.Share < 0.65 || c.Share > 0.8 {
-		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.Share)
+		t.Errorf("share is %v with three quarters of the demand, want about 0.73", c.Share)
 	}
 }
 
-// TestLastTotalsOfSilentPeersCount: of a gateway that fell silent nobody knows whether it died or is cut off. The part
-// grows only by the traffic that comes here from then on, and is never over what both asked for before.
+// TestLastTotalsOfSilentPeersCount: whether a silent gateway died or is cut off is unknown. The share grows only with
+// the traffic that comes here from then on, and the last demand that the silent one reported keeps counting.
 func TestLastTotalsOfSilentPeersCount(t *testing.T) {
 	r := newRig(t, nil)
 	r.handle(PeerMessage{From: 1, Text: totalsText(1, 1, entry("x", 0, 0, 0, 0))})
 	r.handle(PeerMessage{From: 2, Text: totalsText(1, 1, entry("x", 0, 0, 0, 0))})
 	c := r.g.quota.Find(peermsg.Key("x"))
-	for n := range 100 { // all three ask alike; the last second is silent
+	for n := range 100 { // all three get the same demand; the others are silent in the last second
 		r.request("get", "wide", "x", 20)
 		if n < 75 {
 			for from := 1; from < 3; from++ {
@@ -58,26 +58,26 @@
 	}
 	r.g.quota.Leak(c)
 	if c.Share < 1.0/3 || c.Share > 0.36 {
-		t.Errorf("part is %.3f while the others are silent and the traffic is as before, want a third", c.Share)
+		t.Errorf("share is %.3f while the others are silent and the traffic is as before, want a third", c.Share)
 	}
-	for range 100 { // they died: all of it comes here
+	for range 100 { // they died: all requests come here
 		r.request("get", "wide", "x", 60)
 		r.now += 50 * ms
 	}
 	r.g.quota.Leak(c)
 	if c.Share < 0.5 || c.Share > 0.65 {
-		t.Errorf("part is %.3f with three times the traffic, want three fifths", c.Share)
+		t.Errorf("share is %.3f with three times the traffic, want three fifths", c.Share)
 	}
 }
 
-// TestLeftGatewayIsNotCounted: a stopping gateway says so; its part is shared at once and until a new life of it
-// is heard. Late words of the former life change nothing.
+// TestLeftGatewayIsNotCounted: a gateway announces that it leaves; its share is redistributed at once, until its next
+// incarnation sends totals. Late messages of the former incarnation change nothing.
 func TestLeftGatewayIsNotCounted(t *testing.T) {
 	r := newRig(t, nil)
 	leave := func(from, epoch, seq int) {
 		r.handle(PeerMessage{From: from, Text: peermsg.Totals{Epoch: epoch, Seq: seq, Leaving: true}.Encode()})
 	}
-	part := func() float64 {
+	share := func() float64 {
 		r.request("get", "wide", "x", 100)
 		c := r.g.quota.Find(peermsg.Key("x"))
 		r.g.quota.Leak(c)
@@ -87,27 +87,28 @@
 		r.handle(PeerMessage{From: from, Text: totalsText(7, 1, entry("x", 0, 0, 0, 0))})
 		r.handle(PeerMessage{From: from, Text: totalsText(7, 2, entry("x", 0, 0, 1900, 0))})
 	}
-	if got := part(); got > 0.4 {
-		t.Errorf("part is %.2f beside two that ask for much more, want the even floor", got)
+	if got := share(); got > 0.4 {
+		t.Errorf("share is %.2f beside two with much more demand, want the even floor", got)
 	}
 	leave(1, 7, 3)
-	r.handle(PeerMessage{From: 1, Text: totalsText(7, 2, entry("x", 0, 0, 1900, 0))}) // overtaken by the leave
+	r.handle(PeerMessage{From: 1, Text: totalsText(7, 2, entry("x", 0, 0, 1900, 0))}) // overtaken by the announcement
 	leave(2, 7, 3)
-	for range 3 { // it also stays so when it is not heard for long
-		if got := part(); got < 0.99 {
-			t.Errorf("part is %.2f though the others left, want all", got)
+	for range 3 { // also after a long silence
+		if got := share(); got < 0.99 {
+			t.Errorf("share is %.2f though the others left, want all", got)
 		}
 		r.now += 2 * time.Second
 	}
 	r.handle(PeerMessage{From: 1, Text: totalsText(9, 1, entry("x", 0, 0, 0, 0))})
 	r.handle(PeerMessage{From: 1, Text: totalsText(9, 2, entry("x", 0, 0, 1900, 0))})
-	leave(1, 7, 3) // of the former life, late
-	if got := part(); got > 0.4 {
-		t.Errorf("part is %.2f beside a new life of one that asks for much more, want the even floor", got)
+	leave(1, 7, 3) // of the former incarnation, late
+	if got := share(); got > 0.4 {
+		t.Errorf("share is %.2f beside a new incarnation with much more demand, want the even floor", got)
 	}
 }
 
-// TestShutdownIsAnnounced: each peer is told often enough that a loss does no harm, and by a message that it takes.
+// TestShutdownIsAnnounced: each peer gets the announcement three times, as messages may be lost, and in a format that
+// it accepts.
 func TestShutdownIsAnnounced(t *testing.T) {
 	r, announced := newRig(t, nil), map[int]int{}
 	for _, m := range actionsOf[SendToPeer](r.handle(Shutdown{})) {
@@ -116,10 +117,10 @@
 		}
 	}
 	if len(announced) != 2 || announced[1] != 3 || announced[2] != 3 {
-		t.Errorf("told %v, want gateways 1 and 2 three times each", announced)
+		t.Errorf("announced %v, want three announcements each to gateways 1 and 2", announced)
 	}
 	if acts := newRig(t, func(c *Config) { c.Gateways, c.PeerIntake = 300, 1 }).handle(Shutdown{}); len(acts) != 0 {
-		t.Errorf("where customers have homes nobody counts parts, yet it tells %#v", acts)
+		t.Errorf("in a fleet with coordinators no shares are counted, yet it announces %#v", acts)
 	}
 }
 
@@ -129,15 +130,15 @@
 	r.handle(PeerMessage{From: 2, Text: totalsText(1, 1)})
 	_, acts := r.request("get", "small", "x", 1)
 	if len(actionsOf[SendAttempt](acts)) != 1 {
-		t.Fatalf("refused though all peers told that nothing was used: %#v", acts)
+		t.Fatalf("refused though all peers reported that nothing was used: %#v", acts)
 	}
 	r.now += 100 * ms
 	r.handle(PeerMessage{From: 1, Text: totalsText(1, 2, entry("x", 1, 12, 12, 0))})
 	r.handle(PeerMessage{From: 2, Text: totalsText(1, 2)})
 	if _, acts = r.request("get", "small", "x", 1); len(actionsOf[SendAttempt](acts)) != 0 {
-		t.Errorf("sent on though a peer told that the whole burst is used")
+		t.Errorf("sent though a peer reported that the whole burst is used")
 	}
-	r.now += 2 * time.Second // the peers have fallen silent; their told use leaks away
+	r.now += 2 * time.Second // the peers have fallen silent; their reported use leaks away
 	if _, acts = r.request("get", "small", "x", 1); len(actionsOf[SendAttempt](acts)) != 1 {
 		t.Errorf("refused after two seconds of leaking: %#v", acts)
 	}
@@ -149,7 +150,7 @@
 	r.handle(PeerMessage{From: 1, Text: totalsText(1, 6, entry("x", 1, 4, 4, 0))})
 	c := r.g.quota.Find(peermsg.Key("x"))
 	for _, e := range []PeerMessage{
-		{From: 1, Text: totalsText(1, 6, entry("x", 1, 4, 4, 0))},  // again
+		{From: 1, Text: totalsText(1, 6, entry("x", 1, 4, 4, 0))},  // repeated
 		{From: 1, Text: totalsText(1, 5, entry("x", 1, 0, 0, 0))},  // late
 		{From: 0, Text: totalsText(1, 9, entry("x", 1, 9, 9, 0))},  // own rank
 		{From: 9, Text: totalsText(1, 9, entry("x", 1, 9, 9, 0))},  // no such gateway
@@ -161,14 +162,14 @@
 	} {
 		r.handle(e)
 		if c.FleetLevel != 4 {
-			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.FleetLevel)
+			t.Fatalf("after %#v the bucket of all gateways holds %v, want 4", e, c.FleetLevel)
 		}
 	}
-	r.handle(PeerMessage{From: 1, Text: totalsText(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
-	// A new life of the peer counts from 0 again, and all that it used since is news.
+	r.handle(PeerMessage{From: 1, Text: totalsText(1, 7, entry("y", 60, 9, 9, 0))}) // unknown plan
+	// A new incarnation of the peer counts from 0 again, and all that it reports as used counts.
 	r.handle(PeerMessage{From: 1, Text: totalsText(2, 1, entry("x", 1, 3, 3, 0))})
 	if c.FleetLevel != 7 {
-		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.FleetLevel)
+		t.Errorf("after the peer's restart the bucket of all gateways holds %v, want 7", c.FleetLevel)
 	}
 }
 
@@ -177,7 +178,7 @@
 	r.handle(PeerMessage{From: 1, Text: totalsText(1, 40, entry("x", 1, 700, 800, 30))})
 	r.handle(PeerMessage{From: 2, Text: totalsText(3, 50)})
 	if _, acts := r.request("get", "small", "x", 1); len(actionsOf[SendAttempt](acts)) != 0 {
-		t.Error("a restarted gateway sent on though its peers told that the burst is used up")
+		t.Error("a restarted gateway sent a request though its peers reported that the burst is used up")
 	}
 }
 
@@ -198,7 +199,7 @@
 		}
 	}
 	if reported[1] != 100 || reported[2] != 100 || reported[0] != 0 {
-		t.Errorf("told of %v customers by gateway, want 100 each for 1 and 2", reported)
+		t.Errorf("reported %v customers by gateway, want 100 each for 1 and 2", reported)
 	}
 }
 
@@ -206,16 +207,17 @@
 	r := newRig(t, nil)
 	r.send("get", "open")
 	if _, acts := r.request("get", "open", "c", 1); len(actionsOf[Refuse](acts)) != 1 {
-		t.Errorf("a second attempt out with a third of 3: got %#v, want Refuse", acts)
+		t.Errorf("a second open attempt with a third of 3: got %#v, want Refuse", acts)
 	}
 	r.end("q1", 0, "s1", OK)
 	r.send("get", "open")
 }
 
-// TestOpenCapCountsPeers: a cap of 3 is used where the traffic is, and never by more gateways than have told.
+// TestOpenCapCountsPeers: a cap of 3 can be used up where the traffic is, and only as far as the peers have reported
+// their counts.
 func TestOpenCapCountsPeers(t *testing.T) {
 	r, seq := newRig(t, nil), 0
-	tell := func(from, open int) {
+	report := func(from, open int) {
 		seq++
 		r.handle(PeerMessage{From: from, Text: totalsText(1, seq, entryWithOpen("c", 3, 0, 0, open, 0))})
 	}
@@ -233,34 +235,34 @@
 	}
 	for _, step := range []struct {
 		name   string
-		a, b   int // told by the peers; -1: nothing
+		a, b   int // reported by the peers; -1: nothing
 		passes time.Duration
 		want   int
 	}{
-		{"no peer was heard yet: a third, rounded up", -1, -1, 0, 1},
-		{"one peer was heard", 0, -1, 0, 1},
-		{"both have none out", 0, 0, 0, 3},
-		{"one has two out", 2, 0, 0, 1},
-		{"both have some out", 2, 1, 0, 0},
-		{"more than the cap by a race", 2, 2, 0, 0},
+		{"no peer has reported yet: a third, rounded up", -1, -1, 0, 1},
+		{"one peer has reported", 0, -1, 0, 1},
+		{"both have none open", 0, 0, 0, 3},
+		{"one has two open", 2, 0, 0, 1},
+		{"both have some open", 2, 1, 0, 0},
+		{"more than the cap because of a race", 2, 2, 0, 0},
 		{"one ended", 2, 0, 0, 1},
-		{"word of the ends was lost", -1, -1, 800 * ms, 3},
-		{"the peers fell silent, who asked for nothing", -1, -1, time.Second, 3},
+		{"messages about the ends were lost", -1, -1, 800 * ms, 3},
+		{"the peers fell silent without any demand", -1, -1, time.Second, 3},
 	} {
 		r.now += step.passes
 		if step.a >= 0 {
-			tell(1, step.a)
+			report(1, step.a)
 		}
 		if step.b >= 0 {
-			tell(2, step.b)
+			report(2, step.b)
 		}
 		if got := openUntilRefused(); got != step.want {
-			t.Errorf("%s: %d let out, want %d", step.name, got, step.want)
+			t.Errorf("%s: %d attempts open, want %d", step.name, got, step.want)
 		}
 	}
 }
 
-// TestOpenAttemptsAreAnnounced: peers hear of an attempt under a cap, and that it ended.
+// TestOpenAttemptsAreAnnounced: peers are informed of an attempt under a cap and of its end.
 func TestOpenAttemptsAreAnnounced(t *testing.T) {
 	r := newRig(t, nil)
 	reportedOpen := func() int {
@@ -274,11 +276,11 @@
 	}
 	id, s := r.send("get", "open")
 	if got := reportedOpen(); got != 1 {
-		t.Errorf("told of %d attempts out, want 1", got)
+		t.Errorf("reported %d open attempts, want 1", got)
 	}
 	r.end(id, 0, s.Server, OK)
 	if got := reportedOpen(); got != 0 {
-		t.Errorf("told of %d attempts out after the end, want 0", got)
+		t.Errorf("reported %d open attempts after the end, want 0", got)
 	}
 }
 
@@ -288,14 +290,15 @@
 		id, s := r.send("get", "wide")
 		r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: ms, RequestDone: true, MeteredPercentPlusOne: metered})
 		c := r.g.quota.Find(peermsg.Key("c"))
-		r.g.quota.Charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
+		r.g.quota.Charge(c, 1800) // 900 units a second over the time constant, at a rate of 1000
 		if r.g.quota.Leak(c); math.Abs(c.Share-want) > 0.01 {
-			t.Errorf("told %d: part is %v, want %v", metered, c.Share, want)
+			t.Errorf("metered %d: share is %v, want %v", metered, c.Share, want)
 		}
 	}
 }
 
-// A peer that has forgotten a customer counts anew. Its lower totals must not be taken for use given back.
+// TestPeerTotalsRestartAfterForgetting: a peer that has forgotten a customer restarts its totals. Lower totals must
+// not count as use given back.
 func TestPeerTotalsRestartAfterForgetting(t *testing.T) {
 	r := newRig(t, nil)
 	r.handle(PeerMessage{From: 1, Text: totalsText(1, 1, entry("x", 0, 0, 0, 0))})
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -10,8 +10,8 @@
 	"unicode/utf8"
 )
 
-// TestPolicyFilesAreListedAndSmall keeps what decides short enough to be read aloud, and all of it named in the deploy file: each file here but the
-// interface and the types of what is kept.
+// TestPolicyFilesAreListedAndSmall keeps the files that make the decisions small, and all of them listed in the
+// deploy file: each file here except the interface and the state.
 func TestPolicyFilesAreListedAndSmall(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("the deploy file names no policy")
+		t.Fatal("the deploy file has no policy list")
 	}
 	var policy []string
 	for _, name := range strings.Split(string(list[1]), ",") {
@@ -34,7 +34,7 @@
 			continue
 		}
 		if !slices.Contains(policy, "decide/"+name) {
-			t.Errorf("decide/%s decides and is not named under policy", name)
+			t.Errorf("decide/%s is missing in the policy list of the deploy file", name)
 		}
 	}
 	lines := 0
@@ -53,6 +53,6 @@
 		}
 	}
 	if lines > 1200 {
-		t.Errorf("%d lines that are not blank decide, want 1200 at most", lines)
+		t.Errorf("the policy files have %d lines that are not blank, want 1200 at most", lines)
 	}
 }
--- a/decide/reachability_test.go
+++ b/decide/reachability_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// rigWithUnreachableServer is a gateway whose server s1 can't be reached, and a second of whose requests is answered by the others at once.
+// rigWithUnreachableServer returns a rig and a function that runs a second of requests; unreachable servers make no
+// connection, the others answer at once.
 func rigWithUnreachableServer(t *testing.T, reachable func(id string) bool) (r *rig, second func() (sent map[string]int, refused int)) {
 	r = newRig(t, nil)
 	return r, func() (map[string]int, int) {
@@ -32,7 +33,7 @@
 }
 
 // TestUnreachableServerIsAvoided guards against a server, or a zone, that is gone for longer than the list of servers
-// knows: each class went on trying it several times a second, and each time cost a request an attempt.
+// shows: each class kept trying it several times a second, and each time cost a request an attempt.
 func TestUnreachableServerIsAvoided(t *testing.T) {
 	up := false
 	r, second := rigWithUnreachableServer(t, func(id string) bool { return id != "s1" || up })
@@ -44,10 +45,10 @@
 		}
 	}
 	if attempts > 10 || attempts < 5 {
-		t.Errorf("a server that is down for 20 s was tried %d times, want 5 (to find out that it is back) to 10", attempts)
+		t.Errorf("a server that is down for 20 s was tried %d times, want 5 (to detect that it is back) to 10", attempts)
 	}
 	up = true
-	for range 6 { // downMost and a bit
+	for range 6 { // a little longer than maxAvoidSeconds
 		second()
 	}
 	if sent, _ := second(); sent["s1"] < 5 {
@@ -59,12 +60,12 @@
 	}
 	r.handle(ServerListUpdate{Kind: ListDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - r.g.cfg.Safety.ColdDuration/2}}})
 	if s := r.g.servers["s1"]; s.avoidUntil > r.now {
-		t.Error("a server that is listed with a new start is still left alone")
+		t.Error("a server that is listed with a new start is still avoided")
 	}
 }
 
-// TestOutdatedConnectFailuresAreIgnored: what broke before an answer that came since says nothing, nor does a second failure of the
-// same moment.
+// TestOutdatedConnectFailuresAreIgnored: a failed connection of an attempt from before an answer does not count, nor
+// does a second failure of the same moment.
 func TestOutdatedConnectFailuresAreIgnored(t *testing.T) {
 	r := newRig(t, nil, Server{ID: "s1", Zone: "a"})
 	var ids []string
@@ -76,7 +77,7 @@
 	r.end(ids[0], 0, "s1", OK)
 	r.end(ids[1], 0, "s1", NoConnection)
 	if s := r.g.servers["s1"]; s.connectFailures != 0 {
-		t.Errorf("down counts %d by an attempt from before a good answer", s.connectFailures)
+		t.Errorf("%d failures counted for an attempt from before an answer", s.connectFailures)
 	}
 	r.now += 50 * ms
 	var late []string
@@ -89,11 +90,12 @@
 		r.end(id, 0, "s1", NoConnection)
 	}
 	if s := r.g.servers["s1"]; s.connectFailures != 1 {
-		t.Errorf("down counts %d by four attempts of one moment, want 1", s.connectFailures)
+		t.Errorf("%d failures counted for four attempts of one moment, want 1", s.connectFailures)
 	}
 }
 
-// TestAllServersDownAreTried: where nothing can be reached the fault may be here, and the first that can be is found.
+// TestAllServersDownAreTried: if no server can be reached the fault may be at this gateway, and the first one that is
+// back is found.
 func TestAllServersDownAreTried(t *testing.T) {
 	up := ""
 	_, second := rigWithUnreachableServer(t, func(id string) bool { return id == up })
@@ -106,7 +108,8 @@
 	}
 }
 
-// TestRetryAfterNoConnectionIsNotBudgeted: a repeat of what no server heard can't feed a jam, so the retry budget doesn't stop it.
+// TestRetryAfterNoConnectionIsNotBudgeted: a retry of an attempt that reached no server can't feed an overload, so
+// the retry budget does not stop it.
 func TestRetryAfterNoConnectionIsNotBudgeted(t *testing.T) {
 	r := newRig(t, nil)
 	for n := range 3 * int(maxRetryBudget) {
--- a/decide/restore_test.go
+++ b/decide/restore_test.go
@@ -8,7 +8,7 @@
 	"sloepick/decide/peermsg"
 )
 
-// newTrackingFleet is a fleet of four in which all tell all, that remembers.
+// newTrackingFleet returns a fleet of four that tracks changed buckets.
 func newTrackingFleet(t *testing.T, mode string) *testFleet {
 	return newTestFleet(t, fleetSize, func(c *Config) {
 		fleetConfigs[mode](c)
@@ -16,9 +16,10 @@
 	})
 }
 
-// TestRestoreAfterFleetRestart: all gateways end at once while a customer floods, and start again with what each remembers, with nothing, or
-// with what it remembered of long ago. What is let in in the seconds after it, beyond what leaked, is next to nothing with memory and
-// some half a burst without; one that had nothing used has its whole burst.
+// TestRestoreAfterFleetRestart: all gateways stop at once while a customer is over its quota, and restart with what
+// each had kept, with nothing, or with what it kept long ago. In the next seconds they admit next to nothing beyond
+// the leak with kept state, about half a burst without, and with state from long ago, which has leaked, a whole
+// burst.
 func TestRestoreAfterFleetRestart(t *testing.T) {
 	for mode := range fleetConfigs {
 		after := map[string]float64{}
@@ -28,12 +29,12 @@
 			var kept [fleetSize][]BucketSnapshot
 			for i, g := range j.gateways {
 				kept[i] = g.AppendChanged(nil, 100)
-				knows := 0 // as a home, or as all tell all
+				want := 0 // as a coordinator, or because all gateways exchange totals
 				if key := peermsg.Key("x"); mode == "mesh" || g.quota.Coordinator(key, 0) == i || g.quota.Coordinator(key, 1) == i {
-					knows = 1
+					want = 1
 				}
-				if len(kept[i]) != knows || len(g.AppendChanged(nil, 100)) != 0 {
-					t.Fatalf("%s: gateway %d tells %d changes, want %d, once", mode, i, len(kept[i]), knows)
+				if len(kept[i]) != want || len(g.AppendChanged(nil, 100)) != 0 {
+					t.Fatalf("%s: gateway %d returns %d changed buckets, want %d, once", mode, i, len(kept[i]), want)
 				}
 			}
 			for i := range j.gateways {
@@ -47,14 +48,14 @@
 			}
 			after[what] = j.runOverload(3*time.Second, allGateways...)*3 - 3*20
 		}
-		t.Logf("%s: units beyond what leaked: %v", mode, after)
+		t.Logf("%s: units admitted beyond the leak: %v", mode, after)
 		if after["kept"] > 0.4*20 || after["lost"] < 5 || after["long ago"] < 15 {
-			t.Errorf("%s: units beyond what leaked: %v", mode, after)
+			t.Errorf("%s: units admitted beyond the leak: %v", mode, after)
 		}
 	}
 }
 
-// TestRestoreOnlyRaisesLevels: what is recalled later, or is of a plan that is no more or no number, never makes a bucket emptier.
+// TestRestoreOnlyRaisesLevels: restoring later, or with an unknown plan or an invalid fill, never empties a bucket.
 func TestRestoreOnlyRaisesLevels(t *testing.T) {
 	j := newTrackingFleet(t, "mesh")
 	g := j.gateways[0]
@@ -67,7 +68,7 @@
 		{BucketSnapshot{Key: 7, Fill: -1}, 18}, {BucketSnapshot{Key: 7, Fill: 1e9}, 80}} {
 		j.handle(0, StateRestored{Buckets: []BucketSnapshot{tc.m}})
 		if c := g.quota.Find(7); c.FleetLevel != tc.want || c.Level != tc.want/4 {
-			t.Errorf("recall %d: %v units of all, %v of its own part, want %v", i, c.FleetLevel, c.Level, tc.want)
+			t.Errorf("restore %d: %v units of all gateways, %v of its own share, want %v", i, c.FleetLevel, c.Level, tc.want)
 		}
 	}
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// TestColdServerLoadOverAllGateways: of 300 gateways with two and a half requests a second each, all together send a
-// server that starts a trickle: some of what a warm one gets, less than the rule allows, and not one request each.
+// TestColdServerLoadOverAllGateways guards against cold servers that many small gateways overload together: 300
+// gateways with two and a half requests a second each send a starting server some requests, but less than the
+// overload factor allows.
 func TestColdServerLoadOverAllGateways(t *testing.T) {
 	var servers []Server
 	for i := 0; i < 20; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	cfg := testConfig()
-	cfg.Limits.PeerMessages = false // the quota is no matter here
+	cfg.Limits.PeerMessages = false // the quota doesn't matter here
 	cfg.Gateways = 300
 	cold, warm := 0, 0
 	for i := 0; i < cfg.Gateways; i++ {
@@ -44,15 +45,15 @@
 	}
 	usual := float64(warm) / 19
 	if most := cfg.Safety.OverloadFactor * 0.4 * usual; float64(cold) > most || cold == 0 {
-		t.Errorf("the cold server got %d in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
+		t.Errorf("the cold server got %d requests in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
 	}
 }
 
-// TestAllServersCold: where no server is warm, as after a loss of power, they are sent what was recalled of before, as far as they can do
-// it already, or a gateway's even part of one request at a time; and never nothing.
+// TestAllServersCold: while no server is warm, as after a power failure, servers get the rate from before the start,
+// as far as they can take it, or if it is unknown a gateway's even share of one request at a time; and never nothing.
 func TestAllServersCold(t *testing.T) {
 	sent := map[float64]int{}
-	for _, sends := range []float64{0, 5} {
+	for _, rate := range []float64{0, 5} {
 		g, err := New(testConfig(), 1)
 		if err != nil {
 			t.Fatal(err)
@@ -60,20 +61,22 @@
 		now := time.Hour
 		list := []Server{{ID: "s1", Started: now}, {ID: "s2", Started: now}, {ID: "s3", Started: now}}
 		g.Handle(now, ServerListUpdate{Kind: ListFull, Servers: list})
-		g.Handle(now, StateRestored{WarmServerRate: sends})
+		g.Handle(now, StateRestored{WarmServerRate: rate})
 		for i := range 3000 {
 			now += ms
 			id := fmt.Sprint("r", i)
-			for _, a := range g.Handle(now, Request{ID: id, Class: "get", Plan: "small", Customer: id, Units: 1, Deadline: now + time.Second}) {
+			for _, a := range g.Handle(now, Request{ID: id, Class: "get", Plan: "small", Customer: id, Units: 1,
+				Deadline: now + time.Second}) {
 				if s, ok := a.(SendAttempt); ok {
-					sent[sends]++
+					sent[rate]++
 					g.Handle(now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Latency: 100 * ms, RequestDone: true})
 				}
 			}
 		}
 	}
-	t.Logf("in 3 s sent by what was before: %v", sent)
+	t.Logf("sent in 3 s, by rate before the start: %v", sent)
 	if most := 3 * 3 * 5; sent[5] < 10 || sent[5] > most || sent[0] < 3 {
-		t.Errorf("in 3 s sent by what was before: %v, want 10 to %d, which warm ones would get, and some where nothing is known", sent, most)
+		t.Errorf("sent in 3 s, by rate before the start: %v, want 10 to %d, as warm servers get, and some where the rate is unknown",
+			sent, most)
 	}
 }
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sparseFleet is many gateways that see a few requests a second each, and the servers that these go to.
+// sparseFleet is many gateways that get a few requests a second each, and the servers that these go to.
 type sparseFleet struct {
 	gateways     []*Gateway
 	requests     int
@@ -18,7 +18,7 @@
 	t.Helper()
 	f := &sparseFleet{gateways: make([]*Gateway, gateways), sentByServer: map[string]int{}}
 	cfg := testConfig()
-	cfg.Limits.PeerMessages, cfg.Gateways = false, gateways // the quota is no matter here
+	cfg.Limits.PeerMessages, cfg.Gateways = false, gateways // the quota doesn't matter here
 	cfg.Safety.OverloadFactor = 4
 	for i := range f.gateways {
 		cfg.Rank = i
@@ -32,7 +32,8 @@
 	return f
 }
 
-// run sends each gateway a request every gap from one time to another, each answered within 50 ms, and tells which servers each met.
+// run sends each gateway a request every gap between two times, answers each within 50 ms, and returns the servers
+// that each used.
 func (f *sparseFleet) run(from, to, gap time.Duration) []map[string]bool {
 	used := make([]map[string]bool, len(f.gateways))
 	for i, g := range f.gateways {
@@ -59,14 +60,14 @@
 	return list
 }
 
-// TestSparseGatewaysUseServerSubsets: each of 300 gateways meets a few of 150 servers, all servers get about the same of all
-// together, and when half of the servers go each gateway keeps to those that it knew.
+// TestSparseGatewaysUseServerSubsets: each of 300 gateways uses a few of 150 servers, all servers get about the same
+// number of requests, and when half of the servers go each gateway keeps using those that it knew.
 func TestSparseGatewaysUseServerSubsets(t *testing.T) {
 	f := newSparseFleet(t, 300, numberedServers(0, 150, 0))
 	used := f.run(time.Second, 21*time.Second, 200*ms)
 	for i, m := range used {
 		if len(m) > minSubsetSize {
-			t.Fatalf("gateway %d met %d servers with 5 requests a second, want %d at most", i, len(m), minSubsetSize)
+			t.Fatalf("gateway %d used %d servers at 5 requests a second, want %d at most", i, len(m), minSubsetSize)
 		}
 	}
 	most, mean := 0, 0
@@ -74,7 +75,7 @@
 		most, mean = max(most, n), mean+n
 	}
 	if mean /= 150; len(f.sentByServer) != 150 || most > 5*mean/2 {
-		t.Errorf("%d of 150 servers used, %d requests at one where %d are the mean", len(f.sentByServer), most, mean)
+		t.Errorf("%d of 150 servers used; the busiest got %d requests, the mean is %d", len(f.sentByServer), most, mean)
 	}
 	for _, g := range f.gateways {
 		g.Handle(21*time.Second, ServerListUpdate{Kind: ListFull, Servers: numberedServers(0, 75, 0)})
@@ -86,17 +87,18 @@
 		}
 		for id := range used[i] {
 			if id < "s075" {
-				t.Fatalf("gateway %d knew %s, and does not keep to it after half of the others went", i, id)
+				t.Fatalf("gateway %d used %s, but not after half of the servers went", i, id)
 			}
 		}
 		if len(m) > 0 {
-			t.Fatalf("gateway %d met others too: %v", i, m)
+			t.Fatalf("gateway %d used servers outside its subset: %v", i, m)
 		}
 	}
 }
 
-// TestColdServersInSubsets: servers that start are near few gateways, whose budgets for them are so much larger: all of these together
-// get some of what warm ones get, and none as much as the rule allows in any time of its length.
+// TestColdServersInSubsets: servers that start are in the subsets of few gateways, whose budgets for them are larger
+// accordingly: they get some of what warm servers get, and none more than the overload factor allows in any overload
+// window.
 func TestColdServersInSubsets(t *testing.T) {
 	f := newSparseFleet(t, 300, numberedServers(0, 60, 0))
 	f.run(time.Second, 6*time.Second, 200*ms)
@@ -117,7 +119,8 @@
 			age := (at - starts).Seconds() / cfg.Safety.ColdDuration.Seconds()
 			can := cfg.Safety.ColdCapacity + (1-cfg.Safety.ColdCapacity)*age
 			if most := cfg.Safety.OverloadFactor * can * float64(warm) / 60; float64(f.sentByServer[s.ID]) > most {
-				t.Errorf("%s got %d in the %v from %v on, want %.0f at most", s.ID, f.sentByServer[s.ID], cfg.Safety.OverloadWindow, at-starts, most)
+				t.Errorf("%s got %d requests in the %v from %v on, want %.0f at most", s.ID,
+					f.sentByServer[s.ID], cfg.Safety.OverloadWindow, at-starts, most)
 			}
 			all += f.sentByServer[s.ID]
 		}
@@ -128,7 +131,7 @@
 	}
 }
 
-// TestServerOrderFollowsRank: two gateways have orders of their own, the same at each start.
+// TestServerOrderFollowsRank: two gateways have different orders of the servers, the same at each start.
 func TestServerOrderFollowsRank(t *testing.T) {
 	ids := func(g *Gateway) (out []string) {
 		for _, s := range g.serversByHash {
--- a/decide/work_test.go
+++ b/decide/work_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestExpectedTimeFollowsUnits guards against large requests that are sent where they can't be answered in time, and against
-// their answers passing for slowness of the server: on a site where units tell the work, one of 8 units takes eight
-// times as long as one of 1.
+// TestExpectedTimeFollowsUnits guards against large requests that are sent where they can't be answered in time, and
+// against their answers counting as slowness of the server. Here the units are the work: a request of 8 units takes
+// eight times as long as one of 1.
 func TestExpectedTimeFollowsUnits(t *testing.T) {
 	r := newRig(t, func(c *Config) { c.Classes[0].LatencyTarget = 750 * ms })
 	serve := func(units float64, took time.Duration) bool {
@@ -27,19 +27,19 @@
 	k := r.g.classes["get"]
 	for _, units := range []float64{1, 2, 4, 8} {
 		if got := k.expectedTime(units); math.Abs(got-0.075*units) > 0.2*0.075*units {
-			t.Errorf("%v units are thought to take %.3f s, want about %.3f", units, got, 0.075*units)
+			t.Errorf("%v units are expected to take %.3f s, want about %.3f", units, got, 0.075*units)
 		}
 	}
 	if !serve(6, 450*ms) {
-		t.Error("a request that takes 0.45 s was refused under an aim of 0.75 s")
+		t.Error("a request that takes 0.45 s was refused under a latency target of 0.75 s")
 	}
 	for _, s := range r.g.serversByID {
 		if x := r.g.slowness(s); x > 1.15 {
-			t.Errorf("%s passes for %.2f times slower than usual by the large requests that it served", s.ID, x)
+			t.Errorf("%s counts as %.2f times slower than usual because of the large requests that it served", s.ID, x)
 		}
 	}
 	if serve(16, 0) {
-		t.Error("a request that takes 1.2 s at least was sent on under an aim of 0.75 s")
+		t.Error("a request that takes 1.2 s at least was sent under a latency target of 0.75 s")
 	}
 	if !serve(4, 300*ms) {
 		t.Error("a request that takes 0.3 s was refused")
@@ -61,16 +61,16 @@
 	large := actionsOf[SendAttempt](acts)[0].Server
 	for range 4 {
 		if _, acts := r.request("get", "wide", "c", 1); actionsOf[SendAttempt](acts)[0].Server == large {
-			t.Errorf("a small request went to %s, which works on a large one, while the other has less to do", large)
+			t.Errorf("a small request went to %s, which works on a large one, while the other server has less work", large)
 		}
 	}
 	if out := r.g.servers[large].openWork; math.Abs(out-16.0/9) > 0.2 {
-		t.Errorf("the large request counts as %.2f usual ones, want about %.2f", out, 16.0/9)
+		t.Errorf("the large request counts as %.2f typical ones, want about %.2f", out, 16.0/9)
 	}
 }
 
-// TestOpenWorkIsReleased holds the sums of open work to what is out: what ends, by whatever outcome, takes off just what it
-// brought, and what is left to run after its client gave up counts until a later answer or ghostFor.
+// TestOpenWorkIsReleased: the sums of open work match the open attempts: an attempt that ends with any outcome
+// subtracts what it added, and an abandoned one counts until a later answer or for abandonedLoadTime.
 func TestOpenWorkIsReleased(t *testing.T) {
 	for _, o := range []Outcome{OK, Error, Rejected, TimedOut, NoConnection, Reset, Cancelled, NotSent} {
 		r := newRig(t, nil)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestColdBudgetIsInWork: a large request takes as much of a cold server's budget as the small ones that it is worth, and
-// what it may be sent is bounded by the rule's multiple and by what it can do, whichever is less.
+// TestColdBudgetIsInWork: a large request takes as much of a cold server's budget as the small ones that equal its
+// work, and what the server may be sent is bounded by the overload factor and by its capacity, whichever is less.
 func TestColdBudgetIsInWork(t *testing.T) {
 	rate := func(multiple float64) (float64, *rig, *server) {
 		r := newRig(t, func(c *Config) { c.Safety.OverloadFactor = multiple })
@@ -108,7 +108,7 @@
 	two, r, s := rate(2)
 	four, _, _ := rate(4)
 	if got, want := four/two, maxColdLoadFactor/(2*coldMargin); math.Abs(got-want) > 1e-6 {
-		t.Errorf("twice the multiple lets %.3f times as much through, want %.3f", got, want)
+		t.Errorf("twice the overload factor lets %.3f times as much through, want %.3f", got, want)
 	}
 	spend := func(units float64) float64 {
 		s.coldBudget, s.coldBudgetAt = 1, r.now
