--- a/decide/quotacheck.go
+++ b/decide/quotacheck.go
@@ -34,7 +34,7 @@
 
 // ceilingHasRoom reports whether this gateway's even share of the ceiling, empty after a start, has that many units left.
 func ceilingHasRoom(c *quota.Customer, units float64) bool {
-	return c.CeilingTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) >= units
+	return c.CeilingTokens+quota.UsableSlack*c.Plan.CeilingSlack/float64(c.GatewayCount) >= units
 }
 
 // openCapHasRoom enforces the cap on open attempts. Caps are small, so that shares of them, rounded up, add up to one
@@ -57,8 +57,8 @@
 	if p := c.Plan; p.Rate > 0 {
 		wait = max(wait, (c.Level+c.Share*(units-p.Burst))/(c.Share*p.Rate))
 	}
-	slack, fallbackShare := quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount),
-		(1-quota.CoordinatorCeilingShare)/float64(c.GatewayCount)
+	slack, fallbackShare := quota.UsableSlack*c.Plan.CeilingSlack/float64(c.GatewayCount),
+		(1-quota.CoordinatorShare)/float64(c.GatewayCount)
 	switch share := g.quota.CeilingShare(c); {
 	case c.Plan.CeilingRate == 0:
 	case share > 0:
@@ -80,7 +80,7 @@
 // isolated gateways too: coordinators may still grant to the others. The platform spreads a customer under a ceiling
 // so that half of its burst, divided evenly, holds one request.
 func (g *Gateway) admitWithoutCoordinator(c *quota.Customer, units float64) bool {
-	if c.Plan.CeilingRate > 0 && c.FallbackTokens+quota.UsableSlackShare*c.Plan.CeilingSlack/float64(c.GatewayCount) < units {
+	if c.Plan.CeilingRate > 0 && c.FallbackTokens+quota.UsableSlack*c.Plan.CeilingSlack/float64(c.GatewayCount) < units {
 		return false
 	}
 	if g.quota.Isolated && !hasRoom(c, units) || !g.quota.Isolated && !g.takeFallbackQuota(c, units) {
