--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	listLen   = 1 << 10 // bytes of a request's list of names and values
-	frameRoom = 64      // bytes that a command's headers take
+	maxListSize      = 1 << 10 // bytes of a request's list of names and values
+	encodingOverhead = 64      // bytes that a command's headers take
 )
 
 // command is a request as RESP2 has it.
 type command struct {
 	gateway.Request
-	args         [][]byte // unchanged; the list at listArg is sent on with another d
-	before, tail []byte   // of the list, round the figure of d
+	args                   [][]byte // unchanged; the list at listArg is sent on with another d
+	listPrefix, listSuffix []byte   // of the list, round the figure of d
 }
 
 // The commands' names, and the places of their arguments; a body may stand behind the list.
@@ -34,9 +34,9 @@
 	bodyArg     = 4
 )
 
-// frame is the command for a server that has so long to answer.
-func (c *command) frame(left time.Duration) []byte {
-	n := frameRoom
+// encode is the command for a server that has so long to answer.
+func (c *command) encode(remaining time.Duration) []byte {
+	n := encodingOverhead
 	for _, a := range c.args {
 		n += len(a)
 	}
@@ -48,40 +48,40 @@
 			continue
 		}
 		var digits [20]byte
-		d := strconv.AppendInt(digits[:0], int64(max(left/time.Millisecond, 1)), 10)
+		timeout := strconv.AppendInt(digits[:0], int64(max(remaining/time.Millisecond, 1)), 10)
 		b = append(b, '$')
-		b = strconv.AppendInt(b, int64(len(c.before)+len(d)+len(c.tail)), 10)
+		b = strconv.AppendInt(b, int64(len(c.listPrefix)+len(timeout)+len(c.listSuffix)), 10)
 		b = append(b, '\r', '\n')
-		b = append(append(append(b, c.before...), d...), c.tail...)
+		b = append(append(append(b, c.listPrefix...), timeout...), c.listSuffix...)
 		b = append(b, '\r', '\n')
 	}
 	return b
 }
 
-// commandOf is a request as nodes take it: as its client sent it, where that was by RESP2.
-func commandOf(v *gateway.Request) *command {
-	if c, ok := v.Native.(*command); ok {
+// commandFor is a request as nodes take it: as its client sent it, where that was by RESP2.
+func commandFor(req *gateway.Request) *command {
+	if c, ok := req.Native.(*command); ok {
 		return c
 	}
 	name := askName
-	if v.Write {
+	if req.Write {
 		name = doName
 	}
-	c := &command{before: append(append(append(append([]byte("c="), v.Class...), ",t="...), v.Plan...), ",d="...)}
-	if v.Key != "" {
-		c.tail = append(append(c.tail, ",k="...), v.Key...)
+	c := &command{listPrefix: append(append(append(append([]byte("c="), req.Class...), ",t="...), req.Plan...), ",d="...)}
+	if req.Key != "" {
+		c.listSuffix = append(append(c.listSuffix, ",k="...), req.Key...)
 	}
-	if v.ClientRetry {
-		c.tail = append(c.tail, ",r=1"...)
+	if req.ClientRetry {
+		c.listSuffix = append(c.listSuffix, ",r=1"...)
 	}
-	c.tail = strconv.AppendFloat(append(c.tail, ",units="...), v.Units, 'f', -1, 64)
-	if v.GatewayCount > 0 {
-		c.tail = strconv.AppendInt(append(c.tail, ",spread="...), int64(v.GatewayCount), 10)
-		c.tail = strconv.AppendInt(append(c.tail, ",first="...), int64(v.FirstGateway), 10)
+	c.listSuffix = strconv.AppendFloat(append(c.listSuffix, ",units="...), req.Units, 'f', -1, 64)
+	if req.GatewayCount > 0 {
+		c.listSuffix = strconv.AppendInt(append(c.listSuffix, ",spread="...), int64(req.GatewayCount), 10)
+		c.listSuffix = strconv.AppendInt(append(c.listSuffix, ",first="...), int64(req.FirstGateway), 10)
 	}
-	c.args = [][]byte{[]byte(name), []byte(v.Customer), []byte(v.ID), nil}
-	if len(v.Body) > 0 {
-		c.args = append(c.args, v.Body)
+	c.args = [][]byte{[]byte(name), []byte(req.Customer), []byte(req.ID), nil}
+	if len(req.Body) > 0 {
+		c.args = append(c.args, req.Body)
 	}
 	return c
 }
@@ -92,7 +92,7 @@
 	if len(args) <= listArg || len(args) > bodyArg+1 {
 		return nil, errors.New("wrong number of arguments")
 	}
-	if len(args[idArg]) == 0 || len(args[listArg]) > listLen {
+	if len(args[idArg]) == 0 || len(args[listArg]) > maxListSize {
 		return nil, errors.New("the id or the list is missing or too long")
 	}
 	c := &command{args: cloneArgs(args)}
@@ -114,9 +114,9 @@
 	}
 	mem, out := make([]byte, 0, n), make([][]byte, len(args))
 	for i, a := range args {
-		from := len(mem)
+		start := len(mem)
 		mem = append(mem, a...)
-		out[i] = mem[from:len(mem):len(mem)]
+		out[i] = mem[start:len(mem):len(mem)]
 	}
 	return out
 }
@@ -125,12 +125,12 @@
 func (c *command) parseList() error {
 	list := c.args[listArg]
 	seen := make(map[string]bool)
-	for at := 0; at < len(list); {
+	for pos := 0; pos < len(list); {
 		end := len(list)
-		if i := bytes.IndexByte(list[at:], ','); i >= 0 {
-			end = at + i
+		if i := bytes.IndexByte(list[pos:], ','); i >= 0 {
+			end = pos + i
 		}
-		name, value, ok := bytes.Cut(list[at:end], []byte("="))
+		name, value, ok := bytes.Cut(list[pos:end], []byte("="))
 		if !ok {
 			return errors.New("the list holds no name and value")
 		}
@@ -139,21 +139,21 @@
 		}
 		seen[string(name)] = true
 		if string(name) == "d" {
-			c.before, c.tail = list[:end-len(value)], list[end:]
+			c.listPrefix, c.listSuffix = list[:end-len(value)], list[end:]
 		}
-		if !c.set(string(name), string(value)) {
+		if !c.setParam(string(name), string(value)) {
 			return fmt.Errorf("the value of %s can't be used", name)
 		}
-		at = end + 1
+		pos = end + 1
 	}
-	if c.before == nil {
+	if c.listPrefix == nil {
 		return errors.New("d is missing")
 	}
 	return nil
 }
 
-// set takes a value. It reports false for one that can't be used.
-func (c *command) set(name, value string) bool {
+// setParam takes a value. It reports false for one that can't be used.
+func (c *command) setParam(name, value string) bool {
 	var err error
 	switch name {
 	case "c":
@@ -172,15 +172,15 @@
 	case "units":
 		c.Units, err = gateway.ParseNumber(value)
 	case "spread":
-		c.GatewayCount, err = whole(value)
+		c.GatewayCount, err = parseCount(value)
 		return err == nil && c.GatewayCount > 0
 	case "first":
-		c.FirstGateway, err = whole(value)
+		c.FirstGateway, err = parseCount(value)
 	}
 	return err == nil
 }
 
-func whole(s string) (int, error) {
+func parseCount(s string) (int, error) {
 	v, err := strconv.ParseUint(s, 10, 20)
 	return int(v), err
 }
--- a/internal/resp/ended_test.go
+++ b/internal/resp/ended_test.go
@@ -10,22 +10,22 @@
 	"sloepick/decide"
 )
 
-// gone is a connection of the core's on which every write fails, as its client has reset it.
-func (b *bench) gone() *client {
-	b.t.Helper()
-	near, far := pair(b.t)
-	if err := far.(*net.TCPConn).SetLinger(0); err != nil {
-		b.t.Fatal(err)
+// connectReset is a connection of the core's on which every write fails, as its client has reset it.
+func (h *harness) connectReset() *client {
+	h.t.Helper()
+	gatewayEnd, peer := connPair(h.t)
+	if err := peer.(*net.TCPConn).SetLinger(0); err != nil {
+		h.t.Fatal(err)
 	}
-	far.Close() // what it sends is a reset
-	c := newClient(b.Core(), near)
-	for late := time.Now().Add(patience); c.out.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			b.t.Fatal("the reset did not come")
+	peer.Close() // what it sends is a reset
+	c := newClient(h.Core(), gatewayEnd)
+	for timeout := time.Now().Add(testTimeout); c.writer.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
+		if time.Now().After(timeout) {
+			h.t.Fatal("the reset did not come")
 		}
 	}
-	if !b.Core().AdmitConn(c) {
-		b.t.Fatal("no room")
+	if !h.Core().AdmitConn(c) {
+		h.t.Fatal("no room")
 	}
 	return c
 }
@@ -33,46 +33,46 @@
 // A client that sends several commands in one piece and resets its connection ended the gateway: the first answer could not be
 // written, the connection was closed, and the answer of the next command was told to its closed channel. What is left of the
 // piece must not reach the core either: nobody waits for it.
-func TestPieceOfAClientThatHasReset(t *testing.T) {
-	pong := received{reply: redcon.AppendString(nil, "PONG")}
-	ask := func(id, list string) received {
+func TestBatchOfResetClient(t *testing.T) {
+	pong := parsedCommand{reply: redcon.AppendString(nil, "PONG")}
+	ask := func(id, list string) parsedCommand {
 		cmd, err := parseRequest(askName, [][]byte{[]byte(askName), []byte(customer), []byte(id), []byte(list)}, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return received{cmd: cmd}
+		return parsedCommand{request: cmd}
 	}
 	bad := ask("bad", "c=nothing,t=p,d=30000,units=1")
-	for name, piece := range map[string][]received{
+	for name, batch := range map[string][]parsedCommand{
 		"answers":                {pong, pong},
 		"rejected at once":       {bad, bad, bad},
-		"rejected, then good":    {bad, ask("a", list), bad},
-		"good, rejected, good":   {ask("a", list), pong, bad, ask("b", list)},
-		"good behind many":       {pong, bad, pong, bad, ask("a", list), ask("b", list)},
-		"the same id, then good": {bad, ask("a", list), ask("a", list), ask("b", list)},
+		"rejected, then good":    {bad, ask("a", lookupList), bad},
+		"good, rejected, good":   {ask("a", lookupList), pong, bad, ask("b", lookupList)},
+		"good behind many":       {pong, bad, pong, bad, ask("a", lookupList), ask("b", lookupList)},
+		"the same id, then good": {bad, ask("a", lookupList), ask("a", lookupList), ask("b", lookupList)},
 	} {
-		b := newBench(t, long)
-		asked := 0
-		b.Observe(func(e decide.Event, _ []decide.Action) {
+		h := newHarness(t, longAim)
+		requests := 0
+		h.Observe(func(e decide.Event, _ []decide.Action) {
 			if _, ok := e.(decide.Request); ok {
-				asked++
+				requests++
 			}
 		})
-		c := b.gone()
-		c.owed.Store(1 << 20) // a reader waits for each answer
-		first := piece[0].cmd
-		c.take(commands{got: piece})
-		b.Step()
+		c := h.connectReset()
+		c.unanswered.Store(1 << 20) // a reader waits for each answer
+		first := batch[0].request
+		c.handleBatch(commandBatch{commands: batch})
+		h.Step()
 		if first != nil && first.Class == "look" { // it came before the connection was known to be gone, and waits for its node
 			c.Close()
-			b.Step()
+			h.Step()
 		}
-		if f := b.Stats(); !c.closed || f.Clients != 0 || f.RequestBytes != 0 || len(c.slots) != 0 {
-			t.Errorf("%s: closed %v, %d slots, left %+v", name, c.closed, len(c.slots), f)
+		if stats := h.Stats(); !c.closed || stats.Clients != 0 || stats.RequestBytes != 0 || len(c.pending) != 0 {
+			t.Errorf("%s: closed %v, %d slots, left %+v", name, c.closed, len(c.pending), stats)
 		}
 		if first == nil || first.Class != "look" {
-			if asked != 0 || len(b.held.tries) != 0 {
-				t.Errorf("%s: %d requests and %d attempts for a client that is gone", name, asked, len(b.held.tries))
+			if requests != 0 || len(h.backend.attempts) != 0 {
+				t.Errorf("%s: %d requests and %d attempts for a client that is gone", name, requests, len(h.backend.attempts))
 			}
 		}
 	}
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -14,7 +14,7 @@
 	"sloepick/internal/gateway"
 )
 
-const clientBuffer = 1 << 10 // bytes of a connection's read buffer between commands
+const clientBufferSize = 1 << 10 // bytes of a connection's read buffer between commands
 
 // Frontend serves clients at an address.
 type Frontend struct{ gateway.Listener }
@@ -25,14 +25,14 @@
 }
 
 // Serve implements gateway.Front.
-func (f *Frontend) Serve(ctx context.Context, d *gateway.Core) {
-	f.AcceptLoop(ctx, d, func(nc net.Conn) { take(d, nc) })
+func (f *Frontend) Serve(ctx context.Context, core *gateway.Core) {
+	f.AcceptLoop(ctx, core, func(nc net.Conn) { acceptClient(core, nc) })
 }
 
-// take begins a connection, in the loop.
-func take(d *gateway.Core, nc net.Conn) *client {
-	c := newClient(d, nc)
-	if !d.AdmitConn(c) {
+// acceptClient begins a connection, in the loop.
+func acceptClient(core *gateway.Core, nc net.Conn) *client {
+	c := newClient(core, nc)
+	if !core.AdmitConn(c) {
 		nc.Close() // unread: the client sends what it may have written once more, elsewhere
 		return nil
 	}
@@ -40,124 +40,124 @@
 	return c
 }
 
-// slot holds the place of an answer among those of its connection.
-type slot struct {
-	client *client
-	handle gateway.RequestHandle // of a request that is open
-	end    gateway.Response
-	reply  []byte // in place of an ending: it needed no decision
-	ready  bool
+// pendingReply holds the place of an answer among those of its connection.
+type pendingReply struct {
+	client   *client
+	handle   gateway.RequestHandle // of a request that is open
+	response gateway.Response
+	reply    []byte // in place of an ending: it needed no decision
+	ready    bool
 }
 
 // Respond implements gateway.Responder: it fills the slot and writes what is next in order.
-func (s *slot) Respond(e gateway.Response) {
-	s.handle, s.end, s.ready = gateway.RequestHandle{}, e, true
-	s.client.flush()
+func (p *pendingReply) Respond(r gateway.Response) {
+	p.handle, p.response, p.ready = gateway.RequestHandle{}, r, true
+	p.client.flush()
 }
 
-func (s *slot) append(b []byte) []byte {
-	if s.reply != nil {
-		return append(b, s.reply...)
+func (p *pendingReply) appendTo(b []byte) []byte {
+	if p.reply != nil {
+		return append(b, p.reply...)
 	}
-	return appendEnding(b, &s.end)
+	return appendResponse(b, &p.response)
 }
 
-// appendEnding is an ending as RESP2 has it.
-func appendEnding(b []byte, e *gateway.Response) []byte {
-	switch e.Kind {
+// appendResponse is an ending as RESP2 has it.
+func appendResponse(b []byte, r *gateway.Response) []byte {
+	switch r.Kind {
 	case gateway.Served:
-		return redcon.AppendBulk(b, e.Value)
+		return redcon.AppendBulk(b, r.Value)
 	case gateway.Refused:
 		b = append(b, "-BUSY"...)
-		if e.RetryAfter > 0 {
-			ms := (e.RetryAfter + time.Millisecond - 1) / time.Millisecond
+		if r.RetryAfter > 0 {
+			ms := (r.RetryAfter + time.Millisecond - 1) / time.Millisecond
 			b = strconv.AppendInt(append(b, ' '), int64(ms), 10)
 		}
 		return append(b, "\r\n"...)
 	}
-	return redcon.AppendError(b, "ERR "+e.Reason)
+	return redcon.AppendError(b, "ERR "+r.Reason)
 }
 
 // client is a connection of a client. What is not atomic is the loop's.
 type client struct {
-	d       *gateway.Core
-	conn    net.Conn
-	out     *gateway.Writer
-	slots   []*slot // in the order of the commands
-	backlog []byte  // answers behind those that are being written
-	came    time.Duration
-	used    time.Duration // when it was last answered, or came
-	owed    atomic.Int32  // answers that the reader counts on the loop to give
-	// owedMost is the bound by which the reader waits; it takes a new one with each read.
-	owedMost atomic.Int32
-	resume   gateway.Mailbox[struct{}]
-	draining atomic.Bool // no further command is waited for
-	ending   bool        // to be closed once all is answered
-	read     bool        // nothing more is read from it
-	half     bool        // nothing more is written to it: the client is to close
-	closed   bool
+	core       *gateway.Core
+	conn       net.Conn
+	writer     *gateway.Writer
+	pending    []*pendingReply // in the order of the commands
+	backlog    []byte          // answers behind those that are being written
+	acceptedAt time.Duration
+	lastUsed   time.Duration // when it was last answered, or came
+	unanswered atomic.Int32  // answers that the reader counts on the loop to give
+	// maxUnanswered is the bound by which the reader waits; it takes a new one with each read.
+	maxUnanswered atomic.Int32
+	resume        gateway.Mailbox[struct{}]
+	draining      atomic.Bool // no further command is waited for
+	closing       bool        // to be closed once all is answered
+	readDone      bool        // nothing more is read from it
+	writeClosed   bool        // nothing more is written to it: the client is to close
+	closed        bool
 }
 
-func newClient(d *gateway.Core, nc net.Conn) *client {
-	now := d.Now()
-	return &client{d: d, conn: nc, out: gateway.NewWriter(nc), came: now, used: now, resume: gateway.NewMailbox[struct{}]()}
+func newClient(core *gateway.Core, nc net.Conn) *client {
+	now := core.Now()
+	return &client{core: core, conn: nc, writer: gateway.NewWriter(nc), acceptedAt: now, lastUsed: now, resume: gateway.NewMailbox[struct{}]()}
 }
 
-// received is one command as the reader found it: a request, or an answer that needs no decision.
-type received struct {
-	cmd   *command
-	reply []byte
+// parsedCommand is one command as the reader found it: a request, or an answer that needs no decision.
+type parsedCommand struct {
+	request *command
+	reply   []byte
 }
 
-// commands are what a client sent, for the loop.
-type commands struct {
-	got   []received
-	last  bool // nothing more is read from it
-	fault bool // it sent what can't be read
+// commandBatch are what a client sent, for the loop.
+type commandBatch struct {
+	commands      []parsedCommand
+	last          bool // nothing more is read from it
+	protocolError bool // it sent what can't be read
 }
 
-func (c *client) take(e commands) {
-	for _, r := range e.got {
+func (c *client) handleBatch(batch commandBatch) {
+	for _, cmd := range batch.commands {
 		if c.closed { // by an answer that could not be written: what is left of the piece has nobody who waits for it
 			return
 		}
-		s := &slot{client: c}
-		c.slots = append(c.slots, s)
-		if r.cmd == nil {
-			s.reply, s.ready = r.reply, true
-		} else if t := c.d.Submit(s, &r.cmd.Request); !s.ready {
-			s.handle = t
+		p := &pendingReply{client: c}
+		c.pending = append(c.pending, p)
+		if cmd.request == nil {
+			p.reply, p.ready = cmd.reply, true
+		} else if handle := c.core.Submit(p, &cmd.request.Request); !p.ready {
+			p.handle = handle
 		}
-		c.d.ProcessPending()
+		c.core.ProcessPending()
 	}
 	if c.closed {
 		return
 	}
-	if len(e.got) > 0 {
+	if len(batch.commands) > 0 {
 		c.flush()
 	}
-	if e.last {
-		c.ending, c.read = true, true
-		c.endIfDone()
+	if batch.last {
+		c.closing, c.readDone = true, true
+		c.closeIfDone()
 	}
-	if e.fault && !c.closed {
-		c.d.Schedule(c.d.Now()+c.d.Tuning().Clients.Fault, c.Close)
+	if batch.protocolError && !c.closed {
+		c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.Fault, c.Close)
 	}
 }
 
 // Idle reports that nothing is owed on the connection.
-func (c *client) Idle() bool { return len(c.slots) == 0 && !c.out.Busy() && !c.ending }
+func (c *client) Idle() bool { return len(c.pending) == 0 && !c.writer.Busy() && !c.closing }
 
 // LastUsed is when it was last answered, or came.
-func (c *client) LastUsed() time.Duration { return c.used }
+func (c *client) LastUsed() time.Duration { return c.lastUsed }
 
 // Drain ends it between requests: its reader stops once nothing more waits in the kernel, and when what
 // it had read is answered the connection is closed. Closing at once would lose a request that has come.
 func (c *client) Drain() {
-	if c.read {
+	if c.readDone {
 		return // it ends already
 	}
-	c.ending = true
+	c.closing = true
 	c.draining.Store(true)
 	c.wakeReader()
 }
@@ -172,38 +172,38 @@
 // flush writes the answers that are next in order, in one write.
 func (c *client) flush() {
 	n := 0
-	for n < len(c.slots) && c.slots[n].ready {
-		c.backlog = c.slots[n].append(c.backlog)
+	for n < len(c.pending) && c.pending[n].ready {
+		c.backlog = c.pending[n].appendTo(c.backlog)
 		n++
 	}
 	if n > 0 {
-		c.slots = slices.Delete(c.slots, 0, n)
-		c.used = c.d.Now()
-		if before := c.owed.Add(int32(-n)) + int32(n); before >= c.owedMost.Load() {
+		c.pending = slices.Delete(c.pending, 0, n)
+		c.lastUsed = c.core.Now()
+		if previous := c.unanswered.Add(int32(-n)) + int32(n); previous >= c.maxUnanswered.Load() {
 			c.resume.TrySend(struct{}{})
-			if !c.read {
+			if !c.readDone {
 				c.wakeReader()
 			}
 		}
 	}
-	c.push()
-	c.endIfDone()
+	c.writeBacklog()
+	c.closeIfDone()
 }
 
-// push writes the backlog, unless an earlier write is still going on.
-func (c *client) push() {
+// writeBacklog writes the backlog, unless an earlier write is still going on.
+func (c *client) writeBacklog() {
 	if c.closed {
 		c.backlog = nil
 		return
 	}
-	if len(c.backlog) > c.d.Tuning().Clients.Unread {
+	if len(c.backlog) > c.core.Tuning().Clients.Unread {
 		c.Close()
 		return
 	}
-	if c.out.Busy() || len(c.backlog) == 0 {
+	if c.writer.Busy() || len(c.backlog) == 0 {
 		return
 	}
-	n, err := c.out.TryWrite(c.backlog)
+	n, err := c.writer.TryWrite(c.backlog)
 	if err != nil {
 		c.Close()
 		return
@@ -212,33 +212,33 @@
 		c.backlog = c.backlog[:0]
 		return
 	}
-	rest := c.backlog[n:]
+	remaining := c.backlog[n:]
 	c.backlog = nil
-	c.out.WriteAsyncUntilStall(rest, c.d.Tuning().Clients.Write, c.d, func(err error) {
+	c.writer.WriteAsyncUntilStall(remaining, c.core.Tuning().Clients.Write, c.core, func(err error) {
 		if err != nil {
 			c.Close()
 			return
 		}
-		c.push()
-		c.endIfDone()
+		c.writeBacklog()
+		c.closeIfDone()
 	})
 }
 
-// endIfDone ends a connection whose reader has stopped and on which nothing is owed. Closing it while something lies unread in
+// closeIfDone ends a connection whose reader has stopped and on which nothing is owed. Closing it while something lies unread in
 // the kernel, or comes as it closes, resets it, and the client's kernel may throw answers away that it has not read. So unless
 // nothing is under way either way, the connection is only shut for writing; it is closed once the client has closed its side, or
 // has had time to. Nothing is read any more: a client whose request is not read sends it once more, elsewhere.
-func (c *client) endIfDone() {
-	if !c.read || c.closed || c.half || len(c.slots) > 0 || c.out.Busy() || len(c.backlog) > 0 {
+func (c *client) closeIfDone() {
+	if !c.readDone || c.closed || c.writeClosed || len(c.pending) > 0 || c.writer.Busy() || len(c.backlog) > 0 {
 		return
 	}
-	fault := c.d.Tuning().Clients.Fault
-	if c.out.ReceiveQueueEmpty() && (c.used == c.came || c.d.Now()-c.used > fault) {
+	timeout := c.core.Tuning().Clients.Fault
+	if c.writer.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > timeout) {
 		c.Close()
 		return
 	}
-	c.half = true
-	c.out.Shutdown(fault, c.d, c.Close)
+	c.writeClosed = true
+	c.writer.Shutdown(timeout, c.core, c.Close)
 }
 
 // Close ends a connection, as gateway.Mailbox tells. What was open on it is over: no one waits for it any more.
@@ -249,11 +249,11 @@
 	c.closed = true
 	c.conn.Close()
 	c.resume.Close()
-	c.d.RemoveConn(c)
-	for _, s := range c.slots {
-		if s.handle.Open() {
-			c.d.Abandon(s.handle)
+	c.core.RemoveConn(c)
+	for _, p := range c.pending {
+		if p.handle.Open() {
+			c.core.Abandon(p.handle)
 		}
 	}
-	c.slots, c.backlog = nil, nil
+	c.pending, c.backlog = nil, nil
 }
--- a/internal/resp/front_test.go
+++ b/internal/resp/front_test.go
@@ -12,140 +12,142 @@
 	"sloepick/internal/tuning"
 )
 
-// brief are limits that a test can wait out.
-func brief(t *tuning.Tuning) {
+// shortTimeouts are limits that a test can wait out.
+func shortTimeouts(t *tuning.Tuning) {
 	t.Clients.FirstCommand, t.Clients.Idle = 30*time.Millisecond, 30*time.Millisecond
 }
 
 // A connection that says nothing, half a command, or nothing more, gives its descriptor back in time. Without a
 // limit hundreds of them took all descriptors for good.
-func TestQuietConnectionsEnd(t *testing.T) {
+func TestInactiveConnectionsAreClosed(t *testing.T) {
 	for name, tc := range map[string]struct{ sent, want string }{
 		"silent":       {"", ""},
 		"half":         {"*1\r\n$4\r\nPI", "-ERR protocol error: the command did not end in time\r\n"},
 		"idle":         {"*1\r\n$4\r\nPING\r\n", "+PONG\r\n"},
 		"half, behind": {"*1\r\n$4\r\nPING\r\n*1\r\n", "+PONG\r\n-ERR protocol error: the command did not end in time\r\n"},
 	} {
-		b := newBench(t, long)
-		b.retune(brief)
-		c, far := b.connect(tc.sent)
-		b.until(name, func() bool { return c.closed })
-		if got := text(t, far); got != tc.want {
+		h := newHarness(t, longAim)
+		h.updateTuning(shortTimeouts)
+		c, peer := h.connect(tc.sent)
+		h.waitFor(name, func() bool { return c.closed })
+		if got := readAll(t, peer); got != tc.want {
 			t.Errorf("%s: got %q, want %q", name, got, tc.want)
 		}
 	}
 }
 
 // A command that comes in drops gets no more time than one that stops half way.
-func TestTricklingCommandEnds(t *testing.T) {
-	b := newBench(t, long)
-	b.retune(brief)
-	c, far := b.connect("")
+func TestTricklingCommandTimesOut(t *testing.T) {
+	h := newHarness(t, longAim)
+	h.updateTuning(shortTimeouts)
+	c, peer := h.connect("")
 	go func() {
 		for _, b := range []byte("*1\r\n$60000\r\n" + strings.Repeat("x", 60000)) {
-			if _, err := far.Write([]byte{b}); err != nil {
+			if _, err := peer.Write([]byte{b}); err != nil {
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	b.until("the end", func() bool { return c.closed })
+	h.waitFor("the end", func() bool { return c.closed })
 }
 
 // A client that waits for its answer is not idle, however long that takes.
 func TestWaitingClientIsNotIdle(t *testing.T) {
-	b := newBench(t, long)
-	b.retune(brief)
-	_, c, _ := b.attempted("id")
-	time.Sleep(4 * b.tune.Clients.Idle) // its limit passes, some times
-	if b.Step(); c.ending || c.closed {
+	h := newHarness(t, longAim)
+	h.updateTuning(shortTimeouts)
+	_, c, _ := h.openRequest("id")
+	time.Sleep(4 * h.tuning.Clients.Idle) // its limit passes, some times
+	if h.Step(); c.closing || c.closed {
 		t.Error("the waiting client was given up")
 	}
 }
 
 // A request that has come in when its connection is to end is answered: closing on it would lose it.
-func TestDrainedConnectionReadsWhatHasCome(t *testing.T) {
-	b := newBench(t, long)
-	near, far := pair(t)
-	write(t, far, "*1\r\n$4\r\nPING\r\n")
-	c := newClient(b.Core(), near)
-	for c.out.ReceiveQueueEmpty() { // the kernel has it before the reader is started
+func TestDrainedConnectionAnswersReceivedCommand(t *testing.T) {
+	h := newHarness(t, longAim)
+	gatewayEnd, peer := connPair(t)
+	mustWrite(t, peer, "*1\r\n$4\r\nPING\r\n")
+	c := newClient(h.Core(), gatewayEnd)
+	for c.writer.ReceiveQueueEmpty() { // the kernel has it before the reader is started
 		time.Sleep(time.Millisecond)
 	}
 	c.Drain()
-	b.Core().AdmitConn(c)
+	h.Core().AdmitConn(c)
 	go newReader(c).run()
-	b.until("the end", func() bool { return c.closed })
-	if got := text(t, far); got != "+PONG\r\n" {
+	h.waitFor("the end", func() bool { return c.closed })
+	if got := readAll(t, peer); got != "+PONG\r\n" {
 		t.Errorf("got %q", got)
 	}
 }
 
 // A command of which a part has come when its connection is to end is still read to its end and answered.
-func TestDrainedConnectionFinishesItsCommand(t *testing.T) {
-	b := newBench(t, long)
-	c, far := b.connect("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI")
-	b.until("the first answer", func() bool { return c.used > 0 && c.owedMost.Load() > 0 && len(c.slots) == 0 && c.owed.Load() == 0 })
+func TestDrainedConnectionCompletesPartialCommand(t *testing.T) {
+	h := newHarness(t, longAim)
+	c, peer := h.connect("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI")
+	h.waitFor("the first answer", func() bool {
+		return c.lastUsed > 0 && c.maxUnanswered.Load() > 0 && len(c.pending) == 0 && c.unanswered.Load() == 0
+	})
 	c.Drain()
 	time.Sleep(20 * time.Millisecond) // in which the reader wakes and looks; if it comes later, it has the rest at once
-	write(t, far, "NG\r\n")
-	b.until("the end", func() bool { return c.closed })
-	if got := text(t, far); got != "+PONG\r\n+PONG\r\n" {
+	mustWrite(t, peer, "NG\r\n")
+	h.waitFor("the end", func() bool { return c.closed })
+	if got := readAll(t, peer); got != "+PONG\r\n+PONG\r\n" {
 		t.Errorf("the client got %q", got)
 	}
 }
 
 // What can't be read ends its connection soon, though requests are open on it.
-func TestFaultDoesNotWaitForOpenRequests(t *testing.T) {
-	b := newBench(t, long)
-	c, far := b.connect(asked("id") + "*-1\r\n")
-	b.until("the fault", func() bool { return c.read })
-	if c.closed || b.Stats().Requests != 1 {
+func TestProtocolErrorDoesNotWaitForOpenRequests(t *testing.T) {
+	h := newHarness(t, longAim)
+	c, peer := h.connect(askCommand("id") + "*-1\r\n")
+	h.waitFor("the fault", func() bool { return c.readDone })
+	if c.closed || h.Stats().Requests != 1 {
 		t.Fatal("the open request got no time")
 	}
-	b.later(b.tune.Clients.Fault)
-	b.node().Cancel(b.held.tries[0])
-	text(t, far)
-	if !c.closed || b.Stats().RequestBytes != 0 {
+	h.advance(h.tuning.Clients.Fault)
+	h.pool().Cancel(h.backend.attempts[0])
+	readAll(t, peer)
+	if !c.closed || h.Stats().RequestBytes != 0 {
 		t.Error("the connection is still open")
 	}
 }
 
 // A client that reads nothing must not make the loop wait, nor its answers fill the memory.
 func TestClientThatReadsNothing(t *testing.T) {
-	b := newBench(t, long)
-	near, _ := narrow(t)
-	c := newClient(b.Core(), near)
-	b.Core().AdmitConn(c)
-	answer := redcon.AppendBulk(nil, bytes.Repeat([]byte("x"), valueMost))
+	h := newHarness(t, longAim)
+	gatewayEnd, _ := connPairWithSmallBuffer(t)
+	c := newClient(h.Core(), gatewayEnd)
+	h.Core().AdmitConn(c)
+	reply := redcon.AppendBulk(nil, bytes.Repeat([]byte("x"), maxValueSize))
 	for n := 0; !c.closed; n++ {
-		if n*len(answer) > 64<<20 {
+		if n*len(reply) > 64<<20 {
 			t.Fatal("the client's answers pile up without end")
 		}
-		c.take(commands{got: []received{{reply: answer}}})
+		c.handleBatch(commandBatch{commands: []parsedCommand{{reply: reply}}})
 	}
-	if len(c.backlog) != 0 || b.Stats().Clients != 0 {
+	if len(c.backlog) != 0 || h.Stats().Clients != 0 {
 		t.Error("the client is kept")
 	}
 }
 
 // Many commands at once are all answered, though only so many may be owed at a time.
 func TestDeepPipeline(t *testing.T) {
-	b := newBench(t, long)
-	c, far := b.connect("")
-	n := 5 * b.tune.Clients.Pipeline
-	go io.WriteString(far, strings.Repeat("*1\r\n$4\r\nPING\r\n", n))
+	h := newHarness(t, longAim)
+	c, peer := h.connect("")
+	n := 5 * h.tuning.Clients.Pipeline
+	go io.WriteString(peer, strings.Repeat("*1\r\n$4\r\nPING\r\n", n))
 	done := make(chan string, 1)
 	go func() {
 		got := make([]byte, n*len("+PONG\r\n"))
-		_, err := io.ReadFull(far, got)
+		_, err := io.ReadFull(peer, got)
 		if err != nil {
 			got = []byte(err.Error())
 		}
 		done <- string(got)
-		b.Core().Post(c.Close)
+		h.Core().Post(c.Close)
 	}()
-	b.until("the answers", func() bool { return c.closed })
+	h.waitFor("the answers", func() bool { return c.closed })
 	if got := <-done; got != strings.Repeat("+PONG\r\n", n) {
 		t.Errorf("got %.80q", got)
 	}
--- a/internal/resp/rig_test.go
+++ b/internal/resp/rig_test.go
@@ -19,170 +19,170 @@
 )
 
 const (
-	patience = 20 * time.Second // for what must come; no test waits for it to pass
-	long     = 30 * time.Second // an aim that no test reaches
-	customer = "00000000b4d65521"
-	list     = "c=look,t=p,d=30000,units=1,spread=2,first=0"
+	testTimeout = 20 * time.Second // for what must come; no test waits for it to pass
+	longAim     = 30 * time.Second // an aim that no test reaches
+	customer    = "00000000b4d65521"
+	lookupList  = "c=look,t=p,d=30000,units=1,spread=2,first=0"
 )
 
-// hand is a clock that a test moves.
-type hand struct{ now atomic.Int64 }
+// manualClock is a clock that a test moves.
+type manualClock struct{ now atomic.Int64 }
 
-func (h *hand) Now() time.Duration { return time.Duration(h.now.Load()) }
+func (c *manualClock) Now() time.Duration { return time.Duration(c.now.Load()) }
 
-// held is a back whose connections the test brings: attempts wait for them in the order in which they went out.
-type held struct {
-	nodes []*heldNode
-	tries []*gateway.Attempt
+// manualBackend is a back whose connections the test brings: attempts wait for them in the order in which they went out.
+type manualBackend struct {
+	pools    []*manualPool
+	attempts []*gateway.Attempt
 }
 
-type heldNode struct {
-	*node
-	h *held
+type manualPool struct {
+	*connPool
+	backend *manualBackend
 }
 
-func (h *held) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
-	n := &heldNode{Backend{}.NewTransport(d, p).(*node), h}
-	h.nodes = append(h.nodes, n)
-	return n
+func (b *manualBackend) NewTransport(core *gateway.Core, endpoint *gateway.Endpoint) gateway.Transport {
+	p := &manualPool{Backend{}.NewTransport(core, endpoint).(*connPool), b}
+	b.pools = append(b.pools, p)
+	return p
 }
 
-func (n *heldNode) Start(t *gateway.Attempt) {
-	if c := n.rested(); c != nil && c.write(t) {
+func (p *manualPool) Start(t *gateway.Attempt) {
+	if c := p.takeIdle(); c != nil && c.send(t) {
 		return
 	}
-	if !n.place.ReserveConn() {
+	if !p.endpoint.ReserveConn() {
 		t.Fail(gateway.NoLocalCapacity)
 		return
 	}
-	n.h.tries = append(n.h.tries, t)
+	p.backend.attempts = append(p.backend.attempts, t)
 }
 
-// bench is a core with one server, stepped by a test.
-type bench struct {
+// harness is a core with one server, stepped by a test.
+type harness struct {
 	t *testing.T
 	*gateway.Stepper
-	clock *hand
-	held  *held
-	tune  tuning.Tuning
-	ends  []decide.Outcome // of attempts
+	clock    *manualClock
+	backend  *manualBackend
+	tuning   tuning.Tuning
+	outcomes []decide.Outcome // of attempts
 }
 
-func newBench(t *testing.T, aim time.Duration) *bench {
+func newHarness(t *testing.T, aim time.Duration) *harness {
 	t.Helper()
 	leaks.Check(t)
-	set, err := settings.Parse(testbed.MinimalSettings(aim))
+	parsed, err := settings.Parse(testbed.MinimalSettings(aim))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, clock: &hand{}, held: &held{}, tune: tuning.Default()}
-	b.clock.now.Store(int64(time.Hour))
-	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 256, Settings: set, Seed: 1, DefaultBackend: b.held, KnownServers: server("up")}
-	if b.Stepper, err = gateway.NewStepper(cfg, b.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
+	h := &harness{t: t, clock: &manualClock{}, backend: &manualBackend{}, tuning: tuning.Default()}
+	h.clock.now.Store(int64(time.Hour))
+	cfg := gateway.Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: 256, Settings: parsed, Seed: 1, DefaultBackend: h.backend, KnownServers: serverList("up")}
+	if h.Stepper, err = gateway.NewStepper(cfg, h.clock, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.end)
-	b.Observe(func(e decide.Event, _ []decide.Action) {
+	t.Cleanup(h.closeServerConns)
+	h.Observe(func(e decide.Event, _ []decide.Action) {
 		if e, ok := e.(decide.AttemptEnded); ok {
-			b.ends = append(b.ends, e.Outcome)
+			h.outcomes = append(h.outcomes, e.Outcome)
 		}
 	})
-	return b
+	return h
 }
 
-// end closes the connections to the server, whose readers wait for the core.
-func (b *bench) end() {
-	for _, n := range b.held.nodes {
-		n.Drain()
-		for _, t := range b.held.tries {
-			n.Cancel(t)
+// closeServerConns closes the connections to the server, whose readers wait for the core.
+func (h *harness) closeServerConns() {
+	for _, p := range h.backend.pools {
+		p.Drain()
+		for _, t := range h.backend.attempts {
+			p.Cancel(t)
 		}
 	}
 }
 
-// server is the list of the one server in a state.
-func server(state string) gateway.ServerList {
+// serverList is the list of the one serverList in a state.
+func serverList(state string) gateway.ServerList {
 	return gateway.ServerList{Version: 1, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}}}
 }
 
-// retune gives it other limits.
-func (b *bench) retune(change func(t *tuning.Tuning)) {
-	change(&b.tune)
-	b.Reload(gateway.Reload{Tuning: &b.tune})
+// updateTuning gives it other limits.
+func (h *harness) updateTuning(change func(t *tuning.Tuning)) {
+	change(&h.tuning)
+	h.Reload(gateway.Reload{Tuning: &h.tuning})
 }
 
-// later moves the clock.
-func (b *bench) later(d time.Duration) {
-	b.clock.now.Add(int64(d))
-	b.Step()
+// advance moves the clock.
+func (h *harness) advance(d time.Duration) {
+	h.clock.now.Add(int64(d))
+	h.Step()
 }
 
-// until steps until something has come about.
-func (b *bench) until(what string, done func() bool) {
-	b.t.Helper()
-	late := time.After(patience)
-	for b.Step(); !done(); b.Step() {
+// waitFor steps waitFor something has come about.
+func (h *harness) waitFor(what string, done func() bool) {
+	h.t.Helper()
+	timeout := time.After(testTimeout)
+	for h.Step(); !done(); h.Step() {
 		select {
-		case <-b.Wakeups():
-		case <-late:
-			b.t.Fatalf("%s did not come about", what)
+		case <-h.Wakeups():
+		case <-timeout:
+			h.t.Fatalf("%s did not come about", what)
 		}
 	}
 }
 
-// ended steps until an attempt has ended, and tells how the first one did.
-func (b *bench) ended() decide.Outcome {
-	b.t.Helper()
-	b.until("an attempt's end", func() bool { return len(b.ends) > 0 })
-	return b.ends[0]
+// firstOutcome steps until an attempt has firstOutcome, and tells how the first one did.
+func (h *harness) firstOutcome() decide.Outcome {
+	h.t.Helper()
+	h.waitFor("an attempt's end", func() bool { return len(h.outcomes) > 0 })
+	return h.outcomes[0]
 }
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T) (gatewayEnd, peerEnd net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	if near, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+	if gatewayEnd, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if far, err = ln.Accept(); err != nil {
+	if peerEnd, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
-	if err := far.SetDeadline(time.Now().Add(patience)); err != nil {
+	t.Cleanup(func() { gatewayEnd.Close(); peerEnd.Close() })
+	if err := peerEnd.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	return near, far
+	return gatewayEnd, peerEnd
 }
 
-// narrow is a pair whose kernel buffer takes little, so that large writes don't go at once.
-func narrow(t *testing.T) (near, far net.Conn) {
+// connPairWithSmallBuffer is a pair whose kernel buffer takes little, so that large writes don't go at once.
+func connPairWithSmallBuffer(t *testing.T) (gatewayEnd, peerEnd net.Conn) {
 	t.Helper()
-	near, far = pair(t)
-	if err := near.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
+	gatewayEnd, peerEnd = connPair(t)
+	if err := gatewayEnd.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
-	return near, far
+	return gatewayEnd, peerEnd
 }
 
 // connect gives the core a client's connection on which something was sent, and returns the client's end.
-func (b *bench) connect(sent string) (*client, net.Conn) {
-	b.t.Helper()
-	near, far := pair(b.t)
-	if _, err := io.WriteString(far, sent); err != nil {
-		b.t.Fatal(err)
+func (h *harness) connect(sent string) (*client, net.Conn) {
+	h.t.Helper()
+	gatewayEnd, peerEnd := connPair(h.t)
+	if _, err := io.WriteString(peerEnd, sent); err != nil {
+		h.t.Fatal(err)
 	}
-	return take(b.Core(), near), far
+	return acceptClient(h.Core(), gatewayEnd), peerEnd
 }
 
-// asked is a request as it stands on the wire.
-func asked(id string) string { return onWire(askName, customer, id, list) }
+// askCommand is a request as it stands on the wire.
+func askCommand(id string) string { return encodeCommand(askName, customer, id, lookupList) }
 
-// onWire is a command as it stands on the wire.
-func onWire(args ...string) string {
+// encodeCommand is a command as it stands on the wire.
+func encodeCommand(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
 	for _, arg := range args {
 		b = redcon.AppendBulkString(b, arg)
@@ -190,34 +190,34 @@
 	return string(b)
 }
 
-// attempted opens a request of a client, with its attempt waiting for a connection.
-func (b *bench) attempted(id string) (t *gateway.Attempt, c *client, far net.Conn) {
-	b.t.Helper()
-	before := len(b.held.tries)
-	c, far = b.connect(asked(id))
-	b.until("an attempt", func() bool { return len(b.held.tries) > before })
-	return b.held.tries[before], c, far
+// openRequest opens a request of a client, with its attempt waiting for a connection.
+func (h *harness) openRequest(id string) (t *gateway.Attempt, c *client, peerEnd net.Conn) {
+	h.t.Helper()
+	before := len(h.backend.attempts)
+	c, peerEnd = h.connect(askCommand(id))
+	h.waitFor("an attempt", func() bool { return len(h.backend.attempts) > before })
+	return h.backend.attempts[before], c, peerEnd
 }
 
-// bring gives a waiting attempt a connection, as its dial would, and returns the server's end.
-func (b *bench) bring(t *gateway.Attempt) (far net.Conn) {
-	b.t.Helper()
-	near, far := pair(b.t)
-	b.node().dialed(t, 0, near, nil)
-	return far
+// completeDial gives a waiting attempt a connection, as its dial would, and returns the server's end.
+func (h *harness) completeDial(t *gateway.Attempt) (peerEnd net.Conn) {
+	h.t.Helper()
+	gatewayEnd, peerEnd := connPair(h.t)
+	h.pool().finishDial(t, 0, gatewayEnd, nil)
+	return peerEnd
 }
 
-func (b *bench) node() *node { return b.held.nodes[0].node }
+func (h *harness) pool() *connPool { return h.backend.pools[0].connPool }
 
-func write(t *testing.T, conn net.Conn, s string) {
+func mustWrite(t *testing.T, conn net.Conn, s string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// text is all that comes on a connection until its end.
-func text(t *testing.T, conn net.Conn) string {
+// readAll is all that comes on a connection until its end.
+func readAll(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	b, err := io.ReadAll(conn)
 	if err != nil {
--- a/internal/resp/shape.go
+++ b/internal/resp/shape.go
@@ -16,133 +16,133 @@
 // headers with each read, not a pass over its bytes. (The RESP library waits for all of a huge or negative
 // length, and panics on some.)
 const (
-	valueMost   = gateway.MaxPayloadSize
-	headerMost  = 16                // bytes of a header, "$65536\r\n" and some
-	argsMost    = 16                // of a command: the longest that clients use has five
-	commandMost = valueMost + 4<<10 // bytes of a whole command
-	fieldMost   = 4 << 10           // bytes of a figure, of a load report and of an error line
-	answerMost  = valueMost + 3*fieldMost
+	maxValueSize   = gateway.MaxPayloadSize
+	maxHeaderSize  = 16                   // bytes of a header, "$65536\r\n" and some
+	maxArgs        = 16                   // of a command: the longest that clients use has five
+	maxCommandSize = maxValueSize + 4<<10 // bytes of a whole command
+	maxFieldSize   = 4 << 10              // bytes of a figure, of a load report and of an error line
+	maxReplySize   = maxValueSize + 3*maxFieldSize
 )
 
 var errFraming = errors.New("protocol error: expected an array of bulk strings within the limits")
 
-// header reads a kind and a number, such as "$12\r\n". used is 0 while more of it must come.
-func header(b []byte, kind byte, least, most int) (n, used int, err error) {
+// parseHeader reads a kind and a number, such as "$12\r\n". used is 0 while more of it must come.
+func parseHeader(b []byte, kind byte, minValue, maxValue int) (n, used int, err error) {
 	if len(b) == 0 {
 		return 0, 0, nil
 	}
-	end := bytes.IndexByte(b[:min(len(b), headerMost)], '\n')
-	if b[0] != kind || (end < 0 && len(b) >= headerMost) || (end > 0 && b[end-1] != '\r') {
+	end := bytes.IndexByte(b[:min(len(b), maxHeaderSize)], '\n')
+	if b[0] != kind || (end < 0 && len(b) >= maxHeaderSize) || (end > 0 && b[end-1] != '\r') {
 		return 0, 0, errFraming
 	}
 	if end < 0 {
 		return 0, 0, nil
 	}
 	n, err = strconv.Atoi(string(b[1 : end-1]))
-	if err != nil || n < least || n > most || b[1] == '+' {
+	if err != nil || n < minValue || n > maxValue || b[1] == '+' {
 		return 0, 0, errFraming
 	}
 	return n, end + 1, nil
 }
 
-// bulk reads a bulk string. used is 0 while more of it must come. A null one, allowed where least is -1, has
+// parseBulk reads a parseBulk string. used is 0 while more of it must come. A null one, allowed where least is -1, has
 // no value.
-func bulk(b []byte, least, most int) (value []byte, used int, err error) {
-	n, at, err := header(b, '$', least, most)
-	if err != nil || at == 0 || n < 0 {
-		return nil, at, err
+func parseBulk(b []byte, minLen, maxLen int) (value []byte, used int, err error) {
+	n, start, err := parseHeader(b, '$', minLen, maxLen)
+	if err != nil || start == 0 || n < 0 {
+		return nil, start, err
 	}
-	end := at + n
+	end := start + n
 	if len(b) > end && b[end] != '\r' || len(b) > end+1 && b[end+1] != '\n' {
 		return nil, 0, errFraming
 	}
 	if len(b) < end+2 {
 		return nil, 0, nil
 	}
-	return b[at:end], end + 2, nil
+	return b[start:end], end + 2, nil
 }
 
-// nextCommand reads a command; used is 0 while more of it must come. The arguments share memory with b.
-func nextCommand(b []byte, reuse [][]byte) (used int, args [][]byte, err error) {
+// parseCommand reads a command; used is 0 while more of it must come. The arguments share memory with b.
+func parseCommand(b []byte, reuse [][]byte) (used int, args [][]byte, err error) {
 	args = reuse[:0]
-	count, at, err := header(b, '*', 0, argsMost)
-	if err != nil || at == 0 {
+	count, pos, err := parseHeader(b, '*', 0, maxArgs)
+	if err != nil || pos == 0 {
 		return 0, args, err
 	}
 	for range count {
-		arg, n, err := bulk(b[at:], 0, min(valueMost, commandMost-at))
+		arg, n, err := parseBulk(b[pos:], 0, min(maxValueSize, maxCommandSize-pos))
 		if err != nil || n == 0 {
 			return 0, args, err
 		}
-		args, at = append(args, arg), at+n
+		args, pos = append(args, arg), pos+n
 	}
-	return at, args, nil
+	return pos, args, nil
 }
 
-var errSpoilt = errors.New("not an answer")
+var errInvalidReply = errors.New("not an answer")
 
-// answer is what a server said to a request.
-type answer struct {
-	result  gateway.AttemptResult // 0: served
-	value   []byte                // shares memory with what was read
-	figures []byte                // on use, likewise
-	inStep  bool                  // the whole of it was read, so the next answer can be told from it
+// nodeReply is what a server said to a request.
+type nodeReply struct {
+	result gateway.AttemptResult // 0: served
+	value  []byte                // shares memory with what was read
+	usage  []byte                // on use, likewise
+	inSync bool                  // the whole of it was read, so the next answer can be told from it
 }
 
-// parseAnswer reads a server's answer, exactly: an array of the value, the figures on use or null, and the load
+// parseReply reads a server's answer, exactly: an array of the value, the figures on use or null, and the load
 // report or null; or an error line. used is 0 while more must come. Figures or a report that can't be read
 // leave the connection out of step, but do the value no harm.
-func parseAnswer(b []byte) (a answer, used int, err error) {
+func parseReply(b []byte) (reply nodeReply, used int, err error) {
 	if len(b) == 0 || b[0] != '-' {
-		return servedAnswer(b)
+		return parseServedReply(b)
 	}
-	f, used, err := errorLine(b)
-	return answer{result: f, inStep: true}, used, err
+	result, used, err := parseErrorReply(b)
+	return nodeReply{result: result, inSync: true}, used, err
 }
 
-// errorLine reads a line such as "-BUSY" or "-ERR failed queue=2".
-func errorLine(b []byte) (f gateway.AttemptResult, used int, err error) {
-	end := bytes.IndexByte(b[:min(len(b), fieldMost)], '\n')
-	if end < 0 && len(b) < fieldMost {
+// parseErrorReply reads a line such as "-BUSY" or "-ERR failed queue=2".
+func parseErrorReply(b []byte) (result gateway.AttemptResult, used int, err error) {
+	end := bytes.IndexByte(b[:min(len(b), maxFieldSize)], '\n')
+	if end < 0 && len(b) < maxFieldSize {
 		return 0, 0, nil
 	}
 	if end < 2 || b[end-1] != '\r' || !utf8.Valid(b[:end]) {
-		return 0, 0, errSpoilt
+		return 0, 0, errInvalidReply
 	}
-	word, _, _ := bytes.Cut(b[1:end-1], []byte(" "))
-	if len(word) == 0 || bytes.ContainsFunc(word, func(r rune) bool { return r < 'A' || r > 'Z' }) {
-		return 0, 0, errSpoilt
+	code, _, _ := bytes.Cut(b[1:end-1], []byte(" "))
+	if len(code) == 0 || bytes.ContainsFunc(code, func(r rune) bool { return r < 'A' || r > 'Z' }) {
+		return 0, 0, errInvalidReply
 	}
-	if string(word) == "BUSY" {
+	if string(code) == "BUSY" {
 		return gateway.RefusedByNode, end + 1, nil
 	}
 	return gateway.BadResponse, end + 1, nil
 }
 
-func servedAnswer(b []byte) (a answer, used int, err error) {
-	_, from, err := header(b, '*', 3, 3)
-	if err != nil || from == 0 {
-		return a, 0, err
+func parseServedReply(b []byte) (reply nodeReply, used int, err error) {
+	_, start, err := parseHeader(b, '*', 3, 3)
+	if err != nil || start == 0 {
+		return reply, 0, err
 	}
-	value, n, err := bulk(b[from:], 0, valueMost)
+	value, n, err := parseBulk(b[start:], 0, maxValueSize)
 	if err != nil || n == 0 {
-		return a, 0, err
+		return reply, 0, err
 	}
-	at := from + n
-	a = answer{value: value, inStep: true}
+	pos := start + n
+	reply = nodeReply{value: value, inSync: true}
 	for i := range 2 { // figures on use, and the load report, by which nothing is decided
-		got, n, err := bulk(b[at:], -1, fieldMost)
+		field, n, err := parseBulk(b[pos:], -1, maxFieldSize)
 		if err != nil {
-			a.inStep = false
-			return a, len(b), nil
+			reply.inSync = false
+			return reply, len(b), nil
 		}
 		if n == 0 {
-			return a, 0, nil
+			return reply, 0, nil
 		}
 		if i == 0 {
-			a.figures = got
+			reply.usage = field
 		}
-		at += n
+		pos += n
 	}
-	return a, at, nil
+	return reply, pos, nil
 }
