--- a/internal/resp/backend.go
+++ b/internal/resp/backend.go
@@ -11,40 +11,42 @@
 	"sloepick/internal/gateway"
 )
 
-const initialReadBuffer = 1 << 10 // bytes of a connection's first read buffer
+const initialReadBuffer = 1 << 10 // bytes; size of a connection's read buffer until a reply needs more
 
-// Backend reaches nodes: an attempt is a command on a connection that carries nothing else meanwhile.
+// Backend sends requests to nodes by RESP2. It implements gateway.Backend. An attempt is one command on a connection
+// that carries nothing else until the reply has arrived: commands are not pipelined.
 type Backend struct{}
 
-// NewTransport implements gateway.Back.
+// NewTransport implements gateway.Backend.
 func (Backend) NewTransport(core *gateway.Core, endpoint *gateway.Endpoint) gateway.Transport {
 	return &connPool{core: core, endpoint: endpoint}
 }
 
-// connPool is a connPool at an address. All of it is the loop's.
+// connPool is the pool of connections to one node at one address. It implements gateway.Transport. It is accessed
+// only by the loop.
 type connPool struct {
 	core              *gateway.Core
 	endpoint          *gateway.Endpoint
-	idle              []*conn // the last used last: it is the least likely to have been closed
-	generation        int     // counts; a connection from before the last one takes nothing new
+	idle              []*conn // least recently used first; the last one is the least likely to have been closed by the server
+	generation        int     // incremented by Drain; a connection of an earlier generation takes no new attempts
 	evictionScheduled bool
 }
 
-// conn is a connection to a node. It carries one attempt at a time, as giving an attempt up closes it.
+// conn is a connection to a node. It carries one attempt at a time, because canceling an attempt closes the connection.
 type conn struct {
 	pool         *connPool
 	nc           net.Conn
 	writer       *gateway.Writer
-	generation   int                            // the node's, when it was asked for
-	attempt      *gateway.Attempt               // whose answer is owed
-	fullySent    bool                           // the last byte of it was handed over
-	earlyReply   *nodeReply                     // came before it was known here that the last byte was handed over
-	replyTimeout gateway.Mailbox[time.Duration] // tells the reader that an answer is owed, and how long one may take once it has begun
+	generation   int                            // the pool's generation when the connection was requested
+	attempt      *gateway.Attempt               // the attempt whose reply is expected; nil if none
+	fullySent    bool                           // the kernel has taken the last byte of the attempt's command
+	earlyReply   *nodeReply                     // a reply that the loop saw before the writer reported the last byte as sent
+	replyTimeout gateway.Mailbox[time.Duration] // tells the reader to expect a reply, and the maximum time from its first byte to its last
 	lastUsed     time.Duration
 	closed       bool
 }
 
-// Start implements gateway.Transport: on an idle connection, or on a new one.
+// Start implements gateway.Transport. It sends the attempt on an idle connection or on a new one.
 func (p *connPool) Start(t *gateway.Attempt) {
 	for c := p.takeIdle(); c != nil; c = p.takeIdle() {
 		if c.send(t) {
@@ -58,10 +60,11 @@
 	p.dial(t)
 }
 
-// takeIdle takes the idle connection that was used last, of those that have stood for a while. What a server sends
-// right behind an answer, such as a second copy, is on its way as long as the answer was, give or take the network's
-// jitter. A connection that has stood for this long with nothing in the kernel is in step; one that is used sooner
-// might bring the next request another one's answer.
+// takeIdle removes and returns the most recently used idle connection among those that have been idle for at least
+// Nodes.Rest, or nil. Bytes that a server sends right after a reply, such as a duplicate of it, arrive about as long
+// after they were sent as the reply did, give or take network jitter. A connection that has been idle for this time
+// with an empty receive queue is in sync. If it were reused sooner, the next request could receive another request's
+// reply.
 func (p *connPool) takeIdle() *conn {
 	cutoff := p.core.Now() - p.core.Tuning().Nodes.Rest
 	for i := len(p.idle) - 1; i >= 0; i-- {
@@ -78,9 +81,10 @@
 	p.endpoint.Dial(p.core, t.RemainingTime(), func(nc net.Conn, err error) { p.finishDial(t, generation, nc, err) })
 }
 
-// finishDial looks again before the first byte: while the connection was made the attempt may have been called
-// off or its request answered, and its server may have been drained or moved. Without this a request would
-// go out after its final answer, or to a server that was told to be let alone.
+// finishDial sends the attempt on the new connection, after checking that it is still wanted: while the connection
+// was being established, the attempt may have been canceled or its request answered, and the server may have been
+// drained or moved to another address. Without this check a request could be sent after its final response, or to a
+// server that must not get new requests.
 func (p *connPool) finishDial(t *gateway.Attempt, generation int, nc net.Conn, err error) {
 	if err != nil {
 		p.endpoint.ReleaseConn()
@@ -110,7 +114,7 @@
 // Cancel implements gateway.Transport.
 func (p *connPool) Cancel(t *gateway.Attempt) {
 	if c, ok := t.TransportData.(*conn); ok {
-		c.close() // an answer is owed on it, so it can't be used again
+		c.close() // its reply is still outstanding, so the connection can't be reused
 	}
 }
 
@@ -133,8 +137,8 @@
 // EvictIdle implements gateway.Transport.
 func (p *connPool) EvictIdle() { p.idle[0].close() }
 
-// evictExpired retires connections well before the server may close them: a request written to one that is being
-// closed would end as a reset, which for a request that must not run twice is the end.
+// evictExpired closes idle connections well before the server may close them. A request written to a connection that
+// the server is closing would fail with a reset, and a request that must not run twice can't be retried after that.
 func (p *connPool) evictExpired() {
 	idleTimeout := p.endpoint.IdleTimeout()
 	for now := p.core.Now(); len(p.idle) > 0 && p.idle[0].lastUsed+idleTimeout <= now; {
@@ -145,9 +149,9 @@
 	}
 }
 
-// send sends an attempt on a connection. It reports false if the connection took nothing of it, so that
-// another may be tried: nothing has reached the server. A connection on which something waits unasked is out
-// of step, or at its end, and takes nothing.
+// send writes the attempt's command to the connection. It reports false if no byte was written: nothing has reached
+// the server, so another connection can be used. A connection with unexpected bytes in its receive queue is out of
+// sync or closed by the server; it is closed without a write.
 func (c *conn) send(t *gateway.Attempt) bool {
 	if !c.writer.ReceiveQueueEmpty() {
 		c.close()
@@ -158,14 +162,14 @@
 	if err != nil {
 		c.close()
 		if n > 0 {
-			t.Fail(gateway.NotSent) // broken before the last byte
+			t.Fail(gateway.NotSent) // the connection broke before the last byte
 		}
 		return n > 0
 	}
 	c.attempt, c.fullySent, c.lastUsed = t, false, c.pool.core.Now()
 	t.TransportData = c
 	t.MarkConnected()
-	c.replyTimeout.TrySend(c.pool.core.Tuning().Nodes.Answer) // the reader has taken the one before
+	c.replyTimeout.TrySend(c.pool.core.Tuning().Nodes.Answer) // never full: the reader has received the previous value
 	if n == len(b) {
 		c.fullySent = true
 		t.MarkFullySent()
@@ -175,7 +179,7 @@
 	return true
 }
 
-// finishWrite takes how the writing of a large request ended. The server may have answered by then.
+// finishWrite handles the end of the asynchronous write of a large command. The server may have replied already.
 func (c *conn) finishWrite(t *gateway.Attempt, err error) {
 	earlyReply := c.earlyReply
 	c.earlyReply = nil
@@ -193,9 +197,10 @@
 	}
 }
 
-// holdEarlyReply keeps an answer that came while its request was still being written here. The writer tells the loop that it is done
-// after the kernel has taken the last byte, and a fast server's answer may overtake that; a server that answers half a request
-// leaves the writer waiting, and what it said is no answer.
+// holdEarlyReply keeps a reply that arrived while its command was still being written, for at most Nodes.Answer. The
+// writer reports completion to the loop only after the kernel has taken the last byte, and the reply of a fast server
+// can overtake that report. If the server replied to an incomplete command, the writer does not complete and the
+// reply is invalid.
 func (c *conn) holdEarlyReply(reply nodeReply) {
 	c.earlyReply = &reply
 	c.pool.core.Schedule(c.pool.core.Now()+c.pool.core.Tuning().Nodes.Answer, func() {
@@ -206,7 +211,7 @@
 	})
 }
 
-// putIdle keeps a connection for the next attempt.
+// putIdle returns the connection to the pool for the next attempt, or closes it if it can't be reused.
 func (c *conn) putIdle() {
 	p := c.pool
 	if c.closed || c.writer.Busy() || c.generation != p.generation || p.endpoint.OverLimit() {
@@ -234,7 +239,7 @@
 	c.pool.endpoint.ReleaseConn()
 }
 
-// handleReply takes a server's whole answer.
+// handleReply processes a complete reply of the server.
 func (c *conn) handleReply(reply nodeReply) {
 	if c.closed {
 		return
@@ -244,7 +249,7 @@
 		c.holdEarlyReply(reply)
 		return
 	}
-	if t == nil || !c.fullySent { // nobody asked, or not all of it: what a server says to that is no answer
+	if t == nil || !c.fullySent { // unsolicited, or the command was not fully sent: not a valid reply
 		c.handleFailure(false)
 		return
 	}
@@ -261,24 +266,24 @@
 	t.Succeed(reply.value, reply.usage)
 }
 
-// handleFailure takes that a connection ended, or carried what is no answer.
+// handleFailure handles the loss of the connection, or an invalid reply on it.
 func (c *conn) handleFailure(invalidReply bool) {
 	if c.closed {
 		return
 	}
 	c.close()
 	switch t := c.attempt; {
-	case t == nil || c.writer.Busy(): // the writer still has to tell whether it had written the last byte
+	case t == nil || c.writer.Busy(): // finishWrite will report whether the last byte was written
 	case invalidReply && c.fullySent:
-		t.Fail(gateway.BadResponse) // the server answered, so the request may have run
+		t.Fail(gateway.BadResponse) // the server replied, so the request may have run
 	default:
 		t.Fail(gateway.ConnectionLost)
 	}
 }
 
-// readLoop hands on one answer for each request that is written, until the connection ends or carries what is no
-// answer. In between it reads nothing: what comes unasked stays in the kernel, where write finds it. If it were
-// readLoop here, a copy in the reader's hands could meet the next request and pass for its answer.
+// readLoop reads one reply for each command that was sent, until the connection ends or a reply is invalid. Between
+// replies it reads nothing: unsolicited bytes stay in the kernel's receive queue, where send detects them. If they
+// were read here, a duplicate reply already in the reader's buffer could be taken for the reply to the next request.
 func (c *conn) readLoop() {
 	buf := make([]byte, 0, initialReadBuffer)
 	for timeout, ok := c.replyTimeout.Receive(); ok; timeout, ok = c.replyTimeout.Receive() {
@@ -289,7 +294,7 @@
 		}
 		c.pool.core.Post(func() { c.handleReply(reply) })
 		if !reply.inSync {
-			return // the loop closes it
+			return // handleReply closes the connection
 		}
 		if buf = buf[:0]; cap(buf) > initialReadBuffer {
 			buf = make([]byte, 0, initialReadBuffer)
@@ -297,8 +302,8 @@
 	}
 }
 
-// readReply reads one. A server writes an answer in one go: one that has begun and is not whole within the time
-// trickles, and the request has better uses for the time that is left to it.
+// readReply reads one reply. A server writes a reply in one go; one that is not complete within the timeout after its
+// first byte is treated as invalid, so that the request's remaining time is not spent waiting for it.
 func (c *conn) readReply(buf *[]byte, timeout time.Duration) (nodeReply, error) {
 	b := *buf
 	for started := false; ; {
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	maxListSize      = 1 << 10 // bytes of a request's list of names and values
-	encodingOverhead = 64      // bytes that a command's headers take
+	maxListSize      = 1 << 10 // bytes; maximum size of a request's list of names and values
+	encodingOverhead = 64      // bytes; estimated size of a command's headers, to allocate its buffer
 )
 
-// command is a request as RESP2 has it.
+// command is a request in its RESP2 form.
 type command struct {
 	gateway.Request
-	args                   [][]byte // unchanged; the list at listArg is sent on with another d
-	listPrefix, listSuffix []byte   // of the list, round the figure of d
+	args                   [][]byte // as received; the list at listArg is forwarded with a new value of d
+	listPrefix, listSuffix []byte   // the parts of the list before and after the value of d
 }
 
-// The commands' names, and the places of their arguments; a body may stand behind the list.
+// Names of the commands and indexes of their arguments. The body is optional.
 const (
 	askName     = "Q.ASK"
 	doName      = "Q.DO"
@@ -34,7 +34,7 @@
 	bodyArg     = 4
 )
 
-// encode is the command for a server that has so long to answer.
+// encode returns the encoded command for a server. d, the time that the server has to answer, is set to remaining.
 func (c *command) encode(remaining time.Duration) []byte {
 	n := encodingOverhead
 	for _, a := range c.args {
@@ -58,7 +58,8 @@
 	return b
 }
 
-// commandFor is a request as nodes take it: as its client sent it, where that was by RESP2.
+// commandFor returns the command for a request. A request that arrived by RESP2 keeps the arguments that its client
+// sent.
 func commandFor(req *gateway.Request) *command {
 	if c, ok := req.Native.(*command); ok {
 		return c
@@ -86,8 +87,8 @@
 	return c
 }
 
-// parseRequest reads a request that came at the time now. It copies what it keeps. Whether its values fit the site's settings is
-// for the core to say.
+// parseRequest parses a request that was received at time now. It copies the data that it keeps. The core validates
+// the values against the settings.
 func parseRequest(name string, args [][]byte, now time.Duration) (*command, error) {
 	if len(args) <= listArg || len(args) > bodyArg+1 {
 		return nil, errors.New("wrong number of arguments")
@@ -121,7 +122,7 @@
 	return out
 }
 
-// parseList reads names and values. Unknown names go on unread.
+// parseList parses the list of names and values. Unknown names are ignored here and forwarded.
 func (c *command) parseList() error {
 	list := c.args[listArg]
 	seen := make(map[string]bool)
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// setParam takes a value. It reports false for one that can't be used.
+// setParam sets the field for a name of the list. It reports false if the value is invalid.
 func (c *command) setParam(name, value string) bool {
 	var err error
 	switch name {
--- a/internal/resp/frontend.go
+++ b/internal/resp/frontend.go
@@ -14,42 +14,43 @@
 	"sloepick/internal/gateway"
 )
 
-const clientBufferSize = 1 << 10 // bytes of a connection's read buffer between commands
+const clientBufferSize = 1 << 10 // bytes; size of a connection's read buffer between commands
 
-// Frontend serves clients at an address.
+// Frontend serves RESP2 clients on one listen address. It implements gateway.Frontend.
 type Frontend struct{ gateway.Listener }
 
-// NewFrontend makes a front that does not listen yet.
+// NewFrontend returns a Frontend for addr that is not listening yet.
 func NewFrontend(addr netip.AddrPort) *Frontend {
 	return &Frontend{gateway.NewListener("listening for clients", addr.String())}
 }
 
-// Serve implements gateway.Front.
+// Serve implements gateway.Frontend.
 func (f *Frontend) Serve(ctx context.Context, core *gateway.Core) {
 	f.AcceptLoop(ctx, core, func(nc net.Conn) { acceptClient(core, nc) })
 }
 
-// acceptClient begins a connection, in the loop.
+// acceptClient registers a new connection with the core and starts its reader. It runs in the loop. It returns nil if
+// the core has no room for the connection.
 func acceptClient(core *gateway.Core, nc net.Conn) *client {
 	c := newClient(core, nc)
 	if !core.AdmitConn(c) {
-		nc.Close() // unread: the client sends what it may have written once more, elsewhere
+		nc.Close() // nothing was read, so the client can safely resend its request to another gateway
 		return nil
 	}
 	go newReader(c).run()
 	return c
 }
 
-// pendingReply holds the place of an answer among those of its connection.
+// pendingReply is the reply to one command. It keeps the command's position in the connection's reply order.
 type pendingReply struct {
 	client   *client
-	handle   gateway.RequestHandle // of a request that is open
+	handle   gateway.RequestHandle // the zero value if no request is open
 	response gateway.Response
-	reply    []byte // in place of an ending: it needed no decision
+	reply    []byte // encoded reply to a command that the core does not handle; used instead of response if not nil
 	ready    bool
 }
 
-// Respond implements gateway.Responder: it fills the slot and writes what is next in order.
+// Respond implements gateway.Responder. It stores the response and writes all replies that are now next in order.
 func (p *pendingReply) Respond(r gateway.Response) {
 	p.handle, p.response, p.ready = gateway.RequestHandle{}, r, true
 	p.client.flush()
@@ -62,7 +63,7 @@
 	return appendResponse(b, &p.response)
 }
 
-// appendResponse is an ending as RESP2 has it.
+// appendResponse appends a response in RESP2 encoding.
 func appendResponse(b []byte, r *gateway.Response) []byte {
 	switch r.Kind {
 	case gateway.Served:
@@ -78,23 +79,24 @@
 	return redcon.AppendError(b, "ERR "+r.Reason)
 }
 
-// client is a connection of a client. What is not atomic is the loop's.
+// client is one client connection. Fields that are not atomic are accessed only by the loop.
 type client struct {
 	core       *gateway.Core
 	conn       net.Conn
 	writer     *gateway.Writer
-	pending    []*pendingReply // in the order of the commands
-	backlog    []byte          // answers behind those that are being written
+	pending    []*pendingReply // in the order in which the commands arrived
+	backlog    []byte          // encoded replies that follow those being written
 	acceptedAt time.Duration
-	lastUsed   time.Duration // when it was last answered, or came
-	unanswered atomic.Int32  // answers that the reader counts on the loop to give
-	// maxUnanswered is the bound by which the reader waits; it takes a new one with each read.
+	lastUsed   time.Duration // when the last reply was queued; initially acceptedAt
+	unanswered atomic.Int32  // commands that the reader has posted and the loop has not replied to
+	// maxUnanswered is the value of unanswered at which the reader stops posting. The reader updates it from the
+	// tuning before each batch.
 	maxUnanswered atomic.Int32
 	resume        gateway.Mailbox[struct{}]
-	draining      atomic.Bool // no further command is waited for
-	closing       bool        // to be closed once all is answered
-	readDone      bool        // nothing more is read from it
-	writeClosed   bool        // nothing more is written to it: the client is to close
+	draining      atomic.Bool // the reader stops once it has read what has already arrived
+	closing       bool        // close once all commands are answered
+	readDone      bool        // the reader has stopped
+	writeClosed   bool        // shut down for writing; waits for the client to close its side
 	closed        bool
 }
 
@@ -103,22 +105,23 @@
 	return &client{core: core, conn: nc, writer: gateway.NewWriter(nc), acceptedAt: now, lastUsed: now, resume: gateway.NewMailbox[struct{}]()}
 }
 
-// parsedCommand is one command as the reader found it: a request, or an answer that needs no decision.
+// parsedCommand is one parsed command: either a request for the core, or the reply to a command that the core does
+// not handle.
 type parsedCommand struct {
 	request *command
 	reply   []byte
 }
 
-// commandBatch are what a client sent, for the loop.
+// commandBatch is a batch of commands that the reader posts to the loop.
 type commandBatch struct {
 	commands      []parsedCommand
-	last          bool // nothing more is read from it
-	protocolError bool // it sent what can't be read
+	last          bool // the reader has stopped after this batch
+	protocolError bool // the client violated the protocol
 }
 
 func (c *client) handleBatch(batch commandBatch) {
 	for _, cmd := range batch.commands {
-		if c.closed { // by an answer that could not be written: what is left of the piece has nobody who waits for it
+		if c.closed { // writing an earlier reply failed; nobody waits for the rest of the batch
 			return
 		}
 		p := &pendingReply{client: c}
@@ -145,31 +148,34 @@
 	}
 }
 
-// Idle reports that nothing is owed on the connection.
+// Idle implements gateway.ClientConn. It reports whether the connection has no unanswered command and no reply being
+// written.
 func (c *client) Idle() bool { return len(c.pending) == 0 && !c.writer.Busy() && !c.closing }
 
-// LastUsed is when it was last answered, or came.
+// LastUsed implements gateway.ClientConn. It returns when the last reply was queued, or when the connection was
+// accepted.
 func (c *client) LastUsed() time.Duration { return c.lastUsed }
 
-// Drain ends it between requests: its reader stops once nothing more waits in the kernel, and when what
-// it had read is answered the connection is closed. Closing at once would lose a request that has come.
+// Drain implements gateway.ClientConn. It closes the connection between requests: the reader stops once the kernel's
+// receive queue is empty, and the connection is closed after everything read so far is answered. Closing at once
+// would lose a request that has already arrived.
 func (c *client) Drain() {
 	if c.readDone {
-		return // it ends already
+		return // already closing
 	}
 	c.closing = true
 	c.draining.Store(true)
 	c.wakeReader()
 }
 
-// wakeReader has the reader's read return and look again at what the loop has set.
+// wakeReader makes the reader's blocked read return, so that the reader sees the state that the loop has changed.
 func (c *client) wakeReader() {
 	if err := c.conn.SetReadDeadline(time.Unix(1, 0)); err != nil {
 		c.Close() // already broken
 	}
 }
 
-// flush writes the answers that are next in order, in one write.
+// flush writes all replies that are ready and next in order, in one write.
 func (c *client) flush() {
 	n := 0
 	for n < len(c.pending) && c.pending[n].ready {
@@ -190,7 +196,8 @@
 	c.closeIfDone()
 }
 
-// writeBacklog writes the backlog, unless an earlier write is still going on.
+// writeBacklog writes the backlog unless an earlier write is still in progress. It closes the connection if the
+// backlog is longer than the limit for unread replies.
 func (c *client) writeBacklog() {
 	if c.closed {
 		c.backlog = nil
@@ -224,10 +231,11 @@
 	})
 }
 
-// closeIfDone ends a connection whose reader has stopped and on which nothing is owed. Closing it while something lies unread in
-// the kernel, or comes as it closes, resets it, and the client's kernel may throw answers away that it has not read. So unless
-// nothing is under way either way, the connection is only shut for writing; it is closed once the client has closed its side, or
-// has had time to. Nothing is read any more: a client whose request is not read sends it once more, elsewhere.
+// closeIfDone closes a connection whose reader has stopped and whose commands are all answered. Closing a socket with
+// unread bytes in its receive queue, or on which bytes arrive during the close, resets the connection, and the
+// client's kernel may then discard replies that the client has not read. So unless no bytes are in flight in either
+// direction, the connection is first shut down for writing only, and closed when the client closes its side or after
+// a timeout. Nothing more is read: a client whose request was not read can safely resend it to another gateway.
 func (c *client) closeIfDone() {
 	if !c.readDone || c.closed || c.writeClosed || len(c.pending) > 0 || c.writer.Busy() || len(c.backlog) > 0 {
 		return
@@ -241,7 +249,8 @@
 	c.writer.Shutdown(timeout, c.core, c.Close)
 }
 
-// Close ends a connection, as gateway.Mailbox tells. What was open on it is over: no one waits for it any more.
+// Close implements gateway.ClientConn. It closes the connection (see gateway.Mailbox for the rules) and abandons its
+// open requests, as nobody waits for their replies any more.
 func (c *client) Close() {
 	if c.closed {
 		return
--- a/internal/resp/parser.go
+++ b/internal/resp/parser.go
@@ -1,5 +1,3 @@
-// Package resp is RESP2's front and back: clients and nodes that speak it, on the gateway's core. One goroutine a connection
-// reads; everything else happens in the core's loop.
 package resp
 
 import (
@@ -11,22 +9,22 @@
 	"sloepick/internal/gateway"
 )
 
-// Bounds on what peers send. Each is checked on the header that tells it, so that what can't become a command
-// or an answer ends at once, however much of it is yet to come, and what is partly there costs a look at a few
-// headers with each read, not a pass over its bytes. (The RESP library waits for all of a huge or negative
-// length, and panics on some.)
+// Limits on received data. Each is checked as soon as the header that announces the length is there, so that invalid
+// input is rejected without waiting for the rest of it, and each read of a partial command or reply costs a check of
+// a few headers, not a scan of all its bytes. (The RESP library waits for the whole of a huge or negative length, and
+// panics on some lengths.)
 const (
 	maxValueSize   = gateway.MaxPayloadSize
-	maxHeaderSize  = 16                   // bytes of a header, "$65536\r\n" and some
-	maxArgs        = 16                   // of a command: the longest that clients use has five
-	maxCommandSize = maxValueSize + 4<<10 // bytes of a whole command
-	maxFieldSize   = 4 << 10              // bytes of a figure, of a load report and of an error line
+	maxHeaderSize  = 16                   // bytes; "$65536\r\n" has 8
+	maxArgs        = 16                   // of a command; the longest command that clients send has five
+	maxCommandSize = maxValueSize + 4<<10 // bytes of a complete command
+	maxFieldSize   = 4 << 10              // bytes of the usage field, of the load report or of an error line
 	maxReplySize   = maxValueSize + 3*maxFieldSize
 )
 
 var errFraming = errors.New("protocol error: expected an array of bulk strings within the limits")
 
-// parseHeader reads a kind and a number, such as "$12\r\n". used is 0 while more of it must come.
+// parseHeader parses a type byte and a number, such as "$12\r\n". used is 0 if the header is incomplete.
 func parseHeader(b []byte, kind byte, minValue, maxValue int) (n, used int, err error) {
 	if len(b) == 0 {
 		return 0, 0, nil
@@ -45,8 +43,8 @@
 	return n, end + 1, nil
 }
 
-// parseBulk reads a parseBulk string. used is 0 while more of it must come. A null one, allowed where least is -1, has
-// no value.
+// parseBulk parses a bulk string. used is 0 if it is incomplete. A null bulk string is accepted if minLen is -1; its
+// value is nil.
 func parseBulk(b []byte, minLen, maxLen int) (value []byte, used int, err error) {
 	n, start, err := parseHeader(b, '$', minLen, maxLen)
 	if err != nil || start == 0 || n < 0 {
@@ -62,7 +60,8 @@
 	return b[start:end], end + 2, nil
 }
 
-// parseCommand reads a command; used is 0 while more of it must come. The arguments share memory with b.
+// parseCommand parses a command, an array of bulk strings, into args, whose memory it takes from reuse. used is 0 if
+// the command is incomplete. The arguments share memory with b.
 func parseCommand(b []byte, reuse [][]byte) (used int, args [][]byte, err error) {
 	args = reuse[:0]
 	count, pos, err := parseHeader(b, '*', 0, maxArgs)
@@ -79,19 +78,19 @@
 	return pos, args, nil
 }
 
-var errInvalidReply = errors.New("not an answer")
+var errInvalidReply = errors.New("invalid reply")
 
-// nodeReply is what a server said to a request.
+// nodeReply is a server's reply to a request.
 type nodeReply struct {
 	result gateway.AttemptResult // 0: served
-	value  []byte                // shares memory with what was read
-	usage  []byte                // on use, likewise
-	inSync bool                  // the whole of it was read, so the next answer can be told from it
+	value  []byte                // shares memory with the read buffer
+	usage  []byte                // the server's usage field; shares memory with the read buffer
+	inSync bool                  // the reply was read up to its end, so the next bytes begin a new one
 }
 
-// parseReply reads a server's answer, exactly: an array of the value, the figures on use or null, and the load
-// report or null; or an error line. used is 0 while more must come. Figures or a report that can't be read
-// leave the connection out of step, but do the value no harm.
+// parseReply parses a server's reply strictly: either an array of the value, the usage field or null, and the load
+// report or null, or an error line. used is 0 if the reply is incomplete. If the usage field or the load report is
+// invalid, the value is still used, but the connection is out of sync.
 func parseReply(b []byte) (reply nodeReply, used int, err error) {
 	if len(b) == 0 || b[0] != '-' {
 		return parseServedReply(b)
@@ -100,7 +99,7 @@
 	return nodeReply{result: result, inSync: true}, used, err
 }
 
-// parseErrorReply reads a line such as "-BUSY" or "-ERR failed queue=2".
+// parseErrorReply parses an error line such as "-BUSY" or "-ERR failed queue=2".
 func parseErrorReply(b []byte) (result gateway.AttemptResult, used int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxFieldSize)], '\n')
 	if end < 0 && len(b) < maxFieldSize {
@@ -119,6 +118,7 @@
 	return gateway.BadResponse, end + 1, nil
 }
 
+// parseServedReply parses the reply to a served request, an array.
 func parseServedReply(b []byte) (reply nodeReply, used int, err error) {
 	_, start, err := parseHeader(b, '*', 3, 3)
 	if err != nil || start == 0 {
@@ -130,7 +130,7 @@
 	}
 	pos := start + n
 	reply = nodeReply{value: value, inSync: true}
-	for i := range 2 { // figures on use, and the load report, by which nothing is decided
+	for i := range 2 { // the usage field, then the load report, which is ignored
 		field, n, err := parseBulk(b[pos:], -1, maxFieldSize)
 		if err != nil {
 			reply.inSync = false
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -12,28 +12,30 @@
 	"github.com/tidwall/redcon"
 )
 
-// maxReadAhead is how many bytes a reader holds of commands that wait for the pipeline to have room: some hundred small ones. It
-// reads that far ahead so that it sees a client that leaves; beyond it the client waits in the kernel.
+// maxReadAhead is the number of bytes up to which a reader buffers commands while the pipeline is full; it holds some
+// hundred small commands. Reading ahead detects that a client has closed its connection. Beyond the limit, data stays
+// in the kernel's buffers and the client blocks.
 const maxReadAhead = 16 << 10
 
-// reader reads the commands of one connection and hands them to the loop. It runs in a goroutine of its own.
+// reader reads the commands of one connection and posts them to the loop. It runs in its own goroutine.
 type reader struct {
 	client        *client
-	buf           []byte    // not handed on: a command that is not whole, or whole ones for which the pipeline has no room
-	args          [][]byte  // memory for the next command's
-	timerStart    time.Time // the start, the last whole command, or the first byte of the one in buf
-	gotCommand    bool      // there was a whole command
+	buf           []byte    // not posted yet: an incomplete command, or complete ones while the pipeline is full
+	args          [][]byte  // reused for the arguments of the next command
+	timerStart    time.Time // time of the reader's start, of the last complete command, or of the first byte in buf
+	gotCommand    bool      // at least one complete command was read
 	blocked       bool      // buf waits for room in the pipeline
-	extraReadUsed bool      // time was up with bytes unread in the kernel, and a little more was given to read them
+	extraReadUsed bool      // a timeout was extended once because the receive queue was not empty
 }
 
 func newReader(c *client) *reader {
 	return &reader{client: c, buf: make([]byte, 0, clientBufferSize), timerStart: time.Now()}
 }
 
-// run reads until the client leaves, breaks the framing or lets a time limit pass. One read deadline holds all
-// limits. The loop wakes the reader by a deadline that has passed, after it has set what the reader is to see: a mark to end,
-// or answers that are no longer owed. So the reader looks at both after each new deadline of its own.
+// run reads until the client closes the connection, violates the protocol or exceeds a timeout. A single read
+// deadline implements all timeouts. The loop wakes the reader by setting a read deadline in the past, after it has
+// set draining or decremented unanswered. A deadline that the reader sets can overwrite that one, so the reader
+// checks both after each call of SetReadDeadline.
 func (r *reader) run() {
 	for {
 		if protocolErr := r.dispatch(); protocolErr != nil {
@@ -57,20 +59,20 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			r.client.core.Post(r.client.Close)
 			return
-		case time.Now().Before(deadline): // woken
+		case time.Now().Before(deadline): // woken by the loop
 		case !r.handleTimeout():
 			return
 		}
 	}
 }
 
-// handleTimeout takes that a time limit has passed. It reports false if the connection's reading is over.
+// handleTimeout handles an expired deadline. It reports false if the reader must stop.
 func (r *reader) handleTimeout() (keepReading bool) {
 	switch {
-	case r.blocked || len(r.buf) == 0 && r.client.unanswered.Load() > 0: // it is the client who waits
+	case r.blocked || len(r.buf) == 0 && r.client.unanswered.Load() > 0: // the client is waiting for replies
 	case !r.extraReadUsed && !r.client.writer.ReceiveQueueEmpty():
-		// A read whose deadline has passed takes nothing, whatever has come: it may be a whole request, and closing would reset
-		// the connection on it.
+		// A read past its deadline returns no data, even if some has arrived. It may be a complete request, and closing
+		// now would reset the connection and lose it.
 		r.extraReadUsed = true
 	case len(r.buf) > 0:
 		r.replyErrorAndStop(errCommandTimeout, false)
@@ -85,8 +87,8 @@
 
 var errCommandTimeout = errors.New("protocol error: the command did not end in time")
 
-// deadline bounds how long a connection may hold a descriptor and give nothing for it. Clients write a command in one
-// go; those that keep a connection use it again within seconds, or have left it for good.
+// deadline returns the current read deadline. It limits how long an unused connection can hold a descriptor. Clients
+// write a command in one go, and those that keep a connection open use it again within seconds or never.
 func (r *reader) deadline() time.Time {
 	limits := &r.client.core.Tuning().Clients
 	if r.gotCommand && len(r.buf) == 0 {
@@ -95,12 +97,13 @@
 	return r.timerStart.Add(limits.FirstCommand)
 }
 
-// pipelineFull reports that so many answers are owed that nothing more is handed on.
+// pipelineFull reports whether the number of unanswered commands has reached its limit.
 func (r *reader) pipelineFull() bool {
 	return r.client.unanswered.Load() >= r.client.maxUnanswered.Load()
 }
 
-// readMore takes what has come. Where the buffer is full of commands that wait for the pipeline, it waits for that instead.
+// readMore reads available bytes into the buffer. If the buffer is full of commands that wait for room in the
+// pipeline, it waits for room instead.
 func (r *reader) readMore() error {
 	if r.blocked && len(r.buf) >= maxReadAhead {
 		if _, ok := r.client.resume.Receive(); !ok {
@@ -119,9 +122,10 @@
 	return err
 }
 
-// dispatch hands on the commands that are whole, if the pipeline has room.
+// dispatch posts the complete commands in the buffer if the pipeline has room.
 func (r *reader) dispatch() error {
-	r.client.maxUnanswered.Store(int32(r.client.core.Tuning().Clients.Pipeline)) // before the answers are owed, so that the loop wakes by the same bound
+	// Stored before unanswered grows, so that the loop wakes the reader at the same limit.
+	r.client.maxUnanswered.Store(int32(r.client.core.Tuning().Clients.Pipeline))
 	r.blocked = len(r.buf) > 0 && r.pipelineFull()
 	if r.blocked || len(r.buf) == 0 {
 		return nil
@@ -137,7 +141,7 @@
 	return protocolErr
 }
 
-// parseCommands reads the whole commands that the buffer begins with.
+// parseCommands parses the complete commands at the start of the buffer.
 func (r *reader) parseCommands() (cmds []parsedCommand, consumed int, err error) {
 	for consumed < len(r.buf) {
 		var n int
@@ -150,13 +154,13 @@
 	return cmds, consumed, err
 }
 
-// replyErrorAndStop answers what can't be read, as the last.
+// replyErrorAndStop posts an error reply as the last reply of the connection.
 func (r *reader) replyErrorAndStop(cause error, protocolError bool) {
 	reply := redcon.AppendError(nil, "ERR "+cause.Error())
 	r.post(commandBatch{commands: []parsedCommand{{reply: reply}}, last: true, protocolError: protocolError})
 }
 
-// post posts commands to the loop.
+// post posts a batch to the loop unless it is empty.
 func (r *reader) post(batch commandBatch) {
 	if len(batch.commands) == 0 && !batch.last {
 		return
@@ -165,7 +169,7 @@
 	r.client.core.Post(func() { r.client.handleBatch(batch) })
 }
 
-// interpret turns a command into a request, or into its answer.
+// interpret converts a command into a request, or into the reply to a command that the core does not handle.
 func interpret(args [][]byte, now time.Duration) parsedCommand {
 	if len(args) == 0 {
 		return parsedCommand{reply: redcon.AppendError(nil, "ERR empty command")}
