--- a/internal/resp/backend_test.go
+++ b/internal/resp/backend_test.go
@@ -58,16 +58,16 @@
 	server := h.completeDial(attempt)
 	mustWrite(t, server, testbed.FormatReply("v"))
 	h.firstOutcome()
-	n := h.pool()
-	if _, any := n.OldestIdle(); !any {
+	p := h.pool()
+	if _, ok := p.OldestIdle(); !ok {
 		t.Fatal("the connection is not kept")
 	}
-	h.advance(n.endpoint.IdleTimeout() - 1)
+	h.advance(p.endpoint.IdleTimeout() - 1)
 	if h.Stats().ServerConns != 1 {
 		t.Fatal("retired before its time")
 	}
-	if h.advance(1); h.Stats().ServerConns != 0 || n.endpoint.IdleTimeout() > 30*time.Second { // of the platform's 60 s
-		t.Errorf("%d connections after %v", h.Stats().ServerConns, n.endpoint.IdleTimeout())
+	if h.advance(1); h.Stats().ServerConns != 0 || p.endpoint.IdleTimeout() > 30*time.Second { // of the platform's 60 s
+		t.Errorf("%d connections after %v", h.Stats().ServerConns, p.endpoint.IdleTimeout())
 	}
 	readAll(t, server)
 }
@@ -99,7 +99,7 @@
 		t.Errorf("outcome %v", o)
 	}
 	readAll(t, server)
-	if _, any := h.pool().OldestIdle(); any {
+	if _, ok := h.pool().OldestIdle(); ok {
 		t.Error("the connection is kept")
 	}
 	c.Close()
@@ -258,10 +258,10 @@
 
 // A request that came by another protocol is sent as RESP2 has it, with all that its values tell.
 func TestCommandForOtherProtocols(t *testing.T) {
-	v := &gateway.Request{Customer: customer, ID: "id", Class: "book", Plan: "p", Key: "77", Units: 2.5, GatewayCount: 2, FirstGateway: 1, ClientRetry: true, Write: true,
+	req := &gateway.Request{Customer: customer, ID: "id", Class: "book", Plan: "p", Key: "77", Units: 2.5, GatewayCount: 2, FirstGateway: 1, ClientRetry: true, Write: true,
 		Body: []byte("BODY")}
 	const want = "*5\r\n$4\r\nQ.DO\r\n$16\r\n" + customer + "\r\n$2\r\nid\r\n$52\r\nc=book,t=p,d=250,k=77,r=1,units=2.5,spread=2,first=1\r\n$4\r\nBODY\r\n"
-	if got := string(commandFor(v).encode(250 * time.Millisecond)); got != want {
+	if got := string(commandFor(req).encode(250 * time.Millisecond)); got != want {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
 }
--- a/internal/resp/harness_test.go
+++ b/internal/resp/harness_test.go
@@ -118,14 +118,14 @@
 }
 
 // waitFor steps waitFor something has come about.
-func (h *harness) waitFor(what string, done func() bool) {
+func (h *harness) waitFor(event string, done func() bool) {
 	h.t.Helper()
 	timeout := time.After(testTimeout)
 	for h.Step(); !done(); h.Step() {
 		select {
 		case <-h.Wakeups():
 		case <-timeout:
-			h.t.Fatalf("%s did not come about", what)
+			h.t.Fatalf("%s did not come about", event)
 		}
 	}
 }
@@ -171,11 +171,11 @@
 // connect gives the core a client's connection on which something was sent, and returns the client's end.
 func (h *harness) connect(sent string) (*client, net.Conn) {
 	h.t.Helper()
-	gatewayEnd, peerEnd := connPair(h.t)
-	if _, err := io.WriteString(peerEnd, sent); err != nil {
+	gatewayEnd, clientEnd := connPair(h.t)
+	if _, err := io.WriteString(clientEnd, sent); err != nil {
 		h.t.Fatal(err)
 	}
-	return acceptClient(h.Core(), gatewayEnd), peerEnd
+	return acceptClient(h.Core(), gatewayEnd), clientEnd
 }
 
 // askCommand is a request as it stands on the wire.
@@ -191,20 +191,20 @@
 }
 
 // openRequest opens a request of a client, with its attempt waiting for a connection.
-func (h *harness) openRequest(id string) (t *gateway.Attempt, c *client, peerEnd net.Conn) {
+func (h *harness) openRequest(id string) (t *gateway.Attempt, c *client, clientEnd net.Conn) {
 	h.t.Helper()
 	before := len(h.backend.attempts)
-	c, peerEnd = h.connect(askCommand(id))
+	c, clientEnd = h.connect(askCommand(id))
 	h.waitFor("an attempt", func() bool { return len(h.backend.attempts) > before })
-	return h.backend.attempts[before], c, peerEnd
+	return h.backend.attempts[before], c, clientEnd
 }
 
 // completeDial gives a waiting attempt a connection, as its dial would, and returns the server's end.
-func (h *harness) completeDial(t *gateway.Attempt) (peerEnd net.Conn) {
+func (h *harness) completeDial(t *gateway.Attempt) (serverEnd net.Conn) {
 	h.t.Helper()
-	gatewayEnd, peerEnd := connPair(h.t)
+	gatewayEnd, serverEnd := connPair(h.t)
 	h.pool().finishDial(t, 0, gatewayEnd, nil)
-	return peerEnd
+	return serverEnd
 }
 
 func (h *harness) pool() *connPool { return h.backend.pools[0].connPool }
--- a/internal/resp/ordering_test.go
+++ b/internal/resp/ordering_test.go
@@ -161,12 +161,12 @@
 // answer that it is owed and a plain end, by which it knows that the other command was not read.
 func TestRequestArrivesDuringClose(t *testing.T) {
 	h := newHarness(t, longAim)
-	try, c, peer := h.openRequest("one")
+	attempt, c, peer := h.openRequest("one")
 	c.Drain()
 	h.waitFor("the reader's end", func() bool { return c.readDone })
 	mustWrite(t, peer, askCommand("two"))
 	waitForUnread(t, c)
-	mustWrite(t, h.completeDial(try), testbed.FormatReply("v"))
+	mustWrite(t, h.completeDial(attempt), testbed.FormatReply("v"))
 	ended := make(chan string, 1)
 	go func() {
 		replies, err := io.ReadAll(peer)
@@ -209,11 +209,11 @@
 func TestClientClosesAfterReply(t *testing.T) {
 	h := newHarness(t, longAim)
 	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Fault = time.Minute })
-	try, c, peer := h.openRequest("one")
+	attempt, c, peer := h.openRequest("one")
 	c.Drain()
 	h.waitFor("the reader's end", func() bool { return c.readDone })
 	h.clock.now.Add(1)
-	mustWrite(t, h.completeDial(try), testbed.FormatReply("v"))
+	mustWrite(t, h.completeDial(attempt), testbed.FormatReply("v"))
 	h.waitFor("the half close", func() bool { return c.writeClosed })
 	if got := readAll(t, peer); got != "$1\r\nv\r\n" {
 		t.Errorf("the client got %q", got)
@@ -236,12 +236,12 @@
 			if late {
 				h.clock.now.Add(int64(30 * time.Second)) // the window; the step that would end the attempt by its time comes after
 			}
-			gatewayEnd, peer := connPair(t)
+			gatewayEnd, server := connPair(t)
 			h.pool().finishDial(h.backend.attempts[1], 0, gatewayEnd, nil)
 			c.Close()
 			h.pool().Drain()
 			h.pool().Cancel(h.backend.attempts[1])
-			if got := readAll(t, peer); strings.Contains(got, doName) == late {
+			if got := readAll(t, server); strings.Contains(got, doName) == late {
 				t.Errorf("the server got %q", got)
 			}
 		})
