--- a/internal/resp/backend_test.go
+++ b/internal/resp/backend_test.go
@@ -17,15 +17,15 @@
 	"sloepick/internal/tuning"
 )
 
-// A connection that comes up after its attempt was called off, or after its server was drained or moved, must
-// transport nothing, also when the server is back by then.
+// Nothing may be sent on a connection that is established after its attempt was canceled, or after its server was
+// drained or moved, even if the server is up again by then.
 func TestLateConnectionSendsNothing(t *testing.T) {
 	for name, meanwhile := range map[string]func(h *harness, c *client){
-		"":          nil, // without a fault in between it carries the request, so that the others can fail
+		"":          nil, // control case: the request is sent
 		"timed out": func(h *harness, _ *client) { h.advance(longAim) },
 		"left":      func(_ *harness, c *client) { c.Close() },
 		"draining":  func(h *harness, _ *client) { h.UpdateServers(decide.ListFull, serverList("draining")) },
-		"drained and back": func(h *harness, _ *client) {
+		"drained and up again": func(h *harness, _ *client) {
 			h.UpdateServers(decide.ListFull, serverList("draining"))
 			h.UpdateServers(decide.ListFull, serverList("up"))
 		},
@@ -51,7 +51,7 @@
 	}
 }
 
-// Idle connections are retired before a server may close them.
+// Idle connections must be closed well before the server may close them.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	h := newHarness(t, longAim)
 	attempt, _, _ := h.openRequest("id")
@@ -60,19 +60,19 @@
 	h.firstOutcome()
 	p := h.pool()
 	if _, ok := p.OldestIdle(); !ok {
-		t.Fatal("the connection is not kept")
+		t.Fatal("the connection is not pooled")
 	}
 	h.advance(p.endpoint.IdleTimeout() - 1)
 	if h.Stats().ServerConns != 1 {
-		t.Fatal("retired before its time")
+		t.Fatal("closed before the idle timeout")
 	}
-	if h.advance(1); h.Stats().ServerConns != 0 || p.endpoint.IdleTimeout() > 30*time.Second { // of the platform's 60 s
+	if h.advance(1); h.Stats().ServerConns != 0 || p.endpoint.IdleTimeout() > 30*time.Second { // servers close idle connections after 60 s
 		t.Errorf("%d connections after %v", h.Stats().ServerConns, p.endpoint.IdleTimeout())
 	}
 	readAll(t, server)
 }
 
-// A connection that falls idle over a bound that was lowered meanwhile is closed.
+// A connection that becomes idle while the limit on connections, lowered in the meantime, is exceeded must be closed.
 func TestLoweredLimitClosesIdleConnections(t *testing.T) {
 	h := newHarness(t, longAim)
 	first, _, _ := h.openRequest("one")
@@ -84,12 +84,12 @@
 	h.firstOutcome()
 	readAll(t, server)
 	if n := h.Stats().ServerConns; n != 1 {
-		t.Errorf("%d connections are left, want that of the open attempt", n)
+		t.Errorf("%d connections are left, want 1, that of the open attempt", n)
 	}
 }
 
-// Bytes behind an answer, at once or later, leave its connection out of step: it carries nothing more, and what is behind passes
-// for no other request's answer.
+// Bytes that follow a reply put the connection out of sync: it must be closed, and the bytes must not be taken for
+// the reply to another request.
 func TestTrailingBytesCloseConnection(t *testing.T) {
 	h := newHarness(t, longAim)
 	attempt, c, client := h.openRequest("id")
@@ -100,7 +100,7 @@
 	}
 	readAll(t, server)
 	if _, ok := h.pool().OldestIdle(); ok {
-		t.Error("the connection is kept")
+		t.Error("the connection is still pooled")
 	}
 	c.Close()
 	if got := readAll(t, client); got != "$1\r\nv\r\n" {
@@ -108,8 +108,8 @@
 	}
 }
 
-// A copy that comes after its connection was put by must not pass for the next request's answer. Between answers
-// the reader leaves it in the kernel, where the next write finds it.
+// A duplicate reply that arrives after its connection was returned to the pool must not be taken for the reply to the
+// next request. Between replies the reader leaves it in the kernel's receive queue, where the next send detects it.
 func TestLateDuplicateReplyIsDiscarded(t *testing.T) {
 	h := newHarness(t, longAim)
 	attempt, c, client := h.openRequest("id")
@@ -120,13 +120,13 @@
 	mustWrite(t, server, testbed.FormatReply("first"))
 	for deadline := time.Now().Add(testTimeout); conn.writer.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the copy was read, or never came")
+			t.Fatal("the duplicate was read, or did not arrive")
 		}
 	}
 	h.advance(h.tuning.Nodes.Rest)
-	h.openRequest("second") // waits for another connection
+	h.openRequest("second") // must not use the pooled connection
 	if !conn.closed {
-		t.Error("a connection that is out of step is kept")
+		t.Error("a connection that is out of sync is not closed")
 	}
 	c.Close()
 	if got := readAll(t, client); got != "$5\r\nfirst\r\n" {
@@ -134,7 +134,7 @@
 	}
 }
 
-// A connection rests before it carries the next request, as a copy may be on its way; then it is used again.
+// A connection must be reused only after it has been idle for Nodes.Rest, as a duplicate reply may still be in flight.
 func TestConnectionReusedOnlyAfterRest(t *testing.T) {
 	h := newHarness(t, longAim)
 	attempt, _, _ := h.openRequest("id")
@@ -142,15 +142,16 @@
 	h.firstOutcome()
 	c := h.pool().idle[0]
 	if h.advance(h.tuning.Nodes.Rest - 1); h.pool().takeIdle() != nil {
-		t.Error("a connection that was just used is taken")
+		t.Error("a connection is reused too soon")
 	}
 	if h.advance(1); h.pool().takeIdle() != c {
-		t.Error("a connection that has rested is not taken")
+		t.Error("a connection is not reused after Nodes.Rest")
 	}
 }
 
-// What is no answer ends its attempt as one that may have run and ends the connection, at once: it never waits for
-// the bytes that it promises. An answer that trickles is given up long before its request's time is.
+// An invalid reply must end its attempt as one that may have run, and close the connection, at once, without waiting
+// for the bytes that it announces. A reply that trickles must be given up after Nodes.Answer, long before the
+// request's deadline.
 func TestInvalidReplies(t *testing.T) {
 	for _, invalid := range []string{"+x\r\n", ":1\r\n", "noise", "*3\r\n$3000000000\r\nv", "*3\r\n$-1\r\n", "*1\r\n$1\r\nv\r\n", "*3\r\n$1\r\nvv",
 		"-ERR " + strings.Repeat("x", maxFieldSize), "*3\r\n$10\r\ntrickle"} {
@@ -165,7 +166,7 @@
 	}
 }
 
-// startLargeRequest opens a request whose body the kernel does not take at once, on a narrow connection to a server.
+// startLargeRequest starts a request that the kernel does not take at once, on a connection with a small send buffer.
 func startLargeRequest(t *testing.T) (*harness, *conn, net.Conn) {
 	t.Helper()
 	h := newHarness(t, longAim)
@@ -176,22 +177,22 @@
 	h.pool().finishDial(attempt, 0, gatewayEnd, nil)
 	conn, ok := attempt.TransportData.(*conn)
 	if !ok || !conn.writer.Busy() || conn.fullySent {
-		t.Fatal("the request went at once")
+		t.Fatal("the request was written at once")
 	}
 	return h, conn, server
 }
 
-// A large request is written while the loop goes on, and counts as sent with its last byte.
+// A large request must be written without blocking the loop, and counts as sent with its last byte.
 func TestLargeRequestToSlowServer(t *testing.T) {
 	h, conn, server := startLargeRequest(t)
 	go io.Copy(io.Discard, server)
 	h.waitFor("the last byte", func() bool { return !conn.writer.Busy() })
 	if !conn.fullySent || len(h.outcomes) > 0 {
-		t.Error("the attempt is not known to be out")
+		t.Error("the attempt is not marked as fully sent, or has ended")
 	}
 }
 
-// A connection that breaks before the last byte proves that the request never ran: it may be refused.
+// If the connection breaks before the last byte was written, the request did not run, and the outcome must say so.
 func TestConnectionLostBeforeLastByte(t *testing.T) {
 	h, conn, server := startLargeRequest(t)
 	server.Close()
@@ -200,7 +201,7 @@
 	}
 }
 
-// A connection that breaks behind the last byte proves nothing.
+// If the connection breaks after the last byte was written, the request may have run.
 func TestConnectionLostAfterLastByte(t *testing.T) {
 	h := newHarness(t, longAim)
 	attempt, _, _ := h.openRequest("id")
@@ -211,14 +212,14 @@
 	}
 }
 
-// An answer before its request was written whole is no answer to it. It is held for as long as an answer may take, in case only
-// the news of the last byte is late, and no longer.
+// A reply to an incomplete request is invalid. It must be held for Nodes.Answer, in case only the writer's report of
+// the last byte is late, and no longer.
 func TestReplyBeforeRequestIsComplete(t *testing.T) {
 	h, conn, server := startLargeRequest(t)
 	mustWrite(t, server, testbed.FormatReply("early"))
-	h.waitFor("the early answer", func() bool { return conn.earlyReply != nil })
+	h.waitFor("the early reply", func() bool { return conn.earlyReply != nil })
 	if h.advance(h.tuning.Nodes.Answer - 1); len(h.outcomes) > 0 {
-		t.Fatalf("ended as %v before its time", h.outcomes[0])
+		t.Fatalf("ended as %v before the time limit", h.outcomes[0])
 	}
 	h.clock.now.Add(1)
 	if o := h.firstOutcome(); o == decide.OK || !conn.closed {
@@ -226,22 +227,22 @@
 	}
 }
 
-// An answer that overtakes the news that its request's last byte was handed over is the answer. The server had all of the
-// request; taking its answer for noise ended a request that was served as one that may have run.
+// A reply that overtakes the writer's report of the last byte is valid, as the server had the whole request. When
+// such a reply was taken for an invalid one, a served request ended as one that may have run.
 func TestReplyBeforeWriterCompletion(t *testing.T) {
 	h, conn, server := startLargeRequest(t)
 	go io.Copy(io.Discard, server)
-	<-h.Wakeups() // the writer is done, and the loop has not heard of it
+	<-h.Wakeups() // the writer is done, and its report waits for the loop
 	conn.handleReply(nodeReply{value: []byte("v"), inSync: true})
 	if len(h.outcomes) > 0 {
-		t.Fatalf("ended as %v before the writer was heard", h.outcomes[0])
+		t.Fatalf("ended as %v before the writer's report was processed", h.outcomes[0])
 	}
 	if o := h.firstOutcome(); o != decide.OK || conn.closed {
 		t.Errorf("outcome %v, closed %v", o, conn.closed)
 	}
 }
 
-// What fails for want of something on this machine says nothing of the server.
+// A dial that fails for lack of a local resource must not be counted as a failure of the server.
 func TestLocalDialErrorsAreNotServerFaults(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -256,7 +257,7 @@
 	}
 }
 
-// A request that came by another protocol is sent as RESP2 has it, with all that its values tell.
+// A request that arrived by another protocol must be encoded with all its values.
 func TestCommandForOtherProtocols(t *testing.T) {
 	req := &gateway.Request{Customer: customer, ID: "id", Class: "book", Plan: "p", Key: "77", Units: 2.5, GatewayCount: 2, FirstGateway: 1, ClientRetry: true, Write: true,
 		Body: []byte("BODY")}
--- a/internal/resp/frontend_test.go
+++ b/internal/resp/frontend_test.go
@@ -12,19 +12,19 @@
 	"sloepick/internal/tuning"
 )
 
-// shortTimeouts are limits that a test can wait out.
+// shortTimeouts sets timeouts that a test can wait for.
 func shortTimeouts(t *tuning.Tuning) {
 	t.Clients.FirstCommand, t.Clients.Idle = 30*time.Millisecond, 30*time.Millisecond
 }
 
-// A connection that says nothing, half a command, or nothing more, gives its descriptor back in time. Without a
-// limit hundreds of them took all descriptors for good.
+// A connection on which nothing, a partial command, or nothing more arrives must be closed after a timeout. Without a
+// timeout, hundreds of such connections held all descriptors forever.
 func TestInactiveConnectionsAreClosed(t *testing.T) {
 	for name, tc := range map[string]struct{ sent, want string }{
 		"silent":       {"", ""},
 		"half":         {"*1\r\n$4\r\nPI", "-ERR protocol error: the command did not end in time\r\n"},
 		"idle":         {"*1\r\n$4\r\nPING\r\n", "+PONG\r\n"},
-		"half, behind": {"*1\r\n$4\r\nPING\r\n*1\r\n", "+PONG\r\n-ERR protocol error: the command did not end in time\r\n"},
+		"half, second": {"*1\r\n$4\r\nPING\r\n*1\r\n", "+PONG\r\n-ERR protocol error: the command did not end in time\r\n"},
 	} {
 		h := newHarness(t, longAim)
 		h.updateTuning(shortTimeouts)
@@ -36,7 +36,7 @@
 	}
 }
 
-// A command that comes in drops gets no more time than one that stops half way.
+// A command that trickles in has no more time than one that stops halfway.
 func TestTricklingCommandTimesOut(t *testing.T) {
 	h := newHarness(t, longAim)
 	h.updateTuning(shortTimeouts)
@@ -49,61 +49,61 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	h.waitFor("the end", func() bool { return c.closed })
+	h.waitFor("the close", func() bool { return c.closed })
 }
 
-// A client that waits for its answer is not idle, however long that takes.
+// A client that waits for a reply is not idle, however long that takes.
 func TestWaitingClientIsNotIdle(t *testing.T) {
 	h := newHarness(t, longAim)
 	h.updateTuning(shortTimeouts)
 	_, c, _ := h.openRequest("id")
-	time.Sleep(4 * h.tuning.Clients.Idle) // its limit passes, some times
+	time.Sleep(4 * h.tuning.Clients.Idle) // several times the idle timeout
 	if h.Step(); c.closing || c.closed {
-		t.Error("the waiting client was given up")
+		t.Error("the waiting client was dropped")
 	}
 }
 
-// A request that has come in when its connection is to end is answered: closing on it would lose it.
+// A command that has arrived before its connection is drained must be answered: closing the connection would lose it.
 func TestDrainedConnectionAnswersReceivedCommand(t *testing.T) {
 	h := newHarness(t, longAim)
 	gatewayEnd, peer := connPair(t)
 	mustWrite(t, peer, "*1\r\n$4\r\nPING\r\n")
 	c := newClient(h.Core(), gatewayEnd)
-	for c.writer.ReceiveQueueEmpty() { // the kernel has it before the reader is started
+	for c.writer.ReceiveQueueEmpty() { // until the kernel has received the command; the reader is not started yet
 		time.Sleep(time.Millisecond)
 	}
 	c.Drain()
 	h.Core().AdmitConn(c)
 	go newReader(c).run()
-	h.waitFor("the end", func() bool { return c.closed })
+	h.waitFor("the close", func() bool { return c.closed })
 	if got := readAll(t, peer); got != "+PONG\r\n" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// A command of which a part has come when its connection is to end is still read to its end and answered.
+// A command that has partly arrived when its connection is drained must be read to its end and answered.
 func TestDrainedConnectionCompletesPartialCommand(t *testing.T) {
 	h := newHarness(t, longAim)
 	c, peer := h.connect("*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI")
-	h.waitFor("the first answer", func() bool {
+	h.waitFor("the first reply", func() bool {
 		return c.lastUsed > 0 && c.maxUnanswered.Load() > 0 && len(c.pending) == 0 && c.unanswered.Load() == 0
 	})
 	c.Drain()
-	time.Sleep(20 * time.Millisecond) // in which the reader wakes and looks; if it comes later, it has the rest at once
+	time.Sleep(20 * time.Millisecond) // time for the reader to wake up and check; a slower reader gets the rest at once, and the test still passes
 	mustWrite(t, peer, "NG\r\n")
-	h.waitFor("the end", func() bool { return c.closed })
+	h.waitFor("the close", func() bool { return c.closed })
 	if got := readAll(t, peer); got != "+PONG\r\n+PONG\r\n" {
 		t.Errorf("the client got %q", got)
 	}
 }
 
-// What can't be read ends its connection soon, though requests are open on it.
+// A protocol error must close the connection after Clients.Fault, even if requests are still open on it.
 func TestProtocolErrorDoesNotWaitForOpenRequests(t *testing.T) {
 	h := newHarness(t, longAim)
 	c, peer := h.connect(askCommand("id") + "*-1\r\n")
-	h.waitFor("the fault", func() bool { return c.readDone })
+	h.waitFor("the protocol error", func() bool { return c.readDone })
 	if c.closed || h.Stats().Requests != 1 {
-		t.Fatal("the open request got no time")
+		t.Fatal("the open request was dropped at once")
 	}
 	h.advance(h.tuning.Clients.Fault)
 	h.pool().Cancel(h.backend.attempts[0])
@@ -113,7 +113,7 @@
 	}
 }
 
-// A client that reads nothing must not make the loop wait, nor its answers fill the memory.
+// A client that reads nothing must neither block the loop nor fill the memory with its replies.
 func TestClientThatReadsNothing(t *testing.T) {
 	h := newHarness(t, longAim)
 	gatewayEnd, _ := connPairWithSmallBuffer(t)
@@ -122,16 +122,16 @@
 	reply := redcon.AppendBulk(nil, bytes.Repeat([]byte("x"), maxValueSize))
 	for n := 0; !c.closed; n++ {
 		if n*len(reply) > 64<<20 {
-			t.Fatal("the client's answers pile up without end")
+			t.Fatal("the client's backlog of replies is not limited")
 		}
 		c.handleBatch(commandBatch{commands: []parsedCommand{{reply: reply}}})
 	}
 	if len(c.backlog) != 0 || h.Stats().Clients != 0 {
-		t.Error("the client is kept")
+		t.Error("the client's state is not released")
 	}
 }
 
-// Many commands at once are all answered, though only so many may be owed at a time.
+// Many commands sent at once must all be answered, although the number of unanswered ones is limited.
 func TestDeepPipeline(t *testing.T) {
 	h := newHarness(t, longAim)
 	c, peer := h.connect("")
@@ -147,13 +147,13 @@
 		done <- string(got)
 		h.Core().Post(c.Close)
 	}()
-	h.waitFor("the answers", func() bool { return c.closed })
+	h.waitFor("all replies", func() bool { return c.closed })
 	if got := <-done; got != strings.Repeat("+PONG\r\n", n) {
 		t.Errorf("got %.80q", got)
 	}
 }
 
-// What is in the list is read strictly, each name once.
+// The list must be parsed strictly, and each name accepted only once.
 func TestParseRequest(t *testing.T) {
 	parse := func(list string) (*command, error) {
 		return parseRequest(askName, [][]byte{[]byte(askName), []byte(customer), []byte("id"), []byte(list)}, 0)
@@ -168,7 +168,7 @@
 		"d=5,spread=0", "d=5,spread=-1", "d=5,spread=1.5", "d=5,spread=9999999", "d=5,first=x", "d=5,k=",
 	} {
 		if _, err := parse(list); err == nil {
-			t.Errorf("%q passes", list)
+			t.Errorf("%q is accepted", list)
 		}
 	}
 }
--- a/internal/resp/harness_test.go
+++ b/internal/resp/harness_test.go
@@ -19,18 +19,19 @@
 )
 
 const (
-	testTimeout = 20 * time.Second // for what must come; no test waits for it to pass
-	longAim     = 30 * time.Second // an aim that no test reaches
+	testTimeout = 20 * time.Second // limit for events that must happen; no passing test waits that long
+	longAim     = 30 * time.Second // a class's aim; it expires only if a test advances the clock
 	customer    = "00000000b4d65521"
 	lookupList  = "c=look,t=p,d=30000,units=1,spread=2,first=0"
 )
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now atomic.Int64 }
 
 func (c *manualClock) Now() time.Duration { return time.Duration(c.now.Load()) }
 
-// manualBackend is a back whose connections the test brings: attempts wait for them in the order in which they went out.
+// manualBackend is a backend whose new connections are provided by the test. Attempts that wait for one are kept in
+// the order in which they were started.
 type manualBackend struct {
 	pools    []*manualPool
 	attempts []*gateway.Attempt
@@ -58,14 +59,14 @@
 	p.backend.attempts = append(p.backend.attempts, t)
 }
 
-// harness is a core with one server, stepped by a test.
+// harness is a core with one server, which the test runs step by step.
 type harness struct {
 	t *testing.T
 	*gateway.Stepper
 	clock    *manualClock
 	backend  *manualBackend
 	tuning   tuning.Tuning
-	outcomes []decide.Outcome // of attempts
+	outcomes []decide.Outcome // of the attempts, in order
 }
 
 func newHarness(t *testing.T, aim time.Duration) *harness {
@@ -90,7 +91,7 @@
 	return h
 }
 
-// closeServerConns closes the connections to the server, whose readers wait for the core.
+// closeServerConns closes the connections to the server, so that their readers stop waiting for the core.
 func (h *harness) closeServerConns() {
 	for _, p := range h.backend.pools {
 		p.Drain()
@@ -100,24 +101,24 @@
 	}
 }
 
-// serverList is the list of the one serverList in a state.
+// serverList returns a list with the one server in the given state.
 func serverList(state string) gateway.ServerList {
 	return gateway.ServerList{Version: 1, Full: true, Servers: []gateway.ServerEntry{{ID: "s-0", Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}}}
 }
 
-// updateTuning gives it other limits.
+// updateTuning changes the tuning and reloads it.
 func (h *harness) updateTuning(change func(t *tuning.Tuning)) {
 	change(&h.tuning)
 	h.Reload(gateway.Reload{Tuning: &h.tuning})
 }
 
-// advance moves the clock.
+// advance advances the clock and runs a step.
 func (h *harness) advance(d time.Duration) {
 	h.clock.now.Add(int64(d))
 	h.Step()
 }
 
-// waitFor steps waitFor something has come about.
+// waitFor runs steps until done reports true.
 func (h *harness) waitFor(event string, done func() bool) {
 	h.t.Helper()
 	timeout := time.After(testTimeout)
@@ -125,19 +126,19 @@
 		select {
 		case <-h.Wakeups():
 		case <-timeout:
-			h.t.Fatalf("%s did not come about", event)
+			h.t.Fatalf("timed out waiting for %s", event)
 		}
 	}
 }
 
-// firstOutcome steps until an attempt has firstOutcome, and tells how the first one did.
+// firstOutcome runs steps until an attempt has ended, and returns the outcome of the first one.
 func (h *harness) firstOutcome() decide.Outcome {
 	h.t.Helper()
-	h.waitFor("an attempt's end", func() bool { return len(h.outcomes) > 0 })
+	h.waitFor("the end of an attempt", func() bool { return len(h.outcomes) > 0 })
 	return h.outcomes[0]
 }
 
-// connPair returns both ends of a connection.
+// connPair returns both ends of a TCP connection.
 func connPair(t *testing.T) (gatewayEnd, peerEnd net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,7 +159,7 @@
 	return gatewayEnd, peerEnd
 }
 
-// connPairWithSmallBuffer is a pair whose kernel buffer takes little, so that large writes don't go at once.
+// connPairWithSmallBuffer returns a pair with a small send buffer at the gateway's end, so that large writes block.
 func connPairWithSmallBuffer(t *testing.T) (gatewayEnd, peerEnd net.Conn) {
 	t.Helper()
 	gatewayEnd, peerEnd = connPair(t)
@@ -168,7 +169,7 @@
 	return gatewayEnd, peerEnd
 }
 
-// connect gives the core a client's connection on which something was sent, and returns the client's end.
+// connect gives the core a client connection on which sent was already written, and returns the client's end.
 func (h *harness) connect(sent string) (*client, net.Conn) {
 	h.t.Helper()
 	gatewayEnd, clientEnd := connPair(h.t)
@@ -178,10 +179,10 @@
 	return acceptClient(h.Core(), gatewayEnd), clientEnd
 }
 
-// askCommand is a request as it stands on the wire.
+// askCommand returns an encoded request.
 func askCommand(id string) string { return encodeCommand(askName, customer, id, lookupList) }
 
-// encodeCommand is a command as it stands on the wire.
+// encodeCommand returns an encoded command.
 func encodeCommand(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
 	for _, arg := range args {
@@ -190,7 +191,7 @@
 	return string(b)
 }
 
-// openRequest opens a request of a client, with its attempt waiting for a connection.
+// openRequest sends a request from a new client and returns its attempt, which waits for a connection to the server.
 func (h *harness) openRequest(id string) (t *gateway.Attempt, c *client, clientEnd net.Conn) {
 	h.t.Helper()
 	before := len(h.backend.attempts)
@@ -199,7 +200,7 @@
 	return h.backend.attempts[before], c, clientEnd
 }
 
-// completeDial gives a waiting attempt a connection, as its dial would, and returns the server's end.
+// completeDial gives a waiting attempt a connection, as a completed dial would, and returns the server's end.
 func (h *harness) completeDial(t *gateway.Attempt) (serverEnd net.Conn) {
 	h.t.Helper()
 	gatewayEnd, serverEnd := connPair(h.t)
@@ -216,7 +217,7 @@
 	}
 }
 
-// readAll is all that comes on a connection until its end.
+// readAll returns all bytes received until the end of the connection.
 func readAll(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	b, err := io.ReadAll(conn)
--- a/internal/resp/ordering_test.go
+++ b/internal/resp/ordering_test.go
@@ -11,25 +11,26 @@
 	"sloepick/internal/tuning"
 )
 
-// Each test here forces one order of two events that can cross on a connection. docs/design/crossings.md lists them.
+// Each test in this file forces one order of two concurrent events on a connection. docs/design/crossings.md lists
+// them.
 
 const (
 	ping        = "*1\r\n$4\r\nPING\r\n"
 	bookingList = "c=book,t=p,d=30000,units=1,spread=2,first=0,k=77"
 )
 
-// waitForUnread waits until something lies waitForUnread in the kernel.
+// waitForUnread waits until the kernel's receive queue of the connection is not empty.
 func waitForUnread(t *testing.T, c *client) {
 	t.Helper()
 	for timeout := time.Now().Add(testTimeout); c.writer.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
 		if time.Now().After(timeout) {
-			t.Fatal("nothing came")
+			t.Fatal("nothing was received")
 		}
 	}
 }
 
-// TestTimeoutWithUnreadBytes: a connection's time is up in the moment in which a command has come and was not read. The command
-// is read and answered before the connection ends.
+// A timeout expires when a command has arrived but was not read yet. The command must be read and answered before the
+// connection is closed.
 func TestTimeoutWithUnreadBytes(t *testing.T) {
 	for name, tc := range map[string]struct{ read, unread, want string }{
 		"a whole command":       {"", ping, "+PONG\r\n"},
@@ -48,7 +49,7 @@
 			r.buf, r.timerStart = append(r.buf, tc.read...), time.Now().Add(-time.Hour)
 			r.gotCommand = tc.read == ""
 			go r.run()
-			h.waitFor("the end", func() bool { return c.closed })
+			h.waitFor("the close", func() bool { return c.closed })
 			if got := readAll(t, peer); got != tc.want {
 				t.Errorf("the client got %q, want %q", got, tc.want)
 			}
@@ -56,7 +57,7 @@
 	}
 }
 
-// TestTimeoutIsExtendedOnce: a client whose bytes keep coming gets one more read for a command, and no more.
+// A client whose bytes keep arriving at the timeout must get one more read per command, and no more.
 func TestTimeoutIsExtendedOnce(t *testing.T) {
 	h := newHarness(t, longAim)
 	gatewayEnd, peer := connPair(t)
@@ -67,15 +68,15 @@
 	r := newReader(c)
 	r.buf = append(r.buf, "*1\r\n"...)
 	if !r.handleTimeout() {
-		t.Error("what has come is not read")
+		t.Error("received bytes are not read")
 	}
 	if r.handleTimeout() {
-		t.Error("the command has no end to its time")
+		t.Error("the timeout is extended again")
 	}
 }
 
-// TestClientClosesWithFullPipeline: a client that has sent more commands than may be owed answers, and closes, is seen to have
-// gone though nothing more is handed on: what waits behind reaches nobody, and what is open is abandoned.
+// A client fills the pipeline, sends more commands and closes the connection. The close must be detected although the
+// reader posts nothing more: the commands that wait must not reach the core, and the open request must be abandoned.
 func TestClientClosesWithFullPipeline(t *testing.T) {
 	h := newHarness(t, longAim)
 	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Pipeline = 1 })
@@ -86,17 +87,18 @@
 		}
 	})
 	c, peer := h.connect(askCommand("one"))
-	h.waitFor("the first", func() bool { return requests == 1 })
+	h.waitFor("the first request", func() bool { return requests == 1 })
 	mustWrite(t, peer, askCommand("two")+askCommand("three"))
 	peer.Close()
-	h.waitFor("the client's end", func() bool { return c.closed })
+	h.waitFor("the close", func() bool { return c.closed })
 	h.completeDial(h.backend.attempts[0])
 	if requests != 1 || h.Stats().RequestBytes != 0 {
-		t.Errorf("%d requests of a client that has gone reached the core, %d bytes are held", requests, h.Stats().RequestBytes)
+		t.Errorf("%d requests of a client that has closed reached the core, %d bytes are held", requests, h.Stats().RequestBytes)
 	}
 }
 
-// TestReadAheadIsBounded: what a client sends behind a full pipeline waits in its own kernel beyond a bound.
+// While the pipeline is full, the reader must buffer a limited number of bytes; the rest must wait in the client's
+// kernel.
 func TestReadAheadIsBounded(t *testing.T) {
 	h := newHarness(t, longAim)
 	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Pipeline = 1 })
@@ -109,12 +111,12 @@
 		r.run()
 	}()
 	mustWrite(t, peer, askCommand("one"))
-	h.waitFor("the first", func() bool { return len(h.backend.attempts) == 1 })
-	if err := peer.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)); err != nil { // a later one would find more, a sooner one less
+	h.waitFor("the first attempt", func() bool { return len(h.backend.attempts) == 1 })
+	if err := peer.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)); err != nil { // a longer deadline would detect more, a shorter one less
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(peer, strings.Repeat(ping, 1<<20)); err == nil {
-		t.Error("all was taken")
+		t.Error("the gateway accepted all bytes")
 	}
 	c.Close()
 	<-done
@@ -123,15 +125,15 @@
 	}
 }
 
-// TestReaderResumesWhenPipelineHasRoom: commands behind a full pipeline go on, each as the answer before it is given, whether the reader
-// reads ahead just then or waits with a full buffer.
+// Commands that wait for a full pipeline must be processed as earlier replies are given, whether the reader is
+// reading ahead at that time or waits with a full buffer.
 func TestReaderResumesWhenPipelineHasRoom(t *testing.T) {
 	for name, queued := range map[string]int{"reads ahead": 3, "waits": 2 * maxReadAhead / len(ping)} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, longAim)
 			h.updateTuning(func(t *tuning.Tuning) { t.Clients.Pipeline, t.Clients.FirstCommand = 1, time.Minute })
 			c, peer := h.connect(askCommand("one"))
-			h.waitFor("the first", func() bool { return len(h.backend.attempts) == 1 })
+			h.waitFor("the first attempt", func() bool { return len(h.backend.attempts) == 1 })
 			mustWrite(t, peer, strings.Repeat(ping, queued))
 			for timeout := time.Now().Add(testTimeout); name == "reads ahead" && !c.writer.ReceiveQueueEmpty(); time.Sleep(time.Millisecond) {
 				if time.Now().After(timeout) {
@@ -149,7 +151,7 @@
 				got <- string(replies)
 				h.Core().Post(c.Close)
 			}()
-			h.waitFor("all answers", func() bool { return c.closed })
+			h.waitFor("all replies", func() bool { return c.closed })
 			if replies := <-got; replies != want {
 				t.Errorf("got %.60q ...", replies)
 			}
@@ -157,8 +159,8 @@
 	}
 }
 
-// TestRequestArrivesDuringClose: a command that comes after a connection has stopped reading must not reset it: the client reads the
-// answer that it is owed and a plain end, by which it knows that the other command was not read.
+// A command that arrives after the reader has stopped must not reset the connection: the client must get the
+// outstanding reply and a regular end of the connection, which tells it that the other command was not read.
 func TestRequestArrivesDuringClose(t *testing.T) {
 	h := newHarness(t, longAim)
 	attempt, c, peer := h.openRequest("one")
@@ -181,23 +183,23 @@
 		t.Errorf("the client got %q", got)
 	}
 	if len(h.backend.attempts) != 1 {
-		t.Errorf("%d attempts: what came after the end was sent on", len(h.backend.attempts))
+		t.Errorf("%d attempts: a command that arrived after the reader's end was processed", len(h.backend.attempts))
 	}
 }
 
-// TestClientThatDoesNotClose: a client that leaves its side open after the gateway has ended its own holds the descriptor for so
-// long and no longer.
+// A client that does not close its side after the gateway has shut down its own must not hold the descriptor longer
+// than Clients.Fault.
 func TestClientThatDoesNotClose(t *testing.T) {
 	h := newHarness(t, longAim)
 	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Fault = 30 * time.Millisecond })
 	c, peer := h.connect("*0\r\n")
-	h.waitFor("an answer", func() bool {
+	h.waitFor("a reply", func() bool {
 		return c.lastUsed > 0 && len(c.pending) == 0 && c.unanswered.Load() == 0 && c.maxUnanswered.Load() > 0
 	})
-	h.clock.now.Add(1) // the answer and the connection are not of the same moment
+	h.clock.now.Add(1) // lastUsed must differ from acceptedAt, or the connection would be closed at once
 	c.lastUsed = h.clock.Now()
 	c.Drain()
-	h.waitFor("the half close", func() bool { return c.writeClosed })
+	h.waitFor("the shutdown for writing", func() bool { return c.writeClosed })
 	h.waitFor("the close", func() bool { return c.closed })
 	if h.Stats().Clients != 0 {
 		t.Error("the descriptor is still counted")
@@ -205,7 +207,7 @@
 	peer.Close()
 }
 
-// TestClientClosesAfterReply: once the client has closed its side the connection goes at once, not after its time.
+// Once the client has closed its side, the connection must be closed at once, not after the timeout.
 func TestClientClosesAfterReply(t *testing.T) {
 	h := newHarness(t, longAim)
 	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Fault = time.Minute })
@@ -214,7 +216,7 @@
 	h.waitFor("the reader's end", func() bool { return c.readDone })
 	h.clock.now.Add(1)
 	mustWrite(t, h.completeDial(attempt), testbed.FormatReply("v"))
-	h.waitFor("the half close", func() bool { return c.writeClosed })
+	h.waitFor("the shutdown for writing", func() bool { return c.writeClosed })
 	if got := readAll(t, peer); got != "$1\r\nv\r\n" {
 		t.Errorf("the client got %q", got)
 	}
@@ -222,8 +224,8 @@
 	h.waitFor("the close", func() bool { return c.closed })
 }
 
-// TestDedupWindowEndsWhileConnecting: a repeat of a keyed request whose connection comes up after servers have forgotten the key
-// must not be written: it could take effect twice.
+// A retry of a keyed request whose connection is established after the dedup window must not be sent: the servers
+// have forgotten the key, so the request could take effect twice.
 func TestDedupWindowEndsWhileConnecting(t *testing.T) {
 	for name, late := range map[string]bool{"in time": false, "late": true} {
 		t.Run(name, func(t *testing.T) {
@@ -231,10 +233,10 @@
 			c, _ := h.connect(encodeCommand(doName, customer, "one", bookingList))
 			h.waitFor("an attempt", func() bool { return len(h.backend.attempts) == 1 })
 			firstServer := h.completeDial(h.backend.attempts[0])
-			firstServer.Close() // behind the last byte: it may have run
-			h.waitFor("a repeat", func() bool { return len(h.backend.attempts) == 2 })
+			firstServer.Close() // after the last byte: the request may have run
+			h.waitFor("a retry", func() bool { return len(h.backend.attempts) == 2 })
 			if late {
-				h.clock.now.Add(int64(30 * time.Second)) // the window; the step that would end the attempt by its time comes after
+				h.clock.now.Add(int64(30 * time.Second)) // the dedup window; the step that would time the attempt out has not run yet
 			}
 			gatewayEnd, server := connPair(t)
 			h.pool().finishDial(h.backend.attempts[1], 0, gatewayEnd, nil)
--- a/internal/resp/parser_test.go
+++ b/internal/resp/parser_test.go
@@ -7,8 +7,8 @@
 	"sloepick/internal/gateway"
 )
 
-// An answer has one shape. All else is noise, known as such as early as can be: it was served, or waited for to the
-// end of the request's time, when any array that began with a string would do.
+// Replies have one format, and everything else must be rejected as early as possible. When any array that began with
+// a string was accepted, invalid replies were served to clients, or waited for until the request's deadline.
 func TestParseReply(t *testing.T) {
 	const rest = "$-1\r\n$-1\r\n"
 	for in, want := range map[string]nodeReply{
@@ -24,7 +24,7 @@
 	} {
 		for n := range len(in) {
 			if _, used, err := parseReply([]byte(in[:n])); want.inSync && (used != 0 || err != nil) {
-				t.Errorf("%q: used %d, %v, want to wait for more", in[:n], used, err)
+				t.Errorf("%q: used %d, %v, want it to be incomplete", in[:n], used, err)
 			}
 		}
 		reply, used, err := parseReply([]byte(in))
@@ -39,13 +39,13 @@
 		"-ERR " + strings.Repeat("x", maxFieldSize),
 	} {
 		if _, _, err := parseReply([]byte(in)); err == nil {
-			t.Errorf("%q may still become an answer", in)
+			t.Errorf("%q is not rejected as a reply", in)
 		}
 	}
 }
 
-// What can't become a command fails on its first bytes, not after 68 KB of them, and what is half there is waited
-// for.
+// Input that can't become a valid command must be rejected at its first invalid bytes, not after 68 KB; an incomplete
+// command must be waited for.
 func TestParseCommand(t *testing.T) {
 	for _, in := range []string{
 		"PING\r\n", "*-1\r\n", "*x\r\n", "*+1\r\n", "*17\r\n", "*1000000000\r\n", "*1\n", "*1\r\n:", "*1\r\n$-1\r\n", "*1\r\n$-9999\r\n",
@@ -53,13 +53,13 @@
 		"*2\r\n$60000\r\n" + strings.Repeat("x", 60000) + "\r\n$10000\r\n",
 	} {
 		if _, _, err := parseCommand([]byte(in), nil); err == nil {
-			t.Errorf("%.40q may still become a command", in)
+			t.Errorf("%.40q is not rejected as a command", in)
 		}
 	}
 	const in = "*2\r\n$4\r\nPING\r\n$0\r\n\r\n"
 	for n := range len(in) {
 		if used, _, err := parseCommand([]byte(in[:n]), nil); used != 0 || err != nil {
-			t.Errorf("%q: used %d, %v, want to wait for more", in[:n], used, err)
+			t.Errorf("%q: used %d, %v, want it to be incomplete", in[:n], used, err)
 		}
 	}
 	if used, args, err := parseCommand([]byte(in+"*"), nil); used != len(in) || len(args) != 2 || string(args[0]) != "PING" || err != nil {
