--- a/internal/gateway/back.go
+++ b/internal/gateway/back.go
@@ -31,7 +31,7 @@
 // The results.
 const (
 	NoLocalCapacity AttemptResult = iota + 1 // nothing went out, for want of something here
-	NotSent                                  // no connection came up, or it broke before the last byte was handed over
+	NotFullySent                             // no connection came up, or it broke before the last byte was handed over
 	RefusedByNode                            // the node said that it did not begin it
 	ConnectionLost                           // the connection, or its part in it, broke after the last byte
 	BadResponse                              // the node answered, with an error or with what is no answer
@@ -44,7 +44,7 @@
 	switch f {
 	case NoLocalCapacity:
 		return decide.NotSent
-	case NotSent:
+	case NotFullySent:
 		return decide.NoConnection
 	case RefusedByNode:
 		return decide.Rejected
@@ -94,7 +94,7 @@
 	if err != nil && localFault(err) {
 		return NoLocalCapacity
 	}
-	return NotSent
+	return NotFullySent
 }
 
 // ReleaseConn counts a connection off.
@@ -156,7 +156,7 @@
 // Fail ends it. What broke before it was whole never left.
 func (t *Attempt) Fail(f AttemptResult) {
 	if f == ConnectionLost && !t.a.whole {
-		f = NotSent
+		f = NotFullySent
 	}
 	t.l.ended(t.a, f.outcome())
 }
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -311,7 +311,7 @@
 		result AttemptResult
 		whole  bool
 		want   decide.Outcome
-	}{{NoLocalCapacity, false, decide.NotSent}, {NotSent, false, decide.NoConnection}, {RefusedByNode, true, decide.Rejected}, {ConnectionLost, true, decide.Reset},
+	}{{NoLocalCapacity, false, decide.NotSent}, {NotFullySent, false, decide.NoConnection}, {RefusedByNode, true, decide.Rejected}, {ConnectionLost, true, decide.Reset},
 		{ConnectionLost, false, decide.NoConnection}, {BadResponse, true, decide.Error}} {
 		l, w := still(t, 1)
 		_, handle := open(l, "id")
--- a/internal/resp/backend.go
+++ b/internal/resp/backend.go
@@ -95,7 +95,7 @@
 	go c.readLoop()
 	if generation != p.generation {
 		c.close()
-		t.Fail(gateway.NotSent)
+		t.Fail(gateway.NotFullySent)
 		return
 	}
 	if !t.Revalidate() {
@@ -103,7 +103,7 @@
 		return
 	}
 	if !c.send(t) {
-		t.Fail(gateway.NotSent)
+		t.Fail(gateway.NotFullySent)
 	}
 }
 
@@ -162,7 +162,7 @@
 	if err != nil {
 		c.close()
 		if n > 0 {
-			t.Fail(gateway.NotSent) // the connection broke before the last byte
+			t.Fail(gateway.NotFullySent) // the connection broke before the last byte
 		}
 		return n > 0
 	}
