--- a/internal/testbed/stand.go
+++ b/internal/testbed/testbed.go
@@ -1,6 +1,7 @@
-// Package stand holds stand-ins for what a gateway meets: booking nodes, discovery and clients. They listen on
-// free loopback ports, know the published protocols and nothing of the gateway's insides, and serve the project's
-// own tests, measurements and demonstration.
+// Package testbed provides what a gateway talks to: nodes that serve requests over RESP2 or HTTP/2, a discovery
+// service, clients and a load generator, and an audit of what they observed. All servers listen on free loopback
+// ports, implement the published protocols and depend on nothing inside the gateway. The package serves the
+// project's tests and benchmarks and the command "sloectl demo".
 package testbed
 
 import (
@@ -21,13 +22,13 @@
 	"github.com/tidwall/redcon"
 )
 
-// listener takes connections on a free loopback port and remembers them, so that Close ends all.
+// listener accepts connections on a loopback port and tracks them, so that Close can close them all.
 type listener struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	ended bool
-	wg    sync.WaitGroup
+	ln     net.Listener
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
+	wg     sync.WaitGroup
 }
 
 func listen(serve func(net.Conn)) (*listener, error) { return listenAt("127.0.0.1:0", serve) }
@@ -40,9 +41,9 @@
 			if err != nil {
 				return
 			}
-			if l.add(conn) {
+			if l.track(conn) {
 				l.wg.Go(func() {
-					defer l.drop(conn)
+					defer l.untrack(conn)
 					serve(conn)
 				})
 			}
@@ -51,10 +52,10 @@
 	return l
 }
 
-func (l *listener) add(conn net.Conn) bool {
+func (l *listener) track(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		conn.Close()
 		return false
 	}
@@ -62,21 +63,21 @@
 	return true
 }
 
-func (l *listener) drop(conn net.Conn) {
+func (l *listener) untrack(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, conn)
 	conn.Close()
 }
 
-// Addr is where it listens, as host:port.
+// Addr returns the listen address as host:port.
 func (l *listener) Addr() string { return l.ln.Addr().String() }
 
-// Close ends the listener and all its connections, and waits for their goroutines.
+// Close closes the listener and all its connections, and waits for their goroutines.
 func (l *listener) Close() {
 	l.ln.Close()
 	l.mu.Lock()
-	l.ended = true
+	l.closed = true
 	for c := range l.conns {
 		c.Close()
 	}
@@ -84,25 +85,25 @@
 	l.wg.Wait()
 }
 
-// ScriptedNode is a node that does nothing by itself: whoever made it is handed each command with its connection.
+// ScriptedNode is a node without behavior of its own: a callback receives each command with its connection.
 type ScriptedNode struct{ *listener }
 
-// NewScriptedNode starts a node. got is called from a goroutine of the connection's own, in the order of its commands,
+// NewScriptedNode starts a node. handle is called on the connection's own goroutine, in the order of its commands,
 // and once with nil when the connection ends.
-func NewScriptedNode(got func(conn net.Conn, args []string)) (*ScriptedNode, error) {
+func NewScriptedNode(handle func(conn net.Conn, args []string)) (*ScriptedNode, error) {
 	l, err := listen(func(conn net.Conn) {
 		rd := redcon.NewReader(conn)
 		for {
 			cmd, err := rd.ReadCommand()
 			if err != nil {
-				got(conn, nil)
+				handle(conn, nil)
 				return
 			}
 			args := make([]string, len(cmd.Args))
 			for i, a := range cmd.Args {
 				args[i] = string(a)
 			}
-			got(conn, args)
+			handle(conn, args)
 		}
 	})
 	if err != nil {
@@ -111,83 +112,83 @@
 	return &ScriptedNode{l}, nil
 }
 
-// FormatReply is a node's answer to a request that it served, without figures on use and load report.
+// FormatReply encodes a node's reply to a request that it served, without use and load report.
 func FormatReply(value string) string { return FormatReplyWithUse(value, "") }
 
-// FormatReplyWithUse is one with figures on use; "": none.
-func FormatReplyWithUse(value, figures string) string {
-	use := "$-1\r\n"
-	if figures != "" {
-		use = fmt.Sprintf("$%d\r\n%s\r\n", len(figures), figures)
+// FormatReplyWithUse encodes such a reply with the given report of use; "" omits it.
+func FormatReplyWithUse(value, use string) string {
+	encoded := "$-1\r\n"
+	if use != "" {
+		encoded = fmt.Sprintf("$%d\r\n%s\r\n", len(use), use)
 	}
-	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n%s$-1\r\n", len(value), value, use)
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n%s$-1\r\n", len(value), value, encoded)
 }
 
-const callsKept = 64 // queries that Discovery keeps for whoever reads them
+const maxQueries = 64 // queries that Discovery buffers for a reader
 
-// ServerEntry is a server in discovery's list.
+// ServerEntry is a server in the list of servers.
 type ServerEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // up, draining, removed
+	State     string  `json:"state"` // up, draining or removed
 	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"` // Unix time; 0 for long ago
+	StartedMS int64   `json:"started_ms"` // Unix time; 0 if it started long ago
 }
 
-// ServerList is discovery's form of a list.
+// ServerList is the list of servers as discovery encodes it.
 type ServerList struct {
 	Version uint64        `json:"version"`
 	Full    bool          `json:"full"`
 	Servers []ServerEntry `json:"servers"`
 }
 
-// Discovery serves a list of servers and the watches on it.
+// Discovery serves a list of servers and long polls for its changes.
 type Discovery struct {
-	Queries chan string // the queries of the calls; left out where nobody takes them
+	Queries chan string // the raw queries of requests; dropped when the buffer is full
 
-	web     *httptest.Server
+	server  *httptest.Server
 	mu      sync.Mutex
 	version uint64
 	body    []byte
 	changed chan struct{}
-	hushed  chan struct{} // closed when it answers again; nil: it answers
-	closed  chan struct{} // ends the watches that wait
+	resumed chan struct{} // closed when a pause ends; nil: not paused
+	closed  chan struct{} // ends pending long polls
 	once    sync.Once
 }
 
-// NewDiscovery starts discovery with a list, such as a List, whose version is told beside it.
+// NewDiscovery starts the service with a list, such as a ServerList, and its version.
 func NewDiscovery(version uint64, list any) (*Discovery, error) {
 	body, err := json.Marshal(list)
 	if err != nil {
-		return nil, fmt.Errorf("encoding the list: %w", err)
+		return nil, fmt.Errorf("encoding the list of servers: %w", err)
 	}
-	d := &Discovery{Queries: make(chan string, callsKept), version: version, body: body, changed: make(chan struct{}), closed: make(chan struct{})}
-	d.web = httptest.NewServer(d)
+	d := &Discovery{Queries: make(chan string, maxQueries), version: version, body: body, changed: make(chan struct{}), closed: make(chan struct{})}
+	d.server = httptest.NewServer(d)
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (d *Discovery) Addr() netip.AddrPort {
-	return netip.MustParseAddrPort(strings.TrimPrefix(d.web.URL, "http://"))
+	return netip.MustParseAddrPort(strings.TrimPrefix(d.server.URL, "http://"))
 }
 
-// Close ends it and the watches that wait, also those that come while it closes. Closing it again does nothing.
+// Close stops the service and ends pending long polls, including those that arrive meanwhile. It is idempotent.
 func (d *Discovery) Close() {
 	d.once.Do(func() {
 		close(d.closed)
-		d.web.CloseClientConnections()
-		d.web.Close()
+		d.server.CloseClientConnections()
+		d.server.Close()
 	})
 }
 
-// Set gives it a new list, which all watches that are behind its version are told.
+// Set publishes a new list. Pending long polls for an older version return it.
 func (d *Discovery) Set(version uint64, list any) error {
 	body, err := json.Marshal(list)
 	if err != nil {
-		return fmt.Errorf("encoding the list: %w", err)
+		return fmt.Errorf("encoding the list of servers: %w", err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,39 +198,39 @@
 	return nil
 }
 
-// Pause has it answer nobody until the function that it returns is called: calls that come meanwhile wait.
-func (d *Discovery) Pause() (speak func()) {
+// Pause makes the service hold all requests without an answer until resume is called.
+func (d *Discovery) Pause() (resume func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	hushed := make(chan struct{})
-	d.hushed = hushed
+	resumed := make(chan struct{})
+	d.resumed = resumed
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.hushed == hushed {
-			d.hushed = nil
+		if d.resumed == resumed {
+			d.resumed = nil
 		}
-		close(hushed)
+		close(resumed)
 	}
 }
 
-// ServeHTTP answers a call at once or, if it is a watch, when there is news.
+// ServeHTTP answers at once or, for a long poll, when there is a newer version.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	select {
 	case d.Queries <- req.URL.RawQuery:
 	default:
 	}
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
-	wait, _ := strconv.ParseUint(req.URL.Query().Get("wait_ms"), 10, 32) // none: it does not wait
-	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer over.Stop()
+	wait, _ := strconv.ParseUint(req.URL.Query().Get("wait_ms"), 10, 32) // missing: no waiting
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for {
 		d.mu.Lock()
-		version, body, changed, hushed := d.version, d.body, d.changed, d.hushed
+		version, body, changed, resumed := d.version, d.body, d.changed, d.resumed
 		d.mu.Unlock()
-		if hushed != nil {
+		if resumed != nil {
 			select {
-			case <-hushed:
+			case <-resumed:
 			case <-d.closed:
 				return
 			case <-req.Context().Done():
@@ -245,7 +246,7 @@
 		case <-changed:
 		case <-d.closed:
 			return
-		case <-over.C:
+		case <-timeout.C:
 			json.NewEncoder(w).Encode(ServerList{Version: after, Servers: []ServerEntry{}})
 			return
 		case <-req.Context().Done():
@@ -254,13 +255,13 @@
 	}
 }
 
-// Client is a client's connection. It is not safe for concurrent use.
+// Client is a client's RESP2 connection. It is not safe for concurrent use.
 type Client struct {
 	Conn net.Conn
 	rd   *bufio.Reader
 }
 
-// Dial connects to a gateway.
+// Dial connects to a gateway by RESP2.
 func Dial(addr string) (*Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -270,9 +271,9 @@
 }
 
 // Send writes a command.
-func (c *Client) Send(words ...string) error {
-	b := redcon.AppendArray(nil, len(words))
-	for _, w := range words {
+func (c *Client) Send(args ...string) error {
+	b := redcon.AppendArray(nil, len(args))
+	for _, w := range args {
 		b = redcon.AppendBulkString(b, w)
 	}
 	if _, err := c.Conn.Write(b); err != nil {
@@ -281,9 +282,9 @@
 	return nil
 }
 
-var errShape = errors.New("an answer that is no line and no bulk string")
+var errMalformedReply = errors.New("the reply is neither a line nor a bulk string")
 
-// Read returns a whole answer: a line, or the value of a bulk string behind a '$'.
+// Read returns one complete reply: a line, or the value of a bulk string with a leading '$'.
 func (c *Client) Read() (string, error) {
 	line, err := c.rd.ReadString('\n')
 	if err != nil {
@@ -291,14 +292,14 @@
 	}
 	line = strings.TrimSuffix(line, "\r\n")
 	if line == "" {
-		return "", errShape
+		return "", errMalformedReply
 	}
 	if line[0] != '$' {
 		return line, nil
 	}
 	n, err := strconv.Atoi(line[1:])
 	if err != nil || n < 0 {
-		return "", errShape
+		return "", errMalformedReply
 	}
 	b := make([]byte, n+2)
 	if _, err := io.ReadFull(c.rd, b); err != nil {
@@ -307,5 +308,5 @@
 	return "$" + string(b[:n]), nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { c.Conn.Close() }
