--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,9 +67,9 @@
 	if err != nil {
 		return err
 	}
-	clients := resp.NewFront(cfg.Listen)
+	clients := resp.NewFrontend(cfg.Listen)
 	give(sockets, clientsName, &clients.Listener)
-	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Back{}
+	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Backend{}
 	r := reloader{file: file, cfg: &cfg, getenv: getenv, log: log, level: &level, reloads: make(chan gateway.Reload)}
 	if file != "" {
 		var warnings sloe.Diags
@@ -81,7 +81,7 @@
 		level.Set(blocks.Level(r.now))
 		cfg.BackendsByKind = blocks.Backs(r.now)
 		for _, l := range blocks.Listeners(r.now) {
-			f, err := h2.NewFront(l)
+			f, err := h2.NewFrontend(l)
 			if err != nil {
 				return err
 			}
@@ -158,10 +158,10 @@
 	}
 	r.member, r.cfg.Member = member, member
 	set := &r.cfg.Settings.Decide
-	set.Rank, set.Gateways, set.Limits.PeerMessages = 0, f.Table.Slots, true
+	set.Rank, set.Gateways, set.Limits.PeerMessages = 0, f.Fleet.Slots, true
 	go func() {
 		select {
-		case m := <-member.Yielded():
+		case m := <-member.Superseded():
 			r.log.Error("a later process of this name is in the fleet: ending", "name", m.Name, "at", m.Addr)
 			end(errYielded)
 		case <-ctx.Done():
@@ -241,7 +241,7 @@
 	log     *slog.Logger
 	level   *slog.LevelVar
 	reloads chan gateway.Reload
-	fronts  []*h2.Front
+	fronts  []*h2.Frontend
 	manager *service.Manager
 	member  *gossip.Engine // nil: of no fleet
 	lock    *os.File       // of the state that is kept; held open for as long as the process lives
@@ -298,7 +298,7 @@
 		if err := r.member.Reload(blocks.Generation(c), c.One("fleet").Count("expect")); err != nil {
 			return gateway.Reload{}, nil, err
 		}
-		r.member.Regions(blocks.Regions(c))
+		r.member.SetRegions(blocks.Regions(c))
 	}
 	for _, take := range takes {
 		take()
--- a/internal/testbed/h2node.go
+++ b/internal/testbed/h2node.go
@@ -13,101 +13,102 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2Stream is a request on a connection of a node's, by HTTP/2, for whoever makes the node misbehave.
+// H2Stream is a complete HTTP/2 request that a node received.
 type H2Stream struct {
 	ID        uint32
 	Arrival   Arrival
 	Body      []byte
 	Conn      *H2NodeConn
-	Cancelled <-chan struct{} // closed when the client gives the stream up
+	Cancelled <-chan struct{} // closed when the client cancels the stream or the connection ends
 }
 
-// H2NodeConn is a connection of a node's, made of raw frames. Its methods are safe for concurrent use.
+// H2NodeConn is the node's side of an HTTP/2 connection, made of raw frames. Its methods are safe for concurrent
+// use.
 type H2NodeConn struct {
 	Conn    net.Conn
-	n       *Node
+	node    *Node
 	mu      sync.Mutex
 	framer  *http2.Framer
 	encoded bytes.Buffer
 	encoder *hpack.Encoder
-	open    map[uint32]chan struct{} // closed when the client gives the stream up
+	open    map[uint32]chan struct{} // closed when the client cancels the stream or the connection ends
 }
 
-// InterceptStreams hands each request that came whole to a function first: if it reports true the node does nothing more for it, and it is
-// not tallied. It is for nodes that speak HTTP/2.
-func (n *Node) InterceptStreams(do func(*H2Stream) bool) {
+// InterceptStreams makes the node call a function with each complete request first. If that returns true, the node
+// neither records nor answers the request, so that a test can misbehave in its place. HTTP/2 only.
+func (n *Node) InterceptStreams(intercept func(*H2Stream) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rude = do
+	n.intercept = intercept
 }
 
-// RecordExecuted counts a request as come and having taken effect, for what Rude takes over.
+// RecordExecuted records an intercepted request as arrived and as having taken effect.
 func (s *H2Stream) RecordExecuted() {
-	s.Conn.n.cfg.Recorder.arrived(s.Arrival)
-	s.Conn.n.cfg.Recorder.effect(s.Arrival.ID)
+	s.Conn.node.cfg.Recorder.recordArrival(s.Arrival)
+	s.Conn.node.cfg.Recorder.recordEffect(s.Arrival.ID)
 }
 
-// WriteFrames writes frames as the function has them.
+// WriteFrames lets the function write raw frames.
 func (c *H2NodeConn) WriteFrames(write func(*http2.Framer)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	write(c.framer)
 }
 
-// Respond writes an answer's HEADERS, and its body as DATA.
+// Respond writes the HEADERS of a response, and its body as DATA.
 func (c *H2NodeConn) Respond(stream uint32, status int, body string, fields ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.encoded.Reset()
 	all := append([]string{":status", strconv.Itoa(status)}, fields...)
 	for i := 0; i+1 < len(all); i += 2 {
-		c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it can't fail
+		c.encoder.WriteField(hpack.HeaderField{Name: all[i], Value: all[i+1]}) // into memory: it cannot fail
 	}
 	c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, EndHeaders: true, EndStream: body == "", BlockFragment: c.encoded.Bytes()})
 	for b := []byte(body); len(b) > 0; {
-		n := min(len(b), h2FrameMost)
+		n := min(len(b), h2MaxFrameSize)
 		c.framer.WriteData(stream, n == len(b), b[:n])
 		b = b[n:]
 	}
 }
 
-const h2Streams = 100 // open at once, where the node's configuration tells nothing
+const h2DefaultMaxStreams = 100 // concurrent streams if the node's configuration sets no limit
 
-// serveH2 serves a connection until it ends. What is open then is given up.
+// serveH2 serves a connection until it ends, and cancels the streams that are open then.
 func (n *Node) serveH2(conn net.Conn) {
 	preface := make([]byte, len(http2.ClientPreface))
 	if _, err := io.ReadFull(conn, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
-	c := &H2NodeConn{Conn: conn, n: n, framer: http2.NewFramer(conn, conn), open: map[uint32]chan struct{}{}}
+	c := &H2NodeConn{Conn: conn, node: n, framer: http2.NewFramer(conn, conn), open: map[uint32]chan struct{}{}}
 	c.framer.AllowIllegalWrites = true
 	c.encoder = hpack.NewEncoder(&c.encoded)
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	streams := n.cfg.MaxStreams
 	if streams == 0 {
-		streams = h2Streams
+		streams = h2DefaultMaxStreams
 	}
 	c.WriteFrames(func(f *http2.Framer) {
 		f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(streams)})
 	})
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer c.giveUpAll()
-	half := map[uint32]*H2Stream{}
+	defer c.cancelAllStreams()
+	partial := map[uint32]*H2Stream{}
 	for {
 		f, err := c.framer.ReadFrame()
 		if err != nil {
 			return
 		}
-		if s := c.take(f, half); s != nil {
-			s.Cancelled = c.opened(s.ID)
+		if s := c.handleFrame(f, partial); s != nil {
+			s.Cancelled = c.addStream(s.ID)
 			wg.Go(func() { c.serve(s) })
 		}
 	}
 }
 
-// take takes a frame, and returns a request that is whole.
-func (c *H2NodeConn) take(f http2.Frame, half map[uint32]*H2Stream) *H2Stream {
+// handleFrame handles a frame and returns the request that it completes, if any.
+func (c *H2NodeConn) handleFrame(f http2.Frame, partial map[uint32]*H2Stream) *H2Stream {
 	id := f.Header().StreamID
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -120,16 +121,16 @@
 			c.WriteFrames(func(w *http2.Framer) { w.WritePing(true, data) })
 		}
 	case *http2.RSTStreamFrame:
-		delete(half, id)
-		c.giveUp(id)
+		delete(partial, id)
+		c.cancelStream(id)
 	case *http2.MetaHeadersFrame:
-		s := &H2Stream{ID: id, Conn: c, Arrival: c.n.arrival(f)}
+		s := &H2Stream{ID: id, Conn: c, Arrival: c.node.parseHeaders(f)}
 		if f.StreamEnded() {
 			return s
 		}
-		half[id] = s
+		partial[id] = s
 	case *http2.DataFrame:
-		s := half[id]
+		s := partial[id]
 		if s == nil {
 			return nil
 		}
@@ -138,15 +139,15 @@
 			c.WriteFrames(func(w *http2.Framer) { w.WriteWindowUpdate(0, n) })
 		}
 		if f.StreamEnded() {
-			delete(half, id)
+			delete(partial, id)
 			return s
 		}
 	}
 	return nil
 }
 
-// arrival reads a request in the mapping's words.
-func (n *Node) arrival(f *http2.MetaHeadersFrame) Arrival {
+// parseHeaders reads a request in the terms of the HTTP mapping.
+func (n *Node) parseHeaders(f *http2.MetaHeadersFrame) Arrival {
 	a := Arrival{Node: n.ID(), Units: 1, At: time.Now()}
 	for _, h := range f.Fields {
 		switch h.Name {
@@ -159,7 +160,7 @@
 		case "idempotency-key":
 			a.Key = strings.Trim(h.Value, `"`)
 		case "sloepick-units":
-			a.Units, _ = strconv.ParseFloat(h.Value, 64) // 0 shows in the tally
+			a.Units, _ = strconv.ParseFloat(h.Value, 64) // an invalid value is recorded as 0, which tests notice
 		}
 	}
 	a.Work = n.cfg.WorkByClass[a.Class]
@@ -167,24 +168,24 @@
 }
 
 func (c *H2NodeConn) serve(s *H2Stream) {
-	c.n.mu.Lock()
-	rude := c.n.rude
-	c.n.mu.Unlock()
-	if rude != nil && rude(s) {
+	c.node.mu.Lock()
+	intercept := c.node.intercept
+	c.node.mu.Unlock()
+	if intercept != nil && intercept(s) {
 		return
 	}
-	result := givenUp
+	result := abandoned
 	if s.Arrival.Work > 0 {
-		result = c.n.work(s.Arrival, s.Cancelled)
+		result = c.node.execute(s.Arrival, s.Cancelled)
 	}
-	if !c.closed(s.ID) {
+	if !c.removeStream(s.ID) {
 		return
 	}
 	switch result {
-	case turnedAway:
+	case rejected:
 		c.Respond(s.ID, 503, "", "sloepick-ran", "never")
-	case done:
-		if use := c.n.used(s.Arrival); use != "" {
+	case completed:
+		if use := c.node.reportUse(s.Arrival); use != "" {
 			c.Respond(s.ID, 200, ReplyValue(s.Arrival.ID), "sloepick-use", use)
 			return
 		}
@@ -194,16 +195,16 @@
 	}
 }
 
-func (c *H2NodeConn) opened(id uint32) <-chan struct{} {
+func (c *H2NodeConn) addStream(id uint32) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	gone := make(chan struct{})
-	c.open[id] = gone
-	return gone
+	cancelled := make(chan struct{})
+	c.open[id] = cancelled
+	return cancelled
 }
 
-// closed takes a stream out, and reports whether it was there still.
-func (c *H2NodeConn) closed(id uint32) bool {
+// removeStream removes a stream and reports whether it was still open.
+func (c *H2NodeConn) removeStream(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, ok := c.open[id]
@@ -211,20 +212,20 @@
 	return ok
 }
 
-func (c *H2NodeConn) giveUp(id uint32) {
+func (c *H2NodeConn) cancelStream(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if gone, ok := c.open[id]; ok {
-		close(gone)
+	if cancelled, ok := c.open[id]; ok {
+		close(cancelled)
 		delete(c.open, id)
 	}
 }
 
-func (c *H2NodeConn) giveUpAll() {
+func (c *H2NodeConn) cancelAllStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, gone := range c.open {
-		close(gone)
+	for id, cancelled := range c.open {
+		close(cancelled)
 		delete(c.open, id)
 	}
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Cell is a group of nodes that drop each other's repeats of a keyed request for a time.
+// Cell is a group of nodes that deduplicate keyed requests among themselves within a window.
 type Cell struct {
 	ID          int
 	DedupWindow time.Duration
@@ -22,8 +22,8 @@
 	seen map[string]time.Time
 }
 
-// first reports whether a key is new to the cell, and remembers it.
-func (c *Cell) first(key string, now time.Time) bool {
+// addKey records a key and reports whether it is new to the cell.
+func (c *Cell) addKey(key string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.seen == nil {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Arrival is a request that came whole to a node.
+// Arrival is a complete request that a node received.
 type Arrival struct {
 	Node, ID, Key, Customer, Class string
 	Units                          float64
@@ -44,71 +44,71 @@
 	At                             time.Time
 }
 
-// Recorder is the nodes' common record: what came to them, and what took effect how often.
+// Recorder records for all nodes which requests arrived, and how often each took effect.
 type Recorder struct {
 	mu       sync.Mutex
 	arrivals []Arrival
-	effects  map[string]int // by id
-	started  map[string][]time.Time
+	effects  map[string]int // by request id
+	starts   map[string][]time.Time
 }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{effects: map[string]int{}, started: map[string][]time.Time{}}
+	return &Recorder{effects: map[string]int{}, starts: map[string][]time.Time{}}
 }
 
-func (t *Recorder) arrived(a Arrival) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.arrivals = append(t.arrivals, a)
+func (r *Recorder) recordArrival(a Arrival) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.arrivals = append(r.arrivals, a)
 }
 
-func (t *Recorder) effect(id string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.effects[id]++
+func (r *Recorder) recordEffect(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.effects[id]++
 }
 
-// NodeConfig describes a working node.
+// NodeConfig configures a Node.
 type NodeConfig struct {
 	ID           string
 	Cell         *Cell
-	Cores        int // requests worked on at once
-	QueueSize    int // requests that wait; over it a request is turned away
+	Cores        int // concurrent requests
+	QueueSize    int // requests that may wait; further ones are rejected
 	WorkByClass  map[string]time.Duration
-	ColdCapacity float64 // share of its speed right after a restart
+	ColdCapacity float64 // share of the full speed right after a restart
 	ColdDuration time.Duration
 	Recorder     *Recorder
-	H2           bool // it speaks HTTP/2 and nothing else
-	MaxStreams   int  // open at once on a connection, by HTTP/2; 0: 100
+	H2           bool // serve HTTP/2 instead of RESP2
+	MaxStreams   int  // HTTP/2 streams per connection; 0: 100
 }
 
-// Node is a booking node that works: it takes its time, drops repeats of keys, turns away what is too much, and stops
-// work whose connection has ended.
+// Node is a simulated server: it takes the configured time per request, deduplicates keyed requests, rejects
+// requests beyond its capacity, and abandons a request when its connection closes.
 type Node struct {
 	cfg   NodeConfig
 	slots chan struct{}
 	addr  string
 
-	mu       sync.Mutex
-	l        *listener
-	waiting  int
-	draining bool
-	quick    bool
-	started  time.Time // zero: long ago
-	counts   NodeCounts
-	stall    func(Arrival) time.Duration
-	rude     func(*H2Stream) bool
-	use      func(Arrival) string
-}
-
-// NodeCounts are a node's own figures.
+	mu         sync.Mutex
+	l          *listener
+	waiting    int
+	draining   bool
+	skipWork   bool
+	started    time.Time // zero: long ago, so the node is warm
+	counts     NodeCounts
+	extraDelay func(Arrival) time.Duration
+	intercept  func(*H2Stream) bool
+	useReport  func(Arrival) string
+}
+
+// NodeCounts are a node's counters.
 type NodeCounts struct{ Received, Executed, Rejected, Deduplicated int }
 
-// NewNode starts a node that has been warm for long.
+// NewNode starts a warm node.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Cores)}
-	l, err := listen(n.speak())
+	l, err := listen(n.handler())
 	if err != nil {
 		return nil, err
 	}
@@ -116,31 +116,31 @@
 	return n, nil
 }
 
-// Addr is where it listens, also after a restart.
+// Addr returns the listen address, which a restart keeps.
 func (n *Node) Addr() string { return n.addr }
 
-// ID is its name in discovery's list.
+// ID returns the node's id in the list of servers.
 func (n *Node) ID() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cfg.ID
 }
 
-// SetID gives it another id.
+// SetID changes the node's id.
 func (n *Node) SetID(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cfg.ID = id
 }
 
-// Counts are its figures since it was made.
+// Counts returns the counters since the node was created.
 func (n *Node) Counts() NodeCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-// Close ends the node and its connections.
+// Close stops the node and closes its connections.
 func (n *Node) Close() {
 	n.mu.Lock()
 	l := n.l
@@ -148,63 +148,64 @@
 	l.Close()
 }
 
-// SetExtraDelay lets requests take longer by what the function tells of them. It is called from many goroutines.
-func (n *Node) SetExtraDelay(by func(Arrival) time.Duration) {
+// SetExtraDelay makes each request take longer by what delay returns for it. delay is called from many goroutines.
+func (n *Node) SetExtraDelay(delay func(Arrival) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stall = by
+	n.extraDelay = delay
 }
 
-// SkipWork lets it answer at once, whatever the work.
+// SkipWork makes the node answer without delay, whatever the class.
 func (n *Node) SkipWork() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.quick = true
+	n.skipWork = true
 }
 
-// SetUseReport lets it tell figures on use with each value; "": none. It is called from many goroutines.
-func (n *Node) SetUseReport(figures func(Arrival) string) {
+// SetUseReport makes the node add to each reply the use that report returns for it; "" omits it. report is called
+// from many goroutines.
+func (n *Node) SetUseReport(report func(Arrival) string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.use = figures
+	n.useReport = report
 }
 
-func (n *Node) used(a Arrival) string {
+func (n *Node) reportUse(a Arrival) string {
 	n.mu.Lock()
-	use := n.use
+	report := n.useReport
 	n.mu.Unlock()
-	if use == nil {
+	if report == nil {
 		return ""
 	}
-	return use(a)
+	return report(a)
 }
 
-// Drain lets it turn away what is new.
+// Drain makes the node reject new requests.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining = true
 }
 
-// Restart ends the process that the node stands for and starts it again at the same address, cold. It returns when
-// that was.
+// Restart simulates a restart of the node's process: it closes all connections and listens again at the same
+// address, cold. It returns the start time.
 func (n *Node) Restart() (time.Time, error) {
 	n.Close()
-	l, err := listenAt(n.addr, n.speak())
+	l, err := listenAt(n.addr, n.handler())
 	if err != nil {
 		return time.Time{}, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.l, n.draining, n.started = l, false, time.Now()
-	t := n.cfg.Recorder
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.started[n.cfg.ID] = append(t.started[n.cfg.ID], n.started)
+	r := n.cfg.Recorder
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.starts[n.cfg.ID] = append(r.starts[n.cfg.ID], n.started)
 	return n.started, nil
 }
 
-// speed is the share of its full speed that a node has some time after a start.
+// speed returns the share of its full speed that a node has at a time since its start.
 func (c *NodeConfig) speed(since time.Duration) float64 {
 	if c.ColdDuration <= 0 || since >= c.ColdDuration {
 		return 1
@@ -212,18 +213,18 @@
 	return c.ColdCapacity + (1-c.ColdCapacity)*float64(since)/float64(c.ColdDuration)
 }
 
-// speak is how it serves a connection.
-func (n *Node) speak() func(net.Conn) {
+// handler returns the function that serves a connection.
+func (n *Node) handler() func(net.Conn) {
 	if n.cfg.H2 {
 		return n.serveH2
 	}
-	return n.serve
+	return n.serveRESP
 }
 
-func (n *Node) serve(conn net.Conn) {
-	commands, gone := make(chan [][]byte), make(chan struct{})
+func (n *Node) serveRESP(conn net.Conn) {
+	commands, disconnected := make(chan [][]byte), make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		rd := redcon.NewReader(conn)
 		for {
 			cmd, err := rd.ReadCommand()
@@ -232,7 +233,7 @@
 			}
 			select {
 			case commands <- cmd.Args:
-			case <-time.After(time.Minute): // nobody takes it: the other side is at its end
+			case <-time.After(time.Minute): // the serving loop has ended
 				return
 			}
 		}
@@ -240,89 +241,89 @@
 	for {
 		select {
 		case args := <-commands:
-			if _, err := conn.Write([]byte(n.answer(args, gone))); err != nil {
+			if _, err := conn.Write([]byte(n.respond(args, disconnected))); err != nil {
 				return
 			}
-		case <-gone:
+		case <-disconnected:
 			return
 		}
 	}
 }
 
-// answer does what a command asks for, however long that takes, or gives it up when its connection has gone.
-func (n *Node) answer(args [][]byte, gone <-chan struct{}) string {
-	a, ok := n.read(args)
+// respond executes a command and returns the reply, or "" if the connection has closed meanwhile.
+func (n *Node) respond(args [][]byte, disconnected <-chan struct{}) string {
+	a, ok := n.parseCommand(args)
 	if !ok {
 		return "-SYNTAX\r\n"
 	}
-	switch n.work(a, gone) {
-	case turnedAway:
+	switch n.execute(a, disconnected) {
+	case rejected:
 		return "-BUSY\r\n"
-	case done:
-		return FormatReplyWithUse(ReplyValue(a.ID), n.used(a))
+	case completed:
+		return FormatReplyWithUse(ReplyValue(a.ID), n.reportUse(a))
 	}
 	return ""
 }
 
-// ended is how a request ended at a node.
-type ended int
+// workResult is how a request ended at a node.
+type workResult int
 
 const (
-	givenUp ended = iota // nobody waits for it
-	turnedAway
-	done
+	abandoned workResult = iota // the client is gone
+	rejected
+	completed
 )
 
-// work does what a request asks for.
-func (n *Node) work(a Arrival, gone <-chan struct{}) ended {
-	n.cfg.Recorder.arrived(a)
-	if !n.enter() {
-		return turnedAway
+// execute does the work of a request.
+func (n *Node) execute(a Arrival, cancelled <-chan struct{}) workResult {
+	n.cfg.Recorder.recordArrival(a)
+	if !n.admit() {
+		return rejected
 	}
-	defer n.leave()
+	defer n.release()
 	select {
 	case n.slots <- struct{}{}:
 		defer func() { <-n.slots }()
-	case <-gone:
-		return givenUp
+	case <-cancelled:
+		return abandoned
 	}
 	n.mu.Lock()
-	started, stall, quick := n.started, n.stall, n.quick
+	started, extraDelay, skipWork := n.started, n.extraDelay, n.skipWork
 	n.mu.Unlock()
-	took := time.Duration(float64(a.Work) / n.cfg.speed(time.Since(started)))
-	if quick {
-		took = 0
+	duration := time.Duration(float64(a.Work) / n.cfg.speed(time.Since(started)))
+	if skipWork {
+		duration = 0
 	}
-	if stall != nil {
-		took += stall(a)
+	if extraDelay != nil {
+		duration += extraDelay(a)
 	}
-	if a.Key != "" && !n.cfg.Cell.first(a.Key, a.At) { // a repeat: the answer is known
-		n.count(func(c *NodeCounts) { c.Deduplicated++ })
-		took = 0
+	if a.Key != "" && !n.cfg.Cell.addKey(a.Key, a.At) { // a duplicate: the reply is known
+		n.updateCounts(func(c *NodeCounts) { c.Deduplicated++ })
+		duration = 0
 	} else {
-		n.cfg.Recorder.effect(a.ID)
-		n.count(func(c *NodeCounts) { c.Executed++ })
+		n.cfg.Recorder.recordEffect(a.ID)
+		n.updateCounts(func(c *NodeCounts) { c.Executed++ })
 	}
-	t := time.NewTimer(took)
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-gone:
-		return givenUp
+	case <-cancelled:
+		return abandoned
 	}
-	return done
+	return completed
 }
 
-// ReplyValue is what a node answers to a request, so that a client can tell its own.
+// ReplyValue returns the value of the reply to a request, which contains the id so that clients can check it.
 func ReplyValue(id string) string { return "slots of " + id }
 
-func (n *Node) count(f func(*NodeCounts)) {
+func (n *Node) updateCounts(f func(*NodeCounts)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(&n.counts)
 }
 
-func (n *Node) enter() bool {
+func (n *Node) admit() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.counts.Received++
@@ -334,14 +335,15 @@
 	return true
 }
 
-func (n *Node) leave() {
+func (n *Node) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.waiting--
 }
 
-// read takes a request in the published form: Q.ASK or Q.DO, customer, id, list, and a body.
-func (n *Node) read(args [][]byte) (Arrival, bool) {
+// parseCommand parses a request in its published form: Q.ASK or Q.DO, customer, id, parameters, and an optional
+// body.
+func (n *Node) parseCommand(args [][]byte) (Arrival, bool) {
 	if len(args) < 4 || string(args[0]) != "Q.ASK" && string(args[0]) != "Q.DO" {
 		return Arrival{}, false
 	}
@@ -373,23 +375,23 @@
 	return newListener(ln, serve), nil
 }
 
-// Arrivals are the requests that came whole to a node, in their order.
-func (t *Recorder) Arrivals() []Arrival {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Clone(t.arrivals)
+// Arrivals returns the complete requests that nodes received, in order of arrival.
+func (r *Recorder) Arrivals() []Arrival {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.arrivals)
 }
 
-// StartTimes is when a node's process was started anew, each time.
-func (t *Recorder) StartTimes(node string) []time.Time {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Clone(t.started[node])
+// StartTimes returns the times at which a node was restarted.
+func (r *Recorder) StartTimes(node string) []time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.starts[node])
 }
 
-// EffectCounts are how often each request took effect, by its id.
-func (t *Recorder) EffectCounts() map[string]int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return maps.Clone(t.effects)
+// EffectCounts returns how often each request took effect, by its id.
+func (r *Recorder) EffectCounts() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return maps.Clone(r.effects)
 }
