--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -347,7 +347,7 @@
 
 // TestConnectionsEndOnce runs, on both frontends, every sequence of some actions (responses, a reset, a
 // half-close, SIGTERM, new clients that need room) after a chunk of several commands, with a client that reads
-// and one that does not. In each, it fails the nth read, write, look, deadline, close and accept of the
+// and one that does not. In each, it fails the nth read, write, control call, deadline, close and accept of the
 // connections, for every n that occurs. In all cases no request is accepted from a closed connection, each
 // request ends once and nothing is sent for it afterwards, no connection, request or byte is left over, and
 // nothing panics. If nothing fails and the client stays, all of its commands are answered.
