--- a/internal/gateway/recovery.go
+++ b/internal/gateway/recovery.go
@@ -10,28 +10,28 @@
 
 // StateStore saves the state that must survive a restart. Its methods never wait for a disk.
 type StateStore interface {
-	// Note saves the changed buckets of customers, the units answered per second, and the usual number of
+	// RecordChanges saves the changed buckets of customers, the units answered per second, and the usual number of
 	// requests per second sent to a warm node.
-	Note(changed []decide.BucketSnapshot, work, sends float64)
-	// Heard saves what is known of the other members.
-	Heard(seen map[string]recovery.Seen)
-	// Open is called when the restored state is in use: saved images describe the state of this process from
+	RecordChanges(changed []decide.BucketSnapshot, work, sends float64)
+	// SetPeers saves what is known of the other members.
+	SetPeers(seen map[string]recovery.PeerSummary)
+	// StartWriting is called when the restored state is in use: saved images describe the state of this process from
 	// now on. kept reports that this state comes from the store's own image.
-	Open(kept bool)
+	StartWriting(kept bool)
 }
 
 // RecoveryConfig configures the recovery after a power loss.
 type RecoveryConfig struct {
-	Start        *recovery.Start // with the content of the disk
-	Service      recovery.ServiceConfig
+	Start        *recovery.Collector // with the content of the disk
+	Service      recovery.AdmissionConfig
 	Store        StateStore
-	SaveInterval time.Duration // between calls to Store.Note
-	Clock        func() recovery.Clock
+	SaveInterval time.Duration // between calls to Store.RecordChanges
+	Clock        func() recovery.ClockReading
 	OnPhase      func(recovery.Phase) // is called with each new phase; may be nil
 }
 
 const (
-	maxChangedPerSave      = 4096             // customers per call to Store.Note, because the event loop copies them
+	maxChangedPerSave      = 4096             // customers per call to Store.RecordChanges, because the event loop copies them
 	throughputTimeConstant = 10 * time.Second // time constant of the average of units answered
 	peerSnapshotWindow     = 5 * time.Second  // after joining, how long snapshots of other members are used to restore buckets
 )
@@ -41,9 +41,9 @@
 type recoverer struct {
 	*RecoveryConfig
 	l            *eventLoop
-	service      *recovery.Service
+	service      *recovery.AdmissionController
 	joinedAt     time.Duration
-	belief       recovery.Belief
+	belief       recovery.RestoredState
 	throughput   float64 // units answered per second, as an exponential average
 	throughputAt time.Duration
 	changed      []decide.BucketSnapshot
@@ -53,8 +53,8 @@
 // newRecoverer starts a recovery. The state on the disk has been checked by then.
 func (l *eventLoop) newRecoverer(cfg *RecoveryConfig) *recoverer {
 	now := l.clock.Now()
-	p := &recoverer{RecoveryConfig: cfg, l: l, service: recovery.NewService(cfg.Service), throughputAt: now}
-	p.service.Judged()
+	p := &recoverer{RecoveryConfig: cfg, l: l, service: recovery.NewAdmissionController(cfg.Service), throughputAt: now}
+	p.service.MarkDiskChecked()
 	p.reportPhase("")
 	l.schedule(now, p.tick)
 	return p
@@ -64,14 +64,14 @@
 func (p *recoverer) tick() {
 	now := p.l.clock.Now()
 	p.l.schedule(now+p.SaveInterval, p.tick)
-	if p.service.Phase() < recovery.Met {
+	if p.service.Phase() < recovery.PhaseJoined {
 		if p.l.cfg.Member != nil {
 			return
 		}
 		p.join(1) // without a fleet there are no other members to wait for
 	}
 	p.changed = p.l.decider.AppendChanged(p.changed[:0], maxChangedPerSave)
-	p.Store.Note(p.changed, p.throughputToSave(now), p.l.decider.WarmServerRate())
+	p.Store.RecordChanges(p.changed, p.throughputToSave(now), p.l.decider.WarmServerRate())
 	if note := p.service.Tick(now); note != "" {
 		p.reportPhase(note)
 	}
@@ -84,8 +84,8 @@
 	since := now - p.joinedAt
 	// The part of a constant rate that the average has reached in the time since joining.
 	reached := 1 - math.Exp(-max(since, time.Second).Seconds()/throughputTimeConstant.Seconds())
-	if p.service.Phase() < recovery.Full || since < throughputTimeConstant {
-		return max(p.throughput/reached, p.belief.Own)
+	if p.service.Phase() < recovery.PhaseFull || since < throughputTimeConstant {
+		return max(p.throughput/reached, p.belief.OwnServedRate)
 	}
 	return p.throughput / reached
 }
@@ -106,38 +106,38 @@
 
 // join restores the state when the gateway has its number in the fleet and that many members are alive.
 func (p *recoverer) join(alive int) {
-	p.service.Alive(alive)
-	if p.service.Phase() >= recovery.Met {
+	p.service.SetMemberCount(alive)
+	if p.service.Phase() >= recovery.PhaseJoined {
 		return
 	}
 	p.joinedAt = p.l.clock.Now()
 	p.restoreBuckets()
-	p.service.Meet(p.joinedAt, p.belief.Work, p.Start.Lit())
-	p.Store.Open(p.belief.Verdict == recovery.Kept)
+	p.service.Join(p.joinedAt, p.belief.FleetServedRate, p.Start.PeerInService())
+	p.Store.StartWriting(p.belief.SnapshotStatus == recovery.SnapshotValid)
 	p.reportPhase(p.belief.String())
 }
 
 func (p *recoverer) restoreBuckets() {
-	p.belief = p.Start.Believe(p.Clock())
-	p.l.enqueue(p.belief.Recall)
-	p.Store.Heard(p.Start.Seen())
+	p.belief = p.Start.Resolve(p.Clock())
+	p.l.enqueue(p.belief.Event)
+	p.Store.SetPeers(p.Start.Peers())
 }
 
 // receiveSnapshot processes the recovery snapshot of another member. In full service, or after
 // peerSnapshotWindow, it only records the last incarnations of members: from then on the decision module's own
 // messages carry what is known of customers.
-func (p *recoverer) receiveSnapshot(w recovery.Word) {
-	if !p.Start.Hear(w) {
+func (p *recoverer) receiveSnapshot(w recovery.PeerSnapshot) {
+	if !p.Start.AddPeerSnapshot(w) {
 		return
 	}
-	p.Store.Heard(p.Start.Seen())
+	p.Store.SetPeers(p.Start.Peers())
 	switch phase := p.service.Phase(); {
-	case phase < recovery.Met:
-	case phase < recovery.Full && p.l.clock.Now()-p.joinedAt < peerSnapshotWindow:
+	case phase < recovery.PhaseJoined:
+	case phase < recovery.PhaseFull && p.l.clock.Now()-p.joinedAt < peerSnapshotWindow:
 		p.restoreBuckets()
-		p.service.Work(p.belief.Work)
+		p.service.RaiseServedRate(p.belief.FleetServedRate)
 	default:
-		p.Start.Over()
+		p.Start.IgnorePeerBuckets()
 	}
 }
 
@@ -146,7 +146,7 @@
 	now := p.l.clock.Now()
 	p.decay(now)
 	p.throughput += units / throughputTimeConstant.Seconds()
-	p.service.Answered(now, units)
+	p.service.RecordServed(now, units)
 }
 
 // updateNodes passes the start times of the serving nodes to the recovery service.
@@ -160,15 +160,15 @@
 			starts = append(starts, s.Started)
 		}
 	}
-	p.service.Nodes(kind != decide.ListStale, starts)
+	p.service.SetServerStarts(kind != decide.ListStale, starts)
 }
 
 // admit reports whether a request may be admitted in the current phase and, if not, when to retry.
 func (p *recoverer) admit(v *Request) (ok bool, after time.Duration) {
-	if p.service.Phase() == recovery.Full {
+	if p.service.Phase() == recovery.PhaseFull {
 		return true, 0
 	}
-	ask := recovery.Ask{Keyed: v.Write, Again: v.ClientRetry, Units: v.Units}
+	ask := recovery.Request{Write: v.Write, ClientRetry: v.ClientRetry, Units: v.Units}
 	for i := range p.l.cfg.Settings.Decide.Plans {
 		if plan := &p.l.cfg.Settings.Decide.Plans[i]; plan.Name == v.Plan {
 			ask.Price = plan.Price
@@ -178,7 +178,7 @@
 }
 
 // DeliverRecoverySnapshot delivers what another member knows of the time before the power loss.
-func (c *Core) DeliverRecoverySnapshot(w recovery.Word) {
+func (c *Core) DeliverRecoverySnapshot(w recovery.PeerSnapshot) {
 	c.Post(func() {
 		if c.l.recovery != nil {
 			c.l.recovery.receiveSnapshot(w)
