--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -110,7 +110,7 @@
 	if len(b) == 0 || json.Unmarshal(b, &s) != nil {
 		return // of another version: nothing is learned from it
 	}
-	var w recovery.Word
+	var w recovery.PeerSnapshot
 	if len(s.Word) > 0 && d.e.memory.Load() != nil && cbor.Unmarshal(s.Word, &w) == nil {
 		d.e.mu.Lock()
 		door := d.e.door
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -219,8 +219,8 @@
 
 // RecoverySource is what a member knows of the time before a loss of power.
 type RecoverySource struct {
-	Snapshot func() recovery.Word // what others are told that start; what they tell goes to the gateway by its Door
-	Phase    func() string        // how far service has returned, for the report
+	Snapshot func() recovery.PeerSnapshot // what others are told that start; what they tell goes to the gateway by its Door
+	Phase    func() string                // how far service has returned, for the report
 }
 
 // SetRecoverySource has the member tell what it knows, from now on.
