--- a/internal/recovery/belief.go
+++ b/internal/recovery/belief.go
@@ -30,7 +30,7 @@
 	{"own buckets", true, 0, "boot, else wall", "half full, leaking", "the fuller", "the fuller"},
 	{"others' use of a customer", true, 0, "boot, else wall", "half full, leaking", "the fuller", "the fuller"},
 	{"ceilings' stores", false, 0, "none", "empty", "not asked", "empty"},
-	{"work answered before", true, workFor, "boot, else wall", "what others tell", "the disk's", "less"},
+	{"work answered before", true, servedRateMaxAge, "boot, else wall", "what others tell", "the disk's", "less"},
 	{"what a warm node is sent", true, 0, "none", "one request at a time", "not asked", "less"},
 	{"nodes: cold, draining, gone", false, 0, "discovery's", "the platform's list", "discovery's", "all cold"},
 	{"nodes: slow, out of reach", false, 0, "none", "unknown", "the module's words", "tried anew"},
@@ -40,12 +40,12 @@
 }
 
 const (
-	workFor   = 10 * time.Minute // what was answered longer ago says nothing of what comes now
-	lightFor  = 2                // snapshots after the last one count as light: their requests may be lacking in it
-	seenMost  = 4096             // members whose last life is kept
-	wordsMost = 16               // members whose customers are learned
-	tellMost  = 1024             // customers that are told to another member
-	fillLeast = 0.01             // of a burst: less is not worth a word
+	servedRateMaxAge = 10 * time.Minute // what was answered longer ago says nothing of what comes now
+	uptimeIntervals  = 2                // snapshots after the last one count as light: their requests may be lacking in it
+	maxPeerSummaries = 4096             // members whose last life is kept
+	maxBucketPeers   = 16               // members whose customers are learned
+	maxSharedBuckets = 1024             // customers that are told to another member
+	minFill          = 0.01             // of a burst: less is not worth a word
 )
 
 // EarliestPlausibleTime is the first wall clock that is believed: one that was never set shows 1970.
@@ -89,8 +89,8 @@
 }
 
 // Before reports that a mark is older than another.
-func (m SnapshotVersion) Before(o SnapshotVersion) bool {
-	return m.Lineage < o.Lineage || m.Lineage == o.Lineage && m.Sequence < o.Sequence
+func (v SnapshotVersion) Before(o SnapshotVersion) bool {
+	return v.Lineage < o.Lineage || v.Lineage == o.Lineage && v.Sequence < o.Sequence
 }
 
 // PeerSummary is what is known of another member.
@@ -125,35 +125,35 @@
 }
 
 // ForPeer is what this member would tell now.
-func (m *Snapshot) ForPeer(now ClockReading, plans map[string]*decide.Plan, recovering bool) PeerSnapshot {
-	w := PeerSnapshot{Name: m.Name, Version: m.Version, ReportedAtMs: m.TakenAt.Wall.UnixMilli(), Recovering: recovering, ServedRate: m.ServedRate, Peers: m.Peers}
-	w.Buckets = Fullest(m.BucketsAfter(now.Since(m.TakenAt), plans), tellMost)
-	return w
+func (s *Snapshot) ForPeer(now ClockReading, plans map[string]*decide.Plan, recovering bool) PeerSnapshot {
+	p := PeerSnapshot{Name: s.Name, Version: s.Version, ReportedAtMs: s.TakenAt.Wall.UnixMilli(), Recovering: recovering, ServedRate: s.ServedRate, Peers: s.Peers}
+	p.Buckets = Fullest(s.BucketsAfter(now.Since(s.TakenAt), plans), maxSharedBuckets)
+	return p
 }
 
 // BucketsAfter are the buckets that hold something after so much more time has leaked out of them.
-func (m *Snapshot) BucketsAfter(dark time.Duration, plans map[string]*decide.Plan) (all []Bucket) {
-	for _, b := range m.Buckets {
-		if b, ok := b.AfterLeak(dark, plans[b.Plan]); ok {
-			all = append(all, b)
+func (s *Snapshot) BucketsAfter(elapsed time.Duration, plans map[string]*decide.Plan) (left []Bucket) {
+	for _, b := range s.Buckets {
+		if b, ok := b.AfterLeak(elapsed, plans[b.Plan]); ok {
+			left = append(left, b)
 		}
 	}
-	return all
+	return left
 }
 
 // AfterLeak is a bucket from which so much more time has leaked, by its plan; false: nothing worth a word is left, or the plan is no more.
-func (b Bucket) AfterLeak(dark time.Duration, p *decide.Plan) (Bucket, bool) {
+func (b Bucket) AfterLeak(elapsed time.Duration, p *decide.Plan) (Bucket, bool) {
 	if p == nil || p.Rate <= 0 || p.Burst <= 0 {
 		return b, false
 	}
-	b.Fill -= p.Rate * dark.Seconds() / p.Burst
-	return b, b.Fill >= fillLeast
+	b.Fill -= p.Rate * elapsed.Seconds() / p.Burst
+	return b, b.Fill >= minFill
 }
 
 // Fullest are so many of the buckets at most, the fullest first.
-func Fullest(all []Bucket, most int) []Bucket {
-	slices.SortFunc(all, func(a, b Bucket) int { return cmp.Or(cmp.Compare(b.Fill, a.Fill), cmp.Compare(a.Key, b.Key)) })
-	return all[:min(len(all), most)]
+func Fullest(buckets []Bucket, limit int) []Bucket {
+	slices.SortFunc(buckets, func(a, b Bucket) int { return cmp.Or(cmp.Compare(b.Fill, a.Fill), cmp.Compare(a.Key, b.Key)) })
+	return buckets[:min(len(buckets), limit)]
 }
 
 // SnapshotStatus is what became of a disk's image.
@@ -168,8 +168,8 @@
 	SnapshotValid
 )
 
-func (v SnapshotStatus) String() string {
-	return [...]string{"absent", "can't be read", "another member's", "older than others know it", "believed"}[v]
+func (s SnapshotStatus) String() string {
+	return [...]string{"absent", "can't be read", "another member's", "older than others know it", "believed"}[s]
 }
 
 // LocalMember is who starts.
@@ -181,92 +181,92 @@
 // Collector gathers what is known of the time before, from the disk and from other members' words, until it is believed. Make it with
 // Begin.
 type Collector struct {
-	self    LocalMember
-	plans   map[string]*decide.Plan
-	now     ClockReading // at the start
-	img     *Snapshot
-	verdict SnapshotStatus
-	words   map[string]PeerSnapshot
-	seen    map[string]PeerSummary
-	lit     bool
-	over    bool
+	self          LocalMember
+	plans         map[string]*decide.Plan
+	startedAt     ClockReading // at the start
+	disk          *Snapshot
+	status        SnapshotStatus
+	snapshots     map[string]PeerSnapshot
+	summaries     map[string]PeerSummary
+	peerInService bool
+	ignoreBuckets bool
 }
 
 // NewCollector takes what the disk held: img is nil where the verdict is Absent or Spoilt.
-func NewCollector(self LocalMember, now ClockReading, img *Snapshot, verdict SnapshotStatus) *Collector {
-	s := &Collector{self: self, plans: PlansByName(self.Plans), now: now, verdict: verdict, words: map[string]PeerSnapshot{}, seen: map[string]PeerSummary{}}
-	if img == nil {
-		return s
+func NewCollector(self LocalMember, now ClockReading, disk *Snapshot, status SnapshotStatus) *Collector {
+	c := &Collector{self: self, plans: PlansByName(self.Plans), startedAt: now, status: status, snapshots: map[string]PeerSnapshot{}, summaries: map[string]PeerSummary{}}
+	if disk == nil {
+		return c
 	}
-	if img.Name != self.Name {
-		s.verdict = SnapshotForeign
-		return s
+	if disk.Name != self.Name {
+		c.status = SnapshotForeign
+		return c
 	}
-	s.img, s.verdict = img, SnapshotValid
-	s.learn(img.Peers)
-	return s
+	c.disk, c.status = disk, SnapshotValid
+	c.addSummaries(disk.Peers)
+	return c
 }
 
 // PlansByName are plans by their names.
 func PlansByName(plans []decide.Plan) map[string]*decide.Plan {
-	by := map[string]*decide.Plan{}
+	byName := map[string]*decide.Plan{}
 	for i := range plans {
-		by[plans[i].Name] = &plans[i]
+		byName[plans[i].Name] = &plans[i]
 	}
-	return by
+	return byName
 }
 
-// learn keeps the latest word of each member.
-func (s *Collector) learn(all map[string]PeerSummary) {
-	for name, v := range all {
-		if old, ok := s.seen[name]; !ok && len(s.seen) < seenMost || ok && old.Version.Before(v.Version) {
-			s.seen[name] = v
+// addSummaries keeps the latest word of each member.
+func (c *Collector) addSummaries(summaries map[string]PeerSummary) {
+	for name, summary := range summaries {
+		if old, ok := c.summaries[name]; !ok && len(c.summaries) < maxPeerSummaries || ok && old.Version.Before(summary.Version) {
+			c.summaries[name] = summary
 		}
 	}
 }
 
 // AddPeerSnapshot takes what another member tells. It reports whether anything is new.
-func (s *Collector) AddPeerSnapshot(w PeerSnapshot) (news bool) {
-	old, known := s.words[w.Name]
-	if w.Name == s.self.Name || w.Name == "" || known && w.Version.Before(old.Version) {
+func (c *Collector) AddPeerSnapshot(p PeerSnapshot) (added bool) {
+	old, known := c.snapshots[p.Name]
+	if p.Name == c.self.Name || p.Name == "" || known && p.Version.Before(old.Version) {
 		return false
 	}
-	w.Buckets = w.Buckets[:min(len(w.Buckets), tellMost)]
-	if s.over || !known && len(s.words) >= wordsMost {
-		w.Buckets = nil
+	p.Buckets = p.Buckets[:min(len(p.Buckets), maxSharedBuckets)]
+	if c.ignoreBuckets || !known && len(c.snapshots) >= maxBucketPeers {
+		p.Buckets = nil
 	}
-	if known || len(s.words) < seenMost {
-		s.words[w.Name] = w
+	if known || len(c.snapshots) < maxPeerSummaries {
+		c.snapshots[p.Name] = p
 	}
-	s.learn(w.Peers)
-	s.learn(map[string]PeerSummary{w.Name: {Version: w.Version, ReportedAtMs: w.ReportedAtMs, ServedRate: w.ServedRate}})
-	s.lit = s.lit || !w.Recovering
+	c.addSummaries(p.Peers)
+	c.addSummaries(map[string]PeerSummary{p.Name: {Version: p.Version, ReportedAtMs: p.ReportedAtMs, ServedRate: p.ServedRate}})
+	c.peerInService = c.peerInService || !p.Recovering
 	return true
 }
 
 // IgnorePeerBuckets has only last lives learned from now on.
-func (s *Collector) IgnorePeerBuckets() {
-	s.over = true
-	for name, w := range s.words {
-		w.Buckets = nil
-		s.words[name] = w
+func (c *Collector) IgnorePeerBuckets() {
+	c.ignoreBuckets = true
+	for name, p := range c.snapshots {
+		p.Buckets = nil
+		c.snapshots[name] = p
 	}
 }
 
 // PeerInService reports that a member was heard which is in full service: the power was not lost everywhere.
-func (s *Collector) PeerInService() bool { return s.lit }
+func (c *Collector) PeerInService() bool { return c.peerInService }
 
 // Peers are the other members that are known, by name.
-func (s *Collector) Peers() map[string]PeerSummary {
-	all := maps.Clone(s.seen)
-	delete(all, s.self.Name)
-	return all
+func (c *Collector) Peers() map[string]PeerSummary {
+	peers := maps.Clone(c.summaries)
+	delete(peers, c.self.Name)
+	return peers
 }
 
-// old reports that another member knows a later image of this one than its disk holds.
-func (s *Collector) old() bool {
-	v, ok := s.seen[s.self.Name]
-	return s.img != nil && ok && s.img.Version.Before(v.Version)
+// diskStale reports that another member knows a later image of this one than its disk holds.
+func (c *Collector) diskStale() bool {
+	known, ok := c.summaries[c.self.Name]
+	return c.disk != nil && ok && c.disk.Version.Before(known.Version)
 }
 
 // RestoredState is what counts of the time before.
@@ -282,62 +282,62 @@
 }
 
 // Resolve is what counts, at a moment after the start.
-func (s *Collector) Resolve(now ClockReading) RestoredState {
-	b := RestoredState{SnapshotStatus: s.verdict, PeerCount: len(s.words)}
-	fills := map[uint64]Bucket{}
-	if s.old() {
-		b.SnapshotStatus = SnapshotStale
+func (c *Collector) Resolve(now ClockReading) RestoredState {
+	restored := RestoredState{SnapshotStatus: c.status, PeerCount: len(c.snapshots)}
+	buckets := map[uint64]Bucket{}
+	if c.diskStale() {
+		restored.SnapshotStatus = SnapshotStale
 	}
-	if b.SnapshotStatus == SnapshotValid {
-		b.Downtime = max(0, now.Since(s.img.TakenAt)-lightFor*s.img.Interval)
-		for _, v := range s.img.BucketsAfter(b.Downtime, s.plans) {
-			fills[v.Key] = v
+	if restored.SnapshotStatus == SnapshotValid {
+		restored.Downtime = max(0, now.Since(c.disk.TakenAt)-uptimeIntervals*c.disk.Interval)
+		for _, bucket := range c.disk.BucketsAfter(restored.Downtime, c.plans) {
+			buckets[bucket.Key] = bucket
 		}
-		b.DiskCustomers, b.Event.LeakedSeconds = len(fills), b.Downtime.Seconds()
+		restored.DiskCustomers, restored.Event.LeakedSeconds = len(buckets), restored.Downtime.Seconds()
 	}
-	since := now.Since(s.now)
-	for _, name := range slices.Sorted(maps.Keys(s.words)) {
-		told := Snapshot{Buckets: s.words[name].Buckets}
-		for _, v := range told.BucketsAfter(since, s.plans) { // as if all were told at the start: the younger ones are the fuller for it
-			if old, ok := fills[v.Key]; !ok || v.Fill > old.Fill {
-				fills[v.Key] = v
-				b.PeerCustomers++
+	elapsed := now.Since(c.startedAt)
+	for _, name := range slices.Sorted(maps.Keys(c.snapshots)) {
+		peer := Snapshot{Buckets: c.snapshots[name].Buckets}
+		for _, bucket := range peer.BucketsAfter(elapsed, c.plans) { // as if all were told at the start: the younger ones are the fuller for it
+			if old, ok := buckets[bucket.Key]; !ok || bucket.Fill > old.Fill {
+				buckets[bucket.Key] = bucket
+				restored.PeerCustomers++
 			}
 		}
 	}
-	b.Event.Buckets = s.known(fills)
-	if b.SnapshotStatus == SnapshotValid && now.Since(s.img.TakenAt) < workFor {
-		b.OwnServedRate, b.Event.WarmServerRate = s.img.ServedRate, s.img.WarmServerRate
+	restored.Event.Buckets = c.bucketSnapshots(buckets)
+	if restored.SnapshotStatus == SnapshotValid && now.Since(c.disk.TakenAt) < servedRateMaxAge {
+		restored.OwnServedRate, restored.Event.WarmServerRate = c.disk.ServedRate, c.disk.WarmServerRate
 	}
-	b.FleetServedRate = b.OwnServedRate + s.others(now)
-	return b
+	restored.FleetServedRate = restored.OwnServedRate + c.peerServedRate(now)
+	return restored
 }
 
-// known are buckets in the module's words.
-func (s *Collector) known(fills map[uint64]Bucket) (all []decide.BucketSnapshot) {
-	number := map[string]int{}
-	for i := range s.self.Plans {
-		number[s.self.Plans[i].Name] = i
+// bucketSnapshots are buckets in the module's words.
+func (c *Collector) bucketSnapshots(buckets map[uint64]Bucket) (snapshots []decide.BucketSnapshot) {
+	planIndex := map[string]int{}
+	for i := range c.self.Plans {
+		planIndex[c.self.Plans[i].Name] = i
 	}
-	for _, key := range slices.Sorted(maps.Keys(fills)) {
-		v := fills[key]
-		all = append(all, decide.BucketSnapshot{Key: v.Key, Plan: number[v.Plan], FirstGateway: v.FirstGateway, GatewayCount: v.GatewayCount, Fill: v.Fill})
+	for _, key := range slices.Sorted(maps.Keys(buckets)) {
+		bucket := buckets[key]
+		snapshots = append(snapshots, decide.BucketSnapshot{Key: bucket.Key, Plan: planIndex[bucket.Plan], FirstGateway: bucket.FirstGateway, GatewayCount: bucket.GatewayCount, Fill: bucket.Fill})
 	}
-	return all
+	return snapshots
 }
 
-// others is what the other members answered before, as they told or others know of them. What is of long ago says nothing.
-func (s *Collector) others(now ClockReading) (sum float64) {
-	for name, o := range s.seen {
-		if name != s.self.Name && (now.Wall.Before(EarliestPlausibleTime) || now.Wall.Sub(time.UnixMilli(o.ReportedAtMs)) < workFor) {
-			sum += o.ServedRate
+// peerServedRate is what the other members answered before, as they told or peerServedRate know of them. What is of long ago says nothing.
+func (c *Collector) peerServedRate(now ClockReading) (sum float64) {
+	for name, summary := range c.summaries {
+		if name != c.self.Name && (now.Wall.Before(EarliestPlausibleTime) || now.Wall.Sub(time.UnixMilli(summary.ReportedAtMs)) < servedRateMaxAge) {
+			sum += summary.ServedRate
 		}
 	}
 	return sum
 }
 
 // String is for the log.
-func (b RestoredState) String() string {
-	return fmt.Sprintf("disk %v, dark for %v, %d customers by the disk, %d by %d others' words, %.0f units a second before", b.SnapshotStatus,
-		b.Downtime.Round(time.Millisecond), b.DiskCustomers, b.PeerCustomers, b.PeerCount, b.FleetServedRate)
+func (r RestoredState) String() string {
+	return fmt.Sprintf("disk %v, dark for %v, %d customers by the disk, %d by %d others' words, %.0f units a second before", r.SnapshotStatus,
+		r.Downtime.Round(time.Millisecond), r.DiskCustomers, r.PeerCustomers, r.PeerCount, r.FleetServedRate)
 }
--- a/internal/recovery/belief_test.go
+++ b/internal/recovery/belief_test.go
@@ -170,19 +170,19 @@
 // TestWordsAreBounded: others can't make a member that starts hold more than it says, and after the start their customers are passed over.
 func TestWordsAreBounded(t *testing.T) {
 	s := NewCollector(LocalMember{"me", plans}, starts["other boot, 3 s"].now, nil, SnapshotMissing)
-	many := make([]Bucket, 4*tellMost)
+	many := make([]Bucket, 4*maxSharedBuckets)
 	for i := range many {
 		many[i] = Bucket{Key: uint64(i), Plan: "small", Fill: 1}
 	}
-	for i := range 2 * seenMost {
+	for i := range 2 * maxPeerSummaries {
 		s.AddPeerSnapshot(PeerSnapshot{Name: fmt.Sprint("m", i), Version: SnapshotVersion{1, 1}, Buckets: many})
 	}
 	held := 0
-	for _, w := range s.words {
+	for _, w := range s.snapshots {
 		held += len(w.Buckets)
 	}
-	if len(s.words) > seenMost || len(s.seen) > seenMost || held > wordsMost*tellMost {
-		t.Errorf("%d words, %d seen, %d customers are held", len(s.words), len(s.seen), held)
+	if len(s.snapshots) > maxPeerSummaries || len(s.summaries) > maxPeerSummaries || held > maxBucketPeers*maxSharedBuckets {
+		t.Errorf("%d words, %d seen, %d customers are held", len(s.snapshots), len(s.summaries), held)
 	}
 	s.IgnorePeerBuckets()
 	s.AddPeerSnapshot(PeerSnapshot{Name: "m0", Version: SnapshotVersion{1, 2}, Buckets: many})
--- a/internal/recovery/service_test.go
+++ b/internal/recovery/service_test.go
@@ -55,7 +55,7 @@
 func TestUnknownWorkGrowsByAnswers(t *testing.T) {
 	s, now := service(0), time.Hour
 	last := flow(s, &now, 2*time.Second, Request{Units: 1})
-	if last > 2*floorRate {
+	if last > 2*minRate {
 		t.Errorf("%.0f units a second with nothing known", last)
 	}
 	for range 4 {
@@ -162,7 +162,7 @@
 			units := 1 + 3*rnd.Float64()
 			if ok, _ := s.Admit(now, Request{Units: units, Write: true, ClientRetry: true}); ok && phase < PhaseFull {
 				taken += units
-				if may := most*bucketFor.Seconds() + most*(now-since).Seconds(); phase < PhaseRampUp || taken > may {
+				if may := most*bucketDuration.Seconds() + most*(now-since).Seconds(); phase < PhaseRampUp || taken > may {
 					t.Fatalf("in phase %v, %.0f units let in where %.0f may be", phase, taken, may)
 				}
 			}
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -21,11 +21,11 @@
 // A file is a line that names it and its version, the length of its body, the body's CRC-32C (RFC 3720, appendix B.4) and the body,
 // an image in CBOR (RFC 8949).
 const (
-	magic    = "sloepick power 1\n"
-	headLen  = len(magic) + 8
-	fileMost = 64 << 20 // bytes of a body: some million customers
-	fileMode = 0o600
-	aside    = ".bad" // behind the name of a file that can't be used
+	magic          = "sloepick power 1\n"
+	headerLen      = len(magic) + 8
+	maxBodyBytes   = 64 << 20 // bytes of a body: some million customers
+	fileMode       = 0o600
+	unusableSuffix = ".bad" // behind the name of a file that can't be used
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -86,42 +86,42 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(b) < headLen || string(b[:len(magic)]) != magic {
+	if len(b) < headerLen || string(b[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: it does not begin as one of this version", ErrCorrupt)
 	}
 	size, sum := binary.BigEndian.Uint32(b[len(magic):]), binary.BigEndian.Uint32(b[len(magic)+4:])
-	body := b[headLen:]
+	body := b[headerLen:]
 	if int(size) != len(body) {
 		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(body), size)
 	}
 	if crc32.Checksum(body, castagnoli) != sum {
 		return nil, fmt.Errorf("%w: its checksum differs", ErrCorrupt)
 	}
-	img := &recovery.Snapshot{}
-	if err := cbor.Unmarshal(body, img); err != nil {
+	snap := &recovery.Snapshot{}
+	if err := cbor.Unmarshal(body, snap); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	return img, nil
+	return snap, nil
 }
 
 // Write puts an image in the place of a file, whole or not at all, also if the power is lost on the way. It returns the bytes.
-func Write(fsys FS, name string, img *recovery.Snapshot) (n int, err error) {
-	body, err := cbor.Marshal(img)
+func Write(fsys FS, name string, snap *recovery.Snapshot) (n int, err error) {
+	body, err := cbor.Marshal(snap)
 	if err != nil {
 		return 0, fmt.Errorf("encoding an image: %w", err)
 	}
-	if len(body) > fileMost {
-		return 0, fmt.Errorf("an image of %d bytes is over %d", len(body), fileMost)
+	if len(body) > maxBodyBytes {
+		return 0, fmt.Errorf("an image of %d bytes is over %d", len(body), maxBodyBytes)
 	}
 	var b bytes.Buffer
 	b.WriteString(magic)
 	b.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body))))
 	b.Write(binary.BigEndian.AppendUint32(nil, crc32.Checksum(body, castagnoli)))
 	b.Write(body)
-	return b.Len(), replace(fsys, name, b.Bytes())
+	return b.Len(), replaceFile(fsys, name, b.Bytes())
 }
 
-func replace(fsys FS, name string, b []byte) error {
+func replaceFile(fsys FS, name string, b []byte) error {
 	dir := filepath.Dir(name)
 	f, err := fsys.CreateTemp(dir, filepath.Base(name)+".*")
 	if err != nil {
@@ -138,11 +138,11 @@
 }
 
 // Load reads a member's image at its start. One that can't be used is set aside beside its place, so that nothing is lost.
-func Load(fsys FS, name string) (img *recovery.Snapshot, verdict recovery.SnapshotStatus, err error) {
-	img, err = Read(fsys, name)
+func Load(fsys FS, name string) (snap *recovery.Snapshot, status recovery.SnapshotStatus, err error) {
+	snap, err = Read(fsys, name)
 	switch {
 	case err == nil:
-		return img, recovery.SnapshotValid, nil
+		return snap, recovery.SnapshotValid, nil
 	case errors.Is(err, os.ErrNotExist):
 		return nil, recovery.SnapshotMissing, nil
 	case errors.Is(err, ErrCorrupt):
@@ -152,7 +152,7 @@
 }
 
 // SetAside gives a file that can't be used another name, in place of a former one of that name.
-func SetAside(fsys FS, name string) error { return fsys.Rename(name, name+aside) }
+func SetAside(fsys FS, name string) error { return fsys.Rename(name, name+unusableSuffix) }
 
 // Lock holds a file for this process, until the process ends: two must not keep one member's state. It is held by the file's own lock
 // (flock), which the system lets go.
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -31,24 +31,24 @@
 	plans map[string]*decide.Plan
 	log   *slog.Logger
 
-	all     sync.Mutex // held while all buckets are looked through, and never by RecordChanges; taken before mu
-	buckets map[uint64]kept
-
-	mu      sync.Mutex      // held for a moment
-	pending map[uint64]kept // what was noted since the buckets were looked through
-	seen    map[string]recovery.PeerSummary
-	work    float64
-	sends   float64
-	dirty   bool
-	opened  bool
-	mark    recovery.SnapshotVersion // of the last image on the disk
-	before  *recovery.Snapshot       // of the time before, until Open; nil: none
-	took    time.Duration            // that the last image took to be on the disk
-	stats   Stats
+	bucketsMu sync.Mutex // held while all buckets are looked through, and never by RecordChanges; taken before mu
+	buckets   map[uint64]datedBucket
+
+	mu             sync.Mutex             // held for a moment
+	pending        map[uint64]datedBucket // what was noted since the buckets were looked through
+	peers          map[string]recovery.PeerSummary
+	servedRate     float64
+	warmServerRate float64
+	dirty          bool
+	writable       bool
+	version        recovery.SnapshotVersion // of the last image on the disk
+	previous       *recovery.Snapshot       // of the time before, until Open; nil: none
+	lastWriteTook  time.Duration            // that the last image took to be on the disk
+	stats          Stats
 }
 
-// kept is a bucket and when it was so full.
-type kept struct {
+// datedBucket is a bucket and when it was so full.
+type datedBucket struct {
 	recovery.Bucket
 	at recovery.ClockReading
 }
@@ -64,167 +64,167 @@
 
 // NewStore makes one, with an empty image.
 func NewStore(cfg Config, log *slog.Logger) *Store {
-	return &Store{cfg: cfg, log: log, plans: recovery.PlansByName(cfg.Plans), buckets: map[uint64]kept{}, pending: map[uint64]kept{}, seen: map[string]recovery.PeerSummary{}}
+	return &Store{cfg: cfg, log: log, plans: recovery.PlansByName(cfg.Plans), buckets: map[uint64]datedBucket{}, pending: map[uint64]datedBucket{}, peers: map[string]recovery.PeerSummary{}}
 }
 
 // SetPrevious has the image of the time before stand for this process until Open: it has let nothing in, so what was true stays so if it
 // ends before that.
-func (k *Store) SetPrevious(img *recovery.Snapshot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.before, k.mark, k.seen = img, img.Version, img.Peers
+func (s *Store) SetPrevious(previous *recovery.Snapshot) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.previous, s.version, s.peers = previous, previous.Version, previous.Peers
 }
 
 // StartWriting tells that the buckets of the time before have been handed in. kept: by the image of Before, whose line goes on; else a new one
 // begins.
-func (k *Store) StartWriting(kept bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.opened, k.before = true, nil
-	if !kept {
-		k.mark = recovery.SnapshotVersion{Lineage: k.cfg.Incarnation}
+func (s *Store) StartWriting(continueLineage bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.writable, s.previous = true, nil
+	if !continueLineage {
+		s.version = recovery.SnapshotVersion{Lineage: s.cfg.Incarnation}
 	}
 }
 
 // RecordChanges takes customers whose buckets changed, the units that are answered a second, and the usual requests a second that a warm node
 // is sent.
-func (k *Store) RecordChanges(changed []decide.BucketSnapshot, work, sends float64) {
-	now := k.cfg.Clock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.work, k.sends = work, sends
-	k.dirty = k.dirty || len(changed) > 0
-	for _, m := range changed {
-		if m.Plan < 0 || m.Plan >= len(k.cfg.Plans) {
+func (s *Store) RecordChanges(changed []decide.BucketSnapshot, servedRate, warmServerRate float64) {
+	now := s.cfg.Clock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.servedRate, s.warmServerRate = servedRate, warmServerRate
+	s.dirty = s.dirty || len(changed) > 0
+	for _, bucket := range changed {
+		if bucket.Plan < 0 || bucket.Plan >= len(s.cfg.Plans) {
 			continue
 		}
-		if _, known := k.pending[m.Key]; !known && len(k.pending) >= k.cfg.MaxCustomers {
-			k.stats.Dropped++
+		if _, known := s.pending[bucket.Key]; !known && len(s.pending) >= s.cfg.MaxCustomers {
+			s.stats.Dropped++
 			continue
 		}
-		k.pending[m.Key] = kept{recovery.Bucket{Key: m.Key, Plan: k.cfg.Plans[m.Plan].Name, FirstGateway: m.FirstGateway, GatewayCount: m.GatewayCount, Fill: m.Fill}, now}
+		s.pending[bucket.Key] = datedBucket{recovery.Bucket{Key: bucket.Key, Plan: s.cfg.Plans[bucket.Plan].Name, FirstGateway: bucket.FirstGateway, GatewayCount: bucket.GatewayCount, Fill: bucket.Fill}, now}
 	}
 }
 
-// merged takes in what was noted, and returns all buckets as they are now. Those that have leaked out are forgotten, and where more are left
+// mergePending takes in what was noted, and returns all buckets as they are now. Those that have leaked out are forgotten, and where more are left
 // than may be kept the emptiest. It is called with all held.
-func (k *Store) merged(now recovery.ClockReading) []recovery.Bucket {
-	k.mu.Lock()
-	pending := k.pending
-	k.pending = map[uint64]kept{}
-	k.mu.Unlock()
-	maps.Copy(k.buckets, pending)
-	var left []recovery.Bucket
-	for key, b := range k.buckets {
-		if now, ok := b.AfterLeak(now.Since(b.at), k.plans[b.Plan]); ok {
-			left = append(left, now)
+func (s *Store) mergePending(now recovery.ClockReading) []recovery.Bucket {
+	s.mu.Lock()
+	pending := s.pending
+	s.pending = map[uint64]datedBucket{}
+	s.mu.Unlock()
+	maps.Copy(s.buckets, pending)
+	var buckets []recovery.Bucket
+	for key, b := range s.buckets {
+		if leaked, ok := b.AfterLeak(now.Since(b.at), s.plans[b.Plan]); ok {
+			buckets = append(buckets, leaked)
 		} else {
-			delete(k.buckets, key)
+			delete(s.buckets, key)
 		}
 	}
-	if over := len(left) - k.cfg.MaxCustomers; over > 0 {
-		left = recovery.Fullest(left, len(left))
-		for _, b := range left[k.cfg.MaxCustomers:] {
-			delete(k.buckets, b.Key)
+	if excess := len(buckets) - s.cfg.MaxCustomers; excess > 0 {
+		buckets = recovery.Fullest(buckets, len(buckets))
+		for _, b := range buckets[s.cfg.MaxCustomers:] {
+			delete(s.buckets, b.Key)
 		}
-		left = left[:k.cfg.MaxCustomers]
-		k.mu.Lock()
-		k.stats.Dropped += uint64(over)
-		k.mu.Unlock()
+		buckets = buckets[:s.cfg.MaxCustomers]
+		s.mu.Lock()
+		s.stats.Dropped += uint64(excess)
+		s.mu.Unlock()
 	}
-	return left
+	return buckets
 }
 
 // SetPeers keeps what is known of other members' last lives.
-func (k *Store) SetPeers(seen map[string]recovery.PeerSummary) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !maps.Equal(k.seen, seen) {
-		k.seen, k.dirty = seen, true
+func (s *Store) SetPeers(peers map[string]recovery.PeerSummary) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !maps.Equal(s.peers, peers) {
+		s.peers, s.dirty = peers, true
 	}
 }
 
 // Snapshot is what is kept, as of now.
-func (k *Store) Snapshot() *recovery.Snapshot {
-	now := k.cfg.Clock()
-	k.all.Lock()
-	defer k.all.Unlock()
-	buckets := k.merged(now)
+func (s *Store) Snapshot() *recovery.Snapshot {
+	now := s.cfg.Clock()
+	s.bucketsMu.Lock()
+	defer s.bucketsMu.Unlock()
+	buckets := s.mergePending(now)
 	slices.SortFunc(buckets, func(a, b recovery.Bucket) int { return cmp.Compare(a.Key, b.Key) })
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.before != nil {
-		return k.before
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.previous != nil {
+		return s.previous
 	}
-	return &recovery.Snapshot{Name: k.cfg.Member, Version: k.mark, TakenAt: now, Interval: k.cfg.Interval + k.took, ServedRate: k.work, WarmServerRate: k.sends, Buckets: buckets, Peers: k.seen}
+	return &recovery.Snapshot{Name: s.cfg.Member, Version: s.version, TakenAt: now, Interval: s.cfg.Interval + s.lastWriteTook, ServedRate: s.servedRate, WarmServerRate: s.warmServerRate, Buckets: buckets, Peers: s.peers}
 }
 
 // Stats tells its figures.
-func (k *Store) Stats() Stats {
-	k.all.Lock()
-	defer k.all.Unlock()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.stats
-	s.Customers = len(k.buckets)
-	return s
+func (s *Store) Stats() Stats {
+	s.bucketsMu.Lock()
+	defer s.bucketsMu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stats := s.stats
+	stats.Customers = len(s.buckets)
+	return stats
 }
 
 // Run writes an image as often as was said, if anything changed, until the context ends; then it writes the last one.
-func (k *Store) Run(ctx context.Context) {
-	if k.cfg.Path == "" {
+func (s *Store) Run(ctx context.Context) {
+	if s.cfg.Path == "" {
 		return
 	}
-	t := time.NewTicker(k.cfg.Interval)
-	defer t.Stop()
+	ticker := time.NewTicker(s.cfg.Interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
-			k.write()
+		case <-ticker.C:
+			s.write()
 		case <-ctx.Done():
-			k.write()
+			s.write()
 			return
 		}
 	}
 }
 
 // write writes an image if one is owed. The first failure and the end of it are lines in the log.
-func (k *Store) write() {
-	k.mu.Lock()
-	owed := k.dirty && k.opened
-	k.dirty = k.dirty && !owed
-	k.mu.Unlock()
-	if !owed {
+func (s *Store) write() {
+	s.mu.Lock()
+	due := s.dirty && s.writable
+	s.dirty = s.dirty && !due
+	s.mu.Unlock()
+	if !due {
 		return
 	}
-	began, img := k.cfg.Clock(), k.Snapshot()
-	img.Version.Sequence++
-	n, err := Write(k.cfg.FS, k.cfg.Path, img)
-	took := k.cfg.Clock().Since(began)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.took = took
-	was := k.stats.Failing
-	k.stats.Failing = err != nil
+	began, snap := s.cfg.Clock(), s.Snapshot()
+	snap.Version.Sequence++
+	n, err := Write(s.cfg.FS, s.cfg.Path, snap)
+	took := s.cfg.Clock().Since(began)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastWriteTook = took
+	wasFailing := s.stats.Failing
+	s.stats.Failing = err != nil
 	if err != nil {
-		k.stats.Failures++
-		k.stats.Lag += k.cfg.Interval
-		k.dirty = true
-		if !was {
-			k.log.Error("power: the state was not kept; after a loss buckets begin as they last were on the disk", "err", err)
+		s.stats.Failures++
+		s.stats.Lag += s.cfg.Interval
+		s.dirty = true
+		if !wasFailing {
+			s.log.Error("power: the state was not kept; after a loss buckets begin as they last were on the disk", "err", err)
 		}
 		return
 	}
-	k.mark = img.Version
-	k.stats.Writes++
-	k.stats.Bytes += uint64(n)
-	k.stats.Lag = 0
-	if was {
-		k.log.Info("power: the state is kept again")
+	s.version = snap.Version
+	s.stats.Writes++
+	s.stats.Bytes += uint64(n)
+	s.stats.Lag = 0
+	if wasFailing {
+		s.log.Info("power: the state is kept again")
 	}
-	if took > slowFrom {
-		k.log.Warn("power: the disk is slow", "took", took)
+	if took > slowWrite {
+		s.log.Warn("power: the disk is slow", "took", took)
 	}
 }
 
-const slowFrom = time.Second // of a write: so much more may be passed on after a loss
+const slowWrite = time.Second // of a write: so much more may be passed on after a loss
--- a/internal/snapshot/record_test.go
+++ b/internal/snapshot/record_test.go
@@ -123,7 +123,7 @@
 		if img != nil || verdict != recovery.SnapshotCorrupt || !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("case %d: %+v, %v, %v", i, img, verdict, err)
 		}
-		if kept, err := os.ReadFile(name + aside); err != nil || string(kept) != string(b) {
+		if kept, err := os.ReadFile(name + unusableSuffix); err != nil || string(kept) != string(b) {
 			t.Fatalf("case %d: what was spoilt is lost: %v", i, err)
 		}
 		if _, verdict, err := Load(OSFS{}, name); verdict != recovery.SnapshotMissing || err != nil {
--- a/internal/systemd/service.go
+++ b/internal/systemd/service.go
@@ -16,63 +16,63 @@
 // Notifier is who runs the daemon. Make it with New.
 type Notifier struct {
 	log     *slog.Logger
-	present bool
+	enabled bool
 	ready   atomic.Bool
 }
 
 // NewNotifier finds the manager, if there is one.
 func NewNotifier(log *slog.Logger, getenv func(string) string) *Notifier {
-	return &Notifier{log: log, present: getenv("NOTIFY_SOCKET") != ""}
+	return &Notifier{log: log, enabled: getenv("NOTIFY_SOCKET") != ""}
 }
 
-func (m *Notifier) say(state string) {
-	if !m.present {
+func (n *Notifier) notify(state string) {
+	if !n.enabled {
 		return
 	}
 	if _, err := daemon.SdNotify(false, state); err != nil {
-		m.log.Warn("telling the service manager", "err", err)
+		n.log.Warn("telling the service manager", "err", err)
 	}
 }
 
 // Ready tells that the daemon serves.
-func (m *Notifier) Ready() {
-	m.ready.Store(true)
-	m.say(daemon.SdNotifyReady)
+func (n *Notifier) Ready() {
+	n.ready.Store(true)
+	n.notify(daemon.SdNotifyReady)
 }
 
 // Reloading tells that a reload has begun. Before the daemon is ready nothing is told of it.
-func (m *Notifier) Reloading() {
-	if m.ready.Load() {
-		m.say(daemon.SdNotifyReloading + "\n" + daemon.SdNotifyMonotonicUsec())
+func (n *Notifier) Reloading() {
+	if n.ready.Load() {
+		n.notify(daemon.SdNotifyReloading + "\n" + daemon.SdNotifyMonotonicUsec())
 	}
 }
 
 // Reloaded tells that it has ended, well or not.
-func (m *Notifier) Reloaded() {
-	if m.ready.Load() {
-		m.say(daemon.SdNotifyReady)
+func (n *Notifier) Reloaded() {
+	if n.ready.Load() {
+		n.notify(daemon.SdNotifyReady)
 	}
 }
 
 // Stopping tells that the daemon ends.
-func (m *Notifier) Stopping() { m.say(daemon.SdNotifyStopping) }
+func (n *Notifier) Stopping() { n.notify(daemon.SdNotifyStopping) }
 
 // RunWatchdog tells, twice in the time that the manager set, that the daemon lives: as often as alive has been called back. It returns
 // when done is closed, and at once where the manager set no time.
-func (m *Notifier) RunWatchdog(alive func(then func()), done <-chan struct{}) {
-	every, err := daemon.SdWatchdogEnabled(false)
+func (n *Notifier) RunWatchdog(runOnLoop func(then func()), done <-chan struct{}) {
+	interval, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
-		m.log.Warn("reading the service manager's watchdog", "err", err)
+		n.log.Warn("reading the service manager's watchdog", "err", err)
 	}
-	if every <= 0 || err != nil {
+	if interval <= 0 || err != nil {
 		return
 	}
-	t := time.NewTicker(every / 2)
-	defer t.Stop()
+	ticker := time.NewTicker(interval / 2)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
-			alive(func() { m.say(daemon.SdNotifyWatchdog) })
+		case <-ticker.C:
+			runOnLoop(func() { n.notify(daemon.SdNotifyWatchdog) })
 		case <-done:
 			return
 		}
@@ -85,12 +85,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("sockets of the service manager: %w", err)
 	}
-	all := map[string]net.Listener{}
+	listeners := map[string]net.Listener{}
 	for name, lns := range named {
 		if len(lns) != 1 || lns[0] == nil {
 			return nil, fmt.Errorf("sockets of the service manager: %q names %d, or none that listens", name, len(lns))
 		}
-		all[name] = lns[0]
+		listeners[name] = lns[0]
 	}
-	return all, nil
+	return listeners, nil
 }
