--- a/internal/recovery/belief_test.go
+++ b/internal/recovery/belief_test.go
@@ -16,22 +16,22 @@
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
 const (
-	every  = 250 * time.Millisecond
-	lightS = 0.5 // seconds: lightFor times every
+	snapshotInterval = 250 * time.Millisecond
+	uptimeSeconds    = 0.5 // seconds: lightFor times every
 )
 
-// written is what a member's disk holds: a full customer of each plan, written at noon under the first boot.
-func written() *Snapshot {
-	return &Snapshot{Name: "me", Version: SnapshotVersion{Lineage: 5, Sequence: 100}, TakenAt: ClockReading{Wall: noon, BootID: "a", Uptime: time.Hour}, Interval: every, ServedRate: 30,
+// diskSnapshot is what a member's disk holds: a full customer of each plan, diskSnapshot at noon under the first boot.
+func diskSnapshot() *Snapshot {
+	return &Snapshot{Name: "me", Version: SnapshotVersion{Lineage: 5, Sequence: 100}, TakenAt: ClockReading{Wall: noon, BootID: "a", Uptime: time.Hour}, Interval: snapshotInterval, ServedRate: 30,
 		Buckets: []Bucket{{Key: 1, Plan: "small", Fill: 1}, {Key: 2, Plan: "large", Fill: 0.5}, {Key: 3, Plan: "gone", Fill: 1}},
 		Peers:   map[string]PeerSummary{"other": {Version: SnapshotVersion{1, 7}, ReportedAtMs: noon.UnixMilli(), ServedRate: 12}}}
 }
 
-// starts are the clocks at a start, and how long it was dark then, as far as they tell.
-var starts = map[string]struct {
-	now   ClockReading
-	dark  time.Duration
-	unset bool // the image was written under a clock that was never set
+// startClocks are the clocks at a start, and how long it was dark then, as far as they tell.
+var startClocks = map[string]struct {
+	now       ClockReading
+	downtime  time.Duration
+	wallUnset bool // the image was written under a clock that was never set
 }{
 	"same boot, 3 s":                {ClockReading{noon.Add(time.Hour), "a", time.Hour + 3*time.Second}, 3 * time.Second, false},
 	"same boot, clock back":         {ClockReading{noon.Add(-time.Hour), "a", time.Hour + 3*time.Second}, 3 * time.Second, false},
@@ -41,11 +41,11 @@
 	"no boot known, 3 s":            {ClockReading{noon.Add(3 * time.Second), "", 0}, 3 * time.Second, false},
 	"other boot, a week":            {ClockReading{noon.Add(7 * 24 * time.Hour), "b", time.Second}, 7 * 24 * time.Hour, false},
 	"written by a clock never set":  {ClockReading{noon.Add(3 * time.Second), "b", time.Second}, 0, true},
-	"before the light of snapshots": {ClockReading{noon.Add(every), "b", time.Second}, every, false},
+	"before the light of snapshots": {ClockReading{noon.Add(snapshotInterval), "b", time.Second}, snapshotInterval, false},
 }
 
-// words are what others may tell.
-var words = []PeerSnapshot{
+// peerSnapshots are what others may tell.
+var peerSnapshots = []PeerSnapshot{
 	{Name: "living", Version: SnapshotVersion{1, 1}, ServedRate: 5, Buckets: []Bucket{{Key: 2, Plan: "large", Fill: 0.9}, {Key: 4, Plan: "small", Fill: 0.3}}},
 	{Name: "living", Version: SnapshotVersion{1, 2}, ServedRate: 6, Buckets: []Bucket{{Key: 2, Plan: "large", Fill: 0.7}}},
 	{Name: "recovering", Version: SnapshotVersion{2, 9}, Recovering: true, Buckets: []Bucket{{Key: 1, Plan: "small", Fill: 0.2}, {Key: 5, Plan: "gone", Fill: 1}}},
@@ -54,155 +54,155 @@
 	{Name: "me", Version: SnapshotVersion{9, 9}, Buckets: []Bucket{{Key: 9, Plan: "small", Fill: 1}}},
 }
 
-// orders are all orders of all subsets of so many things.
-func orders(n int) (all [][]int) {
-	var walk func(done []int)
-	walk = func(done []int) {
-		all = append(all, append([]int(nil), done...))
+// orderedSubsets are all orderedSubsets of all subsets of so many things.
+func orderedSubsets(n int) (subsets [][]int) {
+	var extend func(done []int)
+	extend = func(prefix []int) {
+		subsets = append(subsets, append([]int(nil), prefix...))
 	next:
 		for i := range n {
-			for _, d := range done {
+			for _, d := range prefix {
 				if d == i {
 					continue next
 				}
 			}
-			walk(append(done, i))
+			extend(append(prefix, i))
 		}
 	}
-	walk(nil)
-	return all
+	extend(nil)
+	return subsets
 }
 
-// TestEveryOrderOfFacts: whatever the disk, the clocks and the others' words are, in every order of every subset of them, what is believed
+// TestResolveInEveryOrder: whatever the disk, the clocks and the others' words are, in every order of every subset of them, what is believed
 // is the same in any order; never less than a trusted disk proves or another tells; never by a disk that is not this member's last.
-func TestEveryOrderOfFacts(t *testing.T) {
+func TestResolveInEveryOrder(t *testing.T) {
 	count := 0
 	disks := map[string]func() (*Snapshot, SnapshotStatus){
-		"kept":    func() (*Snapshot, SnapshotStatus) { return written(), SnapshotValid },
+		"kept":    func() (*Snapshot, SnapshotStatus) { return diskSnapshot(), SnapshotValid },
 		"absent":  func() (*Snapshot, SnapshotStatus) { return nil, SnapshotMissing },
 		"spoilt":  func() (*Snapshot, SnapshotStatus) { return nil, SnapshotCorrupt },
-		"foreign": func() (*Snapshot, SnapshotStatus) { i := written(); i.Name = "neighbour"; return i, SnapshotValid },
+		"foreign": func() (*Snapshot, SnapshotStatus) { i := diskSnapshot(); i.Name = "neighbour"; return i, SnapshotValid },
 	}
-	for clock, at := range starts {
-		for disk, make := range disks {
+	for clock, at := range startClocks {
+		for disk, load := range disks {
 			first := map[string]RestoredState{}
-			for _, order := range orders(len(words)) {
+			for _, order := range orderedSubsets(len(peerSnapshots)) {
 				count++
-				img, v := make()
-				if img != nil && at.unset {
-					img.TakenAt.Wall = time.Unix(7, 0)
+				snapshot, status := load()
+				if snapshot != nil && at.wallUnset {
+					snapshot.TakenAt.Wall = time.Unix(7, 0)
 				}
-				s := NewCollector(LocalMember{"me", plans}, at.now, img, v)
-				var told [6]bool
+				c := NewCollector(LocalMember{"me", plans}, at.now, snapshot, status)
+				var received [6]bool
 				for _, i := range order {
-					s.AddPeerSnapshot(words[i])
-					told[i] = true
+					c.AddPeerSnapshot(peerSnapshots[i])
+					received[i] = true
 				}
-				b := s.Resolve(at.now)
+				restored := c.Resolve(at.now)
 				name := fmt.Sprint(clock, ", disk ", disk, ", words ", order)
-				if old, ok := first[fmt.Sprint(told)]; !ok {
-					first[fmt.Sprint(told)] = b
-				} else if !reflect.DeepEqual(old, b) {
-					t.Fatalf("%s: %+v, in another order %+v", name, b, old)
+				if old, ok := first[fmt.Sprint(received)]; !ok {
+					first[fmt.Sprint(received)] = restored
+				} else if !reflect.DeepEqual(old, restored) {
+					t.Fatalf("%s: %+v, in another order %+v", name, restored, old)
 				}
-				check(t, name, disk, at.dark, told, s, b)
+				checkRestored(t, name, disk, at.downtime, received, c, restored)
 			}
 		}
 	}
 	t.Logf("%d starts", count)
 }
 
-func check(t *testing.T, name, disk string, dark time.Duration, told [6]bool, s *Collector, b RestoredState) {
+func checkRestored(t *testing.T, name, disk string, downtime time.Duration, received [6]bool, c *Collector, restored RestoredState) {
 	t.Helper()
 	want := map[string]SnapshotStatus{"kept": SnapshotValid, "absent": SnapshotMissing, "spoilt": SnapshotCorrupt, "foreign": SnapshotForeign}[disk]
-	if want == SnapshotValid && told[3] {
+	if want == SnapshotValid && received[3] {
 		want = SnapshotStale
 	}
-	least, leaked := map[uint64]float64{}, 0.0
+	wantFill, leaked := map[uint64]float64{}, 0.0
 	if want == SnapshotValid {
-		leaked = max(0, dark.Seconds()-lightS)
-		least[1], least[2] = max(0, 1-leaked*2/10), max(0, 0.5-leaked*20/40)
+		leaked = max(0, downtime.Seconds()-uptimeSeconds)
+		wantFill[1], wantFill[2] = max(0, 1-leaked*2/10), max(0, 0.5-leaked*20/40)
 	}
 	switch { // of one member's words the later one counts
-	case told[1]:
-		least[2] = max(least[2], 0.7)
-	case told[0]:
-		least[2], least[4] = max(least[2], 0.9), 0.3
+	case received[1]:
+		wantFill[2] = max(wantFill[2], 0.7)
+	case received[0]:
+		wantFill[2], wantFill[4] = max(wantFill[2], 0.9), 0.3
 	}
-	if told[2] {
-		least[1] = max(least[1], 0.2)
+	if received[2] {
+		wantFill[1] = max(wantFill[1], 0.2)
 	}
 	got := map[uint64]float64{}
-	for _, m := range b.Event.Buckets {
-		got[m.Key] = m.Fill
+	for _, bucket := range restored.Event.Buckets {
+		got[bucket.Key] = bucket.Fill
 	}
-	for key, fill := range least {
-		if d := got[key] - fill; d < -1e-9 || d > 1e-9 {
+	for key, fill := range wantFill {
+		if diff := got[key] - fill; diff < -1e-9 || diff > 1e-9 {
 			t.Fatalf("%s: customer %d is %.3f full, want %.3f", name, key, got[key], fill)
 		}
 	}
 	for key := range got {
-		if _, ok := least[key]; !ok {
+		if _, ok := wantFill[key]; !ok {
 			t.Fatalf("%s: customer %d is known from nowhere", name, key)
 		}
 	}
-	if b.SnapshotStatus != want || b.Event.LeakedSeconds != leaked {
-		t.Fatalf("%s: disk %v, want %v; strangers' buckets leaked for %v s, want %v", name, b.SnapshotStatus, want, b.Event.LeakedSeconds, leaked)
+	if restored.SnapshotStatus != want || restored.Event.LeakedSeconds != leaked {
+		t.Fatalf("%s: disk %v, want %v; strangers' buckets leaked for %v s, want %v", name, restored.SnapshotStatus, want, restored.Event.LeakedSeconds, leaked)
 	}
-	if s.PeerInService() != (told[0] || told[1]) {
-		t.Fatalf("%s: lit %v", name, s.PeerInService())
+	if c.PeerInService() != (received[0] || received[1]) {
+		t.Fatalf("%s: lit %v", name, c.PeerInService())
 	}
 }
 
-// TestWorkBefore: what all answered before is this member's by its disk and the others' by their own word or another's; what is of long
+// TestFleetServedRate: what all answered before is this member's by its disk and the others' by their own word or another's; what is of long
 // ago does not count.
-func TestWorkBefore(t *testing.T) {
+func TestFleetServedRate(t *testing.T) {
 	for clock, want := range map[string]float64{"other boot, 3 s": 30 + 12 + 6, "other boot, a week": 0, "other boot, never set": 30 + 12 + 6} {
-		now := starts[clock].now
-		s := NewCollector(LocalMember{"me", plans}, now, written(), SnapshotValid)
-		s.AddPeerSnapshot(PeerSnapshot{Name: "living", Version: SnapshotVersion{1, 2}, ReportedAtMs: noon.UnixMilli(), ServedRate: 6})
-		if b := s.Resolve(now); b.FleetServedRate != want {
-			t.Errorf("%s: %v units a second, want %v", clock, b.FleetServedRate, want)
+		now := startClocks[clock].now
+		c := NewCollector(LocalMember{"me", plans}, now, diskSnapshot(), SnapshotValid)
+		c.AddPeerSnapshot(PeerSnapshot{Name: "living", Version: SnapshotVersion{1, 2}, ReportedAtMs: noon.UnixMilli(), ServedRate: 6})
+		if restored := c.Resolve(now); restored.FleetServedRate != want {
+			t.Errorf("%s: %v units a second, want %v", clock, restored.FleetServedRate, want)
 		}
 	}
 }
 
-// TestWordsAreBounded: others can't make a member that starts hold more than it says, and after the start their customers are passed over.
-func TestWordsAreBounded(t *testing.T) {
-	s := NewCollector(LocalMember{"me", plans}, starts["other boot, 3 s"].now, nil, SnapshotMissing)
+// TestPeerSnapshotsAreBounded: others can't make a member that starts hold more than it says, and after the start their customers are passed over.
+func TestPeerSnapshotsAreBounded(t *testing.T) {
+	c := NewCollector(LocalMember{"me", plans}, startClocks["other boot, 3 s"].now, nil, SnapshotMissing)
 	many := make([]Bucket, 4*maxSharedBuckets)
 	for i := range many {
 		many[i] = Bucket{Key: uint64(i), Plan: "small", Fill: 1}
 	}
 	for i := range 2 * maxPeerSummaries {
-		s.AddPeerSnapshot(PeerSnapshot{Name: fmt.Sprint("m", i), Version: SnapshotVersion{1, 1}, Buckets: many})
+		c.AddPeerSnapshot(PeerSnapshot{Name: fmt.Sprint("m", i), Version: SnapshotVersion{1, 1}, Buckets: many})
 	}
-	held := 0
-	for _, w := range s.snapshots {
-		held += len(w.Buckets)
+	buckets := 0
+	for _, p := range c.snapshots {
+		buckets += len(p.Buckets)
 	}
-	if len(s.snapshots) > maxPeerSummaries || len(s.summaries) > maxPeerSummaries || held > maxBucketPeers*maxSharedBuckets {
-		t.Errorf("%d words, %d seen, %d customers are held", len(s.snapshots), len(s.summaries), held)
+	if len(c.snapshots) > maxPeerSummaries || len(c.summaries) > maxPeerSummaries || buckets > maxBucketPeers*maxSharedBuckets {
+		t.Errorf("%d words, %d seen, %d customers are held", len(c.snapshots), len(c.summaries), buckets)
 	}
-	s.IgnorePeerBuckets()
-	s.AddPeerSnapshot(PeerSnapshot{Name: "m0", Version: SnapshotVersion{1, 2}, Buckets: many})
-	if n := len(s.Resolve(starts["other boot, 3 s"].now).Event.Buckets); n != 0 {
+	c.IgnorePeerBuckets()
+	c.AddPeerSnapshot(PeerSnapshot{Name: "m0", Version: SnapshotVersion{1, 2}, Buckets: many})
+	if n := len(c.Resolve(startClocks["other boot, 3 s"].now).Event.Buckets); n != 0 {
 		t.Errorf("%d customers are learned after the start", n)
 	}
 }
 
-// TestKindsStandInTheNote: the rows of the design note are those of the code.
-func TestKindsStandInTheNote(t *testing.T) {
-	note, err := os.ReadFile("../../docs/design/power.md")
+// TestStateKindsMatchDesignDoc: the rows of the design note are those of the code.
+func TestStateKindsMatchDesignDoc(t *testing.T) {
+	doc, err := os.ReadFile("../../docs/design/power.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, k := range StateKinds {
-		if !strings.Contains(string(note), "\n| "+k.Name+" |") {
+		if !strings.Contains(string(doc), "\n| "+k.Name+" |") {
 			t.Errorf("the note has no row for %q", k.Name)
 		}
 	}
-	for i, line := range strings.Split(string(note), "\n") {
+	for i, line := range strings.Split(string(doc), "\n") {
 		if strings.HasPrefix(line, "| ") && strings.Count(line, "|") == 8 && strings.Contains(line, "| |") {
 			t.Errorf("line %d of the note has an empty cell", i+1)
 		}
