--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -6,85 +6,86 @@
 	"time"
 )
 
-// Phase is how far a member's service has returned.
+// Phase is how far a member has got in returning to service.
 type Phase int
 
-// The phases, in their order. Nothing is let in before PhaseRampUp.
+// The phases, in order. No request is admitted before PhaseRampUp.
 const (
-	PhaseStarting    Phase = iota // nothing is known
-	PhaseDiskChecked              // the disk has been judged
-	PhaseJoined                   // it has a place in its fleet, if there is one
-	PhaseRampUp                   // a rising share of what was answered before
-	PhaseFull
+	PhaseStarting    Phase = iota // nothing has been checked yet
+	PhaseDiskChecked              // the snapshot on disk has been checked
+	PhaseJoined                   // the member has its slot in the fleet, if it is in one
+	PhaseRampUp                   // a rising share of the rate before the start is admitted
+	PhaseFull                     // everything is admitted
 )
 
 func (p Phase) String() string {
 	return [...]string{"dark", "believed", "met", "trickle", "full"}[p]
 }
 
-// AdmissionConfig are the figures of the phases.
+// AdmissionConfig configures an AdmissionController.
 type AdmissionConfig struct {
-	ColdCapacity   float64       // speed of a node that has just started, as a share
-	ColdDuration   time.Duration // it is warm after so long
-	ColdLoadFactor float64       // times what it can do that a cold node may be sent, where it is known to be cold; 0: once
-	MaxRetryAfter  time.Duration // longest time that a refusal may tell to stay away; 0: none is told
-	MaxUnits       float64       // of one request
-	MaxPrice       float64       // of the dearest plan
-	Seed           uint64        // of what spreads the crowd
+	ColdCapacity   float64       // capacity of a server that has just started, as a share of its warm capacity
+	ColdDuration   time.Duration // time after which a server is warm
+	ColdLoadFactor float64       // load that a server known to be cold may get, in multiples of its capacity; below 1: 1
+	MaxRetryAfter  time.Duration // longest Retry-After of a refusal; 0: refusals have none
+	MaxUnits       float64       // largest request
+	MaxPrice       float64       // of the most expensive plan
+	Seed           uint64        // of the jitter of Retry-After
 }
 
 const (
-	fullCapacity      = 0.95 // of the nodes' speed: the rest is within chance
-	minRate           = 10.0 // units a second that are let in where nothing is known of the time before: some requests, to learn from
-	unknownRateGrowth = 2.0  // times what was answered in the last second, there
+	fullCapacity      = 0.95 // server capacity from which on everything is admitted: the rest is within noise
+	minRate           = 10.0 // units a second that are always admitted, so that an unknown rate can be measured
+	unknownRateGrowth = 2.0  // where the rate before is unknown: admitted rate, in multiples of the rate served in servedWindow
 	servedWindow      = time.Second
-	bucketDuration    = 500 * time.Millisecond // of the rate may be let in at once ...
-	minBucketRequests = 4.0                    // ... and so many of the largest requests at least
-	writeReserve      = 0.2                    // of that must be left for a new keyed request, so that repeats find room ...
-	readReserve       = 0.4                    // ... and so much for one that may be asked anywhere, any time
-	cheapPlanReserve  = 0.15                   // more for the cheapest plan than for the dearest: less than what parts the classes
+	bucketDuration    = 500 * time.Millisecond // time whose units may be admitted in one burst ...
+	minBucketRequests = 4.0                    // ... but at least this many of the largest requests
+	writeReserve      = 0.2                    // share of the bucket that must be left by a new write, so that retries of writes find room ...
+	readReserve       = 0.4                    // ... and by a read, which can be sent to any gateway at any time
+	cheapPlanReserve  = 0.15                   // added for the cheapest plan, not for the most expensive; less than the gap between writes and reads
 	minRetryAfter     = 50 * time.Millisecond
 )
 
-// Request is a request, as far as its turn goes by it.
+// Request holds the properties of a request that decide on its admission.
 type Request struct {
-	Write, ClientRetry bool // it must not run twice; it may be a repeat of one from before
+	Write, ClientRetry bool // it must not run twice; it may repeat a request from before the start
 	Units, Price       float64
 }
 
-// AdmissionController is the order in which a member serves again: a state machine whose phases only rise. Times are since an origin of the
-// caller's choice.
+// AdmissionController decides how many requests a member admits after its start, and which first. It is a state machine whose phases
+// only advance. Times are offsets from an origin that the caller chooses.
 type AdmissionController struct {
 	cfg          AdmissionConfig
 	rng          *rand.Rand
 	phase        Phase
-	joinedAt     time.Duration // of Trickle: nodes count as started then, as long as no list says otherwise
-	servedRate   float64       // units a second that all answered before; 0: not known
-	members      int           // members that are back, this one among them
-	listFresh    bool          // discovery has answered since the start
+	joinedAt     time.Duration // servers count as started then until discovery reports their starts
+	servedRate   float64       // units a second that the fleet served before; 0: unknown
+	members      int           // members that are back, including this one
+	listFresh    bool          // discovery has answered since this member started
 	serverStarts []time.Duration
-	tokens       float64 // of the bucket
+	tokens       float64 // units left in the token bucket
 	refilledAt   time.Duration
-	recentRate   float64 // answered of late, a second
+	recentRate   float64 // units a second served in about the last servedWindow
 	recentAt     time.Duration
 	Stats        AdmissionStats
 }
 
-// AdmissionStats are of requests in Trickle and before.
+// AdmissionStats counts requests in PhaseRampUp and, as RefusedEarly, before it.
 type AdmissionStats struct{ Admitted, Refused, RefusedEarly uint64 }
 
-// NewAdmissionController begins in Dark.
+// NewAdmissionController returns a controller in PhaseStarting.
 func NewAdmissionController(cfg AdmissionConfig) *AdmissionController {
 	return &AdmissionController{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 3)), members: 1}
 }
 
-// Phase is where it is.
+// Phase returns the current phase.
 func (c *AdmissionController) Phase() Phase { return c.phase }
 
-// MarkDiskChecked tells that the disk has been judged.
+// MarkDiskChecked moves on to PhaseDiskChecked.
 func (c *AdmissionController) MarkDiskChecked() { c.phase = max(c.phase, PhaseDiskChecked) }
 
-// Join tells that the member has its place. lit: others are in full service, so that nothing needs to return.
+// Join moves on to PhaseJoined: the member has its slot. servedRate is what the fleet served before, in units a second. With
+// fleetInService other members are in PhaseFull, so this one skips the ramp-up.
 func (c *AdmissionController) Join(now time.Duration, servedRate float64, fleetInService bool) {
 	if c.phase >= PhaseJoined {
 		return
@@ -95,20 +96,21 @@
 	}
 }
 
-// SetMemberCount tells how many members are back.
+// SetMemberCount sets the number of members that are back, which share the rate.
 func (c *AdmissionController) SetMemberCount(n int) { c.members = max(1, n) }
 
-// RaiseServedRate tells what all answered before, as far as is known by now.
+// RaiseServedRate sets the rate that the fleet served before, if that is higher than what is known so far.
 func (c *AdmissionController) RaiseServedRate(rate float64) { c.servedRate = max(c.servedRate, rate) }
 
-// SetServerStarts tells when the nodes that serve started; 0: long ago. fresh: discovery has said so since the start.
+// SetServerStarts sets when the serving servers started; 0: long ago. fresh: the list comes from an answer of discovery since this
+// member started. Once there was such an answer, lists that are not fresh are ignored.
 func (c *AdmissionController) SetServerStarts(fresh bool, starts []time.Duration) {
 	if c.listFresh = c.listFresh || fresh; fresh || !c.listFresh {
 		c.serverStarts = starts
 	}
 }
 
-// RecordServed tells of an answer.
+// RecordServed adds the units of a request that was served.
 func (c *AdmissionController) RecordServed(now time.Duration, units float64) {
 	if c.phase < PhaseFull {
 		c.decayRecentRate(now)
@@ -121,7 +123,7 @@
 	c.recentAt = now
 }
 
-// ServerCapacity is the mean speed of the nodes, as a share of what they do when they are warm.
+// ServerCapacity is the mean capacity of the servers, as a share of their warm capacity.
 func (c *AdmissionController) ServerCapacity(now time.Duration) float64 {
 	if c.cfg.ColdDuration <= 0 {
 		return 1
@@ -143,11 +145,11 @@
 	return sum / float64(max(1, len(c.serverStarts)))
 }
 
-// Rate is how many units a second this member lets in.
+// Rate is the rate that this member admits, in units a second.
 func (c *AdmissionController) Rate(now time.Duration) float64 {
 	if c.servedRate > 0 {
 		factor := 1.0
-		if c.listFresh { // the module knows which nodes are cold, and holds each to its budget
+		if c.listFresh { // package decide knows which servers are cold and limits the load of each
 			factor = max(1, c.cfg.ColdLoadFactor)
 		}
 		return max(minRate, c.servedRate*min(1, factor*c.ServerCapacity(now))/float64(c.members))
@@ -156,26 +158,26 @@
 	return max(minRate, unknownRateGrowth*c.recentRate)
 }
 
-// Tick moves it on. It returns a line for the log when a phase was reached.
+// Tick advances the phase if it is time. It returns a text for the log if a new phase was reached.
 func (c *AdmissionController) Tick(now time.Duration) (note string) {
 	switch {
 	case c.phase == PhaseJoined:
 		c.phase = PhaseRampUp
 		c.tokens, c.refilledAt = c.bucketSize(now)/2, now
-		note = fmt.Sprintf("%.0f units a second of %.0f that all answered before, %d members are back, nodes at %.0f%%", c.Rate(now), c.servedRate, c.members, 100*c.ServerCapacity(now))
+		note = fmt.Sprintf("admitting %.0f of %.0f units a second that the fleet served before, %d members are back, servers at %.0f%% of capacity", c.Rate(now), c.servedRate, c.members, 100*c.ServerCapacity(now))
 	case c.phase == PhaseRampUp && c.ServerCapacity(now) >= fullCapacity:
 		c.phase = PhaseFull
-		note = fmt.Sprintf("let in %d, refused %d and %d before", c.Stats.Admitted, c.Stats.Refused, c.Stats.RefusedEarly)
+		note = fmt.Sprintf("admitted %d, refused %d, refused %d before the ramp-up", c.Stats.Admitted, c.Stats.Refused, c.Stats.RefusedEarly)
 	}
 	return note
 }
 
-// bucketSize is how many units may be let in at once.
+// bucketSize is the size of the token bucket: the units that may be admitted in one burst.
 func (c *AdmissionController) bucketSize(now time.Duration) float64 {
 	return max(c.Rate(now)*bucketDuration.Seconds(), minBucketRequests*max(1, c.cfg.MaxUnits))
 }
 
-// reserve is the share of the bucket that must be left for a request: what it leaves is for those that go before it.
+// reserve is the share of the token bucket that must be left after a request is admitted. It is kept for requests of higher priority.
 func (c *AdmissionController) reserve(req Request) (share float64) {
 	if req.Write && req.ClientRetry {
 		return 0
@@ -189,7 +191,7 @@
 	return share
 }
 
-// Admit takes a request, or tells when to return.
+// Admit reports whether a request is admitted, and if not, after which time the client should retry.
 func (c *AdmissionController) Admit(now time.Duration, req Request) (ok bool, retryAfter time.Duration) {
 	switch c.phase {
 	case PhaseFull:
@@ -211,7 +213,8 @@
 	return true, 0
 }
 
-// retryAfter spreads those who are refused over the time that is left, as far as they may be told of it.
+// retryAfter returns a random time, so that refused clients don't all return at once. It is at most the rest of the ramp-up and
+// MaxRetryAfter.
 func (c *AdmissionController) retryAfter(now time.Duration) time.Duration {
 	if c.cfg.MaxRetryAfter <= 0 {
 		return 0
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,5 +1,5 @@
-// Package recovery decides what a gateway that starts believes of the time before, and in which order it serves again. It is pure:
-// what a disk held, what other members say and what the clocks show comes in as values; what counts comes out.
+// Package recovery decides which state a gateway restores when it starts, from its own snapshot on disk and from its peers, and how it
+// ramps up admission afterwards. It is pure: the snapshot, the peers' messages and the clock readings come in as values.
 package recovery
 
 import (
@@ -12,55 +12,54 @@
 	"sloepick/decide"
 )
 
-// StateKind is a kind of thing that a gateway knows, as a row of the design note's table.
+// StateKind describes how one kind of state is recovered: a row of the table in docs/design/power.md.
 type StateKind struct {
 	Name          string
-	Persisted     bool          // on the disk, by this package's image
-	TrustedFor    time.Duration // for so long; 0: for as long as it takes to leak out, or until something newer says otherwise
-	AgeClock      string        // by which its age is told
-	Default       string        // what is taken where it is absent
-	PeerRule      string        // a peer's word against the disk's
-	WhenUncertain string        // to which side it falls
+	Persisted     bool          // in the snapshot on disk
+	TrustedFor    time.Duration // how long a stored value counts; 0: until it has leaked out, or a newer value replaces it
+	AgeClock      string        // clock that gives its age
+	Default       string        // value where nothing is stored
+	PeerRule      string        // which value wins when a peer reports another one than the disk
+	WhenUncertain string        // value that is assumed in doubt
 }
 
-// StateKinds are the rows. docs/design/power.md has them in words; a test holds both together.
+// StateKinds are all kinds of state. The names are those of the table in docs/design/power.md, which a test compares.
 var StateKinds = []StateKind{
-	{"own place and term", false, 0, "terms", "a new claim", "the higher term", "no place"},
-	{"own images' line and count", true, 0, "counts", "a new line", "a later one proves the disk old", "an old disk"},
-	{"own buckets", true, 0, "boot, else wall", "half full, leaking", "the fuller", "the fuller"},
-	{"others' use of a customer", true, 0, "boot, else wall", "half full, leaking", "the fuller", "the fuller"},
-	{"ceilings' stores", false, 0, "none", "empty", "not asked", "empty"},
-	{"work answered before", true, servedRateMaxAge, "boot, else wall", "what others tell", "the disk's", "less"},
-	{"what a warm node is sent", true, 0, "none", "one request at a time", "not asked", "less"},
+	{"own place and term", false, 0, "terms", "a new claim", "the higher term", "no slot"},
+	{"own images' line and count", true, 0, "sequence numbers", "a new lineage", "a later version proves the disk stale", "a stale disk"},
+	{"own buckets", true, 0, "boot clock, else wall clock", "half full, leaking", "the fuller", "the fuller"},
+	{"others' use of a customer", true, 0, "boot clock, else wall clock", "half full, leaking", "the fuller", "the fuller"},
+	{"ceilings' stores", false, 0, "none", "empty", "not exchanged", "empty"},
+	{"work answered before", true, servedRateMaxAge, "boot clock, else wall clock", "what peers report", "the disk's", "the lower rate"},
+	{"what a warm node is sent", true, 0, "none", "one request at a time", "not exchanged", "the lower rate"},
 	{"nodes: cold, draining, gone", false, 0, "discovery's", "the platform's list", "discovery's", "all cold"},
-	{"nodes: slow, out of reach", false, 0, "none", "unknown", "the module's words", "tried anew"},
-	{"list and its version", false, 0, "discovery's", "asked at once", "discovery's", "the older list"},
-	{"open keyed requests", false, 0, "the nodes' window", "forgotten", "not asked", "may have run"},
-	{"generation of the configuration", false, 0, "none", "read from its file", "shown", "one's own file"},
+	{"nodes: slow, out of reach", false, 0, "none", "unknown", "the peers' messages to the decision module", "tried again"},
+	{"list and its version", false, 0, "discovery's", "queried at once", "discovery's", "the older list"},
+	{"open keyed requests", false, 0, "the servers' deduplication window", "forgotten", "not exchanged", "may have run"},
+	{"generation of the configuration", false, 0, "none", "read from its file", "reported only", "the gateway's own file"},
 }
 
 const (
-	servedRateMaxAge = 10 * time.Minute // what was answered longer ago says nothing of what comes now
-	uptimeIntervals  = 2                // snapshots after the last one count as light: their requests may be lacking in it
-	maxPeerSummaries = 4096             // members whose last life is kept
-	maxBucketPeers   = 16               // members whose customers are learned
-	maxSharedBuckets = 1024             // customers that are told to another member
-	minFill          = 0.01             // of a burst: less is not worth a word
+	servedRateMaxAge = 10 * time.Minute // an older rate doesn't predict the present load
+	uptimeIntervals  = 2                // intervals after the last snapshot that don't count as downtime: it lacks their requests
+	maxPeerSummaries = 4096             // members whose last version and rate are kept
+	maxBucketPeers   = 16               // members whose buckets are kept
+	maxSharedBuckets = 1024             // buckets in a PeerSnapshot
+	minFill          = 0.01             // share of a burst; a bucket that holds less is dropped
 )
 
-// EarliestPlausibleTime is the first wall clock that is believed: one that was never set shows 1970.
+// EarliestPlausibleTime is the earliest wall clock time that is trusted: a clock that was never set shows 1970.
 var EarliestPlausibleTime = time.Date(2025, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// ClockReading is what clocks showed at one moment.
+// ClockReading is the state of the wall clock and of the boot clock at one moment.
 type ClockReading struct {
 	Wall   time.Time
-	BootID string        `cbor:"Boot"` // of the running system; "": not known
-	Uptime time.Duration `cbor:"Up"`   // since that boot, sleep included
+	BootID string        `cbor:"Boot"` // of the running system; "": unknown
+	Uptime time.Duration `cbor:"Up"`   // since that boot, including time asleep
 }
 
-// Since is how long it was from another moment to this one, as far as that can be believed. Within one boot that boot's clock tells,
-// whatever the wall clock was set to. Over a boot it is the wall clocks' difference, and nothing where one of them can't be right: then
-// what was full stays full.
+// Since returns the time from then to c. Within one boot the boot clock counts, whatever the wall clock was set to. Across boots it is
+// the difference of the wall clocks, or 0 if one of them is not plausible: then a full bucket stays full.
 func (c ClockReading) Since(then ClockReading) time.Duration {
 	if c.BootID != "" && c.BootID == then.BootID {
 		return max(0, c.Uptime-then.Uptime)
@@ -71,67 +70,67 @@
 	return max(0, c.Wall.Sub(then.Wall))
 }
 
-// Bucket is a customer's quota, so full as of its image's clock.
+// Bucket is how full a customer's leaky bucket was when its snapshot was taken.
 type Bucket struct {
 	_            struct{} `cbor:",toarray"`
 	Key          uint64
 	Plan         string
 	FirstGateway int
-	GatewayCount int // gateways of its set; 0: not told
+	GatewayCount int // gateways that the customer is spread over; 0: unknown
 	Fill         float64
 }
 
-// SnapshotVersion numbers a member's images. A line of them begins where there was nothing to believe on the disk; within it they are counted. A
-// disk that is behind what others heard of it is older than the member's last life.
+// SnapshotVersion numbers a member's snapshots. A new lineage begins when the disk holds no valid snapshot; within a lineage the
+// snapshots are counted. If a peer knows a later version than the disk holds, the disk's contents are stale.
 type SnapshotVersion struct {
-	Lineage  uint64 `cbor:"Line"` // the life in which it began
+	Lineage  uint64 `cbor:"Line"` // incarnation of the process that began it
 	Sequence uint64 `cbor:"Count"`
 }
 
-// Before reports that a mark is older than another.
+// Before reports whether v is older than o.
 func (v SnapshotVersion) Before(o SnapshotVersion) bool {
 	return v.Lineage < o.Lineage || v.Lineage == o.Lineage && v.Sequence < o.Sequence
 }
 
-// PeerSummary is what is known of another member.
+// PeerSummary is what a member keeps about another one.
 type PeerSummary struct {
 	_            struct{}        `cbor:",toarray"`
-	Version      SnapshotVersion // of its last image
-	ReportedAtMs int64           // its own wall clock when it told so, in milliseconds since 1970
-	ServedRate   float64         // units that it answered a second
+	Version      SnapshotVersion // of its last snapshot
+	ReportedAtMs int64           // wall clock of the summarized member, in milliseconds since 1970
+	ServedRate   float64         // units a second
 }
 
-// Snapshot is what a member keeps on its disk.
+// Snapshot is the state that a member keeps on disk.
 type Snapshot struct {
 	Name           string
 	Version        SnapshotVersion `cbor:"Mark"`
 	TakenAt        ClockReading    `cbor:"Clock"`
-	Interval       time.Duration   `cbor:"Every"` // from one to the next, with what the last one took to be on the disk
-	ServedRate     float64         `cbor:"Work"`  // units that this member answered a second
-	WarmServerRate float64         `cbor:"Sends"` // usual requests a second that it sent a warm node
+	Interval       time.Duration   `cbor:"Every"` // between snapshots, plus the time that the last write took
+	ServedRate     float64         `cbor:"Work"`  // units a second that this member served
+	WarmServerRate float64         `cbor:"Sends"` // usual requests a second that it sent to a warm server
 	Buckets        []Bucket
 	Peers          map[string]PeerSummary `cbor:"Seen"` // other members, by name
 }
 
-// PeerSnapshot is what a member tells another that starts.
+// PeerSnapshot is the part of its snapshot that a member sends to one that starts.
 type PeerSnapshot struct {
 	Name         string
-	Version      SnapshotVersion        `cbor:"Mark"` // of the last image that is on its disk
-	ReportedAtMs int64                  `cbor:"Wall"` // as in Seen
-	Recovering   bool                   // it is not in full service itself: what it knows is from its disk
+	Version      SnapshotVersion        `cbor:"Mark"` // of the last snapshot on its disk
+	ReportedAtMs int64                  `cbor:"Wall"` // when it was taken, as in PeerSummary
+	Recovering   bool                   // the sender itself isn't in PhaseFull: what it knows is from its disk
 	ServedRate   float64                `cbor:"Work"`
 	Buckets      []Bucket               // the fullest
 	Peers        map[string]PeerSummary `cbor:"Seen"`
 }
 
-// ForPeer is what this member would tell now.
+// ForPeer returns what this member would send to a peer now: the snapshot with its fullest buckets.
 func (s *Snapshot) ForPeer(now ClockReading, plans map[string]*decide.Plan, recovering bool) PeerSnapshot {
 	p := PeerSnapshot{Name: s.Name, Version: s.Version, ReportedAtMs: s.TakenAt.Wall.UnixMilli(), Recovering: recovering, ServedRate: s.ServedRate, Peers: s.Peers}
 	p.Buckets = Fullest(s.BucketsAfter(now.Since(s.TakenAt), plans), maxSharedBuckets)
 	return p
 }
 
-// BucketsAfter are the buckets that hold something after so much more time has leaked out of them.
+// BucketsAfter returns the buckets that still hold something after they have leaked for elapsed.
 func (s *Snapshot) BucketsAfter(elapsed time.Duration, plans map[string]*decide.Plan) (left []Bucket) {
 	for _, b := range s.Buckets {
 		if b, ok := b.AfterLeak(elapsed, plans[b.Plan]); ok {
@@ -141,7 +140,8 @@
 	return left
 }
 
-// AfterLeak is a bucket from which so much more time has leaked, by its plan; false: nothing worth a word is left, or the plan is no more.
+// AfterLeak returns the bucket after it has leaked for elapsed at the rate of plan p. It reports false if next to nothing is left, or if
+// the plan no longer exists.
 func (b Bucket) AfterLeak(elapsed time.Duration, p *decide.Plan) (Bucket, bool) {
 	if p == nil || p.Rate <= 0 || p.Burst <= 0 {
 		return b, false
@@ -150,40 +150,39 @@
 	return b, b.Fill >= minFill
 }
 
-// Fullest are so many of the buckets at most, the fullest first.
+// Fullest sorts the buckets in place, the fullest first, and returns the first limit of them.
 func Fullest(buckets []Bucket, limit int) []Bucket {
 	slices.SortFunc(buckets, func(a, b Bucket) int { return cmp.Or(cmp.Compare(b.Fill, a.Fill), cmp.Compare(a.Key, b.Key)) })
 	return buckets[:min(len(buckets), limit)]
 }
 
-// SnapshotStatus is what became of a disk's image.
+// SnapshotStatus is the result of checking the snapshot on disk.
 type SnapshotStatus int
 
-// The verdicts.
+// The values of SnapshotStatus.
 const (
-	SnapshotMissing SnapshotStatus = iota // there was none
-	SnapshotCorrupt                       // it could not be read
-	SnapshotForeign                       // another member wrote it
-	SnapshotStale                         // another member knows a later one
+	SnapshotMissing SnapshotStatus = iota // no file
+	SnapshotCorrupt                       // not readable, or not a whole snapshot
+	SnapshotForeign                       // written by another member
+	SnapshotStale                         // a peer knows a later version
 	SnapshotValid
 )
 
 func (s SnapshotStatus) String() string {
-	return [...]string{"absent", "can't be read", "another member's", "older than others know it", "believed"}[s]
+	return [...]string{"absent", "can't be read", "another member's", "older than others know it", "valid"}[s]
 }
 
-// LocalMember is who starts.
+// LocalMember is the member that starts.
 type LocalMember struct {
 	Name  string
 	Plans []decide.Plan
 }
 
-// Collector gathers what is known of the time before, from the disk and from other members' words, until it is believed. Make it with
-// Begin.
+// Collector gathers the state from before the start, from the disk and from peers, and resolves it. Create it with NewCollector.
 type Collector struct {
 	self          LocalMember
 	plans         map[string]*decide.Plan
-	startedAt     ClockReading // at the start
+	startedAt     ClockReading
 	disk          *Snapshot
 	status        SnapshotStatus
 	snapshots     map[string]PeerSnapshot
@@ -192,7 +191,7 @@
 	ignoreBuckets bool
 }
 
-// NewCollector takes what the disk held: img is nil where the verdict is Absent or Spoilt.
+// NewCollector takes the snapshot on disk, which is nil if status is SnapshotMissing or SnapshotCorrupt.
 func NewCollector(self LocalMember, now ClockReading, disk *Snapshot, status SnapshotStatus) *Collector {
 	c := &Collector{self: self, plans: PlansByName(self.Plans), startedAt: now, status: status, snapshots: map[string]PeerSnapshot{}, summaries: map[string]PeerSummary{}}
 	if disk == nil {
@@ -207,7 +206,7 @@
 	return c
 }
 
-// PlansByName are plans by their names.
+// PlansByName indexes plans by their names.
 func PlansByName(plans []decide.Plan) map[string]*decide.Plan {
 	byName := map[string]*decide.Plan{}
 	for i := range plans {
@@ -216,7 +215,7 @@
 	return byName
 }
 
-// addSummaries keeps the latest word of each member.
+// addSummaries keeps the summary with the latest version of each member.
 func (c *Collector) addSummaries(summaries map[string]PeerSummary) {
 	for name, summary := range summaries {
 		if old, ok := c.summaries[name]; !ok && len(c.summaries) < maxPeerSummaries || ok && old.Version.Before(summary.Version) {
@@ -225,7 +224,7 @@
 	}
 }
 
-// AddPeerSnapshot takes what another member tells. It reports whether anything is new.
+// AddPeerSnapshot adds what a peer sent. It reports false if that is ignored: it is outdated, or claims this member's name or none.
 func (c *Collector) AddPeerSnapshot(p PeerSnapshot) (added bool) {
 	old, known := c.snapshots[p.Name]
 	if p.Name == c.self.Name || p.Name == "" || known && p.Version.Before(old.Version) {
@@ -244,7 +243,7 @@
 	return true
 }
 
-// IgnorePeerBuckets has only last lives learned from now on.
+// IgnorePeerBuckets drops the buckets of all peers, now and in later snapshots. Their versions and rates are still kept.
 func (c *Collector) IgnorePeerBuckets() {
 	c.ignoreBuckets = true
 	for name, p := range c.snapshots {
@@ -253,35 +252,35 @@
 	}
 }
 
-// PeerInService reports that a member was heard which is in full service: the power was not lost everywhere.
+// PeerInService reports whether a peer in PhaseFull sent a snapshot: then not the whole fleet lost power.
 func (c *Collector) PeerInService() bool { return c.peerInService }
 
-// Peers are the other members that are known, by name.
+// Peers returns the summaries of the other members, by name.
 func (c *Collector) Peers() map[string]PeerSummary {
 	peers := maps.Clone(c.summaries)
 	delete(peers, c.self.Name)
 	return peers
 }
 
-// diskStale reports that another member knows a later image of this one than its disk holds.
+// diskStale reports whether a peer knows a later version of this member's snapshot than the disk holds.
 func (c *Collector) diskStale() bool {
 	known, ok := c.summaries[c.self.Name]
 	return c.disk != nil && ok && c.disk.Version.Before(known.Version)
 }
 
-// RestoredState is what counts of the time before.
+// RestoredState is the state from before the start, as merged from the disk and the peers.
 type RestoredState struct {
 	SnapshotStatus  SnapshotStatus
-	Downtime        time.Duration // since the disk's last image, less what counts as light
+	Downtime        time.Duration // since the snapshot on disk, less uptimeIntervals
 	Event           decide.StateRestored
-	FleetServedRate float64 // units that all members answered a second; 0: not known
-	OwnServedRate   float64 // of these this member, by its disk
-	DiskCustomers   int     // customers by the own disk
-	PeerCustomers   int     // customers of whom others' word is the fuller
-	PeerCount       int     // members that told anything
+	FleetServedRate float64 // units a second that all members served; 0: unknown
+	OwnServedRate   float64 // this member's part of FleetServedRate, from its disk
+	DiskCustomers   int     // buckets taken from the disk
+	PeerCustomers   int     // buckets taken from peers, because they are fuller there or the disk lacks them
+	PeerCount       int     // peers that sent a snapshot
 }
 
-// Resolve is what counts, at a moment after the start.
+// Resolve merges the snapshots of disk and peers as of now. Of two fills of a bucket the fuller one counts.
 func (c *Collector) Resolve(now ClockReading) RestoredState {
 	restored := RestoredState{SnapshotStatus: c.status, PeerCount: len(c.snapshots)}
 	buckets := map[uint64]Bucket{}
@@ -298,7 +297,7 @@
 	elapsed := now.Since(c.startedAt)
 	for _, name := range slices.Sorted(maps.Keys(c.snapshots)) {
 		peer := Snapshot{Buckets: c.snapshots[name].Buckets}
-		for _, bucket := range peer.BucketsAfter(elapsed, c.plans) { // as if all were told at the start: the younger ones are the fuller for it
+		for _, bucket := range peer.BucketsAfter(elapsed, c.plans) { // leaked since the start, whenever the snapshot arrived
 			if old, ok := buckets[bucket.Key]; !ok || bucket.Fill > old.Fill {
 				buckets[bucket.Key] = bucket
 				restored.PeerCustomers++
@@ -313,7 +312,7 @@
 	return restored
 }
 
-// bucketSnapshots are buckets in the module's words.
+// bucketSnapshots converts buckets to the type of package decide, ordered by key.
 func (c *Collector) bucketSnapshots(buckets map[uint64]Bucket) (snapshots []decide.BucketSnapshot) {
 	planIndex := map[string]int{}
 	for i := range c.self.Plans {
@@ -326,7 +325,8 @@
 	return snapshots
 }
 
-// peerServedRate is what the other members answered before, as they told or peerServedRate know of them. What is of long ago says nothing.
+// peerServedRate sums what the other members served before, as far as that is reported and not older than servedRateMaxAge. While the
+// local wall clock is not plausible, age is ignored.
 func (c *Collector) peerServedRate(now ClockReading) (sum float64) {
 	for name, summary := range c.summaries {
 		if name != c.self.Name && (now.Wall.Before(EarliestPlausibleTime) || now.Wall.Sub(time.UnixMilli(summary.ReportedAtMs)) < servedRateMaxAge) {
@@ -336,8 +336,8 @@
 	return sum
 }
 
-// String is for the log.
+// String formats the state for the log.
 func (r RestoredState) String() string {
-	return fmt.Sprintf("disk %v, dark for %v, %d customers by the disk, %d by %d others' words, %.0f units a second before", r.SnapshotStatus,
+	return fmt.Sprintf("disk %v, down for %v, %d customers from the disk, %d from %d peers, %.0f units a second served before", r.SnapshotStatus,
 		r.Downtime.Round(time.Millisecond), r.DiskCustomers, r.PeerCustomers, r.PeerCount, r.FleetServedRate)
 }
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -1,5 +1,5 @@
-// Package record keeps on a disk what must outlive a process: whole files that are versioned, checksummed and replaced at once, and a
-// keeper that writes what changed off the gateway's loop.
+// Package snapshot stores on disk the state that must outlive a process. Files are versioned, checksummed and replaced atomically; a
+// Store writes them outside the gateway's event loop.
 package snapshot
 
 import (
@@ -18,22 +18,22 @@
 	"sloepick/internal/recovery"
 )
 
-// A file is a line that names it and its version, the length of its body, the body's CRC-32C (RFC 3720, appendix B.4) and the body,
-// an image in CBOR (RFC 8949).
+// A file starts with a line that gives the format and its version. The length of the body, its CRC-32C (RFC 3720, appendix B.4) and the
+// body follow: a recovery.Snapshot in CBOR (RFC 8949).
 const (
 	magic          = "sloepick power 1\n"
 	headerLen      = len(magic) + 8
-	maxBodyBytes   = 64 << 20 // bytes of a body: some million customers
+	maxBodyBytes   = 64 << 20 // enough for some million customers
 	fileMode       = 0o600
-	unusableSuffix = ".bad" // behind the name of a file that can't be used
+	unusableSuffix = ".bad" // appended to the name of a file that can't be used
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrCorrupt is what Read returns of a file that is no whole image.
+// ErrCorrupt is returned by Read if a file doesn't hold a whole snapshot.
 var ErrCorrupt = errors.New("not a whole image")
 
-// FS is the part of a file system that this package goes by, so that tests can have any call fail.
+// FS is the part of a file system that this package uses. Tests replace it to make any call fail.
 type FS interface {
 	ReadFile(name string) ([]byte, error)
 	CreateTemp(dir, pattern string) (File, error)
@@ -42,7 +42,7 @@
 	SyncDir(dir string) error
 }
 
-// File is one that is written.
+// File is a file opened for writing.
 type File interface {
 	io.WriteCloser
 	Name() string
@@ -50,7 +50,7 @@
 	Sync() error
 }
 
-// OSFS is the system's own.
+// OSFS is the operating system's file system.
 type OSFS struct{}
 
 // ReadFile implements FS.
@@ -60,7 +60,7 @@
 func (OSFS) CreateTemp(dir, pattern string) (File, error) {
 	f, err := os.CreateTemp(dir, pattern)
 	if err != nil {
-		return nil, err // no File that holds no file
+		return nil, err // not f: a nil *os.File in the interface would not compare equal to nil
 	}
 	return f, nil
 }
@@ -80,22 +80,22 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Read reads an image. The error is fs.ErrNotExist where there is no file, and ErrSpoilt where it is none.
+// Read reads a snapshot. The error wraps fs.ErrNotExist if there is no file, and ErrCorrupt if the file isn't a whole snapshot.
 func Read(fsys FS, name string) (*recovery.Snapshot, error) {
 	b, err := fsys.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
 	if len(b) < headerLen || string(b[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: it does not begin as one of this version", ErrCorrupt)
+		return nil, fmt.Errorf("%w: the header is not that of this version", ErrCorrupt)
 	}
 	size, sum := binary.BigEndian.Uint32(b[len(magic):]), binary.BigEndian.Uint32(b[len(magic)+4:])
 	body := b[headerLen:]
 	if int(size) != len(body) {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(body), size)
+		return nil, fmt.Errorf("%w: the body has %d bytes, the header says %d", ErrCorrupt, len(body), size)
 	}
 	if crc32.Checksum(body, castagnoli) != sum {
-		return nil, fmt.Errorf("%w: its checksum differs", ErrCorrupt)
+		return nil, fmt.Errorf("%w: the checksum doesn't match", ErrCorrupt)
 	}
 	snap := &recovery.Snapshot{}
 	if err := cbor.Unmarshal(body, snap); err != nil {
@@ -104,14 +104,14 @@
 	return snap, nil
 }
 
-// Write puts an image in the place of a file, whole or not at all, also if the power is lost on the way. It returns the bytes.
+// Write replaces a file by a snapshot atomically, also if the power is lost meanwhile. It returns the size of the file.
 func Write(fsys FS, name string, snap *recovery.Snapshot) (n int, err error) {
 	body, err := cbor.Marshal(snap)
 	if err != nil {
-		return 0, fmt.Errorf("encoding an image: %w", err)
+		return 0, fmt.Errorf("encoding a snapshot: %w", err)
 	}
 	if len(body) > maxBodyBytes {
-		return 0, fmt.Errorf("an image of %d bytes is over %d", len(body), maxBodyBytes)
+		return 0, fmt.Errorf("a snapshot of %d bytes is over the limit of %d", len(body), maxBodyBytes)
 	}
 	var b bytes.Buffer
 	b.WriteString(magic)
@@ -121,6 +121,7 @@
 	return b.Len(), replaceFile(fsys, name, b.Bytes())
 }
 
+// replaceFile writes a temporary file beside the named one, syncs it, renames it and syncs the directory.
 func replaceFile(fsys FS, name string, b []byte) error {
 	dir := filepath.Dir(name)
 	f, err := fsys.CreateTemp(dir, filepath.Base(name)+".*")
@@ -137,7 +138,7 @@
 	return fsys.SyncDir(dir)
 }
 
-// Load reads a member's image at its start. One that can't be used is set aside beside its place, so that nothing is lost.
+// Load reads a member's snapshot when it starts. A corrupt file is renamed by SetAside, so that nothing is lost.
 func Load(fsys FS, name string) (snap *recovery.Snapshot, status recovery.SnapshotStatus, err error) {
 	snap, err = Read(fsys, name)
 	switch {
@@ -148,18 +149,17 @@
 	case errors.Is(err, ErrCorrupt):
 		return nil, recovery.SnapshotCorrupt, errors.Join(err, SetAside(fsys, name))
 	}
-	return nil, recovery.SnapshotCorrupt, err // it may be readable later, so it stays
+	return nil, recovery.SnapshotCorrupt, err // it may be readable later, so it is not renamed
 }
 
-// SetAside gives a file that can't be used another name, in place of a former one of that name.
+// SetAside renames a file that can't be used to its name with unusableSuffix. It replaces a file of that name.
 func SetAside(fsys FS, name string) error { return fsys.Rename(name, name+unusableSuffix) }
 
-// Lock holds a file for this process, until the process ends: two must not keep one member's state. It is held by the file's own lock
-// (flock), which the system lets go.
+// Lock locks a file (flock) until the process ends, when the system releases it: two processes must not keep the state of one member.
 func Lock(name string) (*os.File, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("the lock of the state: %w", err)
+		return nil, fmt.Errorf("opening the lock file of the state: %w", err)
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -13,70 +13,71 @@
 	"sloepick/internal/recovery"
 )
 
-// Config is what a Keeper keeps.
+// Config configures a Store.
 type Config struct {
 	FS           FS
-	Path         string        // "": nothing is written, and others are told all the same
-	Interval     time.Duration // from one image to the next
-	MaxCustomers int           // customers; the emptiest go where there are more
+	Path         string        // of the file; "": nothing is written, but Snapshot works all the same
+	Interval     time.Duration // between two writes
+	MaxCustomers int           // beyond this number the customers with the emptiest buckets are dropped
 	Member       string
-	Incarnation  uint64 // of the process: a line of images that it begins goes by it
+	Incarnation  uint64 // of this process; identifies a lineage of snapshots that it begins
 	Plans        []decide.Plan
 	Clock        func() recovery.ClockReading
 }
 
-// Store owns a member's image. The loop hands it what changed, and never waits for the disk, nor for who looks through all buckets.
+// Store owns the durable state of a member. The event loop passes changes to it, and never waits for the disk or for a pass over all
+// buckets.
 type Store struct {
 	cfg   Config
 	plans map[string]*decide.Plan
 	log   *slog.Logger
 
-	bucketsMu sync.Mutex // held while all buckets are looked through, and never by RecordChanges; taken before mu
+	bucketsMu sync.Mutex // held during a pass over all buckets, never by RecordChanges; locked before mu
 	buckets   map[uint64]datedBucket
 
-	mu             sync.Mutex             // held for a moment
-	pending        map[uint64]datedBucket // what was noted since the buckets were looked through
+	mu             sync.Mutex             // held only briefly
+	pending        map[uint64]datedBucket // changes since the last pass over all buckets
 	peers          map[string]recovery.PeerSummary
 	servedRate     float64
 	warmServerRate float64
 	dirty          bool
 	writable       bool
-	version        recovery.SnapshotVersion // of the last image on the disk
-	previous       *recovery.Snapshot       // of the time before, until Open; nil: none
-	lastWriteTook  time.Duration            // that the last image took to be on the disk
+	version        recovery.SnapshotVersion // of the last snapshot on disk
+	previous       *recovery.Snapshot       // snapshot from before the start, until StartWriting; nil: none
+	lastWriteTook  time.Duration            // duration of the last write
 	stats          Stats
 }
 
-// datedBucket is a bucket and when it was so full.
+// datedBucket is a bucket and the time to which its fill applies.
 type datedBucket struct {
 	recovery.Bucket
 	at recovery.ClockReading
 }
 
-// Stats are a Keeper's figures, for operators.
+// Stats are the statistics of a Store.
 type Stats struct {
 	Writes, Bytes, Failures uint64
 	Customers               int
-	Dropped                 uint64        // for want of room
-	Lag                     time.Duration // since the last image, while one is owed
+	Dropped                 uint64        // customers dropped because of MaxCustomers
+	Lag                     time.Duration // time without a successful write while writes fail
 	Failing                 bool
 }
 
-// NewStore makes one, with an empty image.
+// NewStore returns a Store without customers.
 func NewStore(cfg Config, log *slog.Logger) *Store {
 	return &Store{cfg: cfg, log: log, plans: recovery.PlansByName(cfg.Plans), buckets: map[uint64]datedBucket{}, pending: map[uint64]datedBucket{}, peers: map[string]recovery.PeerSummary{}}
 }
 
-// SetPrevious has the image of the time before stand for this process until Open: it has let nothing in, so what was true stays so if it
-// ends before that.
+// SetPrevious sets the snapshot from before the start, which Snapshot returns until StartWriting. Until then this process admits no
+// request, so that snapshot stays valid even if the process ends.
 func (s *Store) SetPrevious(previous *recovery.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.previous, s.version, s.peers = previous, previous.Version, previous.Peers
 }
 
-// StartWriting tells that the buckets of the time before have been handed in. kept: by the image of Before, whose line goes on; else a new one
-// begins.
+// StartWriting allows writes, as the buckets from before the start have been passed in. continueLineage: they come from the snapshot of
+// SetPrevious, whose lineage is continued; otherwise a new one begins.
 func (s *Store) StartWriting(continueLineage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,8 +87,7 @@
 	}
 }
 
-// RecordChanges takes customers whose buckets changed, the units that are answered a second, and the usual requests a second that a warm node
-// is sent.
+// RecordChanges takes the buckets that changed, the units served a second, and the usual requests a second that a warm server is sent.
 func (s *Store) RecordChanges(changed []decide.BucketSnapshot, servedRate, warmServerRate float64) {
 	now := s.cfg.Clock()
 	s.mu.Lock()
@@ -106,8 +106,8 @@
 	}
 }
 
-// mergePending takes in what was noted, and returns all buckets as they are now. Those that have leaked out are forgotten, and where more are left
-// than may be kept the emptiest. It is called with all held.
+// mergePending merges the pending changes and returns all buckets as of now. It drops the buckets that have leaked out, and beyond
+// MaxCustomers the emptiest. bucketsMu must be held.
 func (s *Store) mergePending(now recovery.ClockReading) []recovery.Bucket {
 	s.mu.Lock()
 	pending := s.pending
@@ -135,7 +135,7 @@
 	return buckets
 }
 
-// SetPeers keeps what is known of other members' last lives.
+// SetPeers sets the summaries of the other members.
 func (s *Store) SetPeers(peers map[string]recovery.PeerSummary) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// Snapshot is what is kept, as of now.
+// Snapshot returns the state as of now, or before StartWriting the snapshot of SetPrevious if there is one.
 func (s *Store) Snapshot() *recovery.Snapshot {
 	now := s.cfg.Clock()
 	s.bucketsMu.Lock()
@@ -159,7 +159,7 @@
 	return &recovery.Snapshot{Name: s.cfg.Member, Version: s.version, TakenAt: now, Interval: s.cfg.Interval + s.lastWriteTook, ServedRate: s.servedRate, WarmServerRate: s.warmServerRate, Buckets: buckets, Peers: s.peers}
 }
 
-// Stats tells its figures.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	s.bucketsMu.Lock()
 	defer s.bucketsMu.Unlock()
@@ -170,7 +170,7 @@
 	return stats
 }
 
-// Run writes an image as often as was said, if anything changed, until the context ends; then it writes the last one.
+// Run writes a snapshot in each interval in which something changed, until the context ends, and a last one then.
 func (s *Store) Run(ctx context.Context) {
 	if s.cfg.Path == "" {
 		return
@@ -188,7 +188,7 @@
 	}
 }
 
-// write writes an image if one is owed. The first failure and the end of it are lines in the log.
+// write writes a snapshot if anything changed. It logs the first of several failures, and the first success after them.
 func (s *Store) write() {
 	s.mu.Lock()
 	due := s.dirty && s.writable
@@ -211,7 +211,7 @@
 		s.stats.Lag += s.cfg.Interval
 		s.dirty = true
 		if !wasFailing {
-			s.log.Error("power: the state was not kept; after a loss buckets begin as they last were on the disk", "err", err)
+			s.log.Error("power: writing the state failed; after a loss of power the buckets of the last snapshot on disk are restored", "err", err)
 		}
 		return
 	}
@@ -223,8 +223,10 @@
 		s.log.Info("power: the state is kept again")
 	}
 	if took > slowWrite {
-		s.log.Warn("power: the disk is slow", "took", took)
+		s.log.Warn("power: writing the state is slow", "took", took)
 	}
 }
 
-const slowWrite = time.Second // of a write: so much more may be passed on after a loss
+// slowWrite is the duration from which on a write is logged as slow: the requests of that time are lost with the power, so customers can
+// get that much more afterwards.
+const slowWrite = time.Second
--- a/internal/systemd/systemd.go
+++ b/internal/systemd/systemd.go
@@ -1,5 +1,5 @@
-// Package service speaks with the manager that runs the daemon: notices of readiness, reload, end and life by its datagram protocol
-// (sd_notify(3)), and sockets that it passes in (sd_listen_fds(3)). Where no manager named a socket for notices, nothing is sent.
+// Package systemd talks to the service manager that runs the daemon. It sends notices of readiness, reload, stop and liveness
+// (sd_notify(3)) and takes over the sockets that the manager passed in (sd_listen_fds(3)). Without NOTIFY_SOCKET no notices are sent.
 package systemd
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/coreos/go-systemd/v22/daemon"
 )
 
-// Notifier is who runs the daemon. Make it with New.
+// Notifier sends notices to the service manager. Create it with NewNotifier.
 type Notifier struct {
 	log     *slog.Logger
 	enabled bool
 	ready   atomic.Bool
 }
 
-// NewNotifier finds the manager, if there is one.
+// NewNotifier returns a Notifier, which does nothing if no service manager asks for notices.
 func NewNotifier(log *slog.Logger, getenv func(string) string) *Notifier {
 	return &Notifier{log: log, enabled: getenv("NOTIFY_SOCKET") != ""}
 }
@@ -30,39 +30,40 @@
 		return
 	}
 	if _, err := daemon.SdNotify(false, state); err != nil {
-		n.log.Warn("telling the service manager", "err", err)
+		n.log.Warn("sending a notice to the service manager", "err", err)
 	}
 }
 
-// Ready tells that the daemon serves.
+// Ready reports that the daemon serves.
 func (n *Notifier) Ready() {
 	n.ready.Store(true)
 	n.notify(daemon.SdNotifyReady)
 }
 
-// Reloading tells that a reload has begun. Before the daemon is ready nothing is told of it.
+// Reloading reports that a reload has begun. Before Ready it sends nothing.
 func (n *Notifier) Reloading() {
 	if n.ready.Load() {
 		n.notify(daemon.SdNotifyReloading + "\n" + daemon.SdNotifyMonotonicUsec())
 	}
 }
 
-// Reloaded tells that it has ended, well or not.
+// Reloaded reports that a reload has ended, successful or not. Before Ready it sends nothing.
 func (n *Notifier) Reloaded() {
 	if n.ready.Load() {
 		n.notify(daemon.SdNotifyReady)
 	}
 }
 
-// Stopping tells that the daemon ends.
+// Stopping reports that the daemon is shutting down.
 func (n *Notifier) Stopping() { n.notify(daemon.SdNotifyStopping) }
 
-// RunWatchdog tells, twice in the time that the manager set, that the daemon lives: as often as alive has been called back. It returns
-// when done is closed, and at once where the manager set no time.
+// RunWatchdog passes a function that sends a liveness notice to runOnLoop, twice per watchdog interval of the service manager. runOnLoop
+// has to call it in the daemon's event loop, so that the notices stop if that loop hangs. RunWatchdog returns when done is closed, and at
+// once if the service manager set no interval.
 func (n *Notifier) RunWatchdog(runOnLoop func(then func()), done <-chan struct{}) {
 	interval, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
-		n.log.Warn("reading the service manager's watchdog", "err", err)
+		n.log.Warn("reading the watchdog interval of the service manager", "err", err)
 	}
 	if interval <= 0 || err != nil {
 		return
@@ -79,16 +80,16 @@
 	}
 }
 
-// Listeners are the listeners that the manager passed in, by the names that it gave them. A name must stand for one.
+// Listeners returns the listening sockets that the service manager passed in, by their names. Each name must have exactly one.
 func Listeners() (map[string]net.Listener, error) {
 	named, err := activation.ListenersWithNames()
 	if err != nil {
-		return nil, fmt.Errorf("sockets of the service manager: %w", err)
+		return nil, fmt.Errorf("sockets passed by the service manager: %w", err)
 	}
 	listeners := map[string]net.Listener{}
 	for name, lns := range named {
 		if len(lns) != 1 || lns[0] == nil {
-			return nil, fmt.Errorf("sockets of the service manager: %q names %d, or none that listens", name, len(lns))
+			return nil, fmt.Errorf("sockets passed by the service manager: %q names %d sockets, want one that listens", name, len(lns))
 		}
 		listeners[name] = lns[0]
 	}
