--- a/internal/recovery/admission_test.go
+++ b/internal/recovery/admission_test.go
@@ -7,6 +7,7 @@
 	"sloepick/internal/testbed/seeds"
 )
 
+// newRampingController returns a controller that enters PhaseRampUp at time.Hour.
 func newRampingController(servedRate float64) *AdmissionController {
 	c := NewAdmissionController(AdmissionConfig{ColdCapacity: 0.2, ColdDuration: 10 * time.Second, ColdLoadFactor: 1.2, MaxRetryAfter: time.Second, MaxUnits: 2, MaxPrice: 2, Seed: 1})
 	c.MarkDiskChecked()
@@ -15,7 +16,7 @@
 	return c
 }
 
-// saturate asks for far more than is let in, for a while, and returns the units a second that were.
+// saturate sends a request each millisecond for the given duration, far more than is admitted, and returns the admitted units a second.
 func saturate(c *AdmissionController, now *time.Duration, duration time.Duration, req Request) float64 {
 	admitted := 0.0
 	for end := *now + duration; *now < end; *now += time.Millisecond {
@@ -26,8 +27,8 @@
 	return admitted / duration.Seconds()
 }
 
-// TestAdmissionFollowsServerCapacity: the rate that is let in follows the nodes' cold curve over what was answered before, parted among those that are back;
-// while discovery is silent all nodes count as started at the return.
+// TestAdmissionFollowsServerCapacity checks that the admitted rate is the rate before, times the capacity of the warming servers, divided by
+// the members that are back. Until discovery answers, all servers count as started when the member joined.
 func TestAdmissionFollowsServerCapacity(t *testing.T) {
 	at := time.Hour
 	write := Request{Write: true, Units: 2, Price: 2}
@@ -35,28 +36,28 @@
 		prepare func(c *AdmissionController)
 		want    float64 // units a second in the second second
 	}{
-		"nobody told":                  {func(*AdmissionController) {}, 0.32 * 400},
-		"four back":                    {func(c *AdmissionController) { c.SetMemberCount(4) }, 0.32 * 100},
-		"nodes are warm":               {func(c *AdmissionController) { c.SetServerStarts(true, []time.Duration{0, 0}) }, 400},
-		"one of two is cold":           {func(c *AdmissionController) { c.SetServerStarts(true, []time.Duration{0, at}) }, 1.2 * 0.66 * 400},
-		"the list is from before":      {func(c *AdmissionController) { c.SetServerStarts(false, []time.Duration{0, 0}) }, 0.32 * 400},
-		"cold for longer than we know": {func(c *AdmissionController) { c.SetServerStarts(true, []time.Duration{at - 5*time.Second}) }, 1.2 * 0.72 * 400},
+		"discovery silent":              {func(*AdmissionController) {}, 0.32 * 400},
+		"four members back":             {func(c *AdmissionController) { c.SetMemberCount(4) }, 0.32 * 100},
+		"servers are warm":              {func(c *AdmissionController) { c.SetServerStarts(true, []time.Duration{0, 0}) }, 400},
+		"one of two is cold":            {func(c *AdmissionController) { c.SetServerStarts(true, []time.Duration{0, at}) }, 1.2 * 0.66 * 400},
+		"list from before the start":    {func(c *AdmissionController) { c.SetServerStarts(false, []time.Duration{0, 0}) }, 0.32 * 400},
+		"started 5 s before the member": {func(c *AdmissionController) { c.SetServerStarts(true, []time.Duration{at - 5*time.Second}) }, 1.2 * 0.72 * 400},
 	} {
 		c, now := newRampingController(400), at
 		tc.prepare(c)
 		saturate(c, &now, time.Second, write)
 		if got := saturate(c, &now, time.Second, write); got < 0.9*tc.want || got > 1.1*tc.want {
-			t.Errorf("%s: %.0f units a second let in, want about %.0f", name, got, tc.want)
+			t.Errorf("%s: %.0f units a second admitted, want about %.0f", name, got, tc.want)
 		}
 	}
 }
 
-// TestUnknownRateGrowsWithServed: where nobody knows what was answered before, what is let in doubles with what is answered.
+// TestUnknownRateGrowsWithServed checks that without a known rate from before, up to twice the rate served lately is admitted.
 func TestUnknownRateGrowsWithServed(t *testing.T) {
 	c, now := newRampingController(0), time.Hour
 	last := saturate(c, &now, 2*time.Second, Request{Units: 1})
 	if last > 2*minRate {
-		t.Errorf("%.0f units a second with nothing known", last)
+		t.Errorf("%.0f units a second admitted while the rate before is unknown", last)
 	}
 	for range 4 {
 		for range 100 {
@@ -65,28 +66,28 @@
 		}
 		got := c.Rate(now)
 		if got < 1.2*last || got > 2.2*last {
-			t.Errorf("%.0f units a second after %.0f were answered", got, last)
+			t.Errorf("%.0f units a second admitted after %.0f were served", got, last)
 		}
 		last = got
 	}
 }
 
-// TestAdmissionPriority: repeats of keyed requests go before new ones, these before others, dear plans before cheap ones; nothing is let in
-// before the trickle, all after it, and refusals tell to return at times that are spread.
+// TestAdmissionPriority checks the order of priority: retries of writes, new writes, reads, and within each the more expensive plan. It
+// also checks that nothing is admitted before the ramp-up and everything after it, and that Retry-After is spread.
 func TestAdmissionPriority(t *testing.T) {
 	kinds := []Request{{Write: true, ClientRetry: true, Units: 1, Price: 0.5}, {Write: true, Units: 1, Price: 2}, {Write: true, Units: 1, Price: 0.5}, {Units: 1, Price: 2}, {Units: 1, Price: 0.5}}
 	c, now := newRampingController(50), time.Hour
 	var admitted [5]int
-	for range 4000 { // each kind asks for five times of what is let in
+	for range 4000 { // each kind asks for 1000 units a second, far more than the admitted rate
 		now += time.Millisecond
-		for i := len(kinds) - 1; i >= 0; i-- { // the last first, so that the order is not that of asking
+		for i := len(kinds) - 1; i >= 0; i-- { // lowest priority first, so that the result isn't the order of arrival
 			if ok, _ := c.Admit(now, kinds[i]); ok {
 				admitted[i]++
 			}
 		}
 	}
 	if admitted[0] < 30 || admitted[0] < 4*(admitted[1]+admitted[2]+admitted[3]+admitted[4]-5) {
-		t.Errorf("let in by kind: %v", admitted)
+		t.Errorf("admitted by kind: %v", admitted)
 	}
 	c, now = newRampingController(50), time.Hour
 	retryTimes := map[time.Duration]int{}
@@ -105,36 +106,36 @@
 			}
 		}
 		if admittedPair[0] < 2*admittedPair[1] {
-			t.Errorf("kind %d was let in %d times, kind %d after it %d times", i, admittedPair[0], i+1, admittedPair[1])
+			t.Errorf("kind %d was admitted %d times, kind %d of lower priority %d times", i, admittedPair[0], i+1, admittedPair[1])
 		}
 	}
 	if len(retryTimes) < 8 {
-		t.Errorf("refusals tell to return at %v", retryTimes)
+		t.Errorf("Retry-After takes only the values %v", retryTimes)
 	}
 	if now += 10 * time.Second; c.Tick(now) == "" || c.Phase() != PhaseFull {
-		t.Errorf("phase %v after the nodes are warm", c.Phase())
+		t.Errorf("phase %v after the servers are warm", c.Phase())
 	}
 	if ok, _ := c.Admit(now, Request{Units: 1e9}); !ok {
-		t.Error("in full service a request is held back")
+		t.Error("a request is refused in PhaseFull")
 	}
 	early := NewAdmissionController(AdmissionConfig{MaxRetryAfter: time.Second})
 	if ok, retryAfter := early.Admit(0, kinds[0]); ok || retryAfter <= 0 || retryAfter > time.Second {
-		t.Errorf("in the dark: %v, return after %v", ok, retryAfter)
+		t.Errorf("in PhaseStarting: admitted %v, retry after %v", ok, retryAfter)
 	}
 	joined := NewAdmissionController(AdmissionConfig{ColdDuration: time.Minute})
 	if joined.Join(0, 100, true); joined.Phase() != PhaseFull {
-		t.Error("one that comes back to a fleet in full service holds requests back")
+		t.Error("not in PhaseFull after joining a fleet in service")
 	}
 }
 
-// TestAdmissionNeverExceedsRate: whatever happens in whatever order, phases only rise, and in the trickle no more is let in over any time
-// than the highest rate in it and one bucket.
+// TestAdmissionNeverExceedsRate checks, for random sequences of calls, that phases only advance, and that the ramp-up never admits more than
+// the highest rate and one bucket.
 func TestAdmissionNeverExceedsRate(t *testing.T) {
 	seeds.Run(t, []uint64{1, 2, 3, 4, 5}, checkAdmissionRate)
 }
 
 func checkAdmissionRate(t *testing.T, seed uint64) {
-	const maxRate = 300.0 // units a second before
+	const maxRate = 300.0 // highest rate before the start, in units a second
 	rnd := seeds.Rand(seed)
 	for range 50 {
 		c := NewAdmissionController(AdmissionConfig{ColdCapacity: rnd.Float64(), ColdDuration: time.Duration(rnd.IntN(20)) * time.Second, MaxUnits: 4, Seed: seed})
@@ -165,7 +166,7 @@
 			if ok, _ := c.Admit(now, Request{Units: units, Write: true, ClientRetry: true}); ok && phase < PhaseFull {
 				admitted += units
 				if limit := maxRate*bucketDuration.Seconds() + maxRate*(now-rampStart).Seconds(); phase < PhaseRampUp || admitted > limit {
-					t.Fatalf("in phase %v, %.0f units let in where %.0f may be", phase, admitted, limit)
+					t.Fatalf("in phase %v, %.0f units admitted, at most %.0f allowed", phase, admitted, limit)
 				}
 			}
 		}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -15,9 +15,9 @@
 	"sloepick/internal/recovery"
 )
 
-var errInjected = errors.New("this call fails")
+var errInjected = errors.New("injected failure")
 
-// failNthFS is a file system whose failNthFS call fails; 0: none.
+// failNthFS is a file system whose nth call fails; 0: none.
 type failNthFS struct {
 	OSFS
 	n, calls int
@@ -51,7 +51,7 @@
 	fs *failNthFS
 }
 
-// Write is cut in its middle where it fails.
+// Write writes half of b if it fails.
 func (f *failNthFile) Write(b []byte) (int, error) {
 	if err := f.fs.nextError(); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
@@ -72,8 +72,8 @@
 		Buckets: []recovery.Bucket{{Key: 1<<36 - 1, Plan: "p", FirstGateway: 2, GatewayCount: 3, Fill: 0.75}}, Peers: map[string]recovery.PeerSummary{"o": {ServedRate: 2}}}
 }
 
-// TestWriteWhenAnyCallFails: whichever call of a write fails, what stands on the disk is the former image or the next one, whole, nothing else is
-// left beside it, and the next write goes through.
+// TestWriteWhenAnyCallFails checks that whichever file system call of a Write fails, the disk holds the previous snapshot or the new one,
+// whole, no other file is left behind, and the next Write succeeds.
 func TestWriteWhenAnyCallFails(t *testing.T) {
 	for n := 1; ; n++ {
 		name := filepath.Join(t.TempDir(), "power")
@@ -93,7 +93,7 @@
 			t.Errorf("after call %d failed: %v", n, err)
 		}
 		if err == nil {
-			if n-1 != 7 { // make, write, set the mode, sync, close, rename, sync the folder
+			if n-1 != 7 { // create, write, chmod, sync, close, rename, sync the directory
 				t.Errorf("%d calls could fail, want 7", n-1)
 			}
 			return
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestCorruptSnapshotIsSetAside: an image that was cut at any byte, has any byte changed or more behind it is told to be spoilt, set aside with nothing
-// lost, and is no reason not to start.
+// TestCorruptSnapshotIsSetAside checks that a file cut at any byte, with any byte changed or with a byte appended is reported as corrupt and
+// renamed with its contents intact, and that the next Load finds no file.
 func TestCorruptSnapshotIsSetAside(t *testing.T) {
 	dir := t.TempDir()
 	name := filepath.Join(dir, "power")
@@ -128,13 +128,13 @@
 			t.Fatalf("case %d: %+v, %v, %v", i, snap, status, err)
 		}
 		if setAside, err := os.ReadFile(name + unusableSuffix); err != nil || string(setAside) != string(b) {
-			t.Fatalf("case %d: what was spoilt is lost: %v", i, err)
+			t.Fatalf("case %d: the corrupt file is lost: %v", i, err)
 		}
 		if _, status, err := Load(OSFS{}, name); status != recovery.SnapshotMissing || err != nil {
-			t.Fatalf("case %d: then %v, %v", i, status, err)
+			t.Fatalf("case %d: second Load: %v, %v", i, status, err)
 		}
 	}
-	t.Logf("%d spoilt images", len(corrupt))
+	t.Logf("%d corrupt files", len(corrupt))
 }
 
 func TestLockIsExclusive(t *testing.T) {
@@ -153,7 +153,7 @@
 	f.Close()
 }
 
-// stalledFS is a file system whose files do not sync until they are let go.
+// stalledFS is a file system whose files block in Sync until release is closed.
 type stalledFS struct {
 	OSFS
 	syncing, release chan struct{}
@@ -175,13 +175,15 @@
 	return f.File.Sync()
 }
 
+// newTestStore returns a Store whose clock stands still, so that no bucket leaks.
 func newTestStore(fsys FS, name string, maxCustomers int) *Store {
 	now := testSnapshot(0).TakenAt
 	return NewStore(Config{FS: fsys, Path: name, Interval: time.Millisecond, MaxCustomers: maxCustomers, Member: "me", Incarnation: 7,
 		Plans: []decide.Plan{{Name: "p", Rate: 1, Burst: 10}}, Clock: func() recovery.ClockReading { return now }}, slog.New(slog.DiscardHandler))
 }
 
-// TestStalledDiskDoesNotBlock: while the disk takes nothing, what changes is noted at once, and others are told; then it is kept.
+// TestStalledDiskDoesNotBlock checks that RecordChanges and Snapshot don't block while the disk stalls, and that the changes are written
+// when it recovers.
 func TestStalledDiskDoesNotBlock(t *testing.T) {
 	fsys := stalledFS{syncing: make(chan struct{}, 100), release: make(chan struct{})}
 	name := filepath.Join(t.TempDir(), "power")
@@ -195,11 +197,11 @@
 		s.Run(ctx)
 	}()
 	<-fsys.syncing
-	for i := range 50 { // would never return if the keeper held its lock over the disk's wait
+	for i := range 50 { // would never return if the Store held its lock during a write
 		s.RecordChanges([]decide.BucketSnapshot{{Key: uint64(i), Fill: 0.6}}, 2, 0)
 	}
 	if snap := s.Snapshot(); len(snap.Buckets) != 50 || snap.Version.Sequence != 0 {
-		t.Errorf("%d customers, %d images on the disk", len(snap.Buckets), snap.Version.Sequence)
+		t.Errorf("%d customers, %d snapshots on disk", len(snap.Buckets), snap.Version.Sequence)
 	}
 	close(fsys.release)
 	stop()
@@ -209,7 +211,8 @@
 	}
 }
 
-// TestStoreIsBounded: where there are more customers than it may keep the emptiest go, and it says how many.
+// TestStoreIsBounded checks that beyond MaxCustomers the emptiest buckets are dropped and counted, also while no pass over all buckets
+// takes in the pending ones.
 func TestStoreIsBounded(t *testing.T) {
 	s := newTestStore(OSFS{}, "", 80)
 	s.StartWriting(false)
@@ -219,11 +222,11 @@
 			s.Snapshot()
 		}
 	}
-	for i := range 1000 { // with nobody who looks, as while a disk stalls
+	for i := range 1000 { // without Snapshot, as while the disk stalls
 		s.RecordChanges([]decide.BucketSnapshot{{Key: uint64(2000 + i), Fill: 0.01}}, 0, 0)
 	}
 	if n := len(s.pending); n > 80 {
-		t.Errorf("%d customers wait to be taken in", n)
+		t.Errorf("%d customers are pending", n)
 	}
 	snap := s.Snapshot()
 	minFill := 1.0
@@ -235,7 +238,7 @@
 	}
 }
 
-// fullDiskFS fails as long as it is told to.
+// fullDiskFS creates no files while full is set.
 type fullDiskFS struct {
 	OSFS
 	full *bool
@@ -248,8 +251,8 @@
 	return f.OSFS.CreateTemp(dir, pattern)
 }
 
-// TestFullDisk: while the disk is full the former image stays and the failure is one line; then all that changed meanwhile is kept, and a
-// process that has not taken what was before writes nothing over it.
+// TestFullDisk checks that while the disk is full the previous snapshot stays and one failure is logged, and that the next write contains
+// all changes since. It also checks that nothing is written before StartWriting, which would overwrite the state from before the start.
 func TestFullDisk(t *testing.T) {
 	full, name := false, filepath.Join(t.TempDir(), "power")
 	var log strings.Builder
@@ -258,7 +261,7 @@
 	s.SetPrevious(testSnapshot(5))
 	s.SetPeers(map[string]recovery.PeerSummary{"x": {}})
 	if s.write(); s.Stats().Writes != 0 {
-		t.Error("it writes before what was there is taken")
+		t.Error("a snapshot is written before StartWriting")
 	}
 	s.StartWriting(true)
 	s.write()
@@ -277,6 +280,6 @@
 		t.Errorf("%+v, %v", snap, err)
 	}
 	if n := strings.Count(log.String(), "level=ERROR"); n != 1 || !strings.Contains(log.String(), "kept again") || s.Stats().Failures != 3 {
-		t.Errorf("%d failures of 3 are logged: %s", n, log.String())
+		t.Errorf("%d log lines for 3 failures, want 1: %s", n, log.String())
 	}
 }
