--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -169,7 +169,7 @@
 )
 
 func (s SnapshotStatus) String() string {
-	return [...]string{"absent", "can't be read", "another member's", "older than others know it", "valid"}[s]
+	return [...]string{"absent", "can't be read", "another member's", "older than others know it", "believed"}[s]
 }
 
 // LocalMember is the member that starts.
