--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -18,16 +18,16 @@
 
 // This file is what memberlist calls, and what members tell of themselves.
 
-// meta is what a member tells of itself, as it stands in the engine's data: 512 bytes at most.
-type meta struct {
-	Version    int    `json:"v"`
-	Name       string `json:"n"`
-	Life       uint64 `json:"l"`
-	Generation uint64 `json:"g,omitempty"`
-	Place      int    `json:"p"`
-	Term       uint64 `json:"t,omitempty"`
-	Pad        string `json:"z,omitempty"` // see padMost
-	Leaving    bool   `json:"x,omitempty"` // the engine tells its users only that one is gone, not that it said so
+// nodeMeta is what a member tells of itself, as it stands in the engine's data: 512 bytes at most.
+type nodeMeta struct {
+	Version     int    `json:"v"`
+	Name        string `json:"n"`
+	Incarnation uint64 `json:"l"`
+	Generation  uint64 `json:"g,omitempty"`
+	Slot        int    `json:"p"`
+	Term        uint64 `json:"t,omitempty"`
+	Padding     string `json:"z,omitempty"` // see padMost
+	Leaving     bool   `json:"x,omitempty"` // the engine tells its users only that one is gone, not that it said so
 }
 
 // delegate is what memberlist calls. It must not wait for the table's goroutine while that waits for memberlist, which it never
@@ -37,7 +37,7 @@
 // NodeMeta implements memberlist.Delegate.
 func (d delegate) NodeMeta(limit int) []byte {
 	m := d.e.self.Load()
-	b, err := json.Marshal(meta{m.Version, m.Name, m.Incarnation, m.Generation, m.Claim.Slot, m.Claim.Term, strings.Repeat("-", int(m.Incarnation%padMost)), d.e.leaving.Load()})
+	b, err := json.Marshal(nodeMeta{m.Version, m.Name, m.Incarnation, m.Generation, m.Claim.Slot, m.Claim.Term, strings.Repeat("-", int(m.Incarnation%paddingModulus)), d.e.leaving.Load()})
 	if err != nil || len(b) > limit {
 		return nil // a name is checked to be short
 	}
@@ -47,30 +47,30 @@
 // NotifyMsg implements memberlist.Delegate.
 func (d delegate) NotifyMsg(b []byte) {
 	e := d.e
-	e.heard()
-	if len(b) <= headLen {
+	e.reportContact()
+	if len(b) <= headerBytes {
 		return
 	}
 	head, life := binary.BigEndian.Uint16(b), binary.BigEndian.Uint64(b[2:])
-	if len(b) > headLen+mostOf(head) {
+	if len(b) > headerBytes+maxPayloadBytes(head) {
 		return
 	}
-	place := int(head &^ (dutyFlag | newsFlag))
-	s := e.standing.Load()
+	place := int(head &^ (dutyFlag | peerInfoFlag))
+	s := e.assignment.Load()
 	if place >= len(s.Holders) || s.Holders[place].Incarnation != life || place == s.Slot {
 		return // of one that has no place here, or not that one
 	}
-	if head&newsFlag != 0 {
-		e.news.message(place, b[headLen:])
+	if head&peerInfoFlag != 0 {
+		e.peerInfo.receive(place, b[headerBytes:])
 		return
 	}
 	if head&dutyFlag != 0 {
-		e.duties.message(place, b[headLen:])
+		e.duties.receive(place, b[headerBytes:])
 		return
 	}
-	text := string(b[headLen:])
+	text := string(b[headerBytes:])
 	e.mu.Lock()
-	door := e.door
+	door := e.core
 	e.mu.Unlock()
 	if door != nil {
 		door.DeliverMessage(place, text)
@@ -82,10 +82,10 @@
 
 // LocalState implements memberlist.Delegate.
 func (d delegate) LocalState(bool) []byte {
-	s := state{SharedState: d.e.past.Load(), From: d.e.cfg.Name, Lost: d.e.lost.Load()}
-	if m := d.e.memory.Load(); m != nil {
+	s := exchangedState{SharedState: d.e.sharedState.Load(), Sender: d.e.cfg.Name, DroppedMessages: d.e.droppedMessages.Load()}
+	if m := d.e.recoverySource.Load(); m != nil {
 		var err error
-		if s.Word, err = cbor.Marshal(m.Snapshot()); err != nil {
+		if s.RecoverySnapshot, err = cbor.Marshal(m.Snapshot()); err != nil {
 			d.e.log.Error("fleet: what is known can't be told", "err", err)
 		}
 	}
@@ -96,46 +96,46 @@
 	return b
 }
 
-// state is what goes with an exchange of whole states, as JSON. Members of a version without Word pass over it.
-type state struct {
+// exchangedState is what goes with an exchange of whole states, as JSON. Members of a version without Word pass over it.
+type exchangedState struct {
 	*fleet.SharedState
-	From string `json:",omitempty"` // who tells it ...
-	Lost uint64 `json:",omitempty"` // ... and how many of its messages found its queue full
-	Word []byte `json:",omitempty"` // recovery.Word, in CBOR
+	Sender           string `json:"From,omitempty"` // who tells it ...
+	DroppedMessages  uint64 `json:"Lost,omitempty"` // ... and how many of its messages found its queue full
+	RecoverySnapshot []byte `json:"Word,omitempty"` // recovery.Word, in CBOR
 }
 
 // MergeRemoteState implements memberlist.Delegate.
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
-	s := state{SharedState: &fleet.SharedState{}}
+	s := exchangedState{SharedState: &fleet.SharedState{}}
 	if len(b) == 0 || json.Unmarshal(b, &s) != nil {
 		return // of another version: nothing is learned from it
 	}
 	var w recovery.Word
-	if len(s.Word) > 0 && d.e.memory.Load() != nil && cbor.Unmarshal(s.Word, &w) == nil {
+	if len(s.RecoverySnapshot) > 0 && d.e.recoverySource.Load() != nil && cbor.Unmarshal(s.RecoverySnapshot, &w) == nil {
 		d.e.mu.Lock()
-		door := d.e.door
+		door := d.e.core
 		d.e.mu.Unlock()
 		if door != nil {
 			door.DeliverRecoverySnapshot(w)
 		}
 	}
 	d.e.mu.Lock()
-	if _, known := d.e.drops[s.From]; s.From != "" && (known || len(d.e.drops) < dropsMost) {
-		d.e.drops[s.From] = s.Lost
+	if _, known := d.e.peerDrops[s.Sender]; s.Sender != "" && (known || len(d.e.peerDrops) < maxPeerDrops) {
+		d.e.peerDrops[s.Sender] = s.DroppedMessages
 	}
 	d.e.mu.Unlock()
 	d.e.events <- fleet.RemoteState{SharedState: *s.SharedState}
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (d delegate) NotifyJoin(n *memberlist.Node) { d.seen(n) }
+func (d delegate) NotifyJoin(n *memberlist.Node) { d.nodeUpdated(n) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (d delegate) NotifyUpdate(n *memberlist.Node) { d.seen(n) }
+func (d delegate) NotifyUpdate(n *memberlist.Node) { d.nodeUpdated(n) }
 
-func (d delegate) seen(n *memberlist.Node) {
-	if m, leaving, ok := d.member(n); leaving {
-		d.e.news.left(m)
+func (d delegate) nodeUpdated(n *memberlist.Node) {
+	if m, leaving, ok := d.parseNode(n); leaving {
+		d.e.peerInfo.memberLeft(m)
 		d.e.events <- fleet.MemberGone{Name: m.Name, Incarnation: m.Incarnation, Left: true}
 	} else if ok {
 		c := *n
@@ -148,7 +148,7 @@
 
 // NotifyLeave implements memberlist.EventDelegate.
 func (d delegate) NotifyLeave(n *memberlist.Node) {
-	if m, leaving, ok := d.member(n); ok {
+	if m, leaving, ok := d.parseNode(n); ok {
 		d.e.mu.Lock()
 		delete(d.e.nodes, n.Name)
 		d.e.mu.Unlock()
@@ -156,19 +156,19 @@
 	}
 }
 
-// member reads what another member tells of itself; false: it is this one, or can't be read.
-func (d delegate) member(n *memberlist.Node) (m fleet.Member, leaving, ok bool) {
+// parseNode reads what another parseNode tells of itself; false: it is this one, or can't be read.
+func (d delegate) parseNode(n *memberlist.Node) (m fleet.Member, leaving, ok bool) {
 	life, name, _ := strings.Cut(n.Name, ".")
 	no, err := strconv.ParseUint(life, 36, 64)
-	if err != nil || name == "" || no == d.e.life && name == d.e.cfg.Name {
+	if err != nil || name == "" || no == d.e.incarnation && name == d.e.cfg.Name {
 		return m, false, false
 	}
 	m = fleet.Member{Name: name, Incarnation: no, Addr: n.Address(), Claim: fleet.NoClaim}
-	t := meta{Place: fleet.NoClaim.Slot}
+	t := nodeMeta{Slot: fleet.NoClaim.Slot}
 	if json.Unmarshal(n.Meta, &t) == nil {
 		m.Generation, m.Version = t.Generation, t.Version
-		if t.Place >= 0 {
-			m.Claim = fleet.Claim{Slot: t.Place, Term: t.Term}
+		if t.Slot >= 0 {
+			m.Claim = fleet.Claim{Slot: t.Slot, Term: t.Term}
 		}
 	}
 	return m, t.Leaving, true
@@ -176,16 +176,16 @@
 
 // AckPayload implements memberlist.PingDelegate.
 func (d delegate) AckPayload() []byte {
-	d.e.heard() // a ping has come
+	d.e.reportContact() // a ping has come
 	return nil
 }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
-func (d delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) { d.e.heard() }
+func (d delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) { d.e.reportContact() }
 
-// heard tells the table that another member is there. One that waits already says enough.
-func (e *Engine) heard() {
-	if len(e.events) < eventsMost/2 {
+// reportContact tells the table that another member is there. One that waits already says enough.
+func (e *Engine) reportContact() {
+	if len(e.events) < maxPendingEvents/2 {
 		select {
 		case e.events <- fleet.MemberContact{}:
 		default:
@@ -193,10 +193,10 @@
 	}
 }
 
-// logTo passes the engine's log on, without its time.
-type logTo struct{ log *slog.Logger }
+// logWriter passes the engine's log on, without its time.
+type logWriter struct{ log *slog.Logger }
 
-func (l logTo) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	line := strings.TrimSpace(string(b))
 	if strings.HasPrefix(line, "[ERR]") || strings.HasPrefix(line, "[WARN]") {
 		l.log.Debug("fleet's engine", "text", line)
@@ -204,4 +204,4 @@
 	return len(b), nil
 }
 
-var _ io.Writer = logTo{}
+var _ io.Writer = logWriter{}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -27,27 +27,27 @@
 )
 
 const (
-	metaVersion  = 1                      // of what a member tells of itself. Name, life, place and term stay as they are in all versions, so that places are one's own over an upgrade
-	tickEvery    = 200 * time.Millisecond // of the table
-	validFor     = time.Second            // what was told of the standing is good for so long after a tick
-	jumpMost     = time.Second            // by which the wall clock may part from the monotonic one between two ticks
-	gossipEvery  = 100 * time.Millisecond // twice as often as memberlist's own: many that join at once are known sooner
-	syncEvery    = 15 * time.Second
-	streamWithin = 2 * time.Second // of an exchange of states, as the table waits for it while it stands aside
-	syncWith     = 3               // members that are asked for their whole state
-	eventsMost   = 4096            // that wait for the table; the engine waits while there are more
-	tellsMost    = 1024            // messages that wait to be sent; more are lost, as datagrams may be
-	leaveWithin  = time.Second
-	headLen      = 10 // of a message: place, and life of the sender
+	metaVersion        = 1                      // of what a member tells of itself. Name, life, place and term stay as they are in all versions, so that places are one's own over an upgrade
+	tickInterval       = 200 * time.Millisecond // of the table
+	assignmentValidity = time.Second            // what was told of the standing is good for so long after a tick
+	maxClockJump       = time.Second            // by which the wall clock may part from the monotonic one between two ticks
+	gossipInterval     = 100 * time.Millisecond // twice as often as memberlist's own: many that join at once are known sooner
+	fullSyncInterval   = 15 * time.Second
+	streamTimeout      = 2 * time.Second // of an exchange of states, as the table waits for it while it stands aside
+	maxSyncMembers     = 3               // members that are asked for their whole state
+	maxPendingEvents   = 4096            // that wait for the table; the engine waits while there are more
+	maxPendingMessages = 1024            // messages that wait to be sent; more are lost, as datagrams may be
+	leaveTimeout       = time.Second
+	headerBytes        = 10 // of a message: place, and life of the sender
 	// memberlist 0.7.0 keeps news in order of how often each was sent, its length and a count that begins again whenever the queue
 	// is empty for a moment: two pieces that are alike in all three count as one, and one of them is lost. Members that start
 	// together tell things of one length, so each pads its own by another.
-	padMost       = 61
-	nameMost      = 128
-	dropsMost     = 4096 // members whose dropped messages are shown
-	messageMost   = 256
-	updateWithin  = time.Second
-	stateFileMode = 0o600
+	paddingModulus  = 61
+	maxNameBytes    = 128
+	maxPeerDrops    = 4096 // members whose dropped messages are shown
+	maxMessageBytes = 256
+	updateTimeout   = time.Second
+	stateFileMode   = 0o600
 )
 
 // Config is how a member takes part.
@@ -71,47 +71,47 @@
 
 // Engine is one member. Make it with New.
 type Engine struct {
-	cfg    Config
-	log    *slog.Logger
-	life   uint64
-	ring   *memberlist.Keyring
-	list   *memberlist.Memberlist
-	table  *fleet.Table
-	saved  saved
-	known  []string          // the last known members, as they were kept ...
-	before fleet.SharedState // ... with their claims
-	status net.Listener      // nil: none
+	cfg            Config
+	log            *slog.Logger
+	incarnation    uint64
+	keyring        *memberlist.Keyring
+	memberlist     *memberlist.Memberlist
+	table          *fleet.Table
+	saved          savedState
+	savedAddresses []string          // the last known members, as they were kept ...
+	savedClaims    fleet.SharedState // ... with their claims
+	statusListener net.Listener      // nil: none
 
-	duties   *duties // nil: none
-	news     *news   // nil: none
-	events   chan fleet.Event
-	tells    chan tell
-	dirty    chan struct{} // something is to be announced
-	unkept   chan struct{} // something is to be kept
-	toKeep   atomic.Pointer[saved]
-	self     atomic.Pointer[fleet.Member]
-	standing atomic.Pointer[fleet.Assignment]
-	past     atomic.Pointer[fleet.SharedState] // that is passed on
-	report   atomic.Pointer[Status]
-	until    atomic.Int64  // of the standing, by the monotonic clock
-	stood    atomic.Uint64 // counts the standings
-	lost     atomic.Uint64
-	syncing  atomic.Bool
-	leaving  atomic.Bool
-	regions  atomic.Pointer[map[string]*maintenance.Calendar] // with a calendar, by name
-	yielded  chan fleet.Member
-	start    time.Time
-	memory   atomic.Pointer[RecoverySource] // nil: none
+	duties           *duties       // nil: none
+	peerInfo         *peerInfoSync // nil: none
+	events           chan fleet.Event
+	outbound         chan outboundMessage
+	announceNeeded   chan struct{} // something is to be announced
+	saveNeeded       chan struct{} // something is to be kept
+	pendingState     atomic.Pointer[savedState]
+	self             atomic.Pointer[fleet.Member]
+	assignment       atomic.Pointer[fleet.Assignment]
+	sharedState      atomic.Pointer[fleet.SharedState] // that is passed on
+	status           atomic.Pointer[Status]
+	validUntil       atomic.Int64  // of the standing, by the monotonic clock
+	assignmentNumber atomic.Uint64 // counts the standings
+	droppedMessages  atomic.Uint64
+	syncing          atomic.Bool
+	leaving          atomic.Bool
+	regions          atomic.Pointer[map[string]*maintenance.Calendar] // with a calendar, by name
+	superseded       chan fleet.Member
+	start            time.Time
+	recoverySource   atomic.Pointer[RecoverySource] // nil: none
 
-	mu    sync.Mutex
-	nodes map[string]*memberlist.Node // by life
-	drops map[string]uint64           // messages that others dropped, by name, as they told last
-	door  *gateway.Core
+	mu        sync.Mutex
+	nodes     map[string]*memberlist.Node // by life
+	peerDrops map[string]uint64           // messages that others dropped, by name, as they told last
+	core      *gateway.Core
 }
 
-type tell struct {
+type outboundMessage struct {
 	to   string // the life of the receiver
-	text []byte
+	data []byte
 }
 
 // Status is a member's view of its fleet, for operators.
@@ -134,17 +134,17 @@
 
 // New makes a member; it opens its socket and does not join yet.
 func New(cfg Config, log *slog.Logger) (*Engine, error) {
-	e := &Engine{cfg: cfg, log: log, events: make(chan fleet.Event, eventsMost), tells: make(chan tell, tellsMost),
-		dirty: make(chan struct{}, 1), unkept: make(chan struct{}, 1), nodes: map[string]*memberlist.Node{}, drops: map[string]uint64{}, yielded: make(chan fleet.Member, 1), start: time.Now()}
-	if len(cfg.Name) > nameMost {
-		return nil, fmt.Errorf("the fleet: the member's name has %d bytes, more than %d", len(cfg.Name), nameMost)
+	e := &Engine{cfg: cfg, log: log, events: make(chan fleet.Event, maxPendingEvents), outbound: make(chan outboundMessage, maxPendingMessages),
+		announceNeeded: make(chan struct{}, 1), saveNeeded: make(chan struct{}, 1), nodes: map[string]*memberlist.Node{}, peerDrops: map[string]uint64{}, superseded: make(chan fleet.Member, 1), start: time.Now()}
+	if len(cfg.Name) > maxNameBytes {
+		return nil, fmt.Errorf("the fleet: the member's name has %d bytes, more than %d", len(cfg.Name), maxNameBytes)
 	}
-	if err := e.load(); err != nil {
+	if err := e.loadState(); err != nil {
 		return nil, err
 	}
-	e.known, e.before = e.saved.Members, e.heldBefore()
-	e.life = max(uint64(time.Now().UnixMilli()), e.saved.Life+1) // later than the last, however the clock was set since
-	e.cfg.Fleet.Self = fleet.Member{Name: cfg.Name, Incarnation: e.life, Generation: cfg.Generation, Version: cmp.Or(cfg.version, metaVersion), Claim: fleet.NoClaim}
+	e.savedAddresses, e.savedClaims = e.saved.Members, e.savedSharedState()
+	e.incarnation = max(uint64(time.Now().UnixMilli()), e.saved.Incarnation+1) // later than the last, however the clock was set since
+	e.cfg.Fleet.Self = fleet.Member{Name: cfg.Name, Incarnation: e.incarnation, Generation: cfg.Generation, Version: cmp.Or(cfg.version, metaVersion), Claim: fleet.NoClaim}
 	e.cfg.Fleet.LastClaim = e.saved.Claim
 	var err error
 	if e.table, err = fleet.New(e.cfg.Fleet); err != nil {
@@ -152,8 +152,8 @@
 	}
 	e.self.Store(&e.cfg.Fleet.Self)
 	s := e.table.Assignment()
-	e.standing.Store(&s)
-	e.past.Store(&fleet.SharedState{})
+	e.assignment.Store(&s)
+	e.sharedState.Store(&fleet.SharedState{})
 	if len(cfg.Election.Duties) > 0 {
 		if e.duties, err = newDuties(e, cfg.Election); err != nil {
 			return nil, err
@@ -161,16 +161,16 @@
 	}
 	e.SetRegions(cfg.Regions)
 	if cfg.PeerInfo != nil {
-		if e.news, err = newNews(e, *cfg.PeerInfo); err != nil {
+		if e.peerInfo, err = newPeerInfoSync(e, *cfg.PeerInfo); err != nil {
 			return nil, err
 		}
 	}
 	if cfg.StatusSocket != "" {
-		if e.status, err = listenStatus(cfg.StatusSocket); err != nil {
+		if e.statusListener, err = listenStatus(cfg.StatusSocket); err != nil {
 			return nil, err
 		}
 	}
-	if err := e.open(); err != nil {
+	if err := e.startMemberlist(); err != nil {
 		e.closeStatus()
 		return nil, err
 	}
@@ -178,13 +178,13 @@
 }
 
 func (e *Engine) closeStatus() {
-	if e.status != nil {
-		e.status.Close()
+	if e.statusListener != nil {
+		e.statusListener.Close()
 	}
 }
 
-// open makes the engine.
-func (e *Engine) open() error {
+// startMemberlist makes the engine.
+func (e *Engine) startMemberlist() error {
 	host, port, err := net.SplitHostPort(e.cfg.Address)
 	if err != nil {
 		return fmt.Errorf("the fleet's address: %w", err)
@@ -194,10 +194,10 @@
 		return fmt.Errorf("the fleet's address: %w", err)
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name = strconv.FormatUint(e.life, 36) + "." + e.cfg.Name // a life of its own to the engine
+	c.Name = strconv.FormatUint(e.incarnation, 36) + "." + e.cfg.Name // a life of its own to the engine
 	c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = host, n, host, n
-	c.GossipInterval, c.PushPullInterval, c.TCPTimeout = gossipEvery, syncEvery, streamWithin
-	c.Logger = log.New(logTo{e.log}, "", 0)
+	c.GossipInterval, c.PushPullInterval, c.TCPTimeout = gossipInterval, fullSyncInterval, streamTimeout
+	c.Logger = log.New(logWriter{e.log}, "", 0)
 	c.Transport = e.cfg.Transport
 	d := delegate{e}
 	c.Delegate, c.Events, c.Ping = d, d, d
@@ -206,12 +206,12 @@
 		if err != nil {
 			return err
 		}
-		if e.ring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
+		if e.keyring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
 			return fmt.Errorf("the fleet's keys: %w", err)
 		}
-		c.Keyring = e.ring
+		c.Keyring = e.keyring
 	}
-	if e.list, err = memberlist.Create(c); err != nil {
+	if e.memberlist, err = memberlist.Create(c); err != nil {
 		return fmt.Errorf("the fleet: %w", err)
 	}
 	return nil
@@ -224,61 +224,61 @@
 }
 
 // SetRecoverySource has the member tell what it knows, from now on.
-func (e *Engine) SetRecoverySource(m RecoverySource) { e.memory.Store(&m) }
+func (e *Engine) SetRecoverySource(m RecoverySource) { e.recoverySource.Store(&m) }
 
 // Incarnation is this process's: of two of one name the higher is the later.
-func (e *Engine) Incarnation() uint64 { return e.life }
+func (e *Engine) Incarnation() uint64 { return e.incarnation }
 
 // Superseded tells when this member has to end, as a later process has its name.
-func (e *Engine) Superseded() <-chan fleet.Member { return e.yielded }
+func (e *Engine) Superseded() <-chan fleet.Member { return e.superseded }
 
 // Status is the table as it stands; nil before there is one.
-func (e *Engine) Status() *Status { return e.report.Load() }
+func (e *Engine) Status() *Status { return e.status.Load() }
 
 // IsCurrent implements gateway.Member: a process that stood still must not go by what it was told before.
 func (e *Engine) IsCurrent(n uint64) bool {
-	return n == e.stood.Load() && int64(time.Since(e.start)) < e.until.Load()
+	return n == e.assignmentNumber.Load() && int64(time.Since(e.start)) < e.validUntil.Load()
 }
 
 // Serve implements gateway.Member: it takes part until the context ends, and then says goodbye.
 func (e *Engine) Serve(ctx context.Context, d *gateway.Core) {
 	e.mu.Lock()
-	e.door = d
+	e.core = d
 	e.mu.Unlock()
 	inner, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { e.send(inner) })
-	wg.Go(func() { e.announce(inner) })
-	wg.Go(func() { e.save(inner) })
-	if e.news != nil {
-		wg.Go(func() { e.news.run(inner) })
+	wg.Go(func() { e.sendLoop(inner) })
+	wg.Go(func() { e.announceLoop(inner) })
+	wg.Go(func() { e.saveLoop(inner) })
+	if e.peerInfo != nil {
+		wg.Go(func() { e.peerInfo.run(inner) })
 	}
-	if e.status != nil {
-		wg.Go(func() { e.serveStatus(e.status) })
+	if e.statusListener != nil {
+		wg.Go(func() { e.serveStatus(e.statusListener) })
 	}
 	e.run(ctx)
 	e.leaving.Store(true)
-	if err := e.list.UpdateNode(leaveWithin); err != nil {
+	if err := e.memberlist.UpdateNode(leaveTimeout); err != nil {
 		e.log.Debug("leaving the fleet", "err", err)
 	}
-	if err := e.list.Leave(leaveWithin); err != nil {
+	if err := e.memberlist.Leave(leaveTimeout); err != nil {
 		e.log.Debug("leaving the fleet", "err", err)
 	}
 	cancel()
 	e.closeStatus()
 	wg.Wait()
-	if err := e.list.Shutdown(); err != nil {
+	if err := e.memberlist.Shutdown(); err != nil {
 		e.log.Warn("closing the fleet's socket", "err", err)
 	}
 }
 
 // run is the table's goroutine.
 func (e *Engine) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	wall := time.Now()
 	ticked := wall
-	e.handle(fleet.RemoteState{SharedState: e.before})
+	e.handle(fleet.RemoteState{SharedState: e.savedClaims})
 	e.handle(fleet.Tick{})
 	for {
 		select {
@@ -293,14 +293,14 @@
 		case <-ticker.C:
 			now := time.Now()
 			ticked = now
-			if jump := now.Round(0).Sub(wall.Round(0)) - now.Sub(wall); max(jump, -jump) > jumpMost {
+			if jump := now.Round(0).Sub(wall.Round(0)) - now.Sub(wall); max(jump, -jump) > maxClockJump {
 				e.handle(fleet.ClockJump{})
 				e.duties.handle(election.Resumed{})
 			}
 			wall = now
 			e.handle(fleet.Tick{})
 			e.duties.handle(election.Tick{WallMillis: uint64(max(0, now.UnixMilli()))})
-			e.tell()
+			e.publishStatus()
 		case <-ctx.Done():
 			e.handle(fleet.Leave{})
 			return
@@ -308,25 +308,25 @@
 	}
 }
 
-// tell keeps what others may read: the standing's time, the report, and what is passed on.
-func (e *Engine) tell() {
+// publishStatus keeps what others may read: the standing's time, the report, and what is passed on.
+func (e *Engine) publishStatus() {
 	at := time.Now()
 	now := at.Sub(e.start)
-	e.until.Store(int64(now + validFor))
-	r := &Status{Name: e.cfg.Name, Assignment: e.table.Assignment(), Members: e.table.Members(), Now: now, WallMillis: at.UnixMilli(), DroppedMessages: e.lost.Load()}
-	e.news.report(r)
-	if m := e.memory.Load(); m != nil {
+	e.validUntil.Store(int64(now + assignmentValidity))
+	r := &Status{Name: e.cfg.Name, Assignment: e.table.Assignment(), Members: e.table.Members(), Now: now, WallMillis: at.UnixMilli(), DroppedMessages: e.droppedMessages.Load()}
+	e.peerInfo.fillStatus(r)
+	if m := e.recoverySource.Load(); m != nil {
 		r.RecoveryPhase = m.Phase()
 	}
 	e.mu.Lock()
-	r.PeerDrops = maps.Clone(e.drops)
+	r.PeerDrops = maps.Clone(e.peerDrops)
 	e.mu.Unlock()
 	if e.duties != nil {
-		r.Duties, r.Electorate = e.duties.rows(), e.duties.table.Electorate()
+		r.Duties, r.Electorate = e.duties.statuses(), e.duties.table.Electorate()
 	}
-	e.report.Store(r)
+	e.status.Store(r)
 	past := e.table.SharedState()
-	e.past.Store(&past)
+	e.sharedState.Store(&past)
 }
 
 func (e *Engine) handle(ev fleet.Event) {
@@ -337,16 +337,16 @@
 		switch a := a.(type) {
 		case fleet.Announce:
 			e.self.Store(&a.Self)
-			e.speak()
+			e.requestAnnounce()
 		case fleet.Sync:
 			if e.syncing.CompareAndSwap(false, true) {
-				go e.sync(a.SkipSeeds)
+				go e.syncMembers(a.SkipSeeds)
 			}
 		case fleet.AssignmentChange:
-			e.stand(a.Assignment)
+			e.applyAssignment(a.Assignment)
 		case fleet.Superseded:
 			select {
-			case e.yielded <- a.By:
+			case e.superseded <- a.By:
 			default:
 			}
 		case fleet.LogMessage:
@@ -355,27 +355,27 @@
 	}
 }
 
-// stand hands the standing to the gateway.
-func (e *Engine) stand(s fleet.Assignment) {
-	e.standing.Store(&s)
+// applyAssignment hands the standing to the gateway.
+func (e *Engine) applyAssignment(s fleet.Assignment) {
+	e.assignment.Store(&s)
 	e.log.Info("fleet: standing", "place", s.Slot, "term", s.Term, "alone", s.Isolated)
-	e.door.SetMembership(s, e.stood.Add(1))
-	e.duties.stand(s)
-	e.tell()
+	e.core.SetMembership(s, e.assignmentNumber.Add(1))
+	e.duties.applyAssignment(s)
+	e.publishStatus()
 	if s.Slot >= 0 {
 		e.saved.Claim = fleet.Claim{Slot: s.Slot, Term: s.Term}
 	}
-	e.keep()
+	e.requestSave()
 }
 
-// announce tells all members what this one has to say.
-func (e *Engine) announce(ctx context.Context) {
+// announceLoop tells all members what this one has to say.
+func (e *Engine) announceLoop(ctx context.Context) {
 	for {
 		select {
-		case <-e.dirty:
-			if err := e.list.UpdateNode(updateWithin); err != nil {
+		case <-e.announceNeeded:
+			if err := e.memberlist.UpdateNode(updateTimeout); err != nil {
 				e.log.Debug("telling the fleet", "err", err)
-				e.speak() // its queue of news may have lost this piece
+				e.requestAnnounce() // its queue of news may have lost this piece
 			}
 		case <-ctx.Done():
 			return
@@ -383,20 +383,20 @@
 	}
 }
 
-// speak has what this member says told soon, the newest of it.
-func (e *Engine) speak() {
+// requestAnnounce has what this member says told soon, the newest of it.
+func (e *Engine) requestAnnounce() {
 	select {
-	case e.dirty <- struct{}{}:
+	case e.announceNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// sync exchanges whole states with a few of those that are there, and unless that is enough with the seeds and the last known members.
-func (e *Engine) sync(few bool) {
+// syncMembers exchanges whole states with a few of those that are there, and unless that is enough with the seeds and the last known members.
+func (e *Engine) syncMembers(few bool) {
 	var to []string
 	e.mu.Lock()
 	for _, n := range e.nodes { // in no order, so any of them
-		if len(to) >= syncWith {
+		if len(to) >= maxSyncMembers {
 			break
 		}
 		to = append(to, n.Address())
@@ -407,7 +407,7 @@
 		to = append(to, e.cfg.Seeds...)
 	}
 	if none {
-		to = append(to, e.known...)
+		to = append(to, e.savedAddresses...)
 	}
 	to = slices.DeleteFunc(to, func(a string) bool { return a == e.cfg.Address })
 	slices.Sort(to)
@@ -416,7 +416,7 @@
 	var answered atomic.Int32
 	for _, a := range to {
 		wg.Go(func() {
-			if n, _ := e.list.Join([]string{a}); n > 0 { // that it fails shows in the log of the engine
+			if n, _ := e.memberlist.Join([]string{a}); n > 0 { // that it fails shows in the log of the engine
 				answered.Add(1)
 			}
 		})
--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -36,22 +36,22 @@
 // Reload takes the keys that stand in their file now, and a new generation of the configuration with the members that it expects. To rotate a key, add the new one
 // behind the old one everywhere, then put it first, then drop the old one.
 func (e *Engine) Reload(generation uint64, expect int) error {
-	if e.ring != nil {
+	if e.keyring != nil {
 		keys, err := readKeys(e.cfg.KeyFile)
 		if err != nil {
 			return err
 		}
 		for _, k := range keys {
-			if err := e.ring.AddKey(k); err != nil {
+			if err := e.keyring.AddKey(k); err != nil {
 				return fmt.Errorf("the fleet's keys: %w", err)
 			}
 		}
-		if err := e.ring.UseKey(keys[0]); err != nil {
+		if err := e.keyring.UseKey(keys[0]); err != nil {
 			return fmt.Errorf("the fleet's keys: %w", err)
 		}
-		for _, k := range e.ring.GetKeys() {
+		for _, k := range e.keyring.GetKeys() {
 			if !slices.ContainsFunc(keys, func(o []byte) bool { return string(o) == string(k) }) {
-				if err := e.ring.RemoveKey(k); err != nil {
+				if err := e.keyring.RemoveKey(k); err != nil {
 					return fmt.Errorf("the fleet's keys: %w", err)
 				}
 			}
--- a/internal/gossip/news.go
+++ b/internal/gossip/news.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	newsFlag    = 1 << 14 // in a message's place: it is news. Members of a version without news take it for a place that there is not
-	newsMost    = 1310    // bytes of it, in one datagram
-	newsWaiting = 1024    // messages of news that wait to be heard; the oldest goes for a newer one
-	zoneMost    = 40      // bytes of a region's name that are told
-	sleptLeast  = 100 * time.Millisecond
+	peerInfoFlag        = 1 << 14 // in a message's place: it is news. Members of a version without news take it for a place that there is not
+	maxPeerInfoBytes    = 1310    // bytes of it, in one datagram
+	peerInfoQueueLength = 1024    // messages of news that wait to be heard; the oldest goes for a newer one
+	maxZoneBytes        = 40      // bytes of a region's name that are told
+	minSuspend          = 100 * time.Millisecond
 
 	topicSelf peerinfo.Topic = 0 // what a member says of itself
 )
 
-// self is what a member says of itself.
-type self struct {
-	Zone string `cbor:"1,keyasint,omitempty"`
-	Wall int64  `cbor:"2,keyasint"` // when it said so, ms since 1970 by its own wall clock
+// selfRecord is what a member says of itself.
+type selfRecord struct {
+	Zone       string `cbor:"1,keyasint,omitempty"`
+	WallMillis int64  `cbor:"2,keyasint"` // when it said so, ms since 1970 by its own wall clock
 }
 
 // PeerInfoRow is what a member knows of another one, or of itself.
@@ -45,106 +45,106 @@
 	BytesSent    uint64 `json:"Bytes"`
 }
 
-// news is this member's part in what all know of each other. One goroutine owns the table. nil: there is none.
-type news struct {
-	e     *Engine
-	table *peerinfo.Table
-	cfg   peerinfo.Config
-	in    *queue.Evicting[newsIn]
-	shown atomic.Pointer[newsShown]
-	sent  uint64
-	bytes uint64
-	wall  time.Time // of the last turn
-	days  calendar
+// peerInfoSync is this member's part in what all know of each other. One goroutine owns the table. nil: there is none.
+type peerInfoSync struct {
+	e            *Engine
+	table        *peerinfo.Table
+	cfg          peerinfo.Config
+	inbox        *queue.Evicting[peerInfoEvent]
+	snapshot     atomic.Pointer[peerInfoSnapshot]
+	messagesSent uint64
+	bytesSent    uint64
+	checkedAt    time.Time // of the last turn
+	windows      windowCache
 }
 
-// newsIn is a message of the member in a place, or that a member left.
-type newsIn struct {
+// peerInfoEvent is a message of the member in a place, or that a member left.
+type peerInfoEvent struct {
 	from int
-	text []byte
+	data []byte
 	left fleet.Member
 }
 
-// newsShown is what is known, as of a time since the engine's start.
-type newsShown struct {
-	at     time.Duration
-	rows   []PeerInfoRow
-	counts PeerInfoStats
-	clock  FleetClock
-	region []RegionStatus
+// peerInfoSnapshot is what is known, as of a time since the engine's start.
+type peerInfoSnapshot struct {
+	at      time.Duration
+	members []PeerInfoRow
+	stats   PeerInfoStats
+	clock   FleetClock
+	regions []RegionStatus
 }
 
-func newNews(e *Engine, cfg peerinfo.Config) (*news, error) {
-	cfg.Name, cfg.Incarnation = e.cfg.Name, e.life
+func newPeerInfoSync(e *Engine, cfg peerinfo.Config) (*peerInfoSync, error) {
+	cfg.Name, cfg.Incarnation = e.cfg.Name, e.incarnation
 	t, err := peerinfo.New(cfg, rand.Uint64())
 	if err != nil {
 		return nil, fmt.Errorf("the fleet: %w", err)
 	}
-	return &news{e: e, table: t, cfg: cfg, in: queue.NewEvicting[newsIn](newsWaiting), wall: time.Now()}, nil
+	return &peerInfoSync{e: e, table: t, cfg: cfg, inbox: queue.NewEvicting[peerInfoEvent](peerInfoQueueLength), checkedAt: time.Now()}, nil
 }
 
-// message takes a message of the member in a place. It never waits.
-func (n *news) message(from int, text []byte) {
+// receive takes a receive of the member in a place. It never waits.
+func (n *peerInfoSync) receive(from int, text []byte) {
 	if n != nil {
-		n.in.Put(newsIn{from: from, text: append([]byte(nil), text...)})
+		n.inbox.Put(peerInfoEvent{from: from, data: append([]byte(nil), text...)})
 	}
 }
 
-// left takes that a member said goodbye.
-func (n *news) left(m fleet.Member) {
+// memberLeft takes that a member said goodbye.
+func (n *peerInfoSync) memberLeft(m fleet.Member) {
 	if n != nil {
-		n.in.Put(newsIn{left: m})
+		n.inbox.Put(peerInfoEvent{left: m})
 	}
 }
 
 // run is the goroutine of news, until the context ends.
-func (n *news) run(ctx context.Context) {
+func (n *peerInfoSync) run(ctx context.Context) {
 	ticker := time.NewTicker(n.cfg.Interval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-n.in.Ready():
-			n.woke()
-			for m, ok := n.in.Take(); ok; m, ok = n.in.Take() {
-				n.hear(m)
+		case <-n.inbox.Ready():
+			n.detectSuspend()
+			for m, ok := n.inbox.Take(); ok; m, ok = n.inbox.Take() {
+				n.handle(m)
 			}
 		case <-ticker.C:
-			n.woke()
-			n.say()
-			n.ask()
+			n.detectSuspend()
+			n.publish()
+			n.query()
 		case <-ctx.Done():
 			return
 		}
-		n.show()
+		n.updateSnapshot()
 	}
 }
 
-func (n *news) now() time.Duration { return time.Since(n.e.start) }
+func (n *peerInfoSync) now() time.Duration { return time.Since(n.e.start) }
 
-// woke looks whether the machine slept, in which its monotonic clock stands still and its wall clock does not. A wall clock that is set
+// detectSuspend looks whether the machine slept, in which its monotonic clock stands still and its wall clock does not. A wall clock that is set
 // forward looks the same, and makes all that is known older than it is: to the safe side.
-func (n *news) woke() {
+func (n *peerInfoSync) detectSuspend() {
 	now := time.Now()
-	if slept := now.Round(0).Sub(n.wall.Round(0)) - now.Sub(n.wall); slept > sleptLeast {
+	if slept := now.Round(0).Sub(n.checkedAt.Round(0)) - now.Sub(n.checkedAt); slept > minSuspend {
 		n.table.AdjustForSuspend(n.now(), slept)
 	}
-	n.wall = now
+	n.checkedAt = now
 }
 
-func (n *news) hear(m newsIn) {
-	if m.text == nil {
+func (n *peerInfoSync) handle(m peerInfoEvent) {
+	if m.data == nil {
 		n.table.RemoveMember(n.now(), m.left.Name, m.left.Incarnation)
 		return
 	}
-	for _, back := range n.table.HandleMessage(n.now(), m.text) {
+	for _, back := range n.table.HandleMessage(n.now(), m.data) {
 		n.send(m.from, back)
 	}
 }
 
-// say says of this member what is so now: the fact is born when what it tells was looked at.
-func (n *news) say() {
+// publish says of this member what is so now: the fact is born when what it tells was looked at.
+func (n *peerInfoSync) publish() {
 	at := time.Now()
-	s := self{Zone: n.e.cfg.Zone[:min(len(n.e.cfg.Zone), zoneMost)], Wall: at.UnixMilli()}
+	s := selfRecord{Zone: n.e.cfg.Zone[:min(len(n.e.cfg.Zone), maxZoneBytes)], WallMillis: at.UnixMilli()}
 	b, err := cbor.Marshal(&s)
 	if err == nil {
 		err = n.table.Publish(at.Sub(n.e.start), topicSelf, b)
@@ -154,9 +154,9 @@
 	}
 }
 
-// ask asks a few of those that are there, any of them.
-func (n *news) ask() {
-	s := n.e.standing.Load()
+// query asks a few of those that are there, any of them.
+func (n *peerInfoSync) query() {
+	s := n.e.assignment.Load()
 	var there []int
 	for place, h := range s.Holders {
 		if h.Name != "" && h.State == fleet.Alive && place != s.Slot {
@@ -173,45 +173,45 @@
 	}
 }
 
-func (n *news) send(place int, text []byte) {
-	if err := n.e.tellPlace(place, newsFlag, string(text)); err != nil {
+func (n *peerInfoSync) send(place int, text []byte) {
+	if err := n.e.sendToSlot(place, peerInfoFlag, string(text)); err != nil {
 		n.e.log.Debug("news was not sent", "err", err) // as if lost
 		return
 	}
-	n.sent++
-	n.bytes += uint64(len(text))
+	n.messagesSent++
+	n.bytesSent += uint64(len(text))
 }
 
-// show keeps what is known for the report.
-func (n *news) show() {
+// updateSnapshot keeps what is known for the report.
+func (n *peerInfoSync) updateSnapshot() {
 	at := time.Now()
 	now := at.Sub(n.e.start)
-	s := &newsShown{at: now, counts: PeerInfoStats{Queue: n.in.Stats(), Table: n.table.Stats(), MessagesSent: n.sent, BytesSent: n.bytes}}
+	s := &peerInfoSnapshot{at: now, stats: PeerInfoStats{Queue: n.inbox.Stats(), Table: n.table.Stats(), MessagesSent: n.messagesSent, BytesSent: n.bytesSent}}
 	for _, name := range n.table.KnownAuthors(now, topicSelf) {
 		f, age, err := n.table.Lookup(now, name, topicSelf, n.cfg.Retention)
-		var about self
+		var about selfRecord
 		if err != nil || cbor.Unmarshal(f.Value, &about) != nil {
 			continue
 		}
-		s.rows = append(s.rows, PeerInfoRow{Name: name, Zone: about.Zone, Age: age, WallMillis: about.Wall})
+		s.members = append(s.members, PeerInfoRow{Name: name, Zone: about.Zone, Age: age, WallMillis: about.WallMillis})
 	}
-	s.clock = clockOf(s.rows, n.cfg.Name, at)
-	s.region = n.days.rows(*n.e.regions.Load(), s.clock, at)
-	n.shown.Store(s)
+	s.clock = estimateFleetClock(s.members, n.cfg.Name, at)
+	s.regions = n.windows.regionStatuses(*n.e.regions.Load(), s.clock, at)
+	n.snapshot.Store(s)
 }
 
-// report adds what is known to a report, as of its time. It may be called from any goroutine.
-func (n *news) report(r *Status) {
+// fillStatus adds what is known to a fillStatus, as of its time. It may be called from any goroutine.
+func (n *peerInfoSync) fillStatus(r *Status) {
 	if n == nil {
 		return
 	}
-	s := n.shown.Load()
+	s := n.snapshot.Load()
 	if s == nil {
 		return
 	}
-	for _, row := range s.rows {
+	for _, row := range s.members {
 		row.Age = n.cfg.AdvanceAge(row.Age, s.at, r.Now)
 		r.PeerInfo = append(r.PeerInfo, row)
 	}
-	r.PeerInfoStats, r.Clock, r.Regions = s.counts, s.clock, s.region
+	r.PeerInfoStats, r.Clock, r.Regions = s.stats, s.clock, s.regions
 }
--- a/internal/gossip/regions.go
+++ b/internal/gossip/regions.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	quietAhead = 8 * 24 * time.Hour // windows are looked for so far ahead: a week, and the day that a calendar leaves out
-	offMost    = time.Second        // a member whose clock is further off than this, and the doubt, says so
-	wallStep   = time.Millisecond   // in which wall clocks are told
+	windowLookahead = 8 * 24 * time.Hour // windows are looked for so far ahead: a week, and the day that a calendar leaves out
+	maxClockOffset  = time.Second        // a member whose clock is further off than this, and the doubt, says so
+	wallResolution  = time.Millisecond   // in which wall clocks are told
 )
 
 // FleetClock is what the fleet's clock is by what members told of theirs.
@@ -32,43 +32,43 @@
 	WindowEnd   time.Time     `json:"To"`
 }
 
-// calendar keeps the windows that were found: to look for one that is days away takes some ms.
-type calendar struct {
-	hours   map[string]*maintenance.Calendar
-	windows map[string]maintenance.Window
-	until   time.Time // windows hold until then ...
+// windowCache keeps the windows that were found: to look for one that is days away takes some ms.
+type windowCache struct {
+	calendars  map[string]*maintenance.Calendar
+	windows    map[string]maintenance.Window
+	validUntil time.Time // windows hold until then ...
 }
 
 // SetRegions has the regions' calendars be these from now on.
 func (e *Engine) SetRegions(hours map[string]*maintenance.Calendar) { e.regions.Store(&hours) }
 
 // clock is the fleet's clock, at a time of this member's wall clock.
-func clockOf(rows []PeerInfoRow, self string, at time.Time) FleetClock {
+func estimateFleetClock(rows []PeerInfoRow, self string, at time.Time) FleetClock {
 	var readings []maintenance.OffsetRange
 	for _, row := range rows {
 		if row.Name != self {
-			readings = append(readings, maintenance.EstimateOffset(time.UnixMilli(row.WallMillis), at, row.Age+wallStep))
+			readings = append(readings, maintenance.EstimateOffset(time.UnixMilli(row.WallMillis), at, row.Age+wallResolution))
 		}
 	}
 	r, agree, ok := maintenance.FleetOffset(readings)
 	c := FleetClock{OK: ok, AgreeingMembers: agree, TotalMembers: len(readings) + 1, Offset: (r.Min + r.Max) / 2, Uncertainty: (r.Max - r.Min) / 2}
-	c.LocalClockOff = ok && max(c.Offset, -c.Offset) > c.Uncertainty+offMost
+	c.LocalClockOff = ok && max(c.Offset, -c.Offset) > c.Uncertainty+maxClockOffset
 	return c
 }
 
-// rows are the regions as of a time of the fleet's clock.
-func (c *calendar) rows(hours map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
+// regionStatuses are the regions as of a time of the fleet's clock.
+func (c *windowCache) regionStatuses(hours map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
 	if !clock.OK {
 		return nil
 	}
 	at = at.Add(clock.Offset)
-	if same := maps.Equal(c.hours, hours); !same || at.After(c.until) || at.Before(c.until.Add(-time.Hour)) {
-		c.hours, c.windows, c.until = hours, map[string]maintenance.Window{}, at.Add(time.Hour)
+	if same := maps.Equal(c.calendars, hours); !same || at.After(c.validUntil) || at.Before(c.validUntil.Add(-time.Hour)) {
+		c.calendars, c.windows, c.validUntil = hours, map[string]maintenance.Window{}, at.Add(time.Hour)
 		for name, h := range hours {
-			if w, ok := maintenance.NextWindow(at, quietAhead, h); ok {
+			if w, ok := maintenance.NextWindow(at, windowLookahead, h); ok {
 				c.windows[name] = w
-				if w.To.Before(c.until) {
-					c.until = w.To
+				if w.To.Before(c.validUntil) {
+					c.validUntil = w.To
 				}
 			}
 		}
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -7,9 +7,9 @@
 	"sloepick/internal/maintenance"
 )
 
-// TestClockOfMembers: a member whose clock is an hour or a year off has no say in the fleet's clock; if it is this one it says so, and goes by the
+// TestFleetClock: a member whose clock is an hour or a year off has no say in the fleet's clock; if it is this one it says so, and goes by the
 // others'; where no more than half agree nothing is quiet.
-func TestClockOfMembers(t *testing.T) {
+func TestFleetClock(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
 	span, err := maintenance.ParseSpan("daily 13:00-14:00")
 	if err != nil {
@@ -31,9 +31,9 @@
 		{"this one is an hour behind", []PeerInfoRow{row("b", time.Hour), row("c", time.Hour)}, true, true, 0, 0},
 		{"nobody agrees", []PeerInfoRow{row("b", time.Hour), row("c", 2*time.Hour)}, false, false, 0, 0},
 	} {
-		c := clockOf(append(tc.others, row("a", 0)), "a", at)
-		var days calendar
-		rows := days.rows(hours, c, at)
+		c := estimateFleetClock(append(tc.others, row("a", 0)), "a", at)
+		var days windowCache
+		rows := days.regionStatuses(hours, c, at)
 		if c.OK != tc.ok || c.LocalClockOff != tc.off || c.TotalMembers != 3 || len(rows) != len(hours) && tc.ok {
 			t.Errorf("%s: %+v, %+v", tc.name, c, rows)
 		}
@@ -55,7 +55,7 @@
 		}
 		return map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	}
-	var days calendar
+	var days windowCache
 	one, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
 	for _, tc := range []struct {
 		hours map[string]*maintenance.Calendar
@@ -63,7 +63,7 @@
 		from  int // hour
 		day   int
 	}{{one, 0, 13, 2}, {one, 29 * time.Minute, 13, 2}, {one, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {one, 0, 13, 2}} {
-		rows := days.rows(tc.hours, clock, at.Add(tc.after))
+		rows := days.regionStatuses(tc.hours, clock, at.Add(tc.after))
 		if from := rows[0].WindowStart; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Remaining == 0 || rows[0].WindowEnd.Sub(at.Add(tc.after)) <= 0 || rows[0].WindowEnd.Day() != tc.day {
 			t.Errorf("%v later: %+v", tc.after, rows[0])
 		}
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -16,38 +16,38 @@
 
 // This file is what a member keeps on its disk.
 
-// saved is what a member keeps on its disk.
-type saved struct {
-	Name    string              `json:"name"`
-	Life    uint64              `json:"life"`
-	Claim   fleet.Claim         `json:"claim"`
-	Members []string            `json:"members"` // addresses
-	Held    []held              `json:"held"`    // what others claimed ...
-	At      int64               `json:"at"`      // ... by this wall clock, in milliseconds since 1970
-	Voters  election.Electorate `json:"voters"`
+// savedState is what a member keeps on its disk.
+type savedState struct {
+	Name          string              `json:"name"`
+	Incarnation   uint64              `json:"life"`
+	Claim         fleet.Claim         `json:"claim"`
+	Members       []string            `json:"members"` // addresses
+	Claims        []savedClaim        `json:"held"`    // what others claimed ...
+	SavedAtMillis int64               `json:"at"`      // ... by this wall clock, in milliseconds since 1970
+	Voters        election.Electorate `json:"voters"`
 }
 
-// held is another member's claim, as it was known last: after a loss of power a place is kept for one whose disk is lost, too.
-type held struct {
-	Name  string      `json:"n"`
-	Life  uint64      `json:"l"`
-	Claim fleet.Claim `json:"c"`
+// savedClaim is another member's claim, as it was known last: after a loss of power a place is kept for one whose disk is lost, too.
+type savedClaim struct {
+	Name        string      `json:"n"`
+	Incarnation uint64      `json:"l"`
+	Claim       fleet.Claim `json:"c"`
 }
 
-// heldBefore is what the disk tells of others. They count as having left: whether they come back is not known, and until then they are
+// savedSharedState is what the disk tells of others. They count as having left: whether they come back is not known, and until then they are
 // no part of a majority.
-func (e *Engine) heldBefore() (p fleet.SharedState) {
-	ago := max(0, time.Since(time.UnixMilli(e.saved.At)))
-	for _, h := range e.saved.Held {
-		p.Absent = append(p.Absent, fleet.AbsentMember{Member: fleet.Member{Name: h.Name, Incarnation: h.Life, Claim: h.Claim}, State: fleet.Left, Ago: ago})
+func (e *Engine) savedSharedState() (p fleet.SharedState) {
+	ago := max(0, time.Since(time.UnixMilli(e.saved.SavedAtMillis)))
+	for _, h := range e.saved.Claims {
+		p.Absent = append(p.Absent, fleet.AbsentMember{Member: fleet.Member{Name: h.Name, Incarnation: h.Incarnation, Claim: h.Claim}, State: fleet.Left, Ago: ago})
 	}
 	return p
 }
 
-// load reads what was kept. What is torn or another member's is set aside with a line in the log: this member's place is then told by
+// loadState reads what was kept. What is torn or another member's is set aside with a line in the log: this member's place is then told by
 // the others, who keep it for its name. A file that can't be read now, and may be later, is an error.
-func (e *Engine) load() error {
-	none := saved{Claim: fleet.NoClaim}
+func (e *Engine) loadState() error {
+	none := savedState{Claim: fleet.NoClaim}
 	e.saved = none
 	if e.cfg.StateFile == "" {
 		return nil
@@ -74,44 +74,44 @@
 
 const badSuffix = ".bad" // behind the name of a file that is set aside
 
-// keep has the place and who is there kept soon, the newest of it: the table must not wait for a disk.
-func (e *Engine) keep() {
+// requestSave has the place and who is there kept soon, the newest of it: the table must not wait for a disk.
+func (e *Engine) requestSave() {
 	if e.cfg.StateFile == "" {
 		return
 	}
-	e.saved.Name, e.saved.Life, e.saved.Members = e.cfg.Name, e.life, nil
+	e.saved.Name, e.saved.Incarnation, e.saved.Members = e.cfg.Name, e.incarnation, nil
 	e.mu.Lock()
 	for _, n := range e.nodes {
 		e.saved.Members = append(e.saved.Members, n.Address())
 	}
 	e.mu.Unlock()
 	slices.Sort(e.saved.Members)
-	e.saved.At, e.saved.Held = time.Now().UnixMilli(), nil
+	e.saved.SavedAtMillis, e.saved.Claims = time.Now().UnixMilli(), nil
 	for _, r := range e.table.Members() {
 		if !r.Self && r.State != fleet.Left && r.Claim.Slot >= 0 {
-			e.saved.Held = append(e.saved.Held, held{r.Name, r.Incarnation, r.Claim})
+			e.saved.Claims = append(e.saved.Claims, savedClaim{r.Name, r.Incarnation, r.Claim})
 		}
 	}
 	next := e.saved
-	e.toKeep.Store(&next)
+	e.pendingState.Store(&next)
 	select {
-	case e.unkept <- struct{}{}:
+	case e.saveNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// save writes what is to be kept, whole or not at all, until the context ends and nothing is left.
-func (e *Engine) save(ctx context.Context) {
+// saveLoop writes what is to be kept, whole or not at all, until the context ends and nothing is left.
+func (e *Engine) saveLoop(ctx context.Context) {
 	write := func() {
-		if s := e.toKeep.Swap(nil); s != nil {
-			if err := writeWhole(e.cfg.StateFile, *s); err != nil {
+		if s := e.pendingState.Swap(nil); s != nil {
+			if err := writeFileAtomically(e.cfg.StateFile, *s); err != nil {
 				e.log.Warn("the fleet's state was not kept", "err", err)
 			}
 		}
 	}
 	for {
 		select {
-		case <-e.unkept:
+		case <-e.saveNeeded:
 			write()
 		case <-ctx.Done():
 			write()
@@ -120,7 +120,7 @@
 	}
 }
 
-func writeWhole(file string, v any) error {
+func writeFileAtomically(file string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	statusWithin = time.Second // a reader of the status takes no longer
-	statusMode   = 0o600
+	statusTimeout    = time.Second // a reader of the status takes no longer
+	statusSocketMode = 0o600
 )
 
 // listenStatus opens the local socket for the status. One that a former process left behind gives way.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("the fleet's status: %w", err)
 	}
-	if err := os.Chmod(path, statusMode); err != nil {
+	if err := os.Chmod(path, statusSocketMode); err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("the fleet's status: %w", err)
 	}
@@ -42,8 +42,8 @@
 		if err != nil {
 			return
 		}
-		if err := c.SetDeadline(time.Now().Add(statusWithin)); err == nil {
-			err = json.NewEncoder(c).Encode(e.report.Load())
+		if err := c.SetDeadline(time.Now().Add(statusTimeout)); err == nil {
+			err = json.NewEncoder(c).Encode(e.status.Load())
 			if err != nil {
 				e.log.Debug("telling the fleet's status", "err", err)
 			}
@@ -60,7 +60,7 @@
 		return nil, fmt.Errorf("asking a daemon: %w", err)
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(statusWithin)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(statusTimeout)); err != nil {
 		return nil, fmt.Errorf("asking a daemon: %w", err)
 	}
 	var r *Status
--- a/internal/gossip/tell.go
+++ b/internal/gossip/tell.go
@@ -13,49 +13,49 @@
 // This file is messages from place to place.
 
 // Send implements gateway.Peers.
-func (e *Engine) Send(place int, text string) error { return e.tellPlace(place, 0, text) }
+func (e *Engine) Send(place int, text string) error { return e.sendToSlot(place, 0, text) }
 
-// tellPlace sends a text to whoever is in a place. flag is set in the sender's place, and tells what the text is.
-func (e *Engine) tellPlace(place int, flag uint16, text string) error {
-	s := e.standing.Load()
-	if place < 0 || place >= len(s.Holders) || s.Slot < 0 || len(text) > mostOf(flag) {
+// sendToSlot sends a text to whoever is in a place. flag is set in the sender's place, and tells what the text is.
+func (e *Engine) sendToSlot(place int, flag uint16, text string) error {
+	s := e.assignment.Load()
+	if place < 0 || place >= len(s.Holders) || s.Slot < 0 || len(text) > maxPayloadBytes(flag) {
 		return fmt.Errorf("a message of %d bytes to place %d can't be sent", len(text), place)
 	}
 	h := &s.Holders[place]
 	if h.Name == "" || h.State != fleet.Alive {
 		return fmt.Errorf("nobody is in place %d", place)
 	}
-	b := binary.BigEndian.AppendUint16(make([]byte, 0, headLen+len(text)), uint16(s.Slot)|flag)
-	b = append(binary.BigEndian.AppendUint64(b, e.life), text...)
+	b := binary.BigEndian.AppendUint16(make([]byte, 0, headerBytes+len(text)), uint16(s.Slot)|flag)
+	b = append(binary.BigEndian.AppendUint64(b, e.incarnation), text...)
 	select {
-	case e.tells <- tell{lifeOf(h.Name, h.Incarnation), b}:
+	case e.outbound <- outboundMessage{nodeName(h.Name, h.Incarnation), b}:
 		return nil
 	default:
-		e.lost.Add(1)
+		e.droppedMessages.Add(1)
 		return errors.New("too many messages wait to be sent")
 	}
 }
 
-// mostOf is how many bytes a message may have.
-func mostOf(flag uint16) int {
-	if flag&newsFlag != 0 {
-		return newsMost
+// maxPayloadBytes is how many bytes a message may have.
+func maxPayloadBytes(flag uint16) int {
+	if flag&peerInfoFlag != 0 {
+		return maxPeerInfoBytes
 	}
-	return messageMost
+	return maxMessageBytes
 }
 
-// send sends messages: the engine may wait for a lock, which the gateway's loop must not.
-func (e *Engine) send(ctx context.Context) {
+// sendLoop sends messages: the engine may wait for a lock, which the gateway's loop must not.
+func (e *Engine) sendLoop(ctx context.Context) {
 	for {
 		select {
-		case t := <-e.tells:
+		case t := <-e.outbound:
 			e.mu.Lock()
 			n := e.nodes[t.to]
 			e.mu.Unlock()
 			if n == nil {
 				continue
 			}
-			if err := e.list.SendBestEffort(n, t.text); err != nil {
+			if err := e.memberlist.SendBestEffort(n, t.data); err != nil {
 				e.log.Debug("a message was not sent", "err", err)
 			}
 		case <-ctx.Done():
@@ -64,4 +64,4 @@
 	}
 }
 
-func lifeOf(name string, life uint64) string { return strconv.FormatUint(life, 36) + "." + name }
+func nodeName(name string, life uint64) string { return strconv.FormatUint(life, 36) + "." + name }
--- a/internal/overshoot/bound.go
+++ b/internal/overshoot/bound.go
@@ -5,9 +5,9 @@
 import "time"
 
 const (
-	twinLag   = 0.2 // bursts: what one home lets in before it tells the other
-	knownOver = 1.3 // the width of a step in which a flood's share is told, 2^0.75, halved both ways
-	freeParts = 4.0 // even parts that a gateway lets in of a customer that nobody told of, without its homes
+	replicaLagBursts  = 0.2 // bursts: what one home lets in before it tells the other
+	knownExcessFactor = 1.3 // the width of a step in which a flood's share is told, 2^0.75, halved both ways
+	unknownEvenShares = 4.0 // even parts that a gateway lets in of a customer that nobody told of, without its homes
 )
 
 // Plan is a customer's limit.
@@ -31,15 +31,15 @@
 // each time that a home began anew; in silence 1.3 times the rate, or four even parts at each gateway where nobody knew that it floods.
 // For ceilings it is nothing beyond the platform's slack, whoever hears whom.
 func MaxExcess(p Plan, t Incident) float64 {
-	silent := knownOver * p.Rate * t.CoordinatorSilence.Seconds()
+	silent := knownExcessFactor * p.Rate * t.CoordinatorSilence.Seconds()
 	if !t.KnownOverQuota && t.CoordinatorSilence > 0 {
-		silent = freeParts * (p.Rate*t.CoordinatorSilence.Seconds() + p.Burst)
+		silent = unknownEvenShares * (p.Rate*t.CoordinatorSilence.Seconds() + p.Burst)
 	}
-	return silent + (twinLag+float64(t.CoordinatorRestarts))*p.Burst
+	return silent + (replicaLagBursts+float64(t.CoordinatorRestarts))*p.Burst
 }
 
 // MaxExcessRatio is what a customer that is known to flood may get beyond its rate in a time, as a share of what the rate gives in it, where its
 // home was silent for a while; a fifth of a burst comes on top.
 func MaxExcessRatio(silent, in time.Duration) float64 {
-	return knownOver * min(silent, in).Seconds() / in.Seconds()
+	return knownExcessFactor * min(silent, in).Seconds() / in.Seconds()
 }
--- a/internal/peerinfo/bound.go
+++ b/internal/peerinfo/bound.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// missed is how likely it may be that news is older than Stale tells.
-const missed = 1e-6
+// missProbability is how likely it may be that news is older than Stale tells.
+const missProbability = 1e-6
 
 // StalenessBound is how old the newest that a member knows of another one may be where so many members hear each other: that share of messages is
 // lost, and each takes so long at most. It does not hold for one piece of news in a million.
@@ -24,15 +24,15 @@
 		return 0
 	}
 	fan, pass := float64(min(c.Fanout, members-1)), (1-loss)*(1-loss)
-	rounds := 1 + math.Ceil(math.Log(1/missed)/(fan*pass))
+	rounds := 1 + math.Ceil(math.Log(1/missProbability)/(fan*pass))
 	if members-1 <= c.Fanout { // all are asked, so it is enough that one of the questions is answered
-		rounds = 1 + math.Ceil(math.Log(missed)/math.Log(1-pass+missed))
+		rounds = 1 + math.Ceil(math.Log(missProbability)/math.Log(1-pass+missProbability))
 	} else {
-		for u := 1 - 1/float64(members); u*float64(members) > missed*float64(members); rounds++ {
+		for u := 1 - 1/float64(members); u*float64(members) > missProbability*float64(members); rounds++ {
 			u *= math.Pow(1-(1-u)*pass, fan)
 		}
 	}
-	room := (c.MaxMessageBytes - headRoom - 2*nameMost) / hasLen
+	room := (c.MaxMessageBytes - messageOverhead - 2*maxNameBytes) / digestEntryBytes
 	round := float64(c.Interval) * (1 + c.ClockDrift) * math.Ceil(float64(members)/float64(room))
 	return time.Duration(float64(c.Interval) + round*(1+rounds) + rounds*2*float64(delay))
 }
--- a/internal/peerinfo/commons.go
+++ b/internal/peerinfo/commons.go
@@ -36,26 +36,26 @@
 }
 
 const (
-	nameMost    = 64 // bytes of an author's name
-	valueMost   = 64 // bytes of a value
-	topicsMost  = 8  // of an author
-	askedMost   = 32 // questions whose answers are still taken; later ones make the oldest too old to date
-	answersMost = 8  // messages that answer one question
-	headRoom    = 64 // bytes of a message for all but its entries and names
+	maxNameBytes      = 64 // bytes of an author's name
+	maxValueBytes     = 64 // bytes of a value
+	maxTopics         = 8  // of an author
+	maxPendingQueries = 32 // questions whose answers are still taken; later ones make the oldest too old to date
+	maxReplies        = 8  // messages that answer one question
+	messageOverhead   = 64 // bytes of a message for all but its entries and names
 )
 
 // Validate reports the first value that can't be used.
 func (c *Config) Validate() error {
 	switch {
-	case c.Name == "" || len(c.Name) > nameMost:
-		return fmt.Errorf("commons: a name of %d bytes, want 1 to %d", len(c.Name), nameMost)
+	case c.Name == "" || len(c.Name) > maxNameBytes:
+		return fmt.Errorf("commons: a name of %d bytes, want 1 to %d", len(c.Name), maxNameBytes)
 	case c.ClockDrift < 0 || c.ClockDrift >= 0.5:
 		return fmt.Errorf("commons: clocks that differ by a share of %v", c.ClockDrift)
 	case c.Retention <= 0 || c.Interval <= 0 || c.Retention <= c.Interval:
 		return fmt.Errorf("commons: facts that are kept for %v and asked for each %v", c.Retention, c.Interval)
 	case c.MaxAuthors < 1 || c.Fanout < 1:
 		return fmt.Errorf("commons: %d authors, and %d members that are asked, want 1 or more", c.MaxAuthors, c.Fanout)
-	case c.MaxMessageBytes < 2*nameMost+valueMost+2*headRoom:
+	case c.MaxMessageBytes < 2*maxNameBytes+maxValueBytes+2*messageOverhead:
 		return fmt.Errorf("commons: messages of %d bytes have no room for an entry", c.MaxMessageBytes)
 	}
 	return nil
@@ -85,34 +85,34 @@
 
 // entry is a fact as it is kept: it was so old at a time, or less.
 type entry struct {
-	life, no uint64
-	value    []byte
-	age, at  time.Duration
-	has      bool
+	incarnation, version uint64
+	value                []byte
+	age, asOf            time.Duration
+	present              bool
 }
 
 // author is all that is known of a member. One that left keeps its place here, so that it can't come back by what others still tell.
 type author struct {
-	name   string
-	topics [topicsMost]entry
-	gone   uint64 // facts of this life and of earlier ones are not taken ...
-	until  time.Duration
+	name            string
+	topics          [maxTopics]entry
+	leftIncarnation uint64 // facts of this life and of earlier ones are not taken ...
+	leftUntil       time.Duration
 }
 
 // Table is what one member knows. Make it with New. It is not safe for concurrent use.
 type Table struct {
 	cfg     Config
-	no      uint64
+	version uint64
 	authors []*author // in the order of their names
 	cursor  string    // the next question begins at this name
 	nonce   uint64
-	asked   []asked // the newest last
-	counts  Stats
+	pending []pendingQuery // the newest last
+	stats   Stats
 }
 
-type asked struct {
-	nonce uint64
-	at    time.Duration
+type pendingQuery struct {
+	nonce  uint64
+	sentAt time.Duration
 }
 
 // Stats are what became of messages so far.
@@ -133,7 +133,7 @@
 }
 
 // Stats tells what became of messages.
-func (t *Table) Stats() Stats { return t.counts }
+func (t *Table) Stats() Stats { return t.stats }
 
 func (t *Table) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(t.authors, name, func(a *author, n string) int { return strings.Compare(a.name, n) })
@@ -145,47 +145,47 @@
 }
 
 func (t *Table) age(e *entry, now time.Duration) time.Duration {
-	return t.cfg.AdvanceAge(e.age, e.at, now)
+	return t.cfg.AdvanceAge(e.age, e.asOf, now)
 }
 
 // Publish says something of this member from now on.
 func (t *Table) Publish(now time.Duration, topic Topic, value []byte) error {
-	if int(topic) >= topicsMost || len(value) > valueMost {
-		return fmt.Errorf("commons: topic %d, %d bytes; there are %d topics of %d bytes at most", topic, len(value), topicsMost, valueMost)
+	if int(topic) >= maxTopics || len(value) > maxValueBytes {
+		return fmt.Errorf("commons: topic %d, %d bytes; there are %d topics of %d bytes at most", topic, len(value), maxTopics, maxValueBytes)
 	}
-	t.no++
-	if !t.take(now, Record{Author: t.cfg.Name, Incarnation: t.cfg.Incarnation, Version: t.no, Topic: topic, Value: value}, 0) {
+	t.version++
+	if !t.merge(now, Record{Author: t.cfg.Name, Incarnation: t.cfg.Incarnation, Version: t.version, Topic: topic, Value: value}, 0) {
 		return fmt.Errorf("commons: %d authors are known already", t.cfg.MaxAuthors)
 	}
 	return nil
 }
 
-// take takes a fact of that age, if it is news, or the same at a younger age.
-func (t *Table) take(now time.Duration, f Record, age time.Duration) bool {
+// merge takes a fact of that age, if it is news, or the same at a younger age.
+func (t *Table) merge(now time.Duration, f Record, age time.Duration) bool {
 	i, known := t.find(f.Author)
 	if !known {
 		if len(t.authors) >= t.cfg.MaxAuthors {
-			t.counts.TableFull++
+			t.stats.TableFull++
 			return false
 		}
 		t.authors = slices.Insert(t.authors, i, &author{name: f.Author})
 	}
 	a := t.authors[i]
-	if age > t.cfg.Retention || a.gone > 0 && f.Incarnation <= a.gone {
-		t.counts.Rejected++
+	if age > t.cfg.Retention || a.leftIncarnation > 0 && f.Incarnation <= a.leftIncarnation {
+		t.stats.Rejected++
 		return false
 	}
 	e := &a.topics[f.Topic]
 	switch {
-	case e.has && (e.life > f.Incarnation || e.life == f.Incarnation && e.no > f.Version):
+	case e.present && (e.incarnation > f.Incarnation || e.incarnation == f.Incarnation && e.version > f.Version):
 		return false
-	case e.has && e.life == f.Incarnation && e.no == f.Version:
+	case e.present && e.incarnation == f.Incarnation && e.version == f.Version:
 		if age < t.age(e, now) { // both are bounds: the lower one is the better
-			e.age, e.at = age, now
+			e.age, e.asOf = age, now
 		}
 		return false
 	}
-	*e = entry{life: f.Incarnation, no: f.Version, value: slices.Clone(f.Value), age: age, at: now, has: true}
+	*e = entry{incarnation: f.Incarnation, version: f.Version, value: slices.Clone(f.Value), age: age, asOf: now, present: true}
 	return true
 }
 
@@ -193,7 +193,7 @@
 // [*StaleError].
 func (t *Table) Lookup(now time.Duration, name string, topic Topic, atMost time.Duration) (Record, time.Duration, error) {
 	i, ok := t.find(name)
-	if !ok || int(topic) >= topicsMost || !t.authors[i].topics[topic].has {
+	if !ok || int(topic) >= maxTopics || !t.authors[i].topics[topic].present {
 		return Record{}, 0, ErrUnknown
 	}
 	e := &t.authors[i].topics[topic]
@@ -204,13 +204,13 @@
 	if age > atMost {
 		return Record{}, age, &StaleError{age, atMost}
 	}
-	return Record{name, e.life, e.no, topic, e.value}, age, nil
+	return Record{name, e.incarnation, e.version, topic, e.value}, age, nil
 }
 
 // KnownAuthors are the authors of whom a fact on a topic is known, in the order of their names.
 func (t *Table) KnownAuthors(now time.Duration, topic Topic) (names []string) {
 	for _, a := range t.authors {
-		if e := &a.topics[topic]; e.has && t.age(e, now) <= t.cfg.Retention {
+		if e := &a.topics[topic]; e.present && t.age(e, now) <= t.cfg.Retention {
 			names = append(names, a.name)
 		}
 	}
@@ -228,10 +228,10 @@
 		t.authors = slices.Insert(t.authors, i, &author{name: name})
 	}
 	a := t.authors[i]
-	a.gone = max(a.gone, life)
-	a.until = now + time.Duration(float64(t.cfg.Retention)*(1+t.cfg.ClockDrift)/(1-t.cfg.ClockDrift))
+	a.leftIncarnation = max(a.leftIncarnation, life)
+	a.leftUntil = now + time.Duration(float64(t.cfg.Retention)*(1+t.cfg.ClockDrift)/(1-t.cfg.ClockDrift))
 	for k := range a.topics {
-		if a.topics[k].has && a.topics[k].life <= a.gone {
+		if a.topics[k].present && a.topics[k].incarnation <= a.leftIncarnation {
 			a.topics[k] = entry{}
 		}
 	}
@@ -244,21 +244,21 @@
 			a.topics[k].age += d
 		}
 	}
-	t.asked = nil // what is answered now was asked before
+	t.pending = nil // what is answered now was asked before
 }
 
 // sweep drops what is too old, and who is known of no more.
 func (t *Table) sweep(now time.Duration) {
 	t.authors = slices.DeleteFunc(t.authors, func(a *author) bool {
-		if a.gone > 0 && now > a.until {
-			a.gone = 0
+		if a.leftIncarnation > 0 && now > a.leftUntil {
+			a.leftIncarnation = 0
 		}
-		has := a.gone > 0
+		has := a.leftIncarnation > 0
 		for k := range a.topics {
-			if e := &a.topics[k]; e.has && t.age(e, now) > t.cfg.Retention {
+			if e := &a.topics[k]; e.present && t.age(e, now) > t.cfg.Retention {
 				*e = entry{}
 			}
-			has = has || a.topics[k].has
+			has = has || a.topics[k].present
 		}
 		return !has
 	})
--- a/internal/peerinfo/commons_test.go
+++ b/internal/peerinfo/commons_test.go
@@ -25,41 +25,41 @@
 	os.Exit(m.Run())
 }
 
-const drift = 0.05
+const clockDrift = 0.05
 
-func small(name string, life uint64) Config {
+func testConfig(name string, life uint64) Config {
 	c := DefaultConfig()
-	c.Name, c.Incarnation, c.ClockDrift, c.Retention, c.MaxAuthors = name, life, drift, 30*time.Second, 8
+	c.Name, c.Incarnation, c.ClockDrift, c.Retention, c.MaxAuthors = name, life, clockDrift, 30*time.Second, 8
 	return c
 }
 
-// played is a few members whose clocks differ, with messages that are on their way for as long as a script has it.
-type played struct {
-	tables []*Table
-	rates  []float64 // of their clocks
-	slept  []time.Duration
-	lives  []uint64
-	now    time.Duration // true time
-	born   map[string]time.Duration
-	onWay  []letter
-	gone   map[string]uint64 // that all were told left, by name
-	newest []map[string][2]uint64
+// simulation is a few members whose clocks differ, with messages that are on their way for as long as a script has it.
+type simulation struct {
+	tables           []*Table
+	rates            []float64 // of their clocks
+	suspended        []time.Duration
+	incarnations     []uint64
+	now              time.Duration // true time
+	publishedAt      map[string]time.Duration
+	inFlight         []message
+	leftIncarnations map[string]uint64 // that all were told left, by name
+	newest           []map[string][2]uint64
 }
 
-type letter struct {
+type message struct {
 	from, to int
-	text     []byte
+	data     []byte
 }
 
-func name(i int) string { return fmt.Sprint("m", i) }
+func memberName(i int) string { return fmt.Sprint("m", i) }
 
-func fact(who string, life, no uint64) string { return fmt.Sprint(who, "/", life, "/", no) }
+func recordKey(who string, life, no uint64) string { return fmt.Sprint(who, "/", life, "/", no) }
 
-func newPlayed(t *rapid.T, n int) *played {
-	p := &played{born: map[string]time.Duration{}, gone: map[string]uint64{}}
+func newSimulation(t *rapid.T, n int) *simulation {
+	p := &simulation{publishedAt: map[string]time.Duration{}, leftIncarnations: map[string]uint64{}}
 	for i := range n {
-		p.tables, p.lives, p.slept = append(p.tables, nil), append(p.lives, 0), append(p.slept, 0)
-		p.rates = append(p.rates, rapid.SampledFrom([]float64{1 - drift, 1, 1 + drift}).Draw(t, "rate"))
+		p.tables, p.incarnations, p.suspended = append(p.tables, nil), append(p.incarnations, 0), append(p.suspended, 0)
+		p.rates = append(p.rates, rapid.SampledFrom([]float64{1 - clockDrift, 1, 1 + clockDrift}).Draw(t, "rate"))
 		p.newest = append(p.newest, nil)
 		p.start(t, i)
 	}
@@ -67,123 +67,123 @@
 }
 
 // clock is a member's own time.
-func (p *played) clock(i int) time.Duration {
-	return time.Duration(i)*time.Hour + time.Duration(float64(p.now-p.slept[i])*p.rates[i])
+func (p *simulation) clock(i int) time.Duration {
+	return time.Duration(i)*time.Hour + time.Duration(float64(p.now-p.suspended[i])*p.rates[i])
 }
 
-func (p *played) start(t *rapid.T, i int) {
-	p.lives[i]++
+func (p *simulation) start(t *rapid.T, i int) {
+	p.incarnations[i]++
 	var err error
-	if p.tables[i], err = New(small(name(i), p.lives[i]), uint64(i)<<32+p.lives[i]<<16); err != nil {
+	if p.tables[i], err = New(testConfig(memberName(i), p.incarnations[i]), uint64(i)<<32+p.incarnations[i]<<16); err != nil {
 		t.Fatal(err)
 	}
 	p.newest[i] = map[string][2]uint64{}
-	p.say(t, i)
+	p.publish(t, i)
 }
 
-func (p *played) say(t *rapid.T, i int) {
+func (p *simulation) publish(t *rapid.T, i int) {
 	if err := p.tables[i].Publish(p.clock(i), 1, []byte{byte(i)}); err != nil {
 		t.Fatal(err)
 	}
-	p.born[fact(name(i), p.lives[i], p.tables[i].no)] = p.now
+	p.publishedAt[recordKey(memberName(i), p.incarnations[i], p.tables[i].version)] = p.now
 }
 
-func (p *played) deliver(k int, keep bool) {
-	l := p.onWay[k]
+func (p *simulation) deliver(k int, keep bool) {
+	l := p.inFlight[k]
 	if !keep {
-		p.onWay = slices.Delete(p.onWay, k, k+1)
+		p.inFlight = slices.Delete(p.inFlight, k, k+1)
 	}
-	for _, back := range p.tables[l.to].HandleMessage(p.clock(l.to), l.text) {
-		p.onWay = append(p.onWay, letter{l.to, l.from, back})
+	for _, back := range p.tables[l.to].HandleMessage(p.clock(l.to), l.data) {
+		p.inFlight = append(p.inFlight, message{l.to, l.from, back})
 	}
 }
 
-func (p *played) ask(i, j int) {
-	p.onWay = append(p.onWay, letter{i, j, p.tables[i].NextQuery(p.clock(i))})
+func (p *simulation) query(i, j int) {
+	p.inFlight = append(p.inFlight, message{i, j, p.tables[i].NextQuery(p.clock(i))})
 }
 
 // check holds what must hold all along: no age is told younger than it is, nothing goes back, and who left does not come back.
-func (p *played) check(t *rapid.T) {
+func (p *simulation) check(t *rapid.T) {
 	for i, table := range p.tables {
 		for _, who := range table.KnownAuthors(p.clock(i), 1) {
 			f, age, err := table.Lookup(p.clock(i), who, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
-			born, ok := p.born[fact(who, f.Incarnation, f.Version)]
+			born, ok := p.publishedAt[recordKey(who, f.Incarnation, f.Version)]
 			if !ok {
-				t.Fatalf("%s knows what nobody said: %+v", name(i), f)
+				t.Fatalf("%s knows what nobody said: %+v", memberName(i), f)
 			}
 			if is := p.now - born; age < is-time.Microsecond { // of rounding
-				t.Fatalf("%s tells %s's number %d of life %d as %v old; it is %v", name(i), who, f.Version, f.Incarnation, age, is)
+				t.Fatalf("%s tells %s's number %d of life %d as %v old; it is %v", memberName(i), who, f.Version, f.Incarnation, age, is)
 			}
-			if f.Incarnation <= p.gone[who] {
-				t.Fatalf("%s knows life %d of %s, which left", name(i), f.Incarnation, who)
+			if f.Incarnation <= p.leftIncarnations[who] {
+				t.Fatalf("%s knows life %d of %s, which left", memberName(i), f.Incarnation, who)
 			}
 			was, is := p.newest[i][who], [2]uint64{f.Incarnation, f.Version}
 			if was[0] > is[0] || was[0] == is[0] && was[1] > is[1] {
-				t.Fatalf("%s went back from %v to %v of %s", name(i), was, is, who)
+				t.Fatalf("%s went back from %v to %v of %s", memberName(i), was, is, who)
 			}
 			p.newest[i][who] = is
 		}
 	}
 }
 
-// TestAgesErrToTheOldSide plays scripts of members that say, ask, sleep, restart and leave, and of messages that are late, doubled, lost and in
+// TestAgesAreNeverUnderstated plays scripts of members that say, ask, sleep, restart and leave, and of messages that are late, doubled, lost and in
 // any order, between clocks that run at different rates. At the end, when all hear each other, all know the newest of all that are there.
-func TestAgesErrToTheOldSide(t *testing.T) {
+func TestAgesAreNeverUnderstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 4
-		p := newPlayed(t, n)
+		p := newSimulation(t, n)
 		member := rapid.IntRange(0, n-1)
 		pick := func(t *rapid.T) int {
-			if len(p.onWay) == 0 {
+			if len(p.inFlight) == 0 {
 				t.Skip("nothing is on its way")
 			}
-			return rapid.IntRange(0, len(p.onWay)-1).Draw(t, "message")
+			return rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "message")
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"say": func(t *rapid.T) { p.say(t, member.Draw(t, "member")) },
+			"say": func(t *rapid.T) { p.publish(t, member.Draw(t, "member")) },
 			"ask": func(t *rapid.T) {
 				i := member.Draw(t, "member")
-				p.ask(i, (i+rapid.IntRange(1, n-1).Draw(t, "other"))%n)
+				p.query(i, (i+rapid.IntRange(1, n-1).Draw(t, "other"))%n)
 			},
 			"deliver": func(t *rapid.T) { p.deliver(pick(t), false) },
 			"double":  func(t *rapid.T) { p.deliver(pick(t), true) },
-			"lose":    func(t *rapid.T) { k := pick(t); p.onWay = slices.Delete(p.onWay, k, k+1) },
+			"lose":    func(t *rapid.T) { k := pick(t); p.inFlight = slices.Delete(p.inFlight, k, k+1) },
 			"wait": func(t *rapid.T) {
 				p.now += time.Duration(rapid.SampledFrom([]int{1, 40, 700, 9000, 31000}).Draw(t, "ms")) * time.Millisecond
 			},
 			"sleep": func(t *rapid.T) {
 				i, d := member.Draw(t, "member"), time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms"))*time.Millisecond
 				p.now += d
-				p.slept[i] += d
+				p.suspended[i] += d
 				p.tables[i].AdjustForSuspend(p.clock(i), d)
 			},
 			"restart": func(t *rapid.T) { p.start(t, member.Draw(t, "member")) },
 			"leave": func(t *rapid.T) {
 				i := member.Draw(t, "member")
-				p.gone[name(i)] = p.lives[i]
+				p.leftIncarnations[memberName(i)] = p.incarnations[i]
 				p.start(t, i) // it comes back under another life, later
 				for j := range p.tables {
 					if j != i {
-						p.tables[j].RemoveMember(p.clock(j), name(i), p.gone[name(i)])
-						delete(p.newest[j], name(i))
+						p.tables[j].RemoveMember(p.clock(j), memberName(i), p.leftIncarnations[memberName(i)])
+						delete(p.newest[j], memberName(i))
 					}
 				}
 			},
 			"": p.check,
 		})
-		p.onWay = nil
+		p.inFlight = nil
 		for i := range n {
-			p.say(t, i)
+			p.publish(t, i)
 		}
 		for range 2 {
 			for i := range n {
 				for j := range n {
 					if i != j {
-						p.ask(i, j)
-						for len(p.onWay) > 0 {
+						p.query(i, j)
+						for len(p.inFlight) > 0 {
 							p.deliver(0, false)
 						}
 					}
@@ -192,24 +192,24 @@
 		}
 		for i, table := range p.tables {
 			for j := range n {
-				if f, age, err := table.Lookup(p.clock(i), name(j), 1, time.Second); err != nil || f.Incarnation != p.lives[j] || f.Version != p.tables[j].no {
-					t.Fatalf("%s knows %+v of %s, %v old, %v; the newest is number %d of life %d", name(i), f, name(j), age, err, p.tables[j].no, p.lives[j])
+				if f, age, err := table.Lookup(p.clock(i), memberName(j), 1, time.Second); err != nil || f.Incarnation != p.incarnations[j] || f.Version != p.tables[j].version {
+					t.Fatalf("%s knows %+v of %s, %v old, %v; the newest is number %d of life %d", memberName(i), f, memberName(j), age, err, p.tables[j].version, p.incarnations[j])
 				}
 			}
 		}
 	})
 }
 
-// TestOrderOfAnswersDoesNotMatter: the same answers in any order, and again, leave the same.
-func TestOrderOfAnswersDoesNotMatter(t *testing.T) {
+// TestReplyOrderDoesNotMatter: the same answers in any order, and again, leave the same.
+func TestReplyOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlayed(t, 3)
+		p := newSimulation(t, 3)
 		for range 6 {
-			p.say(t, rapid.IntRange(0, 1).Draw(t, "member"))
+			p.publish(t, rapid.IntRange(0, 1).Draw(t, "member"))
 			p.now += 10 * time.Millisecond
-			p.ask(0, 1)
-			p.ask(1, 0)
-			for len(p.onWay) > 0 {
+			p.query(0, 1)
+			p.query(1, 0)
+			for len(p.inFlight) > 0 {
 				p.deliver(0, false)
 			}
 		}
@@ -220,11 +220,11 @@
 			p.now += time.Second
 		}
 		order := rapid.Permutation(append(answers, answers...)).Draw(t, "order")
-		twin, err := New(small(name(2), 1), 2<<32+1<<16)
+		twin, err := New(testConfig(memberName(2), 1), 2<<32+1<<16)
 		if err != nil {
 			t.Fatal(err)
 		}
-		twin.asked = slices.Clone(p.tables[2].asked)
+		twin.pending = slices.Clone(p.tables[2].pending)
 		for _, a := range answers {
 			p.tables[2].HandleMessage(p.clock(2), a)
 		}
@@ -232,8 +232,8 @@
 			twin.HandleMessage(p.clock(2), a)
 		}
 		for i := range 2 {
-			f, age, _ := p.tables[2].Lookup(p.clock(2), name(i), 1, time.Hour)
-			g, old, _ := twin.Lookup(p.clock(2), name(i), 1, time.Hour)
+			f, age, _ := p.tables[2].Lookup(p.clock(2), memberName(i), 1, time.Hour)
+			g, old, _ := twin.Lookup(p.clock(2), memberName(i), 1, time.Hour)
 			if f.Version != g.Version || f.Version == 0 || age != old {
 				t.Fatalf("number %d, %v old; in another order %d, %v old", f.Version, age, g.Version, old)
 			}
@@ -241,19 +241,19 @@
 	})
 }
 
-// TestWhoLeftDoesNotComeBack: of who left nothing is taken that others still tell, however late, and all of its next life; the rule that says so
+// TestRemovedMemberDoesNotReturn: of who left nothing is taken that others still tell, however late, and all of its next life; the rule that says so
 // is forgotten only when all that could come is too old.
-func TestWhoLeftDoesNotComeBack(t *testing.T) {
-	cfg := small("me", 1)
+func TestRemovedMemberDoesNotReturn(t *testing.T) {
+	cfg := testConfig("me", 1)
 	me, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := New(small("other", 1), 2)
+	other, err := New(testConfig("other", 1), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.take(0, Record{Author: "left", Incarnation: 4, Version: 90, Topic: 1}, 0)
+	other.merge(0, Record{Author: "left", Incarnation: 4, Version: 90, Topic: 1}, 0)
 	late := other.HandleMessage(0, me.NextQuery(0))
 	me.HandleMessage(0, late[0])
 	me.RemoveMember(0, "left", 4)
@@ -264,7 +264,7 @@
 			t.Errorf("%v later: %v", at, known)
 		}
 	}
-	other.take(0, Record{Author: "left", Incarnation: 5, Version: 1, Topic: 1}, 0) // the number of a later life is lower
+	other.merge(0, Record{Author: "left", Incarnation: 5, Version: 1, Topic: 1}, 0) // the number of a later life is lower
 	for _, back := range other.HandleMessage(0, me.NextQuery(0)) {
 		me.HandleMessage(0, back)
 	}
@@ -273,14 +273,14 @@
 	}
 }
 
-// TestTooOldIsSaid: who asks tells how old it may be; nobody gets what is older, or what is forgotten, and an answer to a question that is not
+// TestStaleRecords: who asks tells how old it may be; nobody gets what is older, or what is forgotten, and an answer to a question that is not
 // remembered is not taken.
-func TestTooOldIsSaid(t *testing.T) {
-	a, err := New(small("a", 1), 1)
+func TestStaleRecords(t *testing.T) {
+	a, err := New(testConfig("a", 1), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := New(small("b", 1), 2)
+	b, err := New(testConfig("b", 1), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,7 +302,7 @@
 			t.Errorf("%s after what is kept: %v", who, err)
 		}
 	}
-	for range askedMost {
+	for range maxPendingQueries {
 		b.NextQuery(2 * time.Minute)
 	}
 	b.HandleMessage(2*time.Minute, answer[0])
@@ -311,10 +311,10 @@
 	}
 }
 
-// TestBounds: more authors than there is room for are not taken, messages stay small, and with more authors than a question names, all are
+// TestLimits: more authors than there is room for are not taken, messages stay small, and with more authors than a question names, all are
 // learned by the next ones.
-func TestBounds(t *testing.T) {
-	c := small("asker", 1)
+func TestLimits(t *testing.T) {
+	c := testConfig("asker", 1)
 	c.MaxAuthors = 400
 	asker, err := New(c, 1)
 	if err != nil {
@@ -326,7 +326,7 @@
 		t.Fatal(err)
 	}
 	for i := range 600 {
-		knows.take(0, Record{Author: fmt.Sprintf("member-%04d", i), Incarnation: 1, Version: 3, Topic: 2, Value: make([]byte, valueMost)}, 0)
+		knows.merge(0, Record{Author: fmt.Sprintf("member-%04d", i), Incarnation: 1, Version: 3, Topic: 2, Value: make([]byte, maxValueBytes)}, 0)
 	}
 	for range 60 {
 		q := asker.NextQuery(0)
@@ -334,7 +334,7 @@
 			t.Fatalf("a question of %d bytes", len(q))
 		}
 		back := knows.HandleMessage(0, q)
-		if len(back) > answersMost {
+		if len(back) > maxReplies {
 			t.Fatalf("%d messages for one question", len(back))
 		}
 		for _, a := range back {
@@ -349,16 +349,16 @@
 	}
 }
 
-// FuzzHear feeds messages; whatever comes must neither panic nor be believed of this member itself.
-func FuzzHear(f *testing.F) {
-	other, err := New(small("b", 1), 2)
+// FuzzHandleMessage feeds messages; whatever comes must neither panic nor be believed of this member itself.
+func FuzzHandleMessage(f *testing.F) {
+	other, err := New(testConfig("b", 1), 2)
 	if err != nil {
 		f.Fatal(err)
 	}
 	if err := other.Publish(0, 1, []byte("x")); err != nil {
 		f.Fatal(err)
 	}
-	me, err := New(small("a", 5), 1)
+	me, err := New(testConfig("a", 5), 1)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -368,7 +368,7 @@
 		f.Add(a)
 	}
 	f.Fuzz(func(t *testing.T, msg []byte) {
-		me, err := New(small("a", 5), 1)
+		me, err := New(testConfig("a", 5), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/queue/ring.go
+++ b/internal/queue/ring.go
@@ -17,70 +17,70 @@
 	MaxWait  time.Duration `json:"Longest"` // that one waited until it was taken
 }
 
-type slot[T any] struct {
-	v  T
-	at time.Time
+type item[T any] struct {
+	value   T
+	addedAt time.Time
 }
 
-type base[T any] struct {
+type ringBuffer[T any] struct {
 	mu     sync.Mutex
-	slots  []slot[T]
-	first  int
-	n      int
-	counts Stats
+	items  []item[T]
+	head   int
+	length int
+	stats  Stats
 	ready  chan struct{}
 }
 
-func (b *base[T]) init(size int) {
-	b.slots = make([]slot[T], max(1, size))
+func (b *ringBuffer[T]) init(size int) {
+	b.items = make([]item[T], max(1, size))
 	b.ready = make(chan struct{}, 1)
 }
 
-// put appends where there is room; the lock is held.
-func (b *base[T]) put(v T) {
-	b.slots[(b.first+b.n)%len(b.slots)] = slot[T]{v, time.Now()}
-	b.n++
-	b.counts.Put++
-	b.counts.MaxDepth = max(b.counts.MaxDepth, b.n)
+// push appends where there is room; the lock is held.
+func (b *ringBuffer[T]) push(v T) {
+	b.items[(b.head+b.length)%len(b.items)] = item[T]{v, time.Now()}
+	b.length++
+	b.stats.Put++
+	b.stats.MaxDepth = max(b.stats.MaxDepth, b.length)
 	select {
 	case b.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take removes the oldest; the lock is held and there is one.
-func (b *base[T]) take() slot[T] {
-	s := b.slots[b.first]
-	b.slots[b.first] = slot[T]{}
-	b.first = (b.first + 1) % len(b.slots)
-	b.n--
+// pop removes the oldest; the lock is held and there is one.
+func (b *ringBuffer[T]) pop() item[T] {
+	s := b.items[b.head]
+	b.items[b.head] = item[T]{}
+	b.head = (b.head + 1) % len(b.items)
+	b.length--
 	return s
 }
 
 // Ready is told when there may be something to take; the reader takes until there is no more.
-func (b *base[T]) Ready() <-chan struct{} { return b.ready }
+func (b *ringBuffer[T]) Ready() <-chan struct{} { return b.ready }
 
 // Take removes the oldest; false: there is none.
-func (b *base[T]) Take() (v T, ok bool) {
+func (b *ringBuffer[T]) Take() (v T, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.n == 0 {
+	if b.length == 0 {
 		return v, false
 	}
-	s := b.take()
-	b.counts.MaxWait = max(b.counts.MaxWait, time.Since(s.at))
-	return s.v, true
+	s := b.pop()
+	b.stats.MaxWait = max(b.stats.MaxWait, time.Since(s.addedAt))
+	return s.value, true
 }
 
 // Stats tells what became of all so far.
-func (b *base[T]) Stats() Stats {
+func (b *ringBuffer[T]) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.counts
+	return b.stats
 }
 
 // Evicting is a ring that drops the oldest when it is full. Make it with NewLatest.
-type Evicting[T any] struct{ base[T] }
+type Evicting[T any] struct{ ringBuffer[T] }
 
 // NewEvicting makes one for so many.
 func NewEvicting[T any](size int) *Evicting[T] {
@@ -93,15 +93,15 @@
 func (r *Evicting[T]) Put(v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.n == len(r.slots) {
-		r.take()
-		r.counts.Dropped++
+	if r.length == len(r.items) {
+		r.pop()
+		r.stats.Dropped++
 	}
-	r.put(v)
+	r.push(v)
 }
 
 // Rejecting is a ring that refuses when it is full. Make it with NewSure.
-type Rejecting[T any] struct{ base[T] }
+type Rejecting[T any] struct{ ringBuffer[T] }
 
 // NewRejecting makes one for so many.
 func NewRejecting[T any](size int) *Rejecting[T] {
@@ -114,10 +114,10 @@
 func (r *Rejecting[T]) Put(v T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.n == len(r.slots) {
-		r.counts.Dropped++
+	if r.length == len(r.items) {
+		r.stats.Dropped++
 		return false
 	}
-	r.put(v)
+	r.push(v)
 	return true
 }
--- a/internal/queue/ring_test.go
+++ b/internal/queue/ring_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestFull: what is full drops the oldest or refuses, counts it, and goes on in order past its end.
-func TestFull(t *testing.T) {
+// TestFullQueue: what is full drops the oldest or refuses, counts it, and goes on in order past its end.
+func TestFullQueue(t *testing.T) {
 	latest, sure := NewEvicting[int](3), NewRejecting[int](3)
 	for i := range 5 {
 		latest.Put(i)
