--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -36,8 +36,8 @@
 
 // NodeMeta implements memberlist.Delegate.
 func (d delegate) NodeMeta(limit int) []byte {
-	m := d.e.self.Load()
-	b, err := json.Marshal(nodeMeta{m.Version, m.Name, m.Incarnation, m.Generation, m.Claim.Slot, m.Claim.Term, strings.Repeat("-", int(m.Incarnation%paddingModulus)), d.e.leaving.Load()})
+	self := d.e.self.Load()
+	b, err := json.Marshal(nodeMeta{self.Version, self.Name, self.Incarnation, self.Generation, self.Claim.Slot, self.Claim.Term, strings.Repeat("-", int(self.Incarnation%paddingModulus)), d.e.leaving.Load()})
 	if err != nil || len(b) > limit {
 		return nil // a name is checked to be short
 	}
@@ -51,29 +51,29 @@
 	if len(b) <= headerBytes {
 		return
 	}
-	head, life := binary.BigEndian.Uint16(b), binary.BigEndian.Uint64(b[2:])
-	if len(b) > headerBytes+maxPayloadBytes(head) {
+	slotAndFlags, incarnation := binary.BigEndian.Uint16(b), binary.BigEndian.Uint64(b[2:])
+	if len(b) > headerBytes+maxPayloadBytes(slotAndFlags) {
 		return
 	}
-	place := int(head &^ (dutyFlag | peerInfoFlag))
+	slot := int(slotAndFlags &^ (dutyFlag | peerInfoFlag))
 	s := e.assignment.Load()
-	if place >= len(s.Holders) || s.Holders[place].Incarnation != life || place == s.Slot {
+	if slot >= len(s.Holders) || s.Holders[slot].Incarnation != incarnation || slot == s.Slot {
 		return // of one that has no place here, or not that one
 	}
-	if head&peerInfoFlag != 0 {
-		e.peerInfo.receive(place, b[headerBytes:])
+	if slotAndFlags&peerInfoFlag != 0 {
+		e.peerInfo.receive(slot, b[headerBytes:])
 		return
 	}
-	if head&dutyFlag != 0 {
-		e.duties.receive(place, b[headerBytes:])
+	if slotAndFlags&dutyFlag != 0 {
+		e.duties.receive(slot, b[headerBytes:])
 		return
 	}
-	text := string(b[headerBytes:])
+	payload := string(b[headerBytes:])
 	e.mu.Lock()
-	door := e.core
+	core := e.core
 	e.mu.Unlock()
-	if door != nil {
-		door.DeliverMessage(place, text)
+	if core != nil {
+		core.DeliverMessage(slot, payload)
 	}
 }
 
@@ -82,14 +82,14 @@
 
 // LocalState implements memberlist.Delegate.
 func (d delegate) LocalState(bool) []byte {
-	s := exchangedState{SharedState: d.e.sharedState.Load(), Sender: d.e.cfg.Name, DroppedMessages: d.e.droppedMessages.Load()}
+	state := exchangedState{SharedState: d.e.sharedState.Load(), Sender: d.e.cfg.Name, DroppedMessages: d.e.droppedMessages.Load()}
 	if m := d.e.recoverySource.Load(); m != nil {
 		var err error
-		if s.RecoverySnapshot, err = cbor.Marshal(m.Snapshot()); err != nil {
+		if state.RecoverySnapshot, err = cbor.Marshal(m.Snapshot()); err != nil {
 			d.e.log.Error("fleet: what is known can't be told", "err", err)
 		}
 	}
-	b, err := json.Marshal(s)
+	b, err := json.Marshal(state)
 	if err != nil {
 		return nil // numbers and strings always marshal
 	}
@@ -106,25 +106,25 @@
 
 // MergeRemoteState implements memberlist.Delegate.
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
-	s := exchangedState{SharedState: &fleet.SharedState{}}
-	if len(b) == 0 || json.Unmarshal(b, &s) != nil {
+	state := exchangedState{SharedState: &fleet.SharedState{}}
+	if len(b) == 0 || json.Unmarshal(b, &state) != nil {
 		return // of another version: nothing is learned from it
 	}
-	var w recovery.Word
-	if len(s.RecoverySnapshot) > 0 && d.e.recoverySource.Load() != nil && cbor.Unmarshal(s.RecoverySnapshot, &w) == nil {
+	var snapshot recovery.Word
+	if len(state.RecoverySnapshot) > 0 && d.e.recoverySource.Load() != nil && cbor.Unmarshal(state.RecoverySnapshot, &snapshot) == nil {
 		d.e.mu.Lock()
-		door := d.e.core
+		core := d.e.core
 		d.e.mu.Unlock()
-		if door != nil {
-			door.DeliverRecoverySnapshot(w)
+		if core != nil {
+			core.DeliverRecoverySnapshot(snapshot)
 		}
 	}
 	d.e.mu.Lock()
-	if _, known := d.e.peerDrops[s.Sender]; s.Sender != "" && (known || len(d.e.peerDrops) < maxPeerDrops) {
-		d.e.peerDrops[s.Sender] = s.DroppedMessages
+	if _, known := d.e.peerDrops[state.Sender]; state.Sender != "" && (known || len(d.e.peerDrops) < maxPeerDrops) {
+		d.e.peerDrops[state.Sender] = state.DroppedMessages
 	}
 	d.e.mu.Unlock()
-	d.e.events <- fleet.RemoteState{SharedState: *s.SharedState}
+	d.e.events <- fleet.RemoteState{SharedState: *state.SharedState}
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -138,9 +138,9 @@
 		d.e.peerInfo.memberLeft(m)
 		d.e.events <- fleet.MemberGone{Name: m.Name, Incarnation: m.Incarnation, Left: true}
 	} else if ok {
-		c := *n
+		node := *n
 		d.e.mu.Lock()
-		d.e.nodes[n.Name] = &c
+		d.e.nodes[n.Name] = &node
 		d.e.mu.Unlock()
 		d.e.events <- fleet.MemberAlive{Member: m}
 	}
@@ -158,20 +158,20 @@
 
 // parseNode reads what another parseNode tells of itself; false: it is this one, or can't be read.
 func (d delegate) parseNode(n *memberlist.Node) (m fleet.Member, leaving, ok bool) {
-	life, name, _ := strings.Cut(n.Name, ".")
-	no, err := strconv.ParseUint(life, 36, 64)
-	if err != nil || name == "" || no == d.e.incarnation && name == d.e.cfg.Name {
+	prefix, name, _ := strings.Cut(n.Name, ".")
+	incarnation, err := strconv.ParseUint(prefix, 36, 64)
+	if err != nil || name == "" || incarnation == d.e.incarnation && name == d.e.cfg.Name {
 		return m, false, false
 	}
-	m = fleet.Member{Name: name, Incarnation: no, Addr: n.Address(), Claim: fleet.NoClaim}
-	t := nodeMeta{Slot: fleet.NoClaim.Slot}
-	if json.Unmarshal(n.Meta, &t) == nil {
-		m.Generation, m.Version = t.Generation, t.Version
-		if t.Slot >= 0 {
-			m.Claim = fleet.Claim{Slot: t.Slot, Term: t.Term}
+	m = fleet.Member{Name: name, Incarnation: incarnation, Addr: n.Address(), Claim: fleet.NoClaim}
+	meta := nodeMeta{Slot: fleet.NoClaim.Slot}
+	if json.Unmarshal(n.Meta, &meta) == nil {
+		m.Generation, m.Version = meta.Generation, meta.Version
+		if meta.Slot >= 0 {
+			m.Claim = fleet.Claim{Slot: meta.Slot, Term: meta.Term}
 		}
 	}
-	return m, t.Leaving, true
+	return m, meta.Leaving, true
 }
 
 // AckPayload implements memberlist.PingDelegate.
--- a/internal/gossip/duties.go
+++ b/internal/gossip/duties.go
@@ -86,14 +86,14 @@
 
 // publishLeases has those who act read what is owned.
 func (d *duties) publishLeases() {
-	owned := map[string]lease{}
+	leases := map[string]lease{}
 	now := time.Now()
 	for _, name := range d.e.cfg.Election.Duties {
 		if until, number := d.table.LeaseEnd(name); until > 0 {
-			owned[name] = lease{number, until, now.Round(0), now.Sub(d.e.start)}
+			leases[name] = lease{number, until, now.Round(0), now.Sub(d.e.start)}
 		}
 	}
-	d.leases.Store(&owned)
+	d.leases.Store(&leases)
 }
 
 func (d *duties) send(a election.Send) {
@@ -126,12 +126,12 @@
 	if d == nil {
 		return
 	}
-	e := election.FleetUpdate{Slot: s.Slot, SlotChanged: d.assignment.Holders != nil && (s.Slot != d.assignment.Slot || s.Term != d.assignment.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Fleet.ExpectedMembers}
+	update := election.FleetUpdate{Slot: s.Slot, SlotChanged: d.assignment.Holders != nil && (s.Slot != d.assignment.Slot || s.Term != d.assignment.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Fleet.ExpectedMembers}
 	for _, h := range s.Holders {
-		e.Holders = append(e.Holders, election.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
+		update.Holders = append(update.Holders, election.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
 	}
 	d.assignment = s
-	d.handle(e)
+	d.handle(update)
 }
 
 func (d *duties) statuses() []election.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
@@ -144,8 +144,8 @@
 	}
 	l, ok := (*e.duties.leases.Load())[duty]
 	now := time.Now()
-	mono := now.Sub(e.start)
-	if slept := now.Round(0).Sub(l.recordedWall) - (mono - l.recordedAt); !ok || mono >= l.until || max(slept, -slept) > maxClockJump {
+	elapsed := now.Sub(e.start)
+	if suspended := now.Round(0).Sub(l.recordedWall) - (elapsed - l.recordedAt); !ok || elapsed >= l.until || max(suspended, -suspended) > maxClockJump {
 		return election.Ownership{}, false
 	}
 	return election.Ownership{Number: l.number, Owner: e.duties.table.Identity()}, true
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -224,7 +224,7 @@
 }
 
 // SetRecoverySource has the member tell what it knows, from now on.
-func (e *Engine) SetRecoverySource(m RecoverySource) { e.recoverySource.Store(&m) }
+func (e *Engine) SetRecoverySource(source RecoverySource) { e.recoverySource.Store(&source) }
 
 // Incarnation is this process's: of two of one name the higher is the later.
 func (e *Engine) Incarnation() uint64 { return e.incarnation }
@@ -241,17 +241,17 @@
 }
 
 // Serve implements gateway.Member: it takes part until the context ends, and then says goodbye.
-func (e *Engine) Serve(ctx context.Context, d *gateway.Core) {
+func (e *Engine) Serve(ctx context.Context, core *gateway.Core) {
 	e.mu.Lock()
-	e.core = d
+	e.core = core
 	e.mu.Unlock()
-	inner, cancel := context.WithCancel(context.Background())
+	loopCtx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { e.sendLoop(inner) })
-	wg.Go(func() { e.announceLoop(inner) })
-	wg.Go(func() { e.saveLoop(inner) })
+	wg.Go(func() { e.sendLoop(loopCtx) })
+	wg.Go(func() { e.announceLoop(loopCtx) })
+	wg.Go(func() { e.saveLoop(loopCtx) })
 	if e.peerInfo != nil {
-		wg.Go(func() { e.peerInfo.run(inner) })
+		wg.Go(func() { e.peerInfo.run(loopCtx) })
 	}
 	if e.statusListener != nil {
 		wg.Go(func() { e.serveStatus(e.statusListener) })
@@ -276,8 +276,8 @@
 func (e *Engine) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	wall := time.Now()
-	ticked := wall
+	previous := time.Now()
+	lastTick := previous
 	e.handle(fleet.RemoteState{SharedState: e.savedClaims})
 	e.handle(fleet.Tick{})
 	for {
@@ -285,19 +285,19 @@
 		case ev := <-e.events:
 			e.handle(ev)
 		case ev := <-e.duties.inbox():
-			if time.Since(ticked) > e.cfg.Fleet.PauseThreshold { // it stood still: the table has to notice before it votes
+			if time.Since(lastTick) > e.cfg.Fleet.PauseThreshold { // it stood still: the table has to notice before it votes
 				e.handle(fleet.Tick{})
-				ticked = time.Now()
+				lastTick = time.Now()
 			}
 			e.duties.handle(ev)
 		case <-ticker.C:
 			now := time.Now()
-			ticked = now
-			if jump := now.Round(0).Sub(wall.Round(0)) - now.Sub(wall); max(jump, -jump) > maxClockJump {
+			lastTick = now
+			if jump := now.Round(0).Sub(previous.Round(0)) - now.Sub(previous); max(jump, -jump) > maxClockJump {
 				e.handle(fleet.ClockJump{})
 				e.duties.handle(election.Resumed{})
 			}
-			wall = now
+			previous = now
 			e.handle(fleet.Tick{})
 			e.duties.handle(election.Tick{WallMillis: uint64(max(0, now.UnixMilli()))})
 			e.publishStatus()
@@ -325,8 +325,8 @@
 		r.Duties, r.Electorate = e.duties.statuses(), e.duties.table.Electorate()
 	}
 	e.status.Store(r)
-	past := e.table.SharedState()
-	e.sharedState.Store(&past)
+	shared := e.table.SharedState()
+	e.sharedState.Store(&shared)
 }
 
 func (e *Engine) handle(ev fleet.Event) {
@@ -392,29 +392,29 @@
 }
 
 // syncMembers exchanges whole states with a few of those that are there, and unless that is enough with the seeds and the last known members.
-func (e *Engine) syncMembers(few bool) {
-	var to []string
+func (e *Engine) syncMembers(skipSeeds bool) {
+	var addresses []string
 	e.mu.Lock()
 	for _, n := range e.nodes { // in no order, so any of them
-		if len(to) >= maxSyncMembers {
+		if len(addresses) >= maxSyncMembers {
 			break
 		}
-		to = append(to, n.Address())
+		addresses = append(addresses, n.Address())
 	}
 	e.mu.Unlock()
-	none := len(to) == 0
-	if !few || none {
-		to = append(to, e.cfg.Seeds...)
+	noMembers := len(addresses) == 0
+	if !skipSeeds || noMembers {
+		addresses = append(addresses, e.cfg.Seeds...)
 	}
-	if none {
-		to = append(to, e.savedAddresses...)
+	if noMembers {
+		addresses = append(addresses, e.savedAddresses...)
 	}
-	to = slices.DeleteFunc(to, func(a string) bool { return a == e.cfg.Address })
-	slices.Sort(to)
-	to = slices.Compact(to)
+	addresses = slices.DeleteFunc(addresses, func(a string) bool { return a == e.cfg.Address })
+	slices.Sort(addresses)
+	addresses = slices.Compact(addresses)
 	var wg sync.WaitGroup
 	var answered atomic.Int32
-	for _, a := range to {
+	for _, a := range addresses {
 		wg.Go(func() {
 			if n, _ := e.memberlist.Join([]string{a}); n > 0 { // that it fails shows in the log of the engine
 				answered.Add(1)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -120,11 +120,11 @@
 
 func allocateAddresses(t *testing.T, n int) (all []string) {
 	t.Helper()
-	places, err := testbed.AllocateEndpoints(n)
+	endpoints, err := testbed.AllocateEndpoints(n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range places {
+	for _, p := range endpoints {
 		all = append(all, p.Listen)
 	}
 	return all
@@ -186,9 +186,9 @@
 			break
 		}
 	}
-	for _, place := range []int{-1, 3, 3 - ra.Assignment.Slot - rb.Assignment.Slot} {
-		if a.Send(place, "x") == nil {
-			t.Errorf("a message to place %d was taken", place)
+	for _, slot := range []int{-1, 3, 3 - ra.Assignment.Slot - rb.Assignment.Slot} {
+		if a.Send(slot, "x") == nil {
+			t.Errorf("a message to place %d was taken", slot)
 		}
 	}
 	for _, keys := range [][]string{{oldKey, newKey}, {newKey, oldKey}, {newKey}} {
@@ -222,7 +222,7 @@
 	seeds := func(c *Config) { c.Seeds = at[:1] }
 	startMember(t, "a", at[0], seeds).waitFor("a place", hasSlot)
 	first := startMember(t, "b", at[1], seeds)
-	had := first.waitFor("a place", hasSlot).Assignment.Slot
+	firstSlot := first.waitFor("a place", hasSlot).Assignment.Slot
 	second := startMember(t, "b", at[2], seeds)
 	select {
 	case m := <-first.Superseded():
@@ -235,8 +235,8 @@
 	if first.IsCurrent(first.assignmentNumber.Load()) && first.assignment.Load().Slot >= 0 {
 		t.Error("the first goes on")
 	}
-	if r := second.waitFor("a place", hasSlot); r.Assignment.Slot != had {
-		t.Errorf("the second is in place %d, the first was in %d", r.Assignment.Slot, had)
+	if r := second.waitFor("a place", hasSlot); r.Assignment.Slot != firstSlot {
+		t.Errorf("the second is in place %d, the first was in %d", r.Assignment.Slot, firstSlot)
 	}
 }
 
@@ -249,7 +249,7 @@
 	a := startMember(t, "a", at[0], nil)
 	a.waitFor("a place", hasSlot)
 	b := startMember(t, "b", at[1], func(c *Config) { keep(c); c.Seeds = at[:1] })
-	was := b.waitFor("a place", hasSlot)
+	before := b.waitFor("a place", hasSlot)
 	b.stop()
 	text, err := os.ReadFile(file)
 	if err != nil || !strings.Contains(string(text), at[0]) {
@@ -259,12 +259,12 @@
 	if err := os.WriteFile(file, []byte(future), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again := startMember(t, "b", at[1], keep)
-	r := again.waitFor("its place", hasSlot)
-	if r.Assignment.Slot != was.Assignment.Slot || again.incarnation < 9e12 {
-		t.Errorf("back in place %d of %d, life %d", r.Assignment.Slot, was.Assignment.Slot, again.incarnation)
+	restarted := startMember(t, "b", at[1], keep)
+	r := restarted.waitFor("its place", hasSlot)
+	if r.Assignment.Slot != before.Assignment.Slot || restarted.incarnation < 9e12 {
+		t.Errorf("back in place %d of %d, life %d", r.Assignment.Slot, before.Assignment.Slot, restarted.incarnation)
 	}
-	again.stop()
+	restarted.stop()
 	if err := os.WriteFile(file, []byte(`{"life"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gossip/tell.go
+++ b/internal/gossip/messages.go
@@ -13,22 +13,22 @@
 // This file is messages from place to place.
 
 // Send implements gateway.Peers.
-func (e *Engine) Send(place int, text string) error { return e.sendToSlot(place, 0, text) }
+func (e *Engine) Send(slot int, payload string) error { return e.sendToSlot(slot, 0, payload) }
 
 // sendToSlot sends a text to whoever is in a place. flag is set in the sender's place, and tells what the text is.
-func (e *Engine) sendToSlot(place int, flag uint16, text string) error {
+func (e *Engine) sendToSlot(slot int, flag uint16, payload string) error {
 	s := e.assignment.Load()
-	if place < 0 || place >= len(s.Holders) || s.Slot < 0 || len(text) > maxPayloadBytes(flag) {
-		return fmt.Errorf("a message of %d bytes to place %d can't be sent", len(text), place)
+	if slot < 0 || slot >= len(s.Holders) || s.Slot < 0 || len(payload) > maxPayloadBytes(flag) {
+		return fmt.Errorf("a message of %d bytes to place %d can't be sent", len(payload), slot)
 	}
-	h := &s.Holders[place]
-	if h.Name == "" || h.State != fleet.Alive {
-		return fmt.Errorf("nobody is in place %d", place)
+	holder := &s.Holders[slot]
+	if holder.Name == "" || holder.State != fleet.Alive {
+		return fmt.Errorf("nobody is in place %d", slot)
 	}
-	b := binary.BigEndian.AppendUint16(make([]byte, 0, headerBytes+len(text)), uint16(s.Slot)|flag)
-	b = append(binary.BigEndian.AppendUint64(b, e.incarnation), text...)
+	b := binary.BigEndian.AppendUint16(make([]byte, 0, headerBytes+len(payload)), uint16(s.Slot)|flag)
+	b = append(binary.BigEndian.AppendUint64(b, e.incarnation), payload...)
 	select {
-	case e.outbound <- outboundMessage{nodeName(h.Name, h.Incarnation), b}:
+	case e.outbound <- outboundMessage{nodeName(holder.Name, holder.Incarnation), b}:
 		return nil
 	default:
 		e.droppedMessages.Add(1)
@@ -64,4 +64,6 @@
 	}
 }
 
-func nodeName(name string, life uint64) string { return strconv.FormatUint(life, 36) + "." + name }
+func nodeName(name string, incarnation uint64) string {
+	return strconv.FormatUint(incarnation, 36) + "." + name
+}
--- a/internal/gossip/news.go
+++ b/internal/gossip/peerinfo.go
@@ -84,9 +84,9 @@
 }
 
 // receive takes a receive of the member in a place. It never waits.
-func (n *peerInfoSync) receive(from int, text []byte) {
+func (n *peerInfoSync) receive(from int, data []byte) {
 	if n != nil {
-		n.inbox.Put(peerInfoEvent{from: from, data: append([]byte(nil), text...)})
+		n.inbox.Put(peerInfoEvent{from: from, data: append([]byte(nil), data...)})
 	}
 }
 
@@ -125,8 +125,8 @@
 // forward looks the same, and makes all that is known older than it is: to the safe side.
 func (n *peerInfoSync) detectSuspend() {
 	now := time.Now()
-	if slept := now.Round(0).Sub(n.checkedAt.Round(0)) - now.Sub(n.checkedAt); slept > minSuspend {
-		n.table.AdjustForSuspend(n.now(), slept)
+	if suspended := now.Round(0).Sub(n.checkedAt.Round(0)) - now.Sub(n.checkedAt); suspended > minSuspend {
+		n.table.AdjustForSuspend(n.now(), suspended)
 	}
 	n.checkedAt = now
 }
@@ -136,8 +136,8 @@
 		n.table.RemoveMember(n.now(), m.left.Name, m.left.Incarnation)
 		return
 	}
-	for _, back := range n.table.HandleMessage(n.now(), m.data) {
-		n.send(m.from, back)
+	for _, reply := range n.table.HandleMessage(n.now(), m.data) {
+		n.send(m.from, reply)
 	}
 }
 
@@ -157,61 +157,61 @@
 // query asks a few of those that are there, any of them.
 func (n *peerInfoSync) query() {
 	s := n.e.assignment.Load()
-	var there []int
-	for place, h := range s.Holders {
-		if h.Name != "" && h.State == fleet.Alive && place != s.Slot {
-			there = append(there, place)
+	var alive []int
+	for slot, h := range s.Holders {
+		if h.Name != "" && h.State == fleet.Alive && slot != s.Slot {
+			alive = append(alive, slot)
 		}
 	}
-	if s.Slot < 0 || len(there) == 0 {
+	if s.Slot < 0 || len(alive) == 0 {
 		return // nobody takes messages of who has no place
 	}
-	rand.Shuffle(len(there), func(i, j int) { there[i], there[j] = there[j], there[i] })
-	question := n.table.NextQuery(n.now())
-	for _, place := range there[:min(len(there), n.cfg.Fanout)] {
-		n.send(place, question)
+	rand.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
+	query := n.table.NextQuery(n.now())
+	for _, slot := range alive[:min(len(alive), n.cfg.Fanout)] {
+		n.send(slot, query)
 	}
 }
 
-func (n *peerInfoSync) send(place int, text []byte) {
-	if err := n.e.sendToSlot(place, peerInfoFlag, string(text)); err != nil {
+func (n *peerInfoSync) send(slot int, data []byte) {
+	if err := n.e.sendToSlot(slot, peerInfoFlag, string(data)); err != nil {
 		n.e.log.Debug("news was not sent", "err", err) // as if lost
 		return
 	}
 	n.messagesSent++
-	n.bytesSent += uint64(len(text))
+	n.bytesSent += uint64(len(data))
 }
 
 // updateSnapshot keeps what is known for the report.
 func (n *peerInfoSync) updateSnapshot() {
 	at := time.Now()
 	now := at.Sub(n.e.start)
-	s := &peerInfoSnapshot{at: now, stats: PeerInfoStats{Queue: n.inbox.Stats(), Table: n.table.Stats(), MessagesSent: n.messagesSent, BytesSent: n.bytesSent}}
+	snapshot := &peerInfoSnapshot{at: now, stats: PeerInfoStats{Queue: n.inbox.Stats(), Table: n.table.Stats(), MessagesSent: n.messagesSent, BytesSent: n.bytesSent}}
 	for _, name := range n.table.KnownAuthors(now, topicSelf) {
-		f, age, err := n.table.Lookup(now, name, topicSelf, n.cfg.Retention)
-		var about selfRecord
-		if err != nil || cbor.Unmarshal(f.Value, &about) != nil {
+		record, age, err := n.table.Lookup(now, name, topicSelf, n.cfg.Retention)
+		var self selfRecord
+		if err != nil || cbor.Unmarshal(record.Value, &self) != nil {
 			continue
 		}
-		s.members = append(s.members, PeerInfoRow{Name: name, Zone: about.Zone, Age: age, WallMillis: about.WallMillis})
+		snapshot.members = append(snapshot.members, PeerInfoRow{Name: name, Zone: self.Zone, Age: age, WallMillis: self.WallMillis})
 	}
-	s.clock = estimateFleetClock(s.members, n.cfg.Name, at)
-	s.regions = n.windows.regionStatuses(*n.e.regions.Load(), s.clock, at)
-	n.snapshot.Store(s)
+	snapshot.clock = estimateFleetClock(snapshot.members, n.cfg.Name, at)
+	snapshot.regions = n.windows.regionStatuses(*n.e.regions.Load(), snapshot.clock, at)
+	n.snapshot.Store(snapshot)
 }
 
 // fillStatus adds what is known to a fillStatus, as of its time. It may be called from any goroutine.
-func (n *peerInfoSync) fillStatus(r *Status) {
+func (n *peerInfoSync) fillStatus(status *Status) {
 	if n == nil {
 		return
 	}
-	s := n.snapshot.Load()
-	if s == nil {
+	snapshot := n.snapshot.Load()
+	if snapshot == nil {
 		return
 	}
-	for _, row := range s.members {
-		row.Age = n.cfg.AdvanceAge(row.Age, s.at, r.Now)
-		r.PeerInfo = append(r.PeerInfo, row)
+	for _, row := range snapshot.members {
+		row.Age = n.cfg.AdvanceAge(row.Age, snapshot.at, status.Now)
+		status.PeerInfo = append(status.PeerInfo, row)
 	}
-	r.PeerInfoStats, r.Clock, r.Regions = s.stats, s.clock, s.regions
+	status.PeerInfoStats, status.Clock, status.Regions = snapshot.stats, snapshot.clock, snapshot.regions
 }
--- a/internal/gossip/regions.go
+++ b/internal/gossip/regions.go
@@ -40,7 +40,7 @@
 }
 
 // SetRegions has the regions' calendars be these from now on.
-func (e *Engine) SetRegions(hours map[string]*maintenance.Calendar) { e.regions.Store(&hours) }
+func (e *Engine) SetRegions(calendars map[string]*maintenance.Calendar) { e.regions.Store(&calendars) }
 
 // clock is the fleet's clock, at a time of this member's wall clock.
 func estimateFleetClock(rows []PeerInfoRow, self string, at time.Time) FleetClock {
@@ -57,15 +57,15 @@
 }
 
 // regionStatuses are the regions as of a time of the fleet's clock.
-func (c *windowCache) regionStatuses(hours map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
+func (c *windowCache) regionStatuses(calendars map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
 	if !clock.OK {
 		return nil
 	}
 	at = at.Add(clock.Offset)
-	if same := maps.Equal(c.calendars, hours); !same || at.After(c.validUntil) || at.Before(c.validUntil.Add(-time.Hour)) {
-		c.calendars, c.windows, c.validUntil = hours, map[string]maintenance.Window{}, at.Add(time.Hour)
-		for name, h := range hours {
-			if w, ok := maintenance.NextWindow(at, windowLookahead, h); ok {
+	if same := maps.Equal(c.calendars, calendars); !same || at.After(c.validUntil) || at.Before(c.validUntil.Add(-time.Hour)) {
+		c.calendars, c.windows, c.validUntil = calendars, map[string]maintenance.Window{}, at.Add(time.Hour)
+		for name, calendar := range calendars {
+			if w, ok := maintenance.NextWindow(at, windowLookahead, calendar); ok {
 				c.windows[name] = w
 				if w.To.Before(c.validUntil) {
 					c.validUntil = w.To
@@ -73,10 +73,10 @@
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(hours)) {
-		row := RegionStatus{Name: name, Remaining: maintenance.Remaining(at, clock.Uncertainty, hours[name])}
+	for _, name := range slices.Sorted(maps.Keys(calendars)) {
+		row := RegionStatus{Name: name, Remaining: maintenance.Remaining(at, clock.Uncertainty, calendars[name])}
 		if w, ok := c.windows[name]; ok {
-			row.WindowStart, row.WindowEnd = w.From.In(hours[name].Zone), w.To.In(hours[name].Zone)
+			row.WindowStart, row.WindowEnd = w.From.In(calendars[name].Zone), w.To.In(calendars[name].Zone)
 		}
 		rows = append(rows, row)
 	}
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -32,8 +32,8 @@
 		{"nobody agrees", []PeerInfoRow{row("b", time.Hour), row("c", 2*time.Hour)}, false, false, 0, 0},
 	} {
 		c := estimateFleetClock(append(tc.others, row("a", 0)), "a", at)
-		var days windowCache
-		rows := days.regionStatuses(hours, c, at)
+		var cache windowCache
+		rows := cache.regionStatuses(hours, c, at)
 		if c.OK != tc.ok || c.LocalClockOff != tc.off || c.TotalMembers != 3 || len(rows) != len(hours) && tc.ok {
 			t.Errorf("%s: %+v, %+v", tc.name, c, rows)
 		}
@@ -55,7 +55,7 @@
 		}
 		return map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	}
-	var days windowCache
+	var cache windowCache
 	one, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
 	for _, tc := range []struct {
 		hours map[string]*maintenance.Calendar
@@ -63,7 +63,7 @@
 		from  int // hour
 		day   int
 	}{{one, 0, 13, 2}, {one, 29 * time.Minute, 13, 2}, {one, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {one, 0, 13, 2}} {
-		rows := days.regionStatuses(tc.hours, clock, at.Add(tc.after))
+		rows := cache.regionStatuses(tc.hours, clock, at.Add(tc.after))
 		if from := rows[0].WindowStart; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Remaining == 0 || rows[0].WindowEnd.Sub(at.Add(tc.after)) <= 0 || rows[0].WindowEnd.Day() != tc.day {
 			t.Errorf("%v later: %+v", tc.after, rows[0])
 		}
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -47,8 +47,8 @@
 // loadState reads what was kept. What is torn or another member's is set aside with a line in the log: this member's place is then told by
 // the others, who keep it for its name. A file that can't be read now, and may be later, is an error.
 func (e *Engine) loadState() error {
-	none := savedState{Claim: fleet.NoClaim}
-	e.saved = none
+	empty := savedState{Claim: fleet.NoClaim}
+	e.saved = empty
 	if e.cfg.StateFile == "" {
 		return nil
 	}
@@ -63,7 +63,7 @@
 		err = fmt.Errorf("it is the member's %q", e.saved.Name)
 	}
 	if err != nil {
-		e.saved = none
+		e.saved = empty
 		e.log.Error("fleet: the state is set aside", "file", e.cfg.StateFile, "as", e.cfg.StateFile+badSuffix, "err", err)
 		if err := os.Rename(e.cfg.StateFile, e.cfg.StateFile+badSuffix); err != nil {
 			return fmt.Errorf("the fleet's state in %s: %w", e.cfg.StateFile, err)
--- a/internal/overshoot/bound.go
+++ b/internal/overshoot/bound.go
@@ -31,15 +31,15 @@
 // each time that a home began anew; in silence 1.3 times the rate, or four even parts at each gateway where nobody knew that it floods.
 // For ceilings it is nothing beyond the platform's slack, whoever hears whom.
 func MaxExcess(p Plan, t Incident) float64 {
-	silent := knownExcessFactor * p.Rate * t.CoordinatorSilence.Seconds()
+	outage := knownExcessFactor * p.Rate * t.CoordinatorSilence.Seconds()
 	if !t.KnownOverQuota && t.CoordinatorSilence > 0 {
-		silent = unknownEvenShares * (p.Rate*t.CoordinatorSilence.Seconds() + p.Burst)
+		outage = unknownEvenShares * (p.Rate*t.CoordinatorSilence.Seconds() + p.Burst)
 	}
-	return silent + (replicaLagBursts+float64(t.CoordinatorRestarts))*p.Burst
+	return outage + (replicaLagBursts+float64(t.CoordinatorRestarts))*p.Burst
 }
 
 // MaxExcessRatio is what a customer that is known to flood may get beyond its rate in a time, as a share of what the rate gives in it, where its
 // home was silent for a while; a fifth of a burst comes on top.
-func MaxExcessRatio(silent, in time.Duration) float64 {
-	return knownExcessFactor * min(silent, in).Seconds() / in.Seconds()
+func MaxExcessRatio(silence, window time.Duration) float64 {
+	return knownExcessFactor * min(silence, window).Seconds() / window.Seconds()
 }
--- a/internal/peerinfo/talk.go
+++ b/internal/peerinfo/messages.go
@@ -47,10 +47,10 @@
 )
 
 // digestHash is a hash of what one life of an author says on a topic.
-func digestHash(nonce uint64, name string, life uint64, topic Topic) [hashBytes]byte {
+func digestHash(nonce uint64, name string, incarnation uint64, topic Topic) [hashBytes]byte {
 	var b [maxNameBytes + 17]byte
 	binary.LittleEndian.PutUint64(b[:], nonce)
-	binary.LittleEndian.PutUint64(b[8:], life)
+	binary.LittleEndian.PutUint64(b[8:], incarnation)
 	b[16] = byte(topic)
 	n := copy(b[17:], name)
 	h := xxhash.Sum64(b[:17+n])
@@ -92,7 +92,7 @@
 }
 
 // HandleMessage takes a message of another member that came now, and returns what is sent back. What can't be read is counted and changes nothing.
-func (t *Table) HandleMessage(now time.Duration, msg []byte) (back [][]byte) {
+func (t *Table) HandleMessage(now time.Duration, msg []byte) (replies [][]byte) {
 	if len(msg) > 0 && msg[0] == queryMessage {
 		var q query
 		if cbor.Unmarshal(msg[1:], &q) == nil && len(q.From) <= maxNameBytes && len(q.To) <= maxNameBytes {
@@ -110,18 +110,18 @@
 }
 
 // buildReplies tells what the asker lacks, the youngest first, as far as a few messages have room.
-func (t *Table) buildReplies(now time.Duration, q *query) (back [][]byte) {
-	has := make(map[[hashBytes]byte]uint64, len(q.Digest)/digestEntryBytes)
+func (t *Table) buildReplies(now time.Duration, q *query) (replies [][]byte) {
+	known := make(map[[hashBytes]byte]uint64, len(q.Digest)/digestEntryBytes)
 	for b := q.Digest; len(b) > hashBytes; {
-		no, n := binary.Uvarint(b[hashBytes:])
+		version, n := binary.Uvarint(b[hashBytes:])
 		if n <= 0 {
 			t.stats.Malformed++
 			return nil
 		}
-		has[[hashBytes]byte(b)] = no
+		known[[hashBytes]byte(b)] = version
 		b = b[hashBytes+n:]
 	}
-	var lacks []wireRecord
+	var missing []wireRecord
 	for i, _ := t.find(q.From); i < len(t.authors); i++ {
 		a := t.authors[i]
 		if q.To != "" && strings.Compare(a.name, q.To) >= 0 {
@@ -130,28 +130,28 @@
 		for k := range a.topics {
 			e := &a.topics[k]
 			age := t.age(e, now)
-			if !e.present || age > t.cfg.Retention || has[digestHash(q.Nonce, a.name, e.incarnation, Topic(k))] >= e.version {
+			if !e.present || age > t.cfg.Retention || known[digestHash(q.Nonce, a.name, e.incarnation, Topic(k))] >= e.version {
 				continue // a number begins at 1
 			}
-			lacks = append(lacks, wireRecord{a.name, e.incarnation, e.version, Topic(k), uint64(math.Ceil(float64(age) / float64(time.Millisecond))), e.value})
+			missing = append(missing, wireRecord{a.name, e.incarnation, e.version, Topic(k), uint64(math.Ceil(float64(age) / float64(time.Millisecond))), e.value})
 		}
 	}
-	slices.SortStableFunc(lacks, func(a, b wireRecord) int { return int(min(a.Age, math.MaxInt32)) - int(min(b.Age, math.MaxInt32)) })
-	for len(lacks) > 0 && len(back) < maxReplies {
+	slices.SortStableFunc(missing, func(a, b wireRecord) int { return int(min(a.Age, math.MaxInt32)) - int(min(b.Age, math.MaxInt32)) })
+	for len(missing) > 0 && len(replies) < maxReplies {
 		n, room := 0, t.cfg.MaxMessageBytes-messageOverhead
-		for n < len(lacks) {
-			if room -= len(lacks[n].Author) + len(lacks[n].Value) + 40; room < 0 && n > 0 { // numbers, and their heads
+		for n < len(missing) {
+			if room -= len(missing[n].Author) + len(missing[n].Value) + 40; room < 0 && n > 0 { // numbers, and their heads
 				break
 			}
 			n++
 		}
-		b, err := cbor.Marshal(&reply{q.Nonce, lacks[:n]})
+		b, err := cbor.Marshal(&reply{q.Nonce, missing[:n]})
 		if err != nil {
-			return back // numbers and strings always marshal
+			return replies // numbers and strings always marshal
 		}
-		back, lacks = append(back, append([]byte{replyMessage}, b...)), lacks[n:]
+		replies, missing = append(replies, append([]byte{replyMessage}, b...)), missing[n:]
 	}
-	return back
+	return replies
 }
 
 // mergeReply takes an answer. All that it tells is older by the time since the question.
@@ -161,20 +161,20 @@
 		t.stats.UnmatchedReplies++
 		return
 	}
-	for _, f := range a.Records {
-		if f.Author == "" || len(f.Author) > maxNameBytes || int(f.Topic) >= maxTopics || len(f.Value) > maxValueBytes || f.Version == 0 {
+	for _, r := range a.Records {
+		if r.Author == "" || len(r.Author) > maxNameBytes || int(r.Topic) >= maxTopics || len(r.Value) > maxValueBytes || r.Version == 0 {
 			t.stats.Malformed++
 			continue
 		}
-		if f.Author == t.cfg.Name {
+		if r.Author == t.cfg.Name {
 			continue // an earlier life's, or a fact of this one that is told late: nobody knows better than this member
 		}
-		if f.Age > uint64(t.cfg.Retention/time.Millisecond) {
+		if r.Age > uint64(t.cfg.Retention/time.Millisecond) {
 			t.stats.Rejected++
 			continue
 		}
-		age := t.cfg.AdvanceAge(time.Duration(f.Age)*time.Millisecond, t.pending[i].sentAt, now)
-		if t.merge(now, Record{f.Author, f.Incarnation, f.Version, f.Topic, f.Value}, age) {
+		age := t.cfg.AdvanceAge(time.Duration(r.Age)*time.Millisecond, t.pending[i].sentAt, now)
+		if t.merge(now, Record{r.Author, r.Incarnation, r.Version, r.Topic, r.Value}, age) {
 			t.stats.Learned++
 		}
 	}
--- a/internal/peerinfo/bound.go
+++ b/internal/peerinfo/staleness.go
@@ -23,16 +23,16 @@
 	if members < 2 {
 		return 0
 	}
-	fan, pass := float64(min(c.Fanout, members-1)), (1-loss)*(1-loss)
-	rounds := 1 + math.Ceil(math.Log(1/missProbability)/(fan*pass))
+	fanout, roundTrip := float64(min(c.Fanout, members-1)), (1-loss)*(1-loss)
+	rounds := 1 + math.Ceil(math.Log(1/missProbability)/(fanout*roundTrip))
 	if members-1 <= c.Fanout { // all are asked, so it is enough that one of the questions is answered
-		rounds = 1 + math.Ceil(math.Log(missProbability)/math.Log(1-pass+missProbability))
+		rounds = 1 + math.Ceil(math.Log(missProbability)/math.Log(1-roundTrip+missProbability))
 	} else {
-		for u := 1 - 1/float64(members); u*float64(members) > missProbability*float64(members); rounds++ {
-			u *= math.Pow(1-(1-u)*pass, fan)
+		for uninformed := 1 - 1/float64(members); uninformed*float64(members) > missProbability*float64(members); rounds++ {
+			uninformed *= math.Pow(1-(1-uninformed)*roundTrip, fanout)
 		}
 	}
-	room := (c.MaxMessageBytes - messageOverhead - 2*maxNameBytes) / digestEntryBytes
-	round := float64(c.Interval) * (1 + c.ClockDrift) * math.Ceil(float64(members)/float64(room))
+	authorsPerQuery := (c.MaxMessageBytes - messageOverhead - 2*maxNameBytes) / digestEntryBytes
+	round := float64(c.Interval) * (1 + c.ClockDrift) * math.Ceil(float64(members)/float64(authorsPerQuery))
 	return time.Duration(float64(c.Interval) + round*(1+rounds) + rounds*2*float64(delay))
 }
--- a/internal/peerinfo/commons.go
+++ b/internal/peerinfo/table.go
@@ -161,37 +161,37 @@
 }
 
 // merge takes a fact of that age, if it is news, or the same at a younger age.
-func (t *Table) merge(now time.Duration, f Record, age time.Duration) bool {
-	i, known := t.find(f.Author)
+func (t *Table) merge(now time.Duration, r Record, age time.Duration) bool {
+	i, known := t.find(r.Author)
 	if !known {
 		if len(t.authors) >= t.cfg.MaxAuthors {
 			t.stats.TableFull++
 			return false
 		}
-		t.authors = slices.Insert(t.authors, i, &author{name: f.Author})
+		t.authors = slices.Insert(t.authors, i, &author{name: r.Author})
 	}
 	a := t.authors[i]
-	if age > t.cfg.Retention || a.leftIncarnation > 0 && f.Incarnation <= a.leftIncarnation {
+	if age > t.cfg.Retention || a.leftIncarnation > 0 && r.Incarnation <= a.leftIncarnation {
 		t.stats.Rejected++
 		return false
 	}
-	e := &a.topics[f.Topic]
+	e := &a.topics[r.Topic]
 	switch {
-	case e.present && (e.incarnation > f.Incarnation || e.incarnation == f.Incarnation && e.version > f.Version):
+	case e.present && (e.incarnation > r.Incarnation || e.incarnation == r.Incarnation && e.version > r.Version):
 		return false
-	case e.present && e.incarnation == f.Incarnation && e.version == f.Version:
+	case e.present && e.incarnation == r.Incarnation && e.version == r.Version:
 		if age < t.age(e, now) { // both are bounds: the lower one is the better
 			e.age, e.asOf = age, now
 		}
 		return false
 	}
-	*e = entry{incarnation: f.Incarnation, version: f.Version, value: slices.Clone(f.Value), age: age, asOf: now, present: true}
+	*e = entry{incarnation: r.Incarnation, version: r.Version, value: slices.Clone(r.Value), age: age, asOf: now, present: true}
 	return true
 }
 
 // Lookup is what an author said of a topic, and how old that is at most, if it is not older than it may be. The error is ErrUnknown or a
 // [*StaleError].
-func (t *Table) Lookup(now time.Duration, name string, topic Topic, atMost time.Duration) (Record, time.Duration, error) {
+func (t *Table) Lookup(now time.Duration, name string, topic Topic, maxAge time.Duration) (Record, time.Duration, error) {
 	i, ok := t.find(name)
 	if !ok || int(topic) >= maxTopics || !t.authors[i].topics[topic].present {
 		return Record{}, 0, ErrUnknown
@@ -201,8 +201,8 @@
 	if age > t.cfg.Retention {
 		return Record{}, 0, ErrUnknown
 	}
-	if age > atMost {
-		return Record{}, age, &StaleError{age, atMost}
+	if age > maxAge {
+		return Record{}, age, &StaleError{age, maxAge}
 	}
 	return Record{name, e.incarnation, e.version, topic, e.value}, age, nil
 }
@@ -219,7 +219,7 @@
 
 // RemoveMember drops all that is known of a member that left, and takes nothing more of that life or an earlier one. What others still tell of it
 // is too old to be taken by the time that this is forgotten in turn.
-func (t *Table) RemoveMember(now time.Duration, name string, life uint64) {
+func (t *Table) RemoveMember(now time.Duration, name string, incarnation uint64) {
 	i, known := t.find(name)
 	if !known {
 		if len(t.authors) >= t.cfg.MaxAuthors {
@@ -228,7 +228,7 @@
 		t.authors = slices.Insert(t.authors, i, &author{name: name})
 	}
 	a := t.authors[i]
-	a.leftIncarnation = max(a.leftIncarnation, life)
+	a.leftIncarnation = max(a.leftIncarnation, incarnation)
 	a.leftUntil = now + time.Duration(float64(t.cfg.Retention)*(1+t.cfg.ClockDrift)/(1-t.cfg.ClockDrift))
 	for k := range a.topics {
 		if a.topics[k].present && a.topics[k].incarnation <= a.leftIncarnation {
@@ -253,13 +253,13 @@
 		if a.leftIncarnation > 0 && now > a.leftUntil {
 			a.leftIncarnation = 0
 		}
-		has := a.leftIncarnation > 0
+		keep := a.leftIncarnation > 0
 		for k := range a.topics {
 			if e := &a.topics[k]; e.present && t.age(e, now) > t.cfg.Retention {
 				*e = entry{}
 			}
-			has = has || a.topics[k].present
+			keep = keep || a.topics[k].present
 		}
-		return !has
+		return !keep
 	})
 }
