--- a/internal/overshoot/bound.go
+++ b/internal/overshoot/bound.go
@@ -1,35 +1,36 @@
-// Package allowance states how far a customer's limit may be passed while members of a fleet fail, as functions: tests hold what nodes were
-// sent to them, and the status tells by them how things stand. docs/design/limits.md has where each term comes from. Pure.
+// Package overshoot computes how far a customer's limit may be exceeded while members of a fleet fail. Its functions are pure. Tests check by
+// them what reached the nodes, and the fleet's status shows their results. docs/design/limits.md derives each term.
 package overshoot
 
 import "time"
 
 const (
-	replicaLagBursts  = 0.2 // bursts: what one home lets in before it tells the other
-	knownExcessFactor = 1.3 // the width of a step in which a flood's share is told, 2^0.75, halved both ways
-	unknownEvenShares = 4.0 // even parts that a gateway lets in of a customer that nobody told of, without its homes
+	replicaLagBursts  = 0.2 // in bursts: what one coordinator admits before its replica knows of it
+	knownExcessFactor = 1.3 // an over-quota customer's share is reported in steps of a factor of 2^0.75, so it may be off by half a step, 2^0.375, either way
+	unknownEvenShares = 4.0 // in even shares: what a gateway admits of a customer that was not reported over quota while its coordinators are unreachable
 )
 
 // Plan is a customer's limit.
-type Plan struct{ Rate, Burst float64 } // units a second, and at once
+type Plan struct{ Rate, Burst float64 } // units a second, and units at once
 
-// Incident is what happened in a time.
+// Incident describes the failures in a period.
 type Incident struct {
-	Duration            time.Duration // the time that is looked at
-	CoordinatorSilence  time.Duration // of it: no home of the customer was heard
-	KnownOverQuota      bool          // the customer was told of as flooding before the silence
-	CoordinatorRestarts int           // times that a home of it began anew, with nothing known
+	Duration            time.Duration // of the period
+	CoordinatorSilence  time.Duration // part of Duration in which none of the customer's coordinators was reachable
+	KnownOverQuota      bool          // the customer was reported over quota before CoordinatorSilence began
+	CoordinatorRestarts int           // restarts of a coordinator that lost the customer's bucket
 }
 
-// MaxAdmitted is how many units of a customer all gateways together let in, at most, where homes keep its bucket: what its rate gives and its
-// burst, and what Over tells.
+// MaxAdmitted returns how many units of a customer all gateways together may admit while coordinators keep its bucket: what the rate gives in
+// the period, the burst, and MaxExcess.
 func MaxAdmitted(p Plan, t Incident) float64 {
 	return p.Rate*t.Duration.Seconds() + p.Burst + MaxExcess(p, t)
 }
 
-// MaxExcess is how many of these may be beyond rate x time + burst: a fifth of a burst that one home let in before the other knew; a burst for
-// each time that a home began anew; in silence 1.3 times the rate, or four even parts at each gateway where nobody knew that it floods.
-// For ceilings it is nothing beyond the platform's slack, whoever hears whom.
+// MaxExcess returns how many of these units may exceed rate x time + burst: a fifth of a burst that one coordinator admits before its replica
+// knows of it, a burst for each restart of a coordinator, and during CoordinatorSilence 1.3 times the rate, or four even shares at each gateway
+// where the customer was not known to be over quota. Ceilings are exceeded by no more than the platform's slack, whichever members reach each
+// other.
 func MaxExcess(p Plan, t Incident) float64 {
 	outage := knownExcessFactor * p.Rate * t.CoordinatorSilence.Seconds()
 	if !t.KnownOverQuota && t.CoordinatorSilence > 0 {
@@ -38,8 +39,8 @@
 	return outage + (replicaLagBursts+float64(t.CoordinatorRestarts))*p.Burst
 }
 
-// MaxExcessRatio is what a customer that is known to flood may get beyond its rate in a time, as a share of what the rate gives in it, where its
-// home was silent for a while; a fifth of a burst comes on top.
+// MaxExcessRatio returns how much a customer that is known to be over quota may get beyond its rate in a window, as a share of what the rate
+// gives in it, if its coordinators were unreachable for the time of silence. A fifth of a burst may be added to it.
 func MaxExcessRatio(silence, window time.Duration) float64 {
 	return knownExcessFactor * min(silence, window).Seconds() / window.Seconds()
 }
--- a/internal/peerinfo/messages.go
+++ b/internal/peerinfo/messages.go
@@ -11,16 +11,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// query names what the asker has of the authors in a range of names, each as a hash that another salt makes another one: two that are
-// alike once are not alike for good.
+// query is a digest of what the sender has of the authors in a range of names. Entries are found by a hash that is salted with the nonce, so
+// two entries whose hashes collide in one query do not collide in later ones.
 type query struct {
 	Nonce  uint64 `cbor:"1,keyasint"`
-	From   string `cbor:"2,keyasint"` // of the range ...
-	To     string `cbor:"3,keyasint"` // ... to below this; "": to the end
-	Digest []byte `cbor:"4,keyasint"` // for each author's life and topic a hash of three bytes, and the number of what is known of it as a uvarint
+	From   string `cbor:"2,keyasint"` // start of the range of names ...
+	To     string `cbor:"3,keyasint"` // ... and its end, exclusive; "" is the end of all names
+	Digest []byte `cbor:"4,keyasint"` // for each author's incarnation and topic a hash of 3 bytes and the known version as a uvarint
 }
 
-// reply is some of what the asker lacks.
+// reply holds records that the sender of a query lacks.
 type reply struct {
 	Nonce   uint64       `cbor:"1,keyasint"`
 	Records []wireRecord `cbor:"2,keyasint"`
@@ -35,7 +35,7 @@
 	Value       []byte `cbor:"6,keyasint"`
 }
 
-// The first byte of a message.
+// The first byte of a message is its type.
 const (
 	queryMessage = 'q'
 	replyMessage = 'a'
@@ -43,10 +43,10 @@
 
 const (
 	hashBytes        = 3
-	digestEntryBytes = hashBytes + 4 // bytes of a hash and a number in a question, for numbers below 2^28: four years of two a second
+	digestEntryBytes = hashBytes + 4 // a hash and a version below 2^28, enough for four years at two records a second
 )
 
-// digestHash is a hash of what one life of an author says on a topic.
+// digestHash returns the hash of one incarnation of an author and a topic.
 func digestHash(nonce uint64, name string, incarnation uint64, topic Topic) [hashBytes]byte {
 	var b [maxNameBytes + 17]byte
 	binary.LittleEndian.PutUint64(b[:], nonce)
@@ -57,8 +57,8 @@
 	return [hashBytes]byte{byte(h), byte(h >> 8), byte(h >> 16)}
 }
 
-// NextQuery returns the next question, which is the same for all that it is sent to now. One question names as many authors as it has room for;
-// the next one goes on behind them.
+// NextQuery returns the next query, which may be sent to several members now. A query covers as many authors as fit into one message; the
+// next query continues after them.
 func (t *Table) NextQuery(now time.Duration) []byte {
 	t.sweep(now)
 	t.nonce++
@@ -91,7 +91,8 @@
 	return append([]byte{queryMessage}, b...)
 }
 
-// HandleMessage takes a message of another member that came now, and returns what is sent back. What can't be read is counted and changes nothing.
+// HandleMessage processes a message from another member that arrived now, and returns the replies to send. A malformed message is counted and
+// changes nothing else.
 func (t *Table) HandleMessage(now time.Duration, msg []byte) (replies [][]byte) {
 	if len(msg) > 0 && msg[0] == queryMessage {
 		var q query
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// buildReplies tells what the asker lacks, the youngest first, as far as a few messages have room.
+// buildReplies returns the records that the sender of a query lacks, the newest first, in at most maxReplies messages.
 func (t *Table) buildReplies(now time.Duration, q *query) (replies [][]byte) {
 	known := make(map[[hashBytes]byte]uint64, len(q.Digest)/digestEntryBytes)
 	for b := q.Digest; len(b) > hashBytes; {
@@ -131,7 +132,7 @@
 			e := &a.topics[k]
 			age := t.age(e, now)
 			if !e.present || age > t.cfg.Retention || known[digestHash(q.Nonce, a.name, e.incarnation, Topic(k))] >= e.version {
-				continue // a number begins at 1
+				continue // versions begin at 1
 			}
 			missing = append(missing, wireRecord{a.name, e.incarnation, e.version, Topic(k), uint64(math.Ceil(float64(age) / float64(time.Millisecond))), e.value})
 		}
@@ -140,7 +141,7 @@
 	for len(missing) > 0 && len(replies) < maxReplies {
 		n, room := 0, t.cfg.MaxMessageBytes-messageOverhead
 		for n < len(missing) {
-			if room -= len(missing[n].Author) + len(missing[n].Value) + 40; room < 0 && n > 0 { // numbers, and their heads
+			if room -= len(missing[n].Author) + len(missing[n].Value) + 40; room < 0 && n > 0 { // CBOR numbers and headers take up to 40 bytes
 				break
 			}
 			n++
@@ -154,7 +155,7 @@
 	return replies
 }
 
-// mergeReply takes an answer. All that it tells is older by the time since the question.
+// mergeReply merges a reply's records. Each is older than the reply states by the time since the query was sent.
 func (t *Table) mergeReply(now time.Duration, a *reply) {
 	i := slices.IndexFunc(t.pending, func(q pendingQuery) bool { return q.nonce == a.Nonce })
 	if i < 0 {
@@ -167,7 +168,7 @@
 			continue
 		}
 		if r.Author == t.cfg.Name {
-			continue // an earlier life's, or a fact of this one that is told late: nobody knows better than this member
+			continue // of an earlier incarnation, or an old record of this one: this member is the authority on itself
 		}
 		if r.Age > uint64(t.cfg.Retention/time.Millisecond) {
 			t.stats.Rejected++
--- a/internal/peerinfo/staleness.go
+++ b/internal/peerinfo/staleness.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// missProbability is how likely it may be that news is older than Stale tells.
+// missProbability is the accepted probability that a record is older than StalenessBound.
 const missProbability = 1e-6
 
-// StalenessBound is how old the newest that a member knows of another one may be where so many members hear each other: that share of messages is
-// lost, and each takes so long at most. It does not hold for one piece of news in a million.
+// StalenessBound returns how old the newest record that a member has of another may be, in a fleet of that many members where the given share
+// of messages is lost and each message takes at most delay. The bound fails for one record in a million.
 //
-// News is said each Every. At first one member has it: a round in which nobody learns it is as likely as exp(-Fan p), where p is that a
-// question and its answer both come; so many rounds are waited for until that is unlikely. Then the share u that lacks it falls by the
-// factor (1 - (1-u) p)^Fan a round, until it is likely that nobody does. A round is Every, and an answer is on its way for two delays.
+// Each member publishes a record every Interval. At first only its author has it: a round in which no other member learns it has the
+// probability exp(-Fanout p), where p is the probability that a query and its reply both arrive. The bound allows for as many such rounds as
+// are likely to occur. From then on each round multiplies the share u of members that lack the record by (1 - (1-u) p)^Fanout, until it is
+// likely that no member lacks it. A round takes one Interval, and a query with its reply takes two delays.
 //
-// One question names no more authors than it has room for, so where there are more members than that, a round takes as many times Every as
-// it takes questions to name all.
+// A query covers only as many authors as fit into one message. In a larger fleet a round takes as many Intervals as queries are needed to
+// cover all authors.
 //
-// Where members don't hear each other for a time, add that time.
+// A time during which members can't reach each other adds to the bound.
 func (c *Config) StalenessBound(members int, loss float64, delay time.Duration) time.Duration {
 	if members < 2 {
 		return 0
 	}
 	fanout, roundTrip := float64(min(c.Fanout, members-1)), (1-loss)*(1-loss)
 	rounds := 1 + math.Ceil(math.Log(1/missProbability)/(fanout*roundTrip))
-	if members-1 <= c.Fanout { // all are asked, so it is enough that one of the questions is answered
+	if members-1 <= c.Fanout { // every member is queried, so one reply is enough
 		rounds = 1 + math.Ceil(math.Log(missProbability)/math.Log(1-roundTrip+missProbability))
 	} else {
 		for uninformed := 1 - 1/float64(members); uninformed*float64(members) > missProbability*float64(members); rounds++ {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,7 +1,8 @@
-// Package ring is bounded queues between goroutines, of fixed size. What is done when one is full is part of its type: a [Evicting] drops the
-// oldest, where newer news replaces it; a [Rejecting] refuses, where a promise hangs on what was put in. Neither ever makes a writer wait.
+// Package queue provides bounded queues between goroutines. The type of a queue says what happens when it is full: an [Evicting] queue drops
+// its oldest item, for data that newer data replaces; a [Rejecting] queue refuses the new item, for data that must not be lost silently once it
+// was accepted. A writer never waits for room.
 //
-// A ring holds a lock for the time of one copy, and never while anything else is done. Writers may be many; there is one reader.
+// A queue holds its lock only while it copies one item. It takes any number of writers and one reader.
 package queue
 
 import (
@@ -9,12 +10,12 @@
 	"time"
 )
 
-// Stats are what became of what was put into a ring.
+// Stats counts what became of the items that were put into a queue.
 type Stats struct {
-	Put      uint64        // taken in
-	Dropped  uint64        // by a Latest: pushed out before they were taken; by a Sure: refused
-	MaxDepth int           `json:"Deepest"` // that ever waited
-	MaxWait  time.Duration `json:"Longest"` // that one waited until it was taken
+	Put      uint64        // items accepted
+	Dropped  uint64        // items evicted before they were taken, or refused
+	MaxDepth int           `json:"Deepest"` // highest number of items in the queue
+	MaxWait  time.Duration `json:"Longest"` // longest time that an item waited before it was taken
 }
 
 type item[T any] struct {
@@ -36,7 +37,7 @@
 	b.ready = make(chan struct{}, 1)
 }
 
-// push appends where there is room; the lock is held.
+// push appends an item. The caller holds the lock and has checked that there is room.
 func (b *ringBuffer[T]) push(v T) {
 	b.items[(b.head+b.length)%len(b.items)] = item[T]{v, time.Now()}
 	b.length++
@@ -48,7 +49,7 @@
 	}
 }
 
-// pop removes the oldest; the lock is held and there is one.
+// pop removes the oldest item. The caller holds the lock and has checked that there is one.
 func (b *ringBuffer[T]) pop() item[T] {
 	s := b.items[b.head]
 	b.items[b.head] = item[T]{}
@@ -57,10 +58,10 @@
 	return s
 }
 
-// Ready is told when there may be something to take; the reader takes until there is no more.
+// Ready returns a channel that receives a value when there may be items; the reader then calls Take until it returns false.
 func (b *ringBuffer[T]) Ready() <-chan struct{} { return b.ready }
 
-// Take removes the oldest; false: there is none.
+// Take removes and returns the oldest item; ok is false if the queue is empty.
 func (b *ringBuffer[T]) Take() (v T, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,24 +73,24 @@
 	return s.value, true
 }
 
-// Stats tells what became of all so far.
+// Stats returns the counters so far.
 func (b *ringBuffer[T]) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stats
 }
 
-// Evicting is a ring that drops the oldest when it is full. Make it with NewLatest.
+// Evicting is a queue that drops the oldest item when it is full. It is created by [NewEvicting].
 type Evicting[T any] struct{ ringBuffer[T] }
 
-// NewEvicting makes one for so many.
+// NewEvicting returns an empty queue for up to size items, at least 1.
 func NewEvicting[T any](size int) *Evicting[T] {
 	r := &Evicting[T]{}
 	r.init(size)
 	return r
 }
 
-// Put puts one in, and the oldest out if there is no room.
+// Put appends an item, and drops the oldest one if there is no room.
 func (r *Evicting[T]) Put(v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,17 +101,17 @@
 	r.push(v)
 }
 
-// Rejecting is a ring that refuses when it is full. Make it with NewSure.
+// Rejecting is a queue that refuses new items while it is full. It is created by [NewRejecting].
 type Rejecting[T any] struct{ ringBuffer[T] }
 
-// NewRejecting makes one for so many.
+// NewRejecting returns an empty queue for up to size items, at least 1.
 func NewRejecting[T any](size int) *Rejecting[T] {
 	r := &Rejecting[T]{}
 	r.init(size)
 	return r
 }
 
-// Put puts one in; false: it is full, and nothing was put in.
+// Put appends an item. It returns false, and appends nothing, if the queue is full.
 func (r *Rejecting[T]) Put(v T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
