--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -16,9 +16,9 @@
 	"sloepick/internal/recovery"
 )
 
-// This file is what memberlist calls, and what members tell of themselves.
+// This file holds memberlist's callbacks and the metadata and state that members exchange by them.
 
-// nodeMeta is what a member tells of itself, as it stands in the engine's data: 512 bytes at most.
+// nodeMeta is what a member announces about itself in memberlist's metadata, of at most 512 bytes.
 type nodeMeta struct {
 	Version     int    `json:"v"`
 	Name        string `json:"n"`
@@ -26,12 +26,11 @@
 	Generation  uint64 `json:"g,omitempty"`
 	Slot        int    `json:"p"`
 	Term        uint64 `json:"t,omitempty"`
-	Padding     string `json:"z,omitempty"` // see padMost
-	Leaving     bool   `json:"x,omitempty"` // the engine tells its users only that one is gone, not that it said so
+	Padding     string `json:"z,omitempty"` // see paddingModulus
+	Leaving     bool   `json:"x,omitempty"` // memberlist reports only that a node is gone, not whether it left by itself
 }
 
-// delegate is what memberlist calls. It must not wait for the table's goroutine while that waits for memberlist, which it never
-// does.
+// delegate receives memberlist's callbacks. They may block until the event loop takes an event; the event loop never waits for memberlist.
 type delegate struct{ e *Engine }
 
 // NodeMeta implements memberlist.Delegate.
@@ -39,7 +38,7 @@
 	self := d.e.self.Load()
 	b, err := json.Marshal(nodeMeta{self.Version, self.Name, self.Incarnation, self.Generation, self.Claim.Slot, self.Claim.Term, strings.Repeat("-", int(self.Incarnation%paddingModulus)), d.e.leaving.Load()})
 	if err != nil || len(b) > limit {
-		return nil // a name is checked to be short
+		return nil // does not happen: the name's length is limited
 	}
 	return b
 }
@@ -58,7 +57,7 @@
 	slot := int(slotAndFlags &^ (dutyFlag | peerInfoFlag))
 	s := e.assignment.Load()
 	if slot >= len(s.Holders) || s.Holders[slot].Incarnation != incarnation || slot == s.Slot {
-		return // of one that has no place here, or not that one
+		return // the sender has no slot here, or another one
 	}
 	if slotAndFlags&peerInfoFlag != 0 {
 		e.peerInfo.receive(slot, b[headerBytes:])
@@ -77,7 +76,7 @@
 	}
 }
 
-// GetBroadcasts implements memberlist.Delegate: all that is spread stands in members' own data.
+// GetBroadcasts implements memberlist.Delegate. There are none besides the members' own metadata.
 func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
 // LocalState implements memberlist.Delegate.
@@ -86,7 +85,7 @@
 	if m := d.e.recoverySource.Load(); m != nil {
 		var err error
 		if state.RecoverySnapshot, err = cbor.Marshal(m.Snapshot()); err != nil {
-			d.e.log.Error("fleet: what is known can't be told", "err", err)
+			d.e.log.Error("fleet: failed to encode the recovery snapshot", "err", err)
 		}
 	}
 	b, err := json.Marshal(state)
@@ -96,11 +95,11 @@
 	return b
 }
 
-// exchangedState is what goes with an exchange of whole states, as JSON. Members of a version without Word pass over it.
+// exchangedState is sent as JSON in a full state exchange. Versions without RecoverySnapshot ignore it.
 type exchangedState struct {
 	*fleet.SharedState
-	Sender           string `json:"From,omitempty"` // who tells it ...
-	DroppedMessages  uint64 `json:"Lost,omitempty"` // ... and how many of its messages found its queue full
+	Sender           string `json:"From,omitempty"` // the sender's name ...
+	DroppedMessages  uint64 `json:"Lost,omitempty"` // ... and how many of its messages were dropped because its queue was full
 	RecoverySnapshot []byte `json:"Word,omitempty"` // recovery.Word, in CBOR
 }
 
@@ -108,7 +107,7 @@
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
 	state := exchangedState{SharedState: &fleet.SharedState{}}
 	if len(b) == 0 || json.Unmarshal(b, &state) != nil {
-		return // of another version: nothing is learned from it
+		return // of another version, and ignored
 	}
 	var snapshot recovery.Word
 	if len(state.RecoverySnapshot) > 0 && d.e.recoverySource.Load() != nil && cbor.Unmarshal(state.RecoverySnapshot, &snapshot) == nil {
@@ -156,7 +155,7 @@
 	}
 }
 
-// parseNode reads what another parseNode tells of itself; false: it is this one, or can't be read.
+// parseNode reads another member's metadata. ok is false if the node is this member or its name can't be parsed.
 func (d delegate) parseNode(n *memberlist.Node) (m fleet.Member, leaving, ok bool) {
 	prefix, name, _ := strings.Cut(n.Name, ".")
 	incarnation, err := strconv.ParseUint(prefix, 36, 64)
@@ -176,14 +175,14 @@
 
 // AckPayload implements memberlist.PingDelegate.
 func (d delegate) AckPayload() []byte {
-	d.e.reportContact() // a ping has come
+	d.e.reportContact() // a ping arrived
 	return nil
 }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
 func (d delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) { d.e.reportContact() }
 
-// reportContact tells the table that another member is there. One that waits already says enough.
+// reportContact tells the table that another member was reached, unless many events are waiting already.
 func (e *Engine) reportContact() {
 	if len(e.events) < maxPendingEvents/2 {
 		select {
@@ -193,13 +192,13 @@
 	}
 }
 
-// logWriter passes the engine's log on, without its time.
+// logWriter passes errors and warnings of memberlist to the log, without their times.
 type logWriter struct{ log *slog.Logger }
 
 func (l logWriter) Write(b []byte) (int, error) {
 	line := strings.TrimSpace(string(b))
 	if strings.HasPrefix(line, "[ERR]") || strings.HasPrefix(line, "[WARN]") {
-		l.log.Debug("fleet's engine", "text", line)
+		l.log.Debug("memberlist", "text", line)
 	}
 	return len(b), nil
 }
--- a/internal/gossip/duties.go
+++ b/internal/gossip/duties.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	dutyFlag             = 1 << 15 // in a message's place: it is about a duty, and not the module's
-	maxDutyNameBytes     = 64      // bytes of the name of a member that may own
-	maxPendingDutyEvents = 1024    // messages on duties that wait for the table; more are lost, as datagrams may be
+	dutyFlag             = 1 << 15 // set in a message's slot: the message is about a duty and not one of the decision module
+	maxDutyNameBytes     = 64      // of a member's name: limited by the size of messages on duties
+	maxPendingDutyEvents = 1024    // events that wait for the table; further messages are dropped, as datagrams may be
 )
 
-// duties are this member's part in work on behalf of the fleet. The engine's goroutine owns the table. nil: there are none.
+// duties runs this member's part in the election of owners for the fleet's duties. The event loop owns the table. nil: there are no duties.
 type duties struct {
 	e          *Engine
 	table      *election.Table
@@ -26,18 +26,18 @@
 	leases     atomic.Pointer[map[string]lease]
 }
 
-// lease is an ownership as those may read it who act for it.
+// lease is the ownership of a duty as MayAct reads it.
 type lease struct {
 	number       uint64
 	until        time.Duration // since the engine's start, by the monotonic clock
-	recordedWall time.Time     // when it was told: a machine that slept has a wall clock that went on, and a monotonic one that did not
+	recordedWall time.Time     // a machine that was suspended has a wall clock that went on and a monotonic clock that stood still
 	recordedAt   time.Duration
 }
 
 func newDuties(e *Engine, cfg election.Config) (*duties, error) {
 	cfg.Self, cfg.Incarnation = e.cfg.Name, e.incarnation
 	if len(cfg.Self) > maxDutyNameBytes {
-		return nil, fmt.Errorf("the member's name has %d bytes, more than the %d that its messages on duties have room for", len(cfg.Self), maxDutyNameBytes)
+		return nil, fmt.Errorf("the member's name has %d bytes, want at most %d for messages on duties", len(cfg.Self), maxDutyNameBytes)
 	}
 	t, err := election.New(cfg, time.Since(e.start), nil, e.saved.Voters)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return d, nil
 }
 
-// inbox is where events wait; nil, which is never ready, without duties.
+// inbox returns the channel of waiting events; without duties it is nil, which is never ready.
 func (d *duties) inbox() <-chan election.Event {
 	if d == nil {
 		return nil
@@ -56,7 +56,7 @@
 	return d.events
 }
 
-// handle hands the table an event and does what it wants.
+// handle passes an event to the table and carries out the actions that it returns.
 func (d *duties) handle(ev election.Event) {
 	if d == nil {
 		return
@@ -84,7 +84,7 @@
 	d.publishLeases()
 }
 
-// publishLeases has those who act read what is owned.
+// publishLeases makes the leases that this member holds visible to MayAct.
 func (d *duties) publishLeases() {
 	leases := map[string]lease{}
 	now := time.Now()
@@ -102,11 +102,11 @@
 		err = d.e.sendToSlot(a.To, dutyFlag, string(b))
 	}
 	if err != nil {
-		d.e.log.Debug("a message on a duty was not sent", "err", err) // as if lost
+		d.e.log.Debug("failed to send a message on a duty", "err", err) // the table treats it as lost
 	}
 }
 
-// receive takes a receive of the member in a place.
+// receive queues a message of the member in a slot.
 func (d *duties) receive(from int, b []byte) {
 	var m election.Message
 	if d == nil || cbor.Unmarshal(b, &m) != nil {
@@ -136,8 +136,8 @@
 
 func (d *duties) statuses() []election.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
 
-// MayAct reports whether this member may act for a duty at this moment, and under which number. It is to be asked before and after each
-// step that can't be taken back: no after it means that the outcome is unknown. It may be called from any goroutine.
+// MayAct reports whether this member may act for a duty at this moment, and under which number. Call it before and after each step that can't
+// be undone: false after the step means that its outcome is unknown. It may be called from any goroutine.
 func (e *Engine) MayAct(duty string) (election.Ownership, bool) {
 	if e.duties == nil {
 		return election.Ownership{}, false
@@ -151,10 +151,10 @@
 	return election.Ownership{Number: l.number, Owner: e.duties.table.Identity()}, true
 }
 
-// ReportRejection tells that a receiver turned this member away below a number.
+// ReportRejection reports that a receiver rejected this member because it has seen the given, higher number.
 func (e *Engine) ReportRejection(duty string, number uint64) error {
 	if e.duties == nil {
-		return fmt.Errorf("there is no duty %q here", duty)
+		return fmt.Errorf("unknown duty %q: this member has no duties", duty)
 	}
 	e.duties.enqueue(election.Rejected{Duty: duty, Number: number})
 	return nil
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip is the engine round package fleet: it finds the other gateways by HashiCorp's memberlist, hands what it hears to
-// the table, and carries out what that wants. Messages of the decision module go the same way, from place to place.
+// Package gossip runs package fleet over HashiCorp's memberlist: it discovers the other gateways, passes what it receives to the fleet's table
+// and carries out the actions that the table returns. It also carries the decision module's messages, which are addressed by slot, the duties
+// of the fleet (package election) and what members know of each other (package peerinfo).
 package gossip
 
 import (
@@ -27,49 +28,49 @@
 )
 
 const (
-	metaVersion        = 1                      // of what a member tells of itself. Name, life, place and term stay as they are in all versions, so that places are one's own over an upgrade
-	tickInterval       = 200 * time.Millisecond // of the table
-	assignmentValidity = time.Second            // what was told of the standing is good for so long after a tick
-	maxClockJump       = time.Second            // by which the wall clock may part from the monotonic one between two ticks
-	gossipInterval     = 100 * time.Millisecond // twice as often as memberlist's own: many that join at once are known sooner
+	metaVersion        = 1                      // of nodeMeta. Name, incarnation, slot and term keep their encoding in all versions, so that slots stay unique during an upgrade
+	tickInterval       = 200 * time.Millisecond // of the table, the duties and the status
+	assignmentValidity = time.Second            // an assignment that the gateway has may be used for so long after a tick
+	maxClockJump       = time.Second            // by which the wall clock may drift from the monotonic one between two ticks before it counts as a jump
+	gossipInterval     = 100 * time.Millisecond // half of memberlist's default, so that many members that join at once are known sooner
 	fullSyncInterval   = 15 * time.Second
-	streamTimeout      = 2 * time.Second // of an exchange of states, as the table waits for it while it stands aside
-	maxSyncMembers     = 3               // members that are asked for their whole state
-	maxPendingEvents   = 4096            // that wait for the table; the engine waits while there are more
-	maxPendingMessages = 1024            // messages that wait to be sent; more are lost, as datagrams may be
+	streamTimeout      = 2 * time.Second // of a full state exchange, which the table of an isolated member waits for
+	maxSyncMembers     = 3               // members in one full state exchange
+	maxPendingEvents   = 4096            // events that wait for the table; memberlist is blocked while there are more
+	maxPendingMessages = 1024            // messages that wait to be sent; further ones are dropped, as datagrams may be
 	leaveTimeout       = time.Second
-	headerBytes        = 10 // of a message: place, and life of the sender
-	// memberlist 0.7.0 keeps news in order of how often each was sent, its length and a count that begins again whenever the queue
-	// is empty for a moment: two pieces that are alike in all three count as one, and one of them is lost. Members that start
-	// together tell things of one length, so each pads its own by another.
+	headerBytes        = 10 // of a message: the sender's slot with flags, and its incarnation
+	// memberlist 0.7.0 orders its broadcasts by the number of transmissions, the length, and a counter that starts again whenever the queue is
+	// empty for a moment. Two broadcasts that are equal in all three count as one, and one of them is lost. Members that start together announce
+	// metadata of the same length, so each pads its own to a different length.
 	paddingModulus  = 61
 	maxNameBytes    = 128
-	maxPeerDrops    = 4096 // members whose dropped messages are shown
+	maxPeerDrops    = 4096 // members whose dropped messages are reported
 	maxMessageBytes = 256
 	updateTimeout   = time.Second
 	stateFileMode   = 0o600
 )
 
-// Config is how a member takes part.
+// Config configures a member.
 type Config struct {
 	Name         string
-	Address      string // host:port of its own socket, by UDP and TCP
+	Address      string // host:port of its own socket, for UDP and TCP
 	Seeds        []string
-	KeyFile      string // base64 keys, one a line, the first is used to send; "": not encrypted
-	StatusSocket string // a local socket for sloectl; "": none
-	StateFile    string // where its place and the last known members are kept; "": nowhere
+	KeyFile      string // base64 keys, one per line, the first encrypts; "": no encryption
+	StatusSocket string // local socket that sloectl reads; "": none
+	StateFile    string // keeps this member's claim and the last known members; "": nothing is saved
 	Generation   uint64 // of the configuration
 	Fleet        fleet.Config
 	Transport    memberlist.Transport // nil: sockets at Address
-	Election     election.Config      // work on behalf of the fleet; no duties: there is none
-	PeerInfo     *peerinfo.Config     // what members know of each other; nil: nothing beyond who is there
+	Election     election.Config      // of the owners of duties; off without duties
+	PeerInfo     *peerinfo.Config     // nil: members share no records about themselves
 	Zone         string               // of this member, its region
 	Regions      map[string]*maintenance.Calendar
 
-	version int // that it tells; 0: metaVersion
+	version int // announced version; 0: metaVersion
 }
 
-// Engine is one member. Make it with New.
+// Engine is one member of a fleet. It is created by [New].
 type Engine struct {
 	cfg            Config
 	log            *slog.Logger
@@ -78,72 +79,72 @@
 	memberlist     *memberlist.Memberlist
 	table          *fleet.Table
 	saved          savedState
-	savedAddresses []string          // the last known members, as they were kept ...
-	savedClaims    fleet.SharedState // ... with their claims
+	savedAddresses []string          // of the last known members, from the state file ...
+	savedClaims    fleet.SharedState // ... and their claims
 	statusListener net.Listener      // nil: none
 
 	duties           *duties       // nil: none
 	peerInfo         *peerInfoSync // nil: none
 	events           chan fleet.Event
 	outbound         chan outboundMessage
-	announceNeeded   chan struct{} // something is to be announced
-	saveNeeded       chan struct{} // something is to be kept
+	announceNeeded   chan struct{} // the member's metadata has changed
+	saveNeeded       chan struct{} // pendingState has changed
 	pendingState     atomic.Pointer[savedState]
 	self             atomic.Pointer[fleet.Member]
 	assignment       atomic.Pointer[fleet.Assignment]
-	sharedState      atomic.Pointer[fleet.SharedState] // that is passed on
+	sharedState      atomic.Pointer[fleet.SharedState] // sent in full state exchanges
 	status           atomic.Pointer[Status]
-	validUntil       atomic.Int64  // of the standing, by the monotonic clock
-	assignmentNumber atomic.Uint64 // counts the standings
+	validUntil       atomic.Int64  // end of the assignment's validity, since start
+	assignmentNumber atomic.Uint64 // counts the assignments
 	droppedMessages  atomic.Uint64
 	syncing          atomic.Bool
 	leaving          atomic.Bool
-	regions          atomic.Pointer[map[string]*maintenance.Calendar] // with a calendar, by name
+	regions          atomic.Pointer[map[string]*maintenance.Calendar] // regions that have a calendar, by name
 	superseded       chan fleet.Member
 	start            time.Time
 	recoverySource   atomic.Pointer[RecoverySource] // nil: none
 
 	mu        sync.Mutex
-	nodes     map[string]*memberlist.Node // by life
-	peerDrops map[string]uint64           // messages that others dropped, by name, as they told last
+	nodes     map[string]*memberlist.Node // by memberlist's name, see nodeName
+	peerDrops map[string]uint64           // messages that other members dropped, by name, as they last reported
 	core      *gateway.Core
 }
 
 type outboundMessage struct {
-	to   string // the life of the receiver
+	to   string // memberlist's name of the receiver
 	data []byte
 }
 
-// Status is a member's view of its fleet, for operators.
+// Status is a member's view of its fleet, for operators. Its JSON names stay as they are, as sloectl of another version may read it.
 type Status struct {
 	Name            string
 	Assignment      fleet.Assignment     `json:"Standing"`
 	Members         []fleet.MemberStatus `json:"Rows"`
-	Now             time.Duration        // on the clock of the rows
-	RecoveryPhase   string               `json:"Phase"` // how far service has returned; "": all is let in
-	DroppedMessages uint64               `json:"Lost"`  // messages to others that found the queue full
+	Now             time.Duration        // on the clock of Members
+	RecoveryPhase   string               `json:"Phase"` // progress of the recovery after a power loss; "": no recovery is running
+	DroppedMessages uint64               `json:"Lost"`  // messages to others that were dropped because the queue was full
 	Duties          []election.DutyStatus
 	Electorate      election.Electorate `json:"Voters"` // who votes on duties, as far as this member knows
-	PeerInfo        []PeerInfoRow       `json:"News"`   // what is known of members, in the order of their names; none where it is off
-	PeerInfoStats   PeerInfoStats       `json:"Heard"`  // and how it came
-	Clock           FleetClock          // the fleet's, where news is on
-	Regions         []RegionStatus      // those with a calendar, in the order of their names
-	WallMillis      int64               `json:"Wall"`  // when this report was made, ms since 1970
-	PeerDrops       map[string]uint64   `json:"Drops"` // those of other members, by name, as they told with their last whole state
+	PeerInfo        []PeerInfoRow       `json:"News"`   // what is known of members, sorted by name; empty if it is off
+	PeerInfoStats   PeerInfoStats       `json:"Heard"`  // of the exchange of PeerInfo
+	Clock           FleetClock          // the fleet's clock, if PeerInfo is on
+	Regions         []RegionStatus      // those with a calendar, sorted by name
+	WallMillis      int64               `json:"Wall"`  // time of this status in ms since 1970
+	PeerDrops       map[string]uint64   `json:"Drops"` // dropped messages of other members, by name, as they reported in their last full state exchange
 }
 
-// New makes a member; it opens its socket and does not join yet.
+// New returns a member that has opened its socket and has not joined a fleet yet.
 func New(cfg Config, log *slog.Logger) (*Engine, error) {
 	e := &Engine{cfg: cfg, log: log, events: make(chan fleet.Event, maxPendingEvents), outbound: make(chan outboundMessage, maxPendingMessages),
 		announceNeeded: make(chan struct{}, 1), saveNeeded: make(chan struct{}, 1), nodes: map[string]*memberlist.Node{}, peerDrops: map[string]uint64{}, superseded: make(chan fleet.Member, 1), start: time.Now()}
 	if len(cfg.Name) > maxNameBytes {
-		return nil, fmt.Errorf("the fleet: the member's name has %d bytes, more than %d", len(cfg.Name), maxNameBytes)
+		return nil, fmt.Errorf("the fleet: the member's name has %d bytes, want at most %d", len(cfg.Name), maxNameBytes)
 	}
 	if err := e.loadState(); err != nil {
 		return nil, err
 	}
 	e.savedAddresses, e.savedClaims = e.saved.Members, e.savedSharedState()
-	e.incarnation = max(uint64(time.Now().UnixMilli()), e.saved.Incarnation+1) // later than the last, however the clock was set since
+	e.incarnation = max(uint64(time.Now().UnixMilli()), e.saved.Incarnation+1) // greater than the last one, even if the clock was set back
 	e.cfg.Fleet.Self = fleet.Member{Name: cfg.Name, Incarnation: e.incarnation, Generation: cfg.Generation, Version: cmp.Or(cfg.version, metaVersion), Claim: fleet.NoClaim}
 	e.cfg.Fleet.LastClaim = e.saved.Claim
 	var err error
@@ -183,7 +184,7 @@
 	}
 }
 
-// startMemberlist makes the engine.
+// startMemberlist creates the memberlist, without joining others.
 func (e *Engine) startMemberlist() error {
 	host, port, err := net.SplitHostPort(e.cfg.Address)
 	if err != nil {
@@ -194,7 +195,7 @@
 		return fmt.Errorf("the fleet's address: %w", err)
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name = strconv.FormatUint(e.incarnation, 36) + "." + e.cfg.Name // a life of its own to the engine
+	c.Name = strconv.FormatUint(e.incarnation, 36) + "." + e.cfg.Name // each incarnation is a node of its own to memberlist
 	c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = host, n, host, n
 	c.GossipInterval, c.PushPullInterval, c.TCPTimeout = gossipInterval, fullSyncInterval, streamTimeout
 	c.Logger = log.New(logWriter{e.log}, "", 0)
@@ -217,30 +218,30 @@
 	return nil
 }
 
-// RecoverySource is what a member knows of the time before a loss of power.
+// RecoverySource provides what a member knows of the time before a power loss.
 type RecoverySource struct {
-	Snapshot func() recovery.Word // what others are told that start; what they tell goes to the gateway by its Door
-	Phase    func() string        // how far service has returned, for the report
+	Snapshot func() recovery.Word // sent to other members that start; the gateway gets theirs by DeliverRecoverySnapshot
+	Phase    func() string        // progress of the recovery, for the status
 }
 
-// SetRecoverySource has the member tell what it knows, from now on.
+// SetRecoverySource makes the member send the source's snapshots and show its phase from now on.
 func (e *Engine) SetRecoverySource(source RecoverySource) { e.recoverySource.Store(&source) }
 
-// Incarnation is this process's: of two of one name the higher is the later.
+// Incarnation returns the incarnation of this process. Of two processes with one name the higher incarnation is the later one.
 func (e *Engine) Incarnation() uint64 { return e.incarnation }
 
-// Superseded tells when this member has to end, as a later process has its name.
+// Superseded returns a channel that receives the member that replaced this one: a later process with its name. This one has to end then.
 func (e *Engine) Superseded() <-chan fleet.Member { return e.superseded }
 
-// Status is the table as it stands; nil before there is one.
+// Status returns the last status; nil before there is one.
 func (e *Engine) Status() *Status { return e.status.Load() }
 
-// IsCurrent implements gateway.Member: a process that stood still must not go by what it was told before.
+// IsCurrent implements gateway.Member. It is false once the process was paused for longer than the assignment is valid.
 func (e *Engine) IsCurrent(n uint64) bool {
 	return n == e.assignmentNumber.Load() && int64(time.Since(e.start)) < e.validUntil.Load()
 }
 
-// Serve implements gateway.Member: it takes part until the context ends, and then says goodbye.
+// Serve implements gateway.Member. It takes part in the fleet until the context ends, and then leaves it.
 func (e *Engine) Serve(ctx context.Context, core *gateway.Core) {
 	e.mu.Lock()
 	e.core = core
@@ -259,7 +260,7 @@
 	e.run(ctx)
 	e.leaving.Store(true)
 	if err := e.memberlist.UpdateNode(leaveTimeout); err != nil {
-		e.log.Debug("leaving the fleet", "err", err)
+		e.log.Debug("announcing that this member leaves the fleet", "err", err)
 	}
 	if err := e.memberlist.Leave(leaveTimeout); err != nil {
 		e.log.Debug("leaving the fleet", "err", err)
@@ -268,11 +269,11 @@
 	e.closeStatus()
 	wg.Wait()
 	if err := e.memberlist.Shutdown(); err != nil {
-		e.log.Warn("closing the fleet's socket", "err", err)
+		e.log.Warn("failed to close the fleet's socket", "err", err)
 	}
 }
 
-// run is the table's goroutine.
+// run is the event loop, which owns the table and the duties.
 func (e *Engine) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -285,7 +286,7 @@
 		case ev := <-e.events:
 			e.handle(ev)
 		case ev := <-e.duties.inbox():
-			if time.Since(lastTick) > e.cfg.Fleet.PauseThreshold { // it stood still: the table has to notice before it votes
+			if time.Since(lastTick) > e.cfg.Fleet.PauseThreshold { // the process was paused: the table has to notice it before it votes
 				e.handle(fleet.Tick{})
 				lastTick = time.Now()
 			}
@@ -308,7 +309,7 @@
 	}
 }
 
-// publishStatus keeps what others may read: the standing's time, the report, and what is passed on.
+// publishStatus extends the assignment's validity and publishes the status and the state for full exchanges.
 func (e *Engine) publishStatus() {
 	at := time.Now()
 	now := at.Sub(e.start)
@@ -355,7 +356,7 @@
 	}
 }
 
-// applyAssignment hands the standing to the gateway.
+// applyAssignment passes a new assignment to the gateway.
 func (e *Engine) applyAssignment(s fleet.Assignment) {
 	e.assignment.Store(&s)
 	e.log.Info("fleet: standing", "place", s.Slot, "term", s.Term, "alone", s.Isolated)
@@ -368,14 +369,14 @@
 	e.requestSave()
 }
 
-// announceLoop tells all members what this one has to say.
+// announceLoop sends this member's metadata to all members whenever it has changed.
 func (e *Engine) announceLoop(ctx context.Context) {
 	for {
 		select {
 		case <-e.announceNeeded:
 			if err := e.memberlist.UpdateNode(updateTimeout); err != nil {
-				e.log.Debug("telling the fleet", "err", err)
-				e.requestAnnounce() // its queue of news may have lost this piece
+				e.log.Debug("failed to announce this member's metadata", "err", err)
+				e.requestAnnounce() // memberlist's broadcast queue may have lost it
 			}
 		case <-ctx.Done():
 			return
@@ -383,7 +384,7 @@
 	}
 }
 
-// requestAnnounce has what this member says told soon, the newest of it.
+// requestAnnounce makes announceLoop send the latest metadata soon.
 func (e *Engine) requestAnnounce() {
 	select {
 	case e.announceNeeded <- struct{}{}:
@@ -391,11 +392,12 @@
 	}
 }
 
-// syncMembers exchanges whole states with a few of those that are there, and unless that is enough with the seeds and the last known members.
+// syncMembers exchanges the full state with up to maxSyncMembers members, also with the seeds unless skipSeeds is set and members are
+// known, and also with the saved addresses if no member is known.
 func (e *Engine) syncMembers(skipSeeds bool) {
 	var addresses []string
 	e.mu.Lock()
-	for _, n := range e.nodes { // in no order, so any of them
+	for _, n := range e.nodes { // map order is random, so these are any of them
 		if len(addresses) >= maxSyncMembers {
 			break
 		}
@@ -416,7 +418,7 @@
 	var answered atomic.Int32
 	for _, a := range addresses {
 		wg.Go(func() {
-			if n, _ := e.memberlist.Join([]string{a}); n > 0 { // that it fails shows in the log of the engine
+			if n, _ := e.memberlist.Join([]string{a}); n > 0 { // memberlist logs failures
 				answered.Add(1)
 			}
 		})
--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -12,9 +12,9 @@
 	"sloepick/internal/fleet"
 )
 
-// This file is the fleet's keys.
+// This file loads and rotates the fleet's encryption keys.
 
-// readKeys reads encryption keys of 16, 24 or 32 bytes.
+// readKeys reads keys of 16, 24 or 32 bytes in base64, one per line.
 func readKeys(file string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return keys, nil
 }
 
-// Reload takes the keys that stand in their file now, and a new generation of the configuration with the members that it expects. To rotate a key, add the new one
-// behind the old one everywhere, then put it first, then drop the old one.
+// Reload applies the keys that are in the key file now, and a new generation of the configuration with its expected number of members. To
+// rotate a key, add the new one as the last line on all members, then make it the first line, then remove the old one.
 func (e *Engine) Reload(generation uint64, expect int) error {
 	if e.keyring != nil {
 		keys, err := readKeys(e.cfg.KeyFile)
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -10,20 +10,20 @@
 	"sloepick/internal/fleet"
 )
 
-// This file is messages from place to place.
+// This file sends messages to slots.
 
 // Send implements gateway.Peers.
 func (e *Engine) Send(slot int, payload string) error { return e.sendToSlot(slot, 0, payload) }
 
-// sendToSlot sends a text to whoever is in a place. flag is set in the sender's place, and tells what the text is.
+// sendToSlot queues a message to the member in a slot. The flag is set in the sender's slot, and says which kind of message it is.
 func (e *Engine) sendToSlot(slot int, flag uint16, payload string) error {
 	s := e.assignment.Load()
 	if slot < 0 || slot >= len(s.Holders) || s.Slot < 0 || len(payload) > maxPayloadBytes(flag) {
-		return fmt.Errorf("a message of %d bytes to place %d can't be sent", len(payload), slot)
+		return fmt.Errorf("can't send a message of %d bytes to slot %d", len(payload), slot)
 	}
 	holder := &s.Holders[slot]
 	if holder.Name == "" || holder.State != fleet.Alive {
-		return fmt.Errorf("nobody is in place %d", slot)
+		return fmt.Errorf("no member is alive in slot %d", slot)
 	}
 	b := binary.BigEndian.AppendUint16(make([]byte, 0, headerBytes+len(payload)), uint16(s.Slot)|flag)
 	b = append(binary.BigEndian.AppendUint64(b, e.incarnation), payload...)
@@ -32,11 +32,11 @@
 		return nil
 	default:
 		e.droppedMessages.Add(1)
-		return errors.New("too many messages wait to be sent")
+		return errors.New("too many messages are waiting to be sent")
 	}
 }
 
-// maxPayloadBytes is how many bytes a message may have.
+// maxPayloadBytes returns the size limit of messages with a flag.
 func maxPayloadBytes(flag uint16) int {
 	if flag&peerInfoFlag != 0 {
 		return maxPeerInfoBytes
@@ -44,7 +44,7 @@
 	return maxMessageBytes
 }
 
-// sendLoop sends messages: the engine may wait for a lock, which the gateway's loop must not.
+// sendLoop sends the queued messages. memberlist may wait for a lock, and the gateway's loop must not.
 func (e *Engine) sendLoop(ctx context.Context) {
 	for {
 		select {
@@ -56,7 +56,7 @@
 				continue
 			}
 			if err := e.memberlist.SendBestEffort(n, t.data); err != nil {
-				e.log.Debug("a message was not sent", "err", err)
+				e.log.Debug("failed to send a message", "err", err)
 			}
 		case <-ctx.Done():
 			return
--- a/internal/gossip/peerinfo.go
+++ b/internal/gossip/peerinfo.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	peerInfoFlag        = 1 << 14 // in a message's place: it is news. Members of a version without news take it for a place that there is not
-	maxPeerInfoBytes    = 1310    // bytes of it, in one datagram
-	peerInfoQueueLength = 1024    // messages of news that wait to be heard; the oldest goes for a newer one
-	maxZoneBytes        = 40      // bytes of a region's name that are told
+	peerInfoFlag        = 1 << 14 // set in a message's slot: the message is one of package peerinfo. Versions without it see a slot that does not exist, and ignore it
+	maxPeerInfoBytes    = 1310    // of one message, in one datagram
+	peerInfoQueueLength = 1024    // messages that wait to be processed; a newer one evicts the oldest
+	maxZoneBytes        = 40      // bytes of a region's name that are published
 	minSuspend          = 100 * time.Millisecond
 
-	topicSelf peerinfo.Topic = 0 // what a member says of itself
+	topicSelf peerinfo.Topic = 0 // what a member publishes about itself
 )
 
-// selfRecord is what a member says of itself.
+// selfRecord is what a member publishes about itself.
 type selfRecord struct {
 	Zone       string `cbor:"1,keyasint,omitempty"`
-	WallMillis int64  `cbor:"2,keyasint"` // when it said so, ms since 1970 by its own wall clock
+	WallMillis int64  `cbor:"2,keyasint"` // when it was published, in ms since 1970 by the member's own wall clock
 }
 
-// PeerInfoRow is what a member knows of another one, or of itself.
+// PeerInfoRow is what this member knows of another one, or of itself.
 type PeerInfoRow struct {
 	Name, Zone string
-	Age        time.Duration // of what is known, at most, when the report was made
-	WallMillis int64         `json:"Wall"` // when it was said, ms since 1970 by the other's wall clock
+	Age        time.Duration // upper bound at the time of the status
+	WallMillis int64         `json:"Wall"` // when it was published, in ms since 1970 by that member's wall clock
 }
 
-// PeerInfoStats are what became of messages of news.
+// PeerInfoStats counts the messages of package peerinfo.
 type PeerInfoStats struct {
 	Queue        queue.Stats `json:"Ring"`
 	Table        peerinfo.Stats
-	MessagesSent uint64 `json:"Sent"` // messages
+	MessagesSent uint64 `json:"Sent"`
 	BytesSent    uint64 `json:"Bytes"`
 }
 
-// peerInfoSync is this member's part in what all know of each other. One goroutine owns the table. nil: there is none.
+// peerInfoSync runs this member's part in the exchange of records about members. One goroutine owns the table. nil: it is off.
 type peerInfoSync struct {
 	e            *Engine
 	table        *peerinfo.Table
@@ -54,18 +54,18 @@
 	snapshot     atomic.Pointer[peerInfoSnapshot]
 	messagesSent uint64
 	bytesSent    uint64
-	checkedAt    time.Time // of the last turn
+	checkedAt    time.Time // last call of detectSuspend
 	windows      windowCache
 }
 
-// peerInfoEvent is a message of the member in a place, or that a member left.
+// peerInfoEvent is a message of the member in a slot, or a member that left.
 type peerInfoEvent struct {
 	from int
 	data []byte
 	left fleet.Member
 }
 
-// peerInfoSnapshot is what is known, as of a time since the engine's start.
+// peerInfoSnapshot is what is known at a time since the engine's start.
 type peerInfoSnapshot struct {
 	at      time.Duration
 	members []PeerInfoRow
@@ -83,21 +83,21 @@
 	return &peerInfoSync{e: e, table: t, cfg: cfg, inbox: queue.NewEvicting[peerInfoEvent](peerInfoQueueLength), checkedAt: time.Now()}, nil
 }
 
-// receive takes a receive of the member in a place. It never waits.
+// receive queues a message of the member in a slot. It never waits.
 func (n *peerInfoSync) receive(from int, data []byte) {
 	if n != nil {
 		n.inbox.Put(peerInfoEvent{from: from, data: append([]byte(nil), data...)})
 	}
 }
 
-// memberLeft takes that a member said goodbye.
+// memberLeft queues that a member left the fleet.
 func (n *peerInfoSync) memberLeft(m fleet.Member) {
 	if n != nil {
 		n.inbox.Put(peerInfoEvent{left: m})
 	}
 }
 
-// run is the goroutine of news, until the context ends.
+// run is the loop that owns the table, until the context ends.
 func (n *peerInfoSync) run(ctx context.Context) {
 	ticker := time.NewTicker(n.cfg.Interval)
 	defer ticker.Stop()
@@ -121,8 +121,8 @@
 
 func (n *peerInfoSync) now() time.Duration { return time.Since(n.e.start) }
 
-// detectSuspend looks whether the machine slept, in which its monotonic clock stands still and its wall clock does not. A wall clock that is set
-// forward looks the same, and makes all that is known older than it is: to the safe side.
+// detectSuspend checks whether the machine was suspended: its monotonic clock stood still then, and its wall clock did not. A wall clock that
+// was set forward looks the same, and only makes ages higher than they are.
 func (n *peerInfoSync) detectSuspend() {
 	now := time.Now()
 	if suspended := now.Round(0).Sub(n.checkedAt.Round(0)) - now.Sub(n.checkedAt); suspended > minSuspend {
@@ -141,7 +141,7 @@
 	}
 }
 
-// publish says of this member what is so now: the fact is born when what it tells was looked at.
+// publish publishes a record about this member, dated before its content is read.
 func (n *peerInfoSync) publish() {
 	at := time.Now()
 	s := selfRecord{Zone: n.e.cfg.Zone[:min(len(n.e.cfg.Zone), maxZoneBytes)], WallMillis: at.UnixMilli()}
@@ -150,11 +150,11 @@
 		err = n.table.Publish(at.Sub(n.e.start), topicSelf, b)
 	}
 	if err != nil {
-		n.e.log.Error("fleet: news can't be told", "err", err)
+		n.e.log.Error("fleet: failed to publish this member's record", "err", err)
 	}
 }
 
-// query asks a few of those that are there, any of them.
+// query sends a query to a few members that are alive, in random order.
 func (n *peerInfoSync) query() {
 	s := n.e.assignment.Load()
 	var alive []int
@@ -164,7 +164,7 @@
 		}
 	}
 	if s.Slot < 0 || len(alive) == 0 {
-		return // nobody takes messages of who has no place
+		return // members ignore messages of a sender without a slot
 	}
 	rand.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	query := n.table.NextQuery(n.now())
@@ -175,14 +175,14 @@
 
 func (n *peerInfoSync) send(slot int, data []byte) {
 	if err := n.e.sendToSlot(slot, peerInfoFlag, string(data)); err != nil {
-		n.e.log.Debug("news was not sent", "err", err) // as if lost
+		n.e.log.Debug("failed to send a message of the peer information", "err", err) // the protocol treats it as lost
 		return
 	}
 	n.messagesSent++
 	n.bytesSent += uint64(len(data))
 }
 
-// updateSnapshot keeps what is known for the report.
+// updateSnapshot publishes what is known for the status.
 func (n *peerInfoSync) updateSnapshot() {
 	at := time.Now()
 	now := at.Sub(n.e.start)
@@ -200,7 +200,7 @@
 	n.snapshot.Store(snapshot)
 }
 
-// fillStatus adds what is known to a fillStatus, as of its time. It may be called from any goroutine.
+// fillStatus adds what is known to a status, with ages as of its time. It may be called from any goroutine.
 func (n *peerInfoSync) fillStatus(status *Status) {
 	if n == nil {
 		return
--- a/internal/gossip/regions.go
+++ b/internal/gossip/regions.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	windowLookahead = 8 * 24 * time.Hour // windows are looked for so far ahead: a week, and the day that a calendar leaves out
-	maxClockOffset  = time.Second        // a member whose clock is further off than this, and the doubt, says so
-	wallResolution  = time.Millisecond   // in which wall clocks are told
+	windowLookahead = 8 * 24 * time.Hour // windows are searched for a week, and for the day that a calendar may exclude
+	maxClockOffset  = time.Second        // beyond the uncertainty; a larger one is reported
+	wallResolution  = time.Millisecond   // of the wall clocks in records
 )
 
-// FleetClock is what the fleet's clock is by what members told of theirs.
+// FleetClock is the estimate of the fleet's clock from the wall clocks that members published.
 type FleetClock struct {
-	OK              bool          // more than half agree; else there is none
+	OK              bool          // more than half of the members agree; without that the fleet has no clock
 	AgreeingMembers int           `json:"Agree"`
-	TotalMembers    int           `json:"Of"`    // members, this one among them
-	Offset          time.Duration `json:"Ahead"` // of this member's clock, in the middle of what is possible
-	Uncertainty     time.Duration `json:"Doubt"` // it may be so much more or less
-	LocalClockOff   bool          `json:"Off"`   // this member's own clock is not among those that agree, by more than a second
+	TotalMembers    int           `json:"Of"`    // including this one
+	Offset          time.Duration `json:"Ahead"` // of the fleet's clock from this member's, the middle of the possible range
+	Uncertainty     time.Duration `json:"Doubt"` // the offset may be higher or lower by so much
+	LocalClockOff   bool          `json:"Off"`   // this member's clock differs from the fleet's by more than maxClockOffset beyond the uncertainty
 }
 
-// RegionStatus is when a region with a calendar is quiet, by the fleet's clock.
+// RegionStatus is the maintenance window of a region with a calendar, by the fleet's clock.
 type RegionStatus struct {
 	Name        string
-	Remaining   time.Duration `json:"Left"` // for which it is quiet at the least; 0: it may not be
-	WindowStart time.Time     `json:"From"` // the window that it is in, or the next one; zero: there is none for a week
+	Remaining   time.Duration `json:"Left"` // the current window lasts at least so long; 0: there may be none now
+	WindowStart time.Time     `json:"From"` // of the current window or else the next one; zero: there is none for a week
 	WindowEnd   time.Time     `json:"To"`
 }
 
-// windowCache keeps the windows that were found: to look for one that is days away takes some ms.
+// windowCache keeps the windows that were found, as a search for one that is days away takes some ms.
 type windowCache struct {
 	calendars  map[string]*maintenance.Calendar
 	windows    map[string]maintenance.Window
-	validUntil time.Time // windows hold until then ...
+	validUntil time.Time // a window ends, or an hour has passed
 }
 
-// SetRegions has the regions' calendars be these from now on.
+// SetRegions replaces the regions' calendars.
 func (e *Engine) SetRegions(calendars map[string]*maintenance.Calendar) { e.regions.Store(&calendars) }
 
-// clock is the fleet's clock, at a time of this member's wall clock.
+// estimateFleetClock estimates the fleet's clock at a time of this member's wall clock.
 func estimateFleetClock(rows []PeerInfoRow, self string, at time.Time) FleetClock {
 	var readings []maintenance.OffsetRange
 	for _, row := range rows {
@@ -56,7 +56,7 @@
 	return c
 }
 
-// regionStatuses are the regions as of a time of the fleet's clock.
+// regionStatuses returns the status of all regions, by name, at a time of this member's wall clock.
 func (c *windowCache) regionStatuses(calendars map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
 	if !clock.OK {
 		return nil
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -14,28 +14,28 @@
 	"sloepick/internal/fleet"
 )
 
-// This file is what a member keeps on its disk.
+// This file saves and loads the state that a member keeps on disk.
 
-// savedState is what a member keeps on its disk.
+// savedState is the content of the state file.
 type savedState struct {
 	Name          string              `json:"name"`
 	Incarnation   uint64              `json:"life"`
 	Claim         fleet.Claim         `json:"claim"`
 	Members       []string            `json:"members"` // addresses
-	Claims        []savedClaim        `json:"held"`    // what others claimed ...
-	SavedAtMillis int64               `json:"at"`      // ... by this wall clock, in milliseconds since 1970
+	Claims        []savedClaim        `json:"held"`    // of other members ...
+	SavedAtMillis int64               `json:"at"`      // ... when it was saved, in ms since 1970 by the wall clock
 	Voters        election.Electorate `json:"voters"`
 }
 
-// savedClaim is another member's claim, as it was known last: after a loss of power a place is kept for one whose disk is lost, too.
+// savedClaim is the last known claim of another member. It reserves that member's slot after a power loss, even if its disk is lost.
 type savedClaim struct {
 	Name        string      `json:"n"`
 	Incarnation uint64      `json:"l"`
 	Claim       fleet.Claim `json:"c"`
 }
 
-// savedSharedState is what the disk tells of others. They count as having left: whether they come back is not known, and until then they are
-// no part of a majority.
+// savedSharedState returns the claims of others from the state file. They count as members that left: it is not known whether they come back,
+// and until then they must not count in a majority.
 func (e *Engine) savedSharedState() (p fleet.SharedState) {
 	ago := max(0, time.Since(time.UnixMilli(e.saved.SavedAtMillis)))
 	for _, h := range e.saved.Claims {
@@ -44,8 +44,8 @@
 	return p
 }
 
-// loadState reads what was kept. What is torn or another member's is set aside with a line in the log: this member's place is then told by
-// the others, who keep it for its name. A file that can't be read now, and may be later, is an error.
+// loadState reads the state file. One that is corrupt or another member's is renamed, with an error in the log: the others, who reserve slots by
+// name, then tell this member its slot. A file that can't be read now, but perhaps later, is an error.
 func (e *Engine) loadState() error {
 	empty := savedState{Claim: fleet.NoClaim}
 	e.saved = empty
@@ -60,7 +60,7 @@
 		return fmt.Errorf("the fleet's state in %s: %w", e.cfg.StateFile, err)
 	}
 	if err = json.Unmarshal(text, &e.saved); err == nil && e.saved.Name != "" && e.saved.Name != e.cfg.Name {
-		err = fmt.Errorf("it is the member's %q", e.saved.Name)
+		err = fmt.Errorf("it belongs to member %q", e.saved.Name)
 	}
 	if err != nil {
 		e.saved = empty
@@ -72,9 +72,9 @@
 	return nil
 }
 
-const badSuffix = ".bad" // behind the name of a file that is set aside
+const badSuffix = ".bad" // appended to the name of a file that was set aside
 
-// requestSave has the place and who is there kept soon, the newest of it: the table must not wait for a disk.
+// requestSave makes saveLoop write the latest claim and members soon. The event loop must not wait for a disk.
 func (e *Engine) requestSave() {
 	if e.cfg.StateFile == "" {
 		return
@@ -100,12 +100,12 @@
 	}
 }
 
-// saveLoop writes what is to be kept, whole or not at all, until the context ends and nothing is left.
+// saveLoop writes each pending state atomically, until the context ends and the last one is written.
 func (e *Engine) saveLoop(ctx context.Context) {
 	write := func() {
 		if s := e.pendingState.Swap(nil); s != nil {
 			if err := writeFileAtomically(e.cfg.StateFile, *s); err != nil {
-				e.log.Warn("the fleet's state was not kept", "err", err)
+				e.log.Warn("failed to save the fleet's state", "err", err)
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(tmp.Name()) // gone by then, if all went well
+	defer os.Remove(tmp.Name()) // fails after the rename, when there is nothing to remove
 	_, err = tmp.Write(text)
 	err = errors.Join(err, tmp.Chmod(stateFileMode), tmp.Sync(), tmp.Close())
 	if err != nil {
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	statusTimeout    = time.Second // a reader of the status takes no longer
+	statusTimeout    = time.Second // to write the status to a reader, or to read it
 	statusSocketMode = 0o600
 )
 
-// listenStatus opens the local socket for the status. One that a former process left behind gives way.
+// listenStatus opens the local socket for the status. It replaces a socket file that no process serves.
 func listenStatus(path string) (net.Listener, error) {
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
@@ -35,7 +35,7 @@
 	return ln, nil
 }
 
-// serveStatus tells whoever connects how the fleet stands, as JSON, one at a time, until the socket is closed.
+// serveStatus writes the status as JSON to each client that connects, one at a time, until the socket is closed.
 func (e *Engine) serveStatus(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -45,14 +45,14 @@
 		if err := c.SetDeadline(time.Now().Add(statusTimeout)); err == nil {
 			err = json.NewEncoder(c).Encode(e.status.Load())
 			if err != nil {
-				e.log.Debug("telling the fleet's status", "err", err)
+				e.log.Debug("failed to send the fleet's status", "err", err)
 			}
 		}
 		c.Close()
 	}
 }
 
-// ReadStatus asks a daemon at its local socket how the fleet stands.
+// ReadStatus reads the status of a daemon from its local socket.
 func ReadStatus(ctx context.Context, path string) (*Status, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "unix", path)
@@ -65,7 +65,7 @@
 	}
 	var r *Status
 	if err := json.NewDecoder(c).Decode(&r); err != nil {
-		return nil, fmt.Errorf("reading a daemon's answer: %w", err)
+		return nil, fmt.Errorf("reading a daemon's status: %w", err)
 	}
 	if r == nil {
 		return nil, errors.New("the daemon has not joined its fleet yet")
