--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -92,10 +92,10 @@
 }
 
 // waitFor waits waitFor a member's view is as it should be.
-func (m *member) waitFor(what string, holds func(r *Status) bool) *Status {
+func (m *member) waitFor(what string, condition func(r *Status) bool) *Status {
 	m.t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r := m.Status(); r != nil && holds(r) {
+		if r := m.Status(); r != nil && condition(r) {
 			return r
 		}
 	}
@@ -163,7 +163,7 @@
 		return func(c *Config) { c.KeyFile, c.Seeds = keys, []string{at[0]} }
 	}
 	a, b := startMember(t, "a", at[0], with(keyA)), startMember(t, "b", at[1], with(keyB))
-	stranger := startMember(t, "c", at[2], with(keyFile(t, otherKey)))
+	outsider := startMember(t, "c", at[2], with(keyFile(t, otherKey)))
 	two := func(r *Status) bool {
 		n, _ := countAlive(r, "")
 		return n == 2 && hasSlot(r)
@@ -172,7 +172,7 @@
 	if ra.Assignment.Slot == rb.Assignment.Slot {
 		t.Errorf("both are in place %d", ra.Assignment.Slot)
 	}
-	if n, _ := countAlive(stranger.waitFor("a view", func(*Status) bool { return true }), ""); n != 1 {
+	if n, _ := countAlive(outsider.waitFor("a view", func(*Status) bool { return true }), ""); n != 1 {
 		t.Errorf("one with another key sees %d members", n)
 	}
 	if err := a.Send(rb.Assignment.Slot, "xhello"); err != nil {
@@ -245,10 +245,10 @@
 func TestStateFile(t *testing.T) {
 	at := allocateAddresses(t, 2)
 	file := filepath.Join(t.TempDir(), "state")
-	keep := func(c *Config) { c.StateFile = file }
+	withStateFile := func(c *Config) { c.StateFile = file }
 	a := startMember(t, "a", at[0], nil)
 	a.waitFor("a place", hasSlot)
-	b := startMember(t, "b", at[1], func(c *Config) { keep(c); c.Seeds = at[:1] })
+	b := startMember(t, "b", at[1], func(c *Config) { withStateFile(c); c.Seeds = at[:1] })
 	before := b.waitFor("a place", hasSlot)
 	b.stop()
 	text, err := os.ReadFile(file)
@@ -259,7 +259,7 @@
 	if err := os.WriteFile(file, []byte(future), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	restarted := startMember(t, "b", at[1], keep)
+	restarted := startMember(t, "b", at[1], withStateFile)
 	r := restarted.waitFor("its place", hasSlot)
 	if r.Assignment.Slot != before.Assignment.Slot || restarted.incarnation < 9e12 {
 		t.Errorf("back in place %d of %d, life %d", r.Assignment.Slot, before.Assignment.Slot, restarted.incarnation)
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -15,15 +15,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hours := map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
+	calendars := map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	row := func(name string, ahead time.Duration) PeerInfoRow {
 		return PeerInfoRow{Name: name, Age: time.Second, WallMillis: at.Add(ahead - time.Second/2).UnixMilli()}
 	}
 	for _, tc := range []struct {
 		name       string
 		others     []PeerInfoRow
-		ok, off    bool
-		left, most time.Duration
+		ok, clockOff    bool
+		minRemaining, maxRemaining time.Duration
 	}{
 		{"all agree", []PeerInfoRow{row("b", 0), row("c", 0)}, true, false, 28 * time.Minute, 30 * time.Minute},
 		{"one is a year ahead", []PeerInfoRow{row("b", 0), row("c", 8760*time.Hour)}, true, false, 28 * time.Minute, 30 * time.Minute},
@@ -33,13 +33,13 @@
 	} {
 		c := estimateFleetClock(append(tc.others, row("a", 0)), "a", at)
 		var cache windowCache
-		rows := cache.regionStatuses(hours, c, at)
-		if c.OK != tc.ok || c.LocalClockOff != tc.off || c.TotalMembers != 3 || len(rows) != len(hours) && tc.ok {
+		rows := cache.regionStatuses(calendars, c, at)
+		if c.OK != tc.ok || c.LocalClockOff != tc.clockOff || c.TotalMembers != 3 || len(rows) != len(calendars) && tc.ok {
 			t.Errorf("%s: %+v, %+v", tc.name, c, rows)
 		}
 		for _, row := range rows {
-			if row.Remaining < tc.left || row.Remaining > tc.most {
-				t.Errorf("%s: quiet for %v more, want %v to %v", tc.name, row.Remaining, tc.left, tc.most)
+			if row.Remaining < tc.minRemaining || row.Remaining > tc.maxRemaining {
+				t.Errorf("%s: quiet for %v more, want %v to %v", tc.name, row.Remaining, tc.minRemaining, tc.maxRemaining)
 			}
 		}
 	}
@@ -56,14 +56,14 @@
 		return map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	}
 	var cache windowCache
-	one, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
+	first, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
 	for _, tc := range []struct {
-		hours map[string]*maintenance.Calendar
+		calendars map[string]*maintenance.Calendar
 		after time.Duration
 		from  int // hour
 		day   int
-	}{{one, 0, 13, 2}, {one, 29 * time.Minute, 13, 2}, {one, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {one, 0, 13, 2}} {
-		rows := cache.regionStatuses(tc.hours, clock, at.Add(tc.after))
+	}{{first, 0, 13, 2}, {first, 29 * time.Minute, 13, 2}, {first, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {first, 0, 13, 2}} {
+		rows := cache.regionStatuses(tc.calendars, clock, at.Add(tc.after))
 		if from := rows[0].WindowStart; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Remaining == 0 || rows[0].WindowEnd.Sub(at.Add(tc.after)) <= 0 || rows[0].WindowEnd.Day() != tc.day {
 			t.Errorf("%v later: %+v", tc.after, rows[0])
 		}
--- a/internal/peerinfo/table_test.go
+++ b/internal/peerinfo/table_test.go
@@ -105,26 +105,26 @@
 // check holds what must hold all along: no age is told younger than it is, nothing goes back, and who left does not come back.
 func (p *simulation) check(t *rapid.T) {
 	for i, table := range p.tables {
-		for _, who := range table.KnownAuthors(p.clock(i), 1) {
-			f, age, err := table.Lookup(p.clock(i), who, 1, time.Hour)
+		for _, author := range table.KnownAuthors(p.clock(i), 1) {
+			record, age, err := table.Lookup(p.clock(i), author, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
-			born, ok := p.publishedAt[recordKey(who, f.Incarnation, f.Version)]
+			published, ok := p.publishedAt[recordKey(author, record.Incarnation, record.Version)]
 			if !ok {
-				t.Fatalf("%s knows what nobody said: %+v", memberName(i), f)
+				t.Fatalf("%s knows what nobody said: %+v", memberName(i), record)
 			}
-			if is := p.now - born; age < is-time.Microsecond { // of rounding
-				t.Fatalf("%s tells %s's number %d of life %d as %v old; it is %v", memberName(i), who, f.Version, f.Incarnation, age, is)
+			if actual := p.now - published; age < actual-time.Microsecond { // of rounding
+				t.Fatalf("%s tells %s's number %d of life %d as %v old; it is %v", memberName(i), author, record.Version, record.Incarnation, age, actual)
 			}
-			if f.Incarnation <= p.leftIncarnations[who] {
-				t.Fatalf("%s knows life %d of %s, which left", memberName(i), f.Incarnation, who)
+			if record.Incarnation <= p.leftIncarnations[author] {
+				t.Fatalf("%s knows life %d of %s, which left", memberName(i), record.Incarnation, author)
 			}
-			was, is := p.newest[i][who], [2]uint64{f.Incarnation, f.Version}
-			if was[0] > is[0] || was[0] == is[0] && was[1] > is[1] {
-				t.Fatalf("%s went back from %v to %v of %s", memberName(i), was, is, who)
+			previous, current := p.newest[i][author], [2]uint64{record.Incarnation, record.Version}
+			if previous[0] > current[0] || previous[0] == current[0] && previous[1] > current[1] {
+				t.Fatalf("%s went back from %v to %v of %s", memberName(i), previous, current, author)
 			}
-			p.newest[i][who] = is
+			p.newest[i][author] = current
 		}
 	}
 }
@@ -213,19 +213,19 @@
 				p.deliver(0, false)
 			}
 		}
-		var answers [][]byte
+		var replies [][]byte
 		q := p.tables[2].NextQuery(p.clock(2))
 		for i := range 2 {
-			answers = append(answers, p.tables[i].HandleMessage(p.clock(i), q)...)
+			replies = append(replies, p.tables[i].HandleMessage(p.clock(i), q)...)
 			p.now += time.Second
 		}
-		order := rapid.Permutation(append(answers, answers...)).Draw(t, "order")
+		order := rapid.Permutation(append(replies, replies...)).Draw(t, "order")
 		twin, err := New(testConfig(memberName(2), 1), 2<<32+1<<16)
 		if err != nil {
 			t.Fatal(err)
 		}
 		twin.pending = slices.Clone(p.tables[2].pending)
-		for _, a := range answers {
+		for _, a := range replies {
 			p.tables[2].HandleMessage(p.clock(2), a)
 		}
 		for _, a := range order {
@@ -265,8 +265,8 @@
 		}
 	}
 	other.merge(0, Record{Author: "left", Incarnation: 5, Version: 1, Topic: 1}, 0) // the number of a later life is lower
-	for _, back := range other.HandleMessage(0, me.NextQuery(0)) {
-		me.HandleMessage(0, back)
+	for _, reply := range other.HandleMessage(0, me.NextQuery(0)) {
+		me.HandleMessage(0, reply)
 	}
 	if f, _, err := me.Lookup(0, "left", 1, time.Second); err != nil || f.Incarnation != 5 {
 		t.Errorf("its next life: %+v, %v", f, err)
@@ -287,8 +287,8 @@
 	if err := a.Publish(0, 1, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	answer := a.HandleMessage(time.Second, b.NextQuery(0))
-	b.HandleMessage(2*time.Second, answer[0])
+	replies := a.HandleMessage(time.Second, b.NextQuery(0))
+	b.HandleMessage(2*time.Second, replies[0])
 	f, age, err := b.Lookup(2*time.Second, "a", 1, 4*time.Second)
 	if err != nil || string(f.Value) != "x" || age < 3*time.Second { // 1 s at a, and 2 s since b asked
 		t.Errorf("%+v, %v old, %v", f, age, err)
@@ -297,15 +297,15 @@
 	if _, _, err := b.Lookup(10*time.Second, "a", 1, 4*time.Second); !errors.As(err, &stale) || stale.Age < 9*time.Second {
 		t.Errorf("later: %v", err)
 	}
-	for _, who := range []string{"a", "c"} {
-		if _, _, err := b.Lookup(time.Minute, who, 1, time.Hour); !errors.Is(err, ErrUnknown) {
-			t.Errorf("%s after what is kept: %v", who, err)
+	for _, author := range []string{"a", "c"} {
+		if _, _, err := b.Lookup(time.Minute, author, 1, time.Hour); !errors.Is(err, ErrUnknown) {
+			t.Errorf("%s after what is kept: %v", author, err)
 		}
 	}
 	for range maxPendingQueries {
 		b.NextQuery(2 * time.Minute)
 	}
-	b.HandleMessage(2*time.Minute, answer[0])
+	b.HandleMessage(2*time.Minute, replies[0])
 	if c := b.Stats(); c.UnmatchedReplies != 1 || len(b.authors) != 0 {
 		t.Errorf("%+v, %d known", c, len(b.authors))
 	}
@@ -376,9 +376,9 @@
 			t.Fatal(err)
 		}
 		me.NextQuery(0)
-		for _, back := range me.HandleMessage(time.Second, msg) {
-			if len(back) > me.cfg.MaxMessageBytes {
-				t.Errorf("%d bytes back", len(back))
+		for _, reply := range me.HandleMessage(time.Second, msg) {
+			if len(reply) > me.cfg.MaxMessageBytes {
+				t.Errorf("%d bytes back", len(reply))
 			}
 		}
 		if f, _, err := me.Lookup(time.Second, "a", 1, time.Hour); err != nil || f.Incarnation != 5 || f.Version != 1 {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -8,28 +8,28 @@
 
 // TestFullQueue: what is full drops the oldest or refuses, counts it, and goes on in order past its end.
 func TestFullQueue(t *testing.T) {
-	latest, sure := NewEvicting[int](3), NewRejecting[int](3)
+	evicting, rejecting := NewEvicting[int](3), NewRejecting[int](3)
 	for i := range 5 {
-		latest.Put(i)
-		if ok := sure.Put(i); ok != (i < 3) {
+		evicting.Put(i)
+		if ok := rejecting.Put(i); ok != (i < 3) {
 			t.Errorf("put %d: %v", i, ok)
 		}
 	}
 	for want := range 3 {
-		if v, ok := latest.Take(); !ok || v != want+2 {
+		if v, ok := evicting.Take(); !ok || v != want+2 {
 			t.Errorf("the latest %d, %v; want %d", v, ok, want+2)
 		}
-		if v, ok := sure.Take(); !ok || v != want {
+		if v, ok := rejecting.Take(); !ok || v != want {
 			t.Errorf("sure of %d, %v; want %d", v, ok, want)
 		}
 	}
-	if _, ok := latest.Take(); ok {
+	if _, ok := evicting.Take(); ok {
 		t.Error("took one of none")
 	}
-	if c := latest.Stats(); c.Put != 5 || c.Dropped != 2 || c.MaxDepth != 3 {
+	if c := evicting.Stats(); c.Put != 5 || c.Dropped != 2 || c.MaxDepth != 3 {
 		t.Errorf("latest %+v", c)
 	}
-	if c := sure.Stats(); c.Put != 3 || c.Dropped != 2 || c.MaxDepth != 3 || c.MaxWait <= 0 {
+	if c := rejecting.Stats(); c.Put != 3 || c.Dropped != 2 || c.MaxDepth != 3 || c.MaxWait <= 0 {
 		t.Errorf("sure %+v", c)
 	}
 }
