--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -20,9 +20,9 @@
 		return PeerInfoRow{Name: name, Age: time.Second, WallMillis: at.Add(ahead - time.Second/2).UnixMilli()}
 	}
 	for _, tc := range []struct {
-		name       string
-		others     []PeerInfoRow
-		ok, clockOff    bool
+		name                       string
+		others                     []PeerInfoRow
+		ok, clockOff               bool
 		minRemaining, maxRemaining time.Duration
 	}{
 		{"all agree", []PeerInfoRow{row("b", 0), row("c", 0)}, true, false, 28 * time.Minute, 30 * time.Minute},
@@ -59,9 +59,9 @@
 	first, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
 	for _, tc := range []struct {
 		calendars map[string]*maintenance.Calendar
-		after time.Duration
-		from  int // hour
-		day   int
+		after     time.Duration
+		from      int // hour
+		day       int
 	}{{first, 0, 13, 2}, {first, 29 * time.Minute, 13, 2}, {first, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {first, 0, 13, 2}} {
 		rows := cache.regionStatuses(tc.calendars, clock, at.Add(tc.after))
 		if from := rows[0].WindowStart; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Remaining == 0 || rows[0].WindowEnd.Sub(at.Add(tc.after)) <= 0 || rows[0].WindowEnd.Day() != tc.day {
--- a/internal/peerinfo/table_test.go
+++ b/internal/peerinfo/table_test.go
@@ -27,9 +27,9 @@
 
 const clockDrift = 0.05
 
-func testConfig(name string, life uint64) Config {
+func testConfig(name string, incarnation uint64) Config {
 	c := DefaultConfig()
-	c.Name, c.Incarnation, c.ClockDrift, c.Retention, c.MaxAuthors = name, life, clockDrift, 30*time.Second, 8
+	c.Name, c.Incarnation, c.ClockDrift, c.Retention, c.MaxAuthors = name, incarnation, clockDrift, 30*time.Second, 8
 	return c
 }
 
@@ -53,7 +53,9 @@
 
 func memberName(i int) string { return fmt.Sprint("m", i) }
 
-func recordKey(who string, life, no uint64) string { return fmt.Sprint(who, "/", life, "/", no) }
+func recordKey(author string, incarnation, version uint64) string {
+	return fmt.Sprint(author, "/", incarnation, "/", version)
+}
 
 func newSimulation(t *rapid.T, n int) *simulation {
 	p := &simulation{publishedAt: map[string]time.Duration{}, leftIncarnations: map[string]uint64{}}
@@ -88,13 +90,13 @@
 	p.publishedAt[recordKey(memberName(i), p.incarnations[i], p.tables[i].version)] = p.now
 }
 
-func (p *simulation) deliver(k int, keep bool) {
-	l := p.inFlight[k]
-	if !keep {
+func (p *simulation) deliver(k int, duplicate bool) {
+	m := p.inFlight[k]
+	if !duplicate {
 		p.inFlight = slices.Delete(p.inFlight, k, k+1)
 	}
-	for _, back := range p.tables[l.to].HandleMessage(p.clock(l.to), l.data) {
-		p.inFlight = append(p.inFlight, message{l.to, l.from, back})
+	for _, reply := range p.tables[m.to].HandleMessage(p.clock(m.to), m.data) {
+		p.inFlight = append(p.inFlight, message{m.to, m.from, reply})
 	}
 }
 
@@ -220,22 +222,22 @@
 			p.now += time.Second
 		}
 		order := rapid.Permutation(append(replies, replies...)).Draw(t, "order")
-		twin, err := New(testConfig(memberName(2), 1), 2<<32+1<<16)
+		reordered, err := New(testConfig(memberName(2), 1), 2<<32+1<<16)
 		if err != nil {
 			t.Fatal(err)
 		}
-		twin.pending = slices.Clone(p.tables[2].pending)
+		reordered.pending = slices.Clone(p.tables[2].pending)
 		for _, a := range replies {
 			p.tables[2].HandleMessage(p.clock(2), a)
 		}
 		for _, a := range order {
-			twin.HandleMessage(p.clock(2), a)
+			reordered.HandleMessage(p.clock(2), a)
 		}
 		for i := range 2 {
 			f, age, _ := p.tables[2].Lookup(p.clock(2), memberName(i), 1, time.Hour)
-			g, old, _ := twin.Lookup(p.clock(2), memberName(i), 1, time.Hour)
-			if f.Version != g.Version || f.Version == 0 || age != old {
-				t.Fatalf("number %d, %v old; in another order %d, %v old", f.Version, age, g.Version, old)
+			g, otherAge, _ := reordered.Lookup(p.clock(2), memberName(i), 1, time.Hour)
+			if f.Version != g.Version || f.Version == 0 || age != otherAge {
+				t.Fatalf("number %d, %v old; in another order %d, %v old", f.Version, age, g.Version, otherAge)
 			}
 		}
 	})
@@ -245,7 +247,7 @@
 // is forgotten only when all that could come is too old.
 func TestRemovedMemberDoesNotReturn(t *testing.T) {
 	cfg := testConfig("me", 1)
-	me, err := New(cfg, 1)
+	table, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,21 +256,21 @@
 		t.Fatal(err)
 	}
 	other.merge(0, Record{Author: "left", Incarnation: 4, Version: 90, Topic: 1}, 0)
-	late := other.HandleMessage(0, me.NextQuery(0))
-	me.HandleMessage(0, late[0])
-	me.RemoveMember(0, "left", 4)
+	oldReplies := other.HandleMessage(0, table.NextQuery(0))
+	table.HandleMessage(0, oldReplies[0])
+	table.RemoveMember(0, "left", 4)
 	for _, at := range []time.Duration{0, cfg.Retention / 2, cfg.Retention, 2 * cfg.Retention} {
-		me.sweep(at)
-		me.HandleMessage(at, late[0])
-		if known := me.KnownAuthors(at, 1); len(known) > 0 {
+		table.sweep(at)
+		table.HandleMessage(at, oldReplies[0])
+		if known := table.KnownAuthors(at, 1); len(known) > 0 {
 			t.Errorf("%v later: %v", at, known)
 		}
 	}
 	other.merge(0, Record{Author: "left", Incarnation: 5, Version: 1, Topic: 1}, 0) // the number of a later life is lower
-	for _, reply := range other.HandleMessage(0, me.NextQuery(0)) {
-		me.HandleMessage(0, reply)
+	for _, reply := range other.HandleMessage(0, table.NextQuery(0)) {
+		table.HandleMessage(0, reply)
 	}
-	if f, _, err := me.Lookup(0, "left", 1, time.Second); err != nil || f.Incarnation != 5 {
+	if f, _, err := table.Lookup(0, "left", 1, time.Second); err != nil || f.Incarnation != 5 {
 		t.Errorf("its next life: %+v, %v", f, err)
 	}
 }
@@ -321,23 +323,23 @@
 		t.Fatal(err)
 	}
 	c.Name, c.MaxAuthors = "knows", 1000
-	knows, err := New(c, 2)
+	responder, err := New(c, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 600 {
-		knows.merge(0, Record{Author: fmt.Sprintf("member-%04d", i), Incarnation: 1, Version: 3, Topic: 2, Value: make([]byte, maxValueBytes)}, 0)
+		responder.merge(0, Record{Author: fmt.Sprintf("member-%04d", i), Incarnation: 1, Version: 3, Topic: 2, Value: make([]byte, maxValueBytes)}, 0)
 	}
 	for range 60 {
 		q := asker.NextQuery(0)
 		if len(q) > c.MaxMessageBytes {
 			t.Fatalf("a question of %d bytes", len(q))
 		}
-		back := knows.HandleMessage(0, q)
-		if len(back) > maxReplies {
-			t.Fatalf("%d messages for one question", len(back))
+		replies := responder.HandleMessage(0, q)
+		if len(replies) > maxReplies {
+			t.Fatalf("%d messages for one question", len(replies))
 		}
-		for _, a := range back {
+		for _, a := range replies {
 			if len(a) > c.MaxMessageBytes {
 				t.Fatalf("an answer of %d bytes", len(a))
 			}
