--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -17,9 +17,9 @@
 	"sloepick/internal/testbed"
 )
 
-const waitTimeout = 30 * time.Second // for what must come
+const waitTimeout = 30 * time.Second // limit for each condition that must come true
 
-// testClock is the time since this program began.
+// testClock is a monotonic clock that starts at one hour.
 type testClock struct{ start time.Time }
 
 func (w testClock) Now() time.Duration { return time.Hour + time.Since(w.start) }
@@ -33,7 +33,7 @@
 	served   chan struct{}
 }
 
-// startMember starts a member of a fleet of three places whose times are short.
+// startMember starts a member of a fleet of three slots, with short timeouts.
 func startMember(t *testing.T, name, addr string, change func(*Config)) *member {
 	t.Helper()
 	cfg := Config{Name: name, Address: addr, Fleet: fleet.DefaultConfig()}
@@ -74,7 +74,7 @@
 		defer close(m.served)
 		e.Serve(ctx, core.Core())
 	}()
-	go func() { // the loop, which goes on until nobody posts any more
+	go func() { // the loop, which must run until Serve no longer posts to it
 		for {
 			select {
 			case <-core.Wakeups():
@@ -91,7 +91,7 @@
 	return m
 }
 
-// waitFor waits waitFor a member's view is as it should be.
+// waitFor waits until a member's status satisfies a condition, and fails the test after waitTimeout.
 func (m *member) waitFor(what string, condition func(r *Status) bool) *Status {
 	m.t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -99,13 +99,13 @@
 			return r
 		}
 	}
-	m.t.Fatalf("%s did not come about: %+v", what, m.Status())
+	m.t.Fatalf("no status with %s: %+v", what, m.Status())
 	return nil
 }
 
 func hasSlot(r *Status) bool { return r.Assignment.Slot >= 0 }
 
-// countAlive counts the members that are there, and finds one by its name.
+// countAlive counts the members that are alive, and finds one by its name.
 func countAlive(r *Status, name string) (n int, row *fleet.MemberStatus) {
 	for i := range r.Members {
 		if r.Members[i].State == fleet.Alive {
@@ -154,8 +154,8 @@
 	otherKey = "a stranger's key"
 )
 
-// Members with one key find each other by a seed, get places of their own, and the module's messages reach the holder of a place.
-// One with another key stays outside. A key is changed while all go on.
+// TestMembersAndKeys checks that members with the same key find each other by a seed and get different slots, that the decision module's
+// messages reach the holder of a slot, and that a member with another key stays outside. The key is rotated while the members run.
 func TestMembersAndKeys(t *testing.T) {
 	at := allocateAddresses(t, 3)
 	keyA, keyB := keyFile(t, oldKey), keyFile(t, oldKey)
@@ -170,10 +170,10 @@
 	}
 	ra, rb := a.waitFor("two members", two), b.waitFor("two members", two)
 	if ra.Assignment.Slot == rb.Assignment.Slot {
-		t.Errorf("both are in place %d", ra.Assignment.Slot)
+		t.Errorf("both members have slot %d", ra.Assignment.Slot)
 	}
-	if n, _ := countAlive(outsider.waitFor("a view", func(*Status) bool { return true }), ""); n != 1 {
-		t.Errorf("one with another key sees %d members", n)
+	if n, _ := countAlive(outsider.waitFor("a status", func(*Status) bool { return true }), ""); n != 1 {
+		t.Errorf("a member with another key sees %d members, want 1", n)
 	}
 	if err := a.Send(rb.Assignment.Slot, "xhello"); err != nil {
 		t.Error(err)
@@ -181,14 +181,14 @@
 	for m := range b.messages {
 		if m.Text == "xhello" {
 			if m.From != ra.Assignment.Slot {
-				t.Errorf("a message of place %d is taken for one of %d", ra.Assignment.Slot, m.From)
+				t.Errorf("a message from slot %d was received as one from slot %d", ra.Assignment.Slot, m.From)
 			}
 			break
 		}
 	}
 	for _, slot := range []int{-1, 3, 3 - ra.Assignment.Slot - rb.Assignment.Slot} {
 		if a.Send(slot, "x") == nil {
-			t.Errorf("a message to place %d was taken", slot)
+			t.Errorf("a message to slot %d was accepted", slot)
 		}
 	}
 	for _, keys := range [][]string{{oldKey, newKey}, {newKey, oldKey}, {newKey}} {
@@ -203,127 +203,127 @@
 		t.Fatal(err)
 	}
 	if err := a.Reload(1, 0); err == nil || !strings.Contains(err.Error(), "keys:1") {
-		t.Errorf("a file without a key: %v", err)
+		t.Errorf("reloading a file without a key: %v", err)
 	}
 	a.waitFor("b's new configuration", func(r *Status) bool {
 		_, row := countAlive(r, "b")
 		return row != nil && row.Generation == 17
 	})
 	a.stop()
-	b.waitFor("a's goodbye", func(r *Status) bool {
+	b.waitFor("a having left", func(r *Status) bool {
 		_, row := countAlive(r, "a")
 		return row.State == fleet.Left
 	})
 }
 
-// Of two processes of one name the later one stays, in the place that the other had, and the other is told to end.
+// TestNameTakeover checks that of two processes with one name the later one gets the earlier one's slot, and that the earlier one is notified.
 func TestNameTakeover(t *testing.T) {
 	at := allocateAddresses(t, 3)
 	seeds := func(c *Config) { c.Seeds = at[:1] }
-	startMember(t, "a", at[0], seeds).waitFor("a place", hasSlot)
+	startMember(t, "a", at[0], seeds).waitFor("a slot", hasSlot)
 	first := startMember(t, "b", at[1], seeds)
-	firstSlot := first.waitFor("a place", hasSlot).Assignment.Slot
+	firstSlot := first.waitFor("a slot", hasSlot).Assignment.Slot
 	second := startMember(t, "b", at[2], seeds)
 	select {
 	case m := <-first.Superseded():
 		if m.Addr != at[2] {
-			t.Errorf("it yields to %q", m.Addr)
+			t.Errorf("superseded by a member at %q", m.Addr)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("the first was not told")
+		t.Fatal("the first process was not notified")
 	}
 	if first.IsCurrent(first.assignmentNumber.Load()) && first.assignment.Load().Slot >= 0 {
-		t.Error("the first goes on")
+		t.Error("the first process still has a valid assignment")
 	}
-	if r := second.waitFor("a place", hasSlot); r.Assignment.Slot != firstSlot {
-		t.Errorf("the second is in place %d, the first was in %d", r.Assignment.Slot, firstSlot)
+	if r := second.waitFor("a slot", hasSlot); r.Assignment.Slot != firstSlot {
+		t.Errorf("the second process has slot %d, the first had %d", r.Assignment.Slot, firstSlot)
 	}
 }
 
-// What a member keeps lets it come back to its place and find the others without a seed, and its life is later than the last though
-// the clock was set back. What can't be read ends the start.
+// TestStateFile checks that a member with a state file gets its slot back, finds the others without a seed, and has a higher incarnation than
+// before even if the clock was set back.
 func TestStateFile(t *testing.T) {
 	at := allocateAddresses(t, 2)
 	file := filepath.Join(t.TempDir(), "state")
 	withStateFile := func(c *Config) { c.StateFile = file }
 	a := startMember(t, "a", at[0], nil)
-	a.waitFor("a place", hasSlot)
+	a.waitFor("a slot", hasSlot)
 	b := startMember(t, "b", at[1], func(c *Config) { withStateFile(c); c.Seeds = at[:1] })
-	before := b.waitFor("a place", hasSlot)
+	before := b.waitFor("a slot", hasSlot)
 	b.stop()
 	text, err := os.ReadFile(file)
 	if err != nil || !strings.Contains(string(text), at[0]) {
-		t.Fatalf("kept %s, %v", text, err)
+		t.Fatalf("state file %s, %v", text, err)
 	}
 	future := strings.Replace(string(text), `"life":`, `"life":9`, 1)
 	if err := os.WriteFile(file, []byte(future), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	restarted := startMember(t, "b", at[1], withStateFile)
-	r := restarted.waitFor("its place", hasSlot)
+	r := restarted.waitFor("its slot", hasSlot)
 	if r.Assignment.Slot != before.Assignment.Slot || restarted.incarnation < 9e12 {
-		t.Errorf("back in place %d of %d, life %d", r.Assignment.Slot, before.Assignment.Slot, restarted.incarnation)
+		t.Errorf("restarted in slot %d, had %d; incarnation %d", r.Assignment.Slot, before.Assignment.Slot, restarted.incarnation)
 	}
 	restarted.stop()
 	if err := os.WriteFile(file, []byte(`{"life"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := New(Config{Name: "b", Address: at[1], StateFile: file, Fleet: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a broken file passes")
+		t.Error("a member started with a corrupt state file")
 	}
 }
 
-// A standing is good for a short time, and only the last one: a process that stood still goes by none.
+// TestAssignmentExpires checks that only the last assignment is valid, and only for a short time: a process that was paused must not use one.
 func TestAssignmentExpires(t *testing.T) {
 	a := startMember(t, "a", allocateAddresses(t, 1)[0], nil)
-	a.waitFor("a place", hasSlot)
+	a.waitFor("a slot", hasSlot)
 	n := a.assignmentNumber.Load()
 	if !a.IsCurrent(n) || a.IsCurrent(n-1) {
-		t.Errorf("the last one is good: %v, the one before: %v", a.IsCurrent(n), a.IsCurrent(n-1))
+		t.Errorf("the last assignment is valid: %v, the one before: %v", a.IsCurrent(n), a.IsCurrent(n-1))
 	}
 	a.stop()
 	for end := time.Now().Add(waitTimeout); a.IsCurrent(a.assignmentNumber.Load()); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it is good for ever")
+			t.Fatal("the assignment of a stopped member does not expire")
 		}
 	}
 }
 
-// The status is told at the local socket; a second daemon does not take it away.
+// TestStatus checks that the status can be read from the local socket, and that a second process does not take the socket.
 func TestStatus(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
 	at := allocateAddresses(t, 2)
 	a := startMember(t, "a", at[0], func(c *Config) { c.StatusSocket = socket })
-	a.waitFor("a place", hasSlot)
+	a.waitFor("a slot", hasSlot)
 	r, err := ReadStatus(context.Background(), socket)
 	if err != nil || r.Name != "a" || r.Assignment.Slot != 0 || len(r.Members) != 1 || !r.Members[0].Self {
-		t.Errorf("got %+v, %v", r, err)
+		t.Errorf("status %+v, %v", r, err)
 	}
 	if _, err := New(Config{Name: "b", Address: at[1], StatusSocket: socket, Fleet: fleet.DefaultConfig()}, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("another process took the socket")
 	}
 	a.stop()
 	if _, err := ReadStatus(context.Background(), socket); err == nil {
-		t.Error("a stopped daemon answers")
+		t.Error("a stopped member serves its status")
 	}
 }
 
-// TestMixedVersions: a member of the next version, which tells more of itself, joins one of this version: each shows the other with its
-// version, their places are different, and neither makes the other lose its own.
+// TestMixedVersions checks that members of this version and of the next one, with a higher metadata version, join: each shows the other's
+// version, they have different slots, and neither loses its slot.
 func TestMixedVersions(t *testing.T) {
 	addrs := allocateAddresses(t, 2)
 	a := startMember(t, "a", addrs[0], func(c *Config) { c.Seeds = addrs })
-	first := a.waitFor("a place for the first", hasSlot).Assignment.Slot
+	first := a.waitFor("a slot of the first", hasSlot).Assignment.Slot
 	b := startMember(t, "b", addrs[1], func(c *Config) { c.Seeds, c.version = addrs, metaVersion+1 })
-	second := b.waitFor("a place for the second", hasSlot).Assignment.Slot
+	second := b.waitFor("a slot of the second", hasSlot).Assignment.Slot
 	shown := func(name string, version int) func(r *Status) bool {
 		return func(r *Status) bool {
 			_, row := countAlive(r, name)
 			return row != nil && row.Version == version && hasSlot(r)
 		}
 	}
-	if r := a.waitFor("the first shows the second", shown("b", metaVersion+1)); r.Assignment.Slot != first || first == second {
-		t.Errorf("the first has place %d, had %d, the second %d", r.Assignment.Slot, first, second)
+	if r := a.waitFor("the second's version", shown("b", metaVersion+1)); r.Assignment.Slot != first || first == second {
+		t.Errorf("the first has slot %d, had %d; the second has %d", r.Assignment.Slot, first, second)
 	}
-	b.waitFor("the second shows the first", shown("a", metaVersion))
+	b.waitFor("the first's version", shown("a", metaVersion))
 }
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -7,8 +7,8 @@
 	"sloepick/internal/maintenance"
 )
 
-// TestFleetClock: a member whose clock is an hour or a year off has no say in the fleet's clock; if it is this one it says so, and goes by the
-// others'; where no more than half agree nothing is quiet.
+// TestFleetClock checks that a member whose clock is an hour or a year off does not affect the fleet's clock. This member reports an error of
+// its own clock and uses the others'. Where no more than half of the members agree, no region is in a maintenance window.
 func TestFleetClock(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
 	span, err := maintenance.ParseSpan("daily 13:00-14:00")
@@ -39,13 +39,13 @@
 		}
 		for _, row := range rows {
 			if row.Remaining < tc.minRemaining || row.Remaining > tc.maxRemaining {
-				t.Errorf("%s: quiet for %v more, want %v to %v", tc.name, row.Remaining, tc.minRemaining, tc.maxRemaining)
+				t.Errorf("%s: window remains for %v, want %v to %v", tc.name, row.Remaining, tc.minRemaining, tc.maxRemaining)
 			}
 		}
 	}
 }
 
-// TestCalendarChanges: another calendar holds from the next look on, and a window that is over gives way to the next one.
+// TestCalendarChanges checks that a changed calendar applies at the next call, and that a window that has ended is replaced by the next one.
 func TestCalendarChanges(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
 	calendarOf := func(text string) map[string]*maintenance.Calendar {
@@ -65,7 +65,7 @@
 	}{{first, 0, 13, 2}, {first, 29 * time.Minute, 13, 2}, {first, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {first, 0, 13, 2}} {
 		rows := cache.regionStatuses(tc.calendars, clock, at.Add(tc.after))
 		if from := rows[0].WindowStart; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Remaining == 0 || rows[0].WindowEnd.Sub(at.Add(tc.after)) <= 0 || rows[0].WindowEnd.Day() != tc.day {
-			t.Errorf("%v later: %+v", tc.after, rows[0])
+			t.Errorf("after %v: %+v", tc.after, rows[0])
 		}
 	}
 }
--- a/internal/peerinfo/table_test.go
+++ b/internal/peerinfo/table_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain plays rapid's scripts by a fixed seed, unless -rapid.seed names another.
+// TestMain runs rapid with a fixed seed, unless -rapid.seed sets one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -33,16 +33,16 @@
 	return c
 }
 
-// simulation is a few members whose clocks differ, with messages that are on their way for as long as a script has it.
+// simulation runs a few members whose clocks differ, and delays, drops, duplicates and reorders their messages as a generated script says.
 type simulation struct {
 	tables           []*Table
-	rates            []float64 // of their clocks
+	rates            []float64 // of the members' clocks
 	suspended        []time.Duration
 	incarnations     []uint64
 	now              time.Duration // true time
 	publishedAt      map[string]time.Duration
 	inFlight         []message
-	leftIncarnations map[string]uint64 // that all were told left, by name
+	leftIncarnations map[string]uint64 // by name: incarnations that all others were notified of as left
 	newest           []map[string][2]uint64
 }
 
@@ -68,7 +68,7 @@
 	return p
 }
 
-// clock is a member's own time.
+// clock returns a member's own monotonic time.
 func (p *simulation) clock(i int) time.Duration {
 	return time.Duration(i)*time.Hour + time.Duration(float64(p.now-p.suspended[i])*p.rates[i])
 }
@@ -104,7 +104,7 @@
 	p.inFlight = append(p.inFlight, message{i, j, p.tables[i].NextQuery(p.clock(i))})
 }
 
-// check holds what must hold all along: no age is told younger than it is, nothing goes back, and who left does not come back.
+// check checks the invariants: no age is understated, no record is replaced by an older one, and no member that left comes back.
 func (p *simulation) check(t *rapid.T) {
 	for i, table := range p.tables {
 		for _, author := range table.KnownAuthors(p.clock(i), 1) {
@@ -114,25 +114,26 @@
 			}
 			published, ok := p.publishedAt[recordKey(author, record.Incarnation, record.Version)]
 			if !ok {
-				t.Fatalf("%s knows what nobody said: %+v", memberName(i), record)
+				t.Fatalf("%s has a record that was never published: %+v", memberName(i), record)
 			}
-			if actual := p.now - published; age < actual-time.Microsecond { // of rounding
-				t.Fatalf("%s tells %s's number %d of life %d as %v old; it is %v", memberName(i), author, record.Version, record.Incarnation, age, actual)
+			if actual := p.now - published; age < actual-time.Microsecond { // for rounding
+				t.Fatalf("%s has %s's version %d of incarnation %d with an age of %v; its age is %v", memberName(i), author, record.Version, record.Incarnation, age, actual)
 			}
 			if record.Incarnation <= p.leftIncarnations[author] {
-				t.Fatalf("%s knows life %d of %s, which left", memberName(i), record.Incarnation, author)
+				t.Fatalf("%s has a record of incarnation %d of %s, which left", memberName(i), record.Incarnation, author)
 			}
 			previous, current := p.newest[i][author], [2]uint64{record.Incarnation, record.Version}
 			if previous[0] > current[0] || previous[0] == current[0] && previous[1] > current[1] {
-				t.Fatalf("%s went back from %v to %v of %s", memberName(i), previous, current, author)
+				t.Fatalf("%s went back from %v to %v for %s", memberName(i), previous, current, author)
 			}
 			p.newest[i][author] = current
 		}
 	}
 }
 
-// TestAgesAreNeverUnderstated plays scripts of members that say, ask, sleep, restart and leave, and of messages that are late, doubled, lost and in
-// any order, between clocks that run at different rates. At the end, when all hear each other, all know the newest of all that are there.
+// TestAgesAreNeverUnderstated runs generated scripts in which members publish, query, are suspended, restart and leave, and messages are
+// delayed, duplicated, dropped and reordered, with clocks of different rates. At the end all members reach each other, and each must know the
+// newest record of every other.
 func TestAgesAreNeverUnderstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 4
@@ -140,7 +141,7 @@
 		member := rapid.IntRange(0, n-1)
 		pick := func(t *rapid.T) int {
 			if len(p.inFlight) == 0 {
-				t.Skip("nothing is on its way")
+				t.Skip("no message is in flight")
 			}
 			return rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "message")
 		}
@@ -166,7 +167,7 @@
 			"leave": func(t *rapid.T) {
 				i := member.Draw(t, "member")
 				p.leftIncarnations[memberName(i)] = p.incarnations[i]
-				p.start(t, i) // it comes back under another life, later
+				p.start(t, i) // it comes back with a higher incarnation
 				for j := range p.tables {
 					if j != i {
 						p.tables[j].RemoveMember(p.clock(j), memberName(i), p.leftIncarnations[memberName(i)])
@@ -195,14 +196,14 @@
 		for i, table := range p.tables {
 			for j := range n {
 				if f, age, err := table.Lookup(p.clock(i), memberName(j), 1, time.Second); err != nil || f.Incarnation != p.incarnations[j] || f.Version != p.tables[j].version {
-					t.Fatalf("%s knows %+v of %s, %v old, %v; the newest is number %d of life %d", memberName(i), f, memberName(j), age, err, p.tables[j].version, p.incarnations[j])
+					t.Fatalf("%s has %+v of %s with an age of %v, %v; the newest is version %d of incarnation %d", memberName(i), f, memberName(j), age, err, p.tables[j].version, p.incarnations[j])
 				}
 			}
 		}
 	})
 }
 
-// TestReplyOrderDoesNotMatter: the same answers in any order, and again, leave the same.
+// TestReplyOrderDoesNotMatter checks that the same replies in any order, and twice, have the same result.
 func TestReplyOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newSimulation(t, 3)
@@ -237,14 +238,14 @@
 			f, age, _ := p.tables[2].Lookup(p.clock(2), memberName(i), 1, time.Hour)
 			g, otherAge, _ := reordered.Lookup(p.clock(2), memberName(i), 1, time.Hour)
 			if f.Version != g.Version || f.Version == 0 || age != otherAge {
-				t.Fatalf("number %d, %v old; in another order %d, %v old", f.Version, age, g.Version, otherAge)
+				t.Fatalf("version %d, age %v; in another order version %d, age %v", f.Version, age, g.Version, otherAge)
 			}
 		}
 	})
 }
 
-// TestRemovedMemberDoesNotReturn: of who left nothing is taken that others still tell, however late, and all of its next life; the rule that says so
-// is forgotten only when all that could come is too old.
+// TestRemovedMemberDoesNotReturn checks that records of a member that left are rejected, however late others send them, and that records of
+// its next incarnation are accepted. The rejection may end only when any record that it concerns is too old.
 func TestRemovedMemberDoesNotReturn(t *testing.T) {
 	cfg := testConfig("me", 1)
 	table, err := New(cfg, 1)
@@ -263,20 +264,20 @@
 		table.sweep(at)
 		table.HandleMessage(at, oldReplies[0])
 		if known := table.KnownAuthors(at, 1); len(known) > 0 {
-			t.Errorf("%v later: %v", at, known)
+			t.Errorf("after %v: %v", at, known)
 		}
 	}
-	other.merge(0, Record{Author: "left", Incarnation: 5, Version: 1, Topic: 1}, 0) // the number of a later life is lower
+	other.merge(0, Record{Author: "left", Incarnation: 5, Version: 1, Topic: 1}, 0) // the version of a later incarnation may be lower
 	for _, reply := range other.HandleMessage(0, table.NextQuery(0)) {
 		table.HandleMessage(0, reply)
 	}
 	if f, _, err := table.Lookup(0, "left", 1, time.Second); err != nil || f.Incarnation != 5 {
-		t.Errorf("its next life: %+v, %v", f, err)
+		t.Errorf("its next incarnation: %+v, %v", f, err)
 	}
 }
 
-// TestStaleRecords: who asks tells how old it may be; nobody gets what is older, or what is forgotten, and an answer to a question that is not
-// remembered is not taken.
+// TestStaleRecords checks that Lookup returns no record that is older than the caller accepts or than the retention, and that a reply to a
+// query that is no longer pending is ignored.
 func TestStaleRecords(t *testing.T) {
 	a, err := New(testConfig("a", 1), 1)
 	if err != nil {
@@ -292,16 +293,16 @@
 	replies := a.HandleMessage(time.Second, b.NextQuery(0))
 	b.HandleMessage(2*time.Second, replies[0])
 	f, age, err := b.Lookup(2*time.Second, "a", 1, 4*time.Second)
-	if err != nil || string(f.Value) != "x" || age < 3*time.Second { // 1 s at a, and 2 s since b asked
-		t.Errorf("%+v, %v old, %v", f, age, err)
+	if err != nil || string(f.Value) != "x" || age < 3*time.Second { // 1 s at a, and 2 s since b's query
+		t.Errorf("%+v, age %v, %v", f, age, err)
 	}
 	var stale *StaleError
 	if _, _, err := b.Lookup(10*time.Second, "a", 1, 4*time.Second); !errors.As(err, &stale) || stale.Age < 9*time.Second {
-		t.Errorf("later: %v", err)
+		t.Errorf("with a higher age: %v", err)
 	}
 	for _, author := range []string{"a", "c"} {
 		if _, _, err := b.Lookup(time.Minute, author, 1, time.Hour); !errors.Is(err, ErrUnknown) {
-			t.Errorf("%s after what is kept: %v", author, err)
+			t.Errorf("%s after the retention: %v", author, err)
 		}
 	}
 	for range maxPendingQueries {
@@ -309,12 +310,12 @@
 	}
 	b.HandleMessage(2*time.Minute, replies[0])
 	if c := b.Stats(); c.UnmatchedReplies != 1 || len(b.authors) != 0 {
-		t.Errorf("%+v, %d known", c, len(b.authors))
+		t.Errorf("%+v, %d authors", c, len(b.authors))
 	}
 }
 
-// TestLimits: more authors than there is room for are not taken, messages stay small, and with more authors than a question names, all are
-// learned by the next ones.
+// TestLimits checks that authors above the limit are not accepted, that messages stay within their size, and that authors that don't fit into
+// one query are learned by later ones.
 func TestLimits(t *testing.T) {
 	c := testConfig("asker", 1)
 	c.MaxAuthors = 400
@@ -333,25 +334,25 @@
 	for range 60 {
 		q := asker.NextQuery(0)
 		if len(q) > c.MaxMessageBytes {
-			t.Fatalf("a question of %d bytes", len(q))
+			t.Fatalf("query of %d bytes", len(q))
 		}
 		replies := responder.HandleMessage(0, q)
 		if len(replies) > maxReplies {
-			t.Fatalf("%d messages for one question", len(replies))
+			t.Fatalf("%d replies to one query", len(replies))
 		}
 		for _, a := range replies {
 			if len(a) > c.MaxMessageBytes {
-				t.Fatalf("an answer of %d bytes", len(a))
+				t.Fatalf("reply of %d bytes", len(a))
 			}
 			asker.HandleMessage(0, a)
 		}
 	}
 	if n := len(asker.KnownAuthors(0, 2)); n != 400 || asker.Stats().TableFull == 0 {
-		t.Errorf("%d known of 400 that there is room for, %+v", n, asker.Stats())
+		t.Errorf("%d authors known, want 400; %+v", n, asker.Stats())
 	}
 }
 
-// FuzzHandleMessage feeds messages; whatever comes must neither panic nor be believed of this member itself.
+// FuzzHandleMessage checks that no message causes a panic, or changes what a member knows of itself.
 func FuzzHandleMessage(f *testing.F) {
 	other, err := New(testConfig("b", 1), 2)
 	if err != nil {
@@ -380,11 +381,11 @@
 		me.NextQuery(0)
 		for _, reply := range me.HandleMessage(time.Second, msg) {
 			if len(reply) > me.cfg.MaxMessageBytes {
-				t.Errorf("%d bytes back", len(reply))
+				t.Errorf("reply of %d bytes", len(reply))
 			}
 		}
 		if f, _, err := me.Lookup(time.Second, "a", 1, time.Hour); err != nil || f.Incarnation != 5 || f.Version != 1 {
-			t.Errorf("of itself: %+v, %v", f, err)
+			t.Errorf("its own record: %+v, %v", f, err)
 		}
 	})
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -6,35 +6,35 @@
 	"testing"
 )
 
-// TestFullQueue: what is full drops the oldest or refuses, counts it, and goes on in order past its end.
+// TestFullQueue checks that a full queue evicts the oldest item or rejects the new one, counts it, and keeps its order when indexes wrap around.
 func TestFullQueue(t *testing.T) {
 	evicting, rejecting := NewEvicting[int](3), NewRejecting[int](3)
 	for i := range 5 {
 		evicting.Put(i)
 		if ok := rejecting.Put(i); ok != (i < 3) {
-			t.Errorf("put %d: %v", i, ok)
+			t.Errorf("Put(%d): %v", i, ok)
 		}
 	}
 	for want := range 3 {
 		if v, ok := evicting.Take(); !ok || v != want+2 {
-			t.Errorf("the latest %d, %v; want %d", v, ok, want+2)
+			t.Errorf("evicting queue: took %d, %v; want %d", v, ok, want+2)
 		}
 		if v, ok := rejecting.Take(); !ok || v != want {
-			t.Errorf("sure of %d, %v; want %d", v, ok, want)
+			t.Errorf("rejecting queue: took %d, %v; want %d", v, ok, want)
 		}
 	}
 	if _, ok := evicting.Take(); ok {
-		t.Error("took one of none")
+		t.Error("took an item from an empty queue")
 	}
 	if c := evicting.Stats(); c.Put != 5 || c.Dropped != 2 || c.MaxDepth != 3 {
-		t.Errorf("latest %+v", c)
+		t.Errorf("evicting queue: %+v", c)
 	}
 	if c := rejecting.Stats(); c.Put != 3 || c.Dropped != 2 || c.MaxDepth != 3 || c.MaxWait <= 0 {
-		t.Errorf("sure %+v", c)
+		t.Errorf("rejecting queue: %+v", c)
 	}
 }
 
-// TestManyWriters: what many put in comes out once each, each writer's in its order, and the reader is told of the last one.
+// TestManyWriters checks that the items of many writers come out once each, in each writer's order, and that Ready reports the last one.
 func TestManyWriters(t *testing.T) {
 	const writers, each = 8, 5000
 	r := NewRejecting[[2]int](64)
@@ -85,7 +85,7 @@
 	<-done
 }
 
-// BenchmarkChannel is the same by a channel whose writer drops the oldest by taking it.
+// BenchmarkChannel is BenchmarkRing with a channel, whose writer takes the oldest item to make room.
 func BenchmarkChannel(b *testing.B) {
 	c := make(chan [4]uint64, 1024)
 	done, taken := make(chan struct{}), 0
