--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -30,7 +30,8 @@
 	Leaving     bool   `json:"x,omitempty"` // memberlist reports only that a node is gone, not whether it left by itself
 }
 
-// delegate receives memberlist's callbacks. They may block until the event loop takes an event; the event loop never waits for memberlist.
+// delegate receives memberlist's callbacks. They may block until the event loop takes an event; the event loop never
+// waits for memberlist.
 type delegate struct{ e *Engine }
 
 // NodeMeta implements memberlist.Delegate.
@@ -198,7 +199,7 @@
 func (l logWriter) Write(b []byte) (int, error) {
 	line := strings.TrimSpace(string(b))
 	if strings.HasPrefix(line, "[ERR]") || strings.HasPrefix(line, "[WARN]") {
-		l.log.Debug("memberlist", "text", line)
+		l.log.Debug("message from memberlist", "text", line)
 	}
 	return len(b), nil
 }
--- a/internal/gossip/duties.go
+++ b/internal/gossip/duties.go
@@ -17,7 +17,8 @@
 	maxPendingDutyEvents = 1024    // events that wait for the table; further messages are dropped, as datagrams may be
 )
 
-// duties runs this member's part in the election of owners for the fleet's duties. The event loop owns the table. nil: there are no duties.
+// duties runs this member's part in the election of owners for the fleet's duties. The event loop owns the table. nil:
+// there are no duties.
 type duties struct {
 	e          *Engine
 	table      *election.Table
@@ -136,8 +137,9 @@
 
 func (d *duties) statuses() []election.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
 
-// MayAct reports whether this member may act for a duty at this moment, and under which number. Call it before and after each step that can't
-// be undone: false after the step means that its outcome is unknown. It may be called from any goroutine.
+// MayAct reports whether this member may act for a duty at this moment, and under which number. Call it before and
+// after each step that can't be undone: false after the step means that its outcome is unknown. It may be called from
+// any goroutine.
 func (e *Engine) MayAct(duty string) (election.Ownership, bool) {
 	if e.duties == nil {
 		return election.Ownership{}, false
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,7 @@
-// Package gossip runs package fleet over HashiCorp's memberlist: it discovers the other gateways, passes what it receives to the fleet's table
-// and carries out the actions that the table returns. It also carries the decision module's messages, which are addressed by slot, the duties
-// of the fleet (package election) and what members know of each other (package peerinfo).
+// Package gossip runs package fleet over HashiCorp's memberlist: it discovers the other gateways, passes what it
+// receives to the fleet's table and carries out the actions that the table returns. It also carries the decision
+// module's messages, which are addressed by slot, the duties of the fleet (package election) and what members know of
+// each other (package peerinfo).
 package gossip
 
 import (
@@ -28,21 +29,22 @@
 )
 
 const (
-	metaVersion        = 1                      // of nodeMeta. Name, incarnation, slot and term keep their encoding in all versions, so that slots stay unique during an upgrade
+	metaVersion        = 1                      // of nodeMeta. Name, incarnation, slot and term are the same in all versions, so slots stay unique during an upgrade
 	tickInterval       = 200 * time.Millisecond // of the table, the duties and the status
 	assignmentValidity = time.Second            // an assignment that the gateway has may be used for so long after a tick
-	maxClockJump       = time.Second            // by which the wall clock may drift from the monotonic one between two ticks before it counts as a jump
+	maxClockJump       = time.Second            // a larger difference of wall and monotonic clock between two ticks counts as a jump
 	gossipInterval     = 100 * time.Millisecond // half of memberlist's default, so that many members that join at once are known sooner
 	fullSyncInterval   = 15 * time.Second
 	streamTimeout      = 2 * time.Second // of a full state exchange, which the table of an isolated member waits for
-	maxSyncMembers     = 3               // members in one full state exchange
+	maxSyncMembers     = 3               // known members that one full state exchange contacts
 	maxPendingEvents   = 4096            // events that wait for the table; memberlist is blocked while there are more
 	maxPendingMessages = 1024            // messages that wait to be sent; further ones are dropped, as datagrams may be
 	leaveTimeout       = time.Second
 	headerBytes        = 10 // of a message: the sender's slot with flags, and its incarnation
-	// memberlist 0.7.0 orders its broadcasts by the number of transmissions, the length, and a counter that starts again whenever the queue is
-	// empty for a moment. Two broadcasts that are equal in all three count as one, and one of them is lost. Members that start together announce
-	// metadata of the same length, so each pads its own to a different length.
+	// memberlist 0.7.0 orders its broadcasts by the number of transmissions, the length, and a counter that starts
+	// again whenever the queue is empty for a moment. Two broadcasts that are equal in all three count as one, and one
+	// of them is lost. Members that start together announce metadata of the same length, so each pads its own to a
+	// different length.
 	paddingModulus  = 61
 	maxNameBytes    = 128
 	maxPeerDrops    = 4096 // members whose dropped messages are reported
@@ -115,7 +117,8 @@
 	data []byte
 }
 
-// Status is a member's view of its fleet, for operators. Its JSON names stay as they are, as sloectl of another version may read it.
+// Status is a member's view of its fleet, for operators. Its JSON names stay as they are, as sloectl of another version
+// may read it.
 type Status struct {
 	Name            string
 	Assignment      fleet.Assignment     `json:"Standing"`
@@ -130,7 +133,7 @@
 	Clock           FleetClock          // the fleet's clock, if PeerInfo is on
 	Regions         []RegionStatus      // those with a calendar, sorted by name
 	WallMillis      int64               `json:"Wall"`  // time of this status in ms since 1970
-	PeerDrops       map[string]uint64   `json:"Drops"` // dropped messages of other members, by name, as they reported in their last full state exchange
+	PeerDrops       map[string]uint64   `json:"Drops"` // of other members, by name, as of their last full state exchange
 }
 
 // New returns a member that has opened its socket and has not joined a fleet yet.
@@ -227,10 +230,12 @@
 // SetRecoverySource makes the member send the source's snapshots and show its phase from now on.
 func (e *Engine) SetRecoverySource(source RecoverySource) { e.recoverySource.Store(&source) }
 
-// Incarnation returns the incarnation of this process. Of two processes with one name the higher incarnation is the later one.
+// Incarnation returns the incarnation of this process. Of two processes with one name the higher incarnation is the
+// later one.
 func (e *Engine) Incarnation() uint64 { return e.incarnation }
 
-// Superseded returns a channel that receives the member that replaced this one: a later process with its name. This one has to end then.
+// Superseded returns a channel that receives the member that replaced this one: a later process with its name. This one
+// has to end then.
 func (e *Engine) Superseded() <-chan fleet.Member { return e.superseded }
 
 // Status returns the last status; nil before there is one.
@@ -392,8 +397,8 @@
 	}
 }
 
-// syncMembers exchanges the full state with up to maxSyncMembers members, also with the seeds unless skipSeeds is set and members are
-// known, and also with the saved addresses if no member is known.
+// syncMembers exchanges the full state with up to maxSyncMembers members, also with the seeds unless skipSeeds is set
+// and members are known, and also with the saved addresses if no member is known.
 func (e *Engine) syncMembers(skipSeeds bool) {
 	var addresses []string
 	e.mu.Lock()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -154,8 +154,9 @@
 	otherKey = "a stranger's key"
 )
 
-// TestMembersAndKeys checks that members with the same key find each other by a seed and get different slots, that the decision module's
-// messages reach the holder of a slot, and that a member with another key stays outside. The key is rotated while the members run.
+// TestMembersAndKeys checks that members with the same key find each other by a seed and get different slots, that the
+// decision module's messages reach the holder of a slot, and that a member with another key stays outside. The key is
+// rotated while the members run.
 func TestMembersAndKeys(t *testing.T) {
 	at := allocateAddresses(t, 3)
 	keyA, keyB := keyFile(t, oldKey), keyFile(t, oldKey)
@@ -216,7 +217,8 @@
 	})
 }
 
-// TestNameTakeover checks that of two processes with one name the later one gets the earlier one's slot, and that the earlier one is notified.
+// TestNameTakeover checks that of two processes with one name the later one gets the earlier one's slot, and that the
+// earlier one is notified.
 func TestNameTakeover(t *testing.T) {
 	at := allocateAddresses(t, 3)
 	seeds := func(c *Config) { c.Seeds = at[:1] }
@@ -240,8 +242,8 @@
 	}
 }
 
-// TestStateFile checks that a member with a state file gets its slot back, finds the others without a seed, and has a higher incarnation than
-// before even if the clock was set back.
+// TestStateFile checks that a member with a state file gets its slot back, finds the others without a seed, and has a
+// higher incarnation than before even if the clock was set back.
 func TestStateFile(t *testing.T) {
 	at := allocateAddresses(t, 2)
 	file := filepath.Join(t.TempDir(), "state")
@@ -273,7 +275,8 @@
 	}
 }
 
-// TestAssignmentExpires checks that only the last assignment is valid, and only for a short time: a process that was paused must not use one.
+// TestAssignmentExpires checks that only the last assignment is valid, and only for a short time: a process that was
+// paused must not use one.
 func TestAssignmentExpires(t *testing.T) {
 	a := startMember(t, "a", allocateAddresses(t, 1)[0], nil)
 	a.waitFor("a slot", hasSlot)
@@ -289,7 +292,8 @@
 	}
 }
 
-// TestStatus checks that the status can be read from the local socket, and that a second process does not take the socket.
+// TestStatus checks that the status can be read from the local socket, and that a second process does not take the
+// socket.
 func TestStatus(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
 	at := allocateAddresses(t, 2)
@@ -308,8 +312,8 @@
 	}
 }
 
-// TestMixedVersions checks that members of this version and of the next one, with a higher metadata version, join: each shows the other's
-// version, they have different slots, and neither loses its slot.
+// TestMixedVersions checks that members of this version and of the next one, with a higher metadata version, join: each
+// shows the other's version, they have different slots, and neither loses its slot.
 func TestMixedVersions(t *testing.T) {
 	addrs := allocateAddresses(t, 2)
 	a := startMember(t, "a", addrs[0], func(c *Config) { c.Seeds = addrs })
--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -33,8 +33,9 @@
 	return keys, nil
 }
 
-// Reload applies the keys that are in the key file now, and a new generation of the configuration with its expected number of members. To
-// rotate a key, add the new one as the last line on all members, then make it the first line, then remove the old one.
+// Reload applies the keys that are in the key file now, and a new generation of the configuration with its expected
+// number of members. To rotate a key, add the new one as the last line on all members, then make it the first line,
+// then remove the old one.
 func (e *Engine) Reload(generation uint64, expect int) error {
 	if e.keyring != nil {
 		keys, err := readKeys(e.cfg.KeyFile)
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -15,7 +15,8 @@
 // Send implements gateway.Peers.
 func (e *Engine) Send(slot int, payload string) error { return e.sendToSlot(slot, 0, payload) }
 
-// sendToSlot queues a message to the member in a slot. The flag is set in the sender's slot, and says which kind of message it is.
+// sendToSlot queues a message to the member in a slot. The flag is set in the sender's slot, and says which kind of
+// message it is.
 func (e *Engine) sendToSlot(slot int, flag uint16, payload string) error {
 	s := e.assignment.Load()
 	if slot < 0 || slot >= len(s.Holders) || s.Slot < 0 || len(payload) > maxPayloadBytes(flag) {
--- a/internal/gossip/peerinfo.go
+++ b/internal/gossip/peerinfo.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	peerInfoFlag        = 1 << 14 // set in a message's slot: the message is one of package peerinfo. Versions without it see a slot that does not exist, and ignore it
+	peerInfoFlag        = 1 << 14 // set in a message's slot: it is one of package peerinfo. Versions without it see an invalid slot, and ignore it
 	maxPeerInfoBytes    = 1310    // of one message, in one datagram
 	peerInfoQueueLength = 1024    // messages that wait to be processed; a newer one evicts the oldest
 	maxZoneBytes        = 40      // bytes of a region's name that are published
@@ -45,7 +45,8 @@
 	BytesSent    uint64 `json:"Bytes"`
 }
 
-// peerInfoSync runs this member's part in the exchange of records about members. One goroutine owns the table. nil: it is off.
+// peerInfoSync runs this member's part in the exchange of records about members. One goroutine owns the table. nil: it
+// is off.
 type peerInfoSync struct {
 	e            *Engine
 	table        *peerinfo.Table
@@ -121,8 +122,8 @@
 
 func (n *peerInfoSync) now() time.Duration { return time.Since(n.e.start) }
 
-// detectSuspend checks whether the machine was suspended: its monotonic clock stood still then, and its wall clock did not. A wall clock that
-// was set forward looks the same, and only makes ages higher than they are.
+// detectSuspend checks whether the machine was suspended: its monotonic clock stood still then, and its wall clock did
+// not. A wall clock that was set forward looks the same, and only makes ages higher than they are.
 func (n *peerInfoSync) detectSuspend() {
 	now := time.Now()
 	if suspended := now.Round(0).Sub(n.checkedAt.Round(0)) - now.Sub(n.checkedAt); suspended > minSuspend {
--- a/internal/gossip/regions.go
+++ b/internal/gossip/regions.go
@@ -21,7 +21,7 @@
 	TotalMembers    int           `json:"Of"`    // including this one
 	Offset          time.Duration `json:"Ahead"` // of the fleet's clock from this member's, the middle of the possible range
 	Uncertainty     time.Duration `json:"Doubt"` // the offset may be higher or lower by so much
-	LocalClockOff   bool          `json:"Off"`   // this member's clock differs from the fleet's by more than maxClockOffset beyond the uncertainty
+	LocalClockOff   bool          `json:"Off"`   // this member's clock is off by more than maxClockOffset and the uncertainty
 }
 
 // RegionStatus is the maintenance window of a region with a calendar, by the fleet's clock.
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -7,8 +7,9 @@
 	"sloepick/internal/maintenance"
 )
 
-// TestFleetClock checks that a member whose clock is an hour or a year off does not affect the fleet's clock. This member reports an error of
-// its own clock and uses the others'. Where no more than half of the members agree, no region is in a maintenance window.
+// TestFleetClock checks that a member whose clock is an hour or a year off does not affect the fleet's clock. This
+// member reports an error of its own clock and uses the others'. Where no more than half of the members agree, no
+// region is in a maintenance window.
 func TestFleetClock(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
 	span, err := maintenance.ParseSpan("daily 13:00-14:00")
@@ -45,7 +46,8 @@
 	}
 }
 
-// TestCalendarChanges checks that a changed calendar applies at the next call, and that a window that has ended is replaced by the next one.
+// TestCalendarChanges checks that a changed calendar applies at the next call, and that a window that has ended is
+// replaced by the next one.
 func TestCalendarChanges(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
 	calendarOf := func(text string) map[string]*maintenance.Calendar {
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -27,15 +27,16 @@
 	Voters        election.Electorate `json:"voters"`
 }
 
-// savedClaim is the last known claim of another member. It reserves that member's slot after a power loss, even if its disk is lost.
+// savedClaim is the last known claim of another member. It reserves that member's slot after a power loss, even if its
+// disk is lost.
 type savedClaim struct {
 	Name        string      `json:"n"`
 	Incarnation uint64      `json:"l"`
 	Claim       fleet.Claim `json:"c"`
 }
 
-// savedSharedState returns the claims of others from the state file. They count as members that left: it is not known whether they come back,
-// and until then they must not count in a majority.
+// savedSharedState returns the claims of others from the state file. They count as members that left: it is not known
+// whether they come back, and until then they must not count in a majority.
 func (e *Engine) savedSharedState() (p fleet.SharedState) {
 	ago := max(0, time.Since(time.UnixMilli(e.saved.SavedAtMillis)))
 	for _, h := range e.saved.Claims {
@@ -44,8 +45,9 @@
 	return p
 }
 
-// loadState reads the state file. One that is corrupt or another member's is renamed, with an error in the log: the others, who reserve slots by
-// name, then tell this member its slot. A file that can't be read now, but perhaps later, is an error.
+// loadState reads the state file. One that is corrupt or another member's is renamed, with an error in the log: the
+// others, who reserve slots by name, then tell this member its slot. A file that can't be read now, but perhaps later,
+// is an error.
 func (e *Engine) loadState() error {
 	empty := savedState{Claim: fleet.NoClaim}
 	e.saved = empty
--- a/internal/peerinfo/messages.go
+++ b/internal/peerinfo/messages.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// query is a digest of what the sender has of the authors in a range of names. Entries are found by a hash that is salted with the nonce, so
-// two entries whose hashes collide in one query do not collide in later ones.
+// query is a digest of what the sender has of the authors in a range of names. Entries are found by a hash that is
+// salted with the nonce, so two entries whose hashes collide in one query do not collide in later ones.
 type query struct {
 	Nonce  uint64 `cbor:"1,keyasint"`
 	From   string `cbor:"2,keyasint"` // start of the range of names ...
@@ -57,8 +57,8 @@
 	return [hashBytes]byte{byte(h), byte(h >> 8), byte(h >> 16)}
 }
 
-// NextQuery returns the next query, which may be sent to several members now. A query covers as many authors as fit into one message; the
-// next query continues after them.
+// NextQuery returns the next query, which may be sent to several members now. A query covers as many authors as fit
+// into one message; the next query continues after them.
 func (t *Table) NextQuery(now time.Duration) []byte {
 	t.sweep(now)
 	t.nonce++
@@ -91,8 +91,8 @@
 	return append([]byte{queryMessage}, b...)
 }
 
-// HandleMessage processes a message from another member that arrived now, and returns the replies to send. A malformed message is counted and
-// changes nothing else.
+// HandleMessage processes a message from another member that arrived now, and returns the replies to send. A malformed
+// message is counted and changes nothing else.
 func (t *Table) HandleMessage(now time.Duration, msg []byte) (replies [][]byte) {
 	if len(msg) > 0 && msg[0] == queryMessage {
 		var q query
--- a/internal/peerinfo/table.go
+++ b/internal/peerinfo/table.go
@@ -1,12 +1,13 @@
-// Package peerinfo is a table of what each member of a fleet knows of the others. It holds versioned records, each published by one member,
-// with an upper bound on the age of each. The package does no I/O: messages and times are passed in, and messages to send are returned.
-// docs/design/limits.md states the guarantees and their reasons.
+// Package peerinfo is a table of what each member of a fleet knows of the others. It holds versioned records, each
+// published by one member, with an upper bound on the age of each. The package does no I/O: messages and times are
+// passed in, and messages to send are returned. docs/design/limits.md states the guarantees and their reasons.
 //
-// Of each author and topic the table keeps the newest record: a higher incarnation of the author wins, then a higher version. Each lookup
-// states the highest age that the caller accepts. Records spread by pull-based anti-entropy: a query carries a digest of what the sender has,
-// and a reply carries what the sender lacks. A record in a reply gets the age that the replying member states, plus the whole time since the
-// query was sent. The age therefore is never understated, over any number of hops, even if messages are lost, delayed, duplicated or
-// reordered, and even if members' clocks differ.
+// Of each author and topic the table keeps the newest record: a higher incarnation of the author wins, then a higher
+// version. Each lookup states the highest age that the caller accepts. Records spread by pull-based anti-entropy: a
+// query carries a digest of what the sender has, and a reply carries what the sender lacks. A record in a reply gets
+// the age that the replying member states, plus the whole time since the query was sent. The age therefore is never
+// understated, over any number of hops, even if messages are lost, delayed, duplicated or reordered, and even if
+// members' clocks differ.
 //
 // Times are a [time.Duration] on the member's own monotonic clock.
 package peerinfo
@@ -93,8 +94,8 @@
 	present              bool
 }
 
-// author holds the records of one member. A member that left keeps its entry for a while, so that records that others still send do not
-// bring it back.
+// author holds the records of one member. A member that left keeps its entry for a while, so that records that others
+// still send do not bring it back.
 type author struct {
 	name            string
 	topics          [maxTopics]entry
@@ -142,7 +143,8 @@
 	return slices.BinarySearchFunc(t.authors, name, func(a *author, n string) int { return strings.Compare(a.name, n) })
 }
 
-// AdvanceAge returns the upper bound of an age after the time between from and to on a member's clock, which may run slow.
+// AdvanceAge returns the upper bound of an age after the time between from and to on a member's clock, which may run
+// slow.
 func (c *Config) AdvanceAge(age, from, to time.Duration) time.Duration {
 	return age + time.Duration(math.Ceil(float64(to-from)/(1-c.ClockDrift)))
 }
@@ -163,8 +165,8 @@
 	return nil
 }
 
-// merge stores a record of the given age if it is newer than the stored one, and lowers the age of a stored record that is the same. It
-// reports whether the record was new.
+// merge stores a record of the given age if it is newer than the stored one, and lowers the age of a stored record that
+// is the same. It reports whether the record was new.
 func (t *Table) merge(now time.Duration, r Record, age time.Duration) bool {
 	i, known := t.find(r.Author)
 	if !known {
@@ -193,8 +195,8 @@
 	return true
 }
 
-// Lookup returns an author's record for a topic and an upper bound of its age. The error is ErrUnknown, or a [*StaleError] if the bound is
-// above maxAge.
+// Lookup returns an author's record for a topic and an upper bound of its age. The error is ErrUnknown, or a
+// [*StaleError] if the bound is above maxAge.
 func (t *Table) Lookup(now time.Duration, name string, topic Topic, maxAge time.Duration) (Record, time.Duration, error) {
 	i, ok := t.find(name)
 	if !ok || int(topic) >= maxTopics || !t.authors[i].topics[topic].present {
@@ -221,8 +223,8 @@
 	return names
 }
 
-// RemoveMember drops all records of a member that left, and rejects further records of that incarnation and of earlier ones. The rejection
-// ends when any such record that others still send is older than Retention.
+// RemoveMember drops all records of a member that left, and rejects further records of that incarnation and of earlier
+// ones. The rejection ends when any such record that others still send is older than Retention.
 func (t *Table) RemoveMember(now time.Duration, name string, incarnation uint64) {
 	i, known := t.find(name)
 	if !known {
@@ -241,7 +243,8 @@
 	}
 }
 
-// AdjustForSuspend adds time that passed while the member's monotonic clock stood still, as on a machine that was suspended.
+// AdjustForSuspend adds time that passed while the member's monotonic clock stood still, as on a machine that was
+// suspended.
 func (t *Table) AdjustForSuspend(now, d time.Duration) {
 	for _, a := range t.authors {
 		for k := range a.topics {
--- a/internal/peerinfo/table_test.go
+++ b/internal/peerinfo/table_test.go
@@ -33,7 +33,8 @@
 	return c
 }
 
-// simulation runs a few members whose clocks differ, and delays, drops, duplicates and reorders their messages as a generated script says.
+// simulation runs a few members whose clocks differ, and delays, drops, duplicates and reorders their messages as a
+// generated script says.
 type simulation struct {
 	tables           []*Table
 	rates            []float64 // of the members' clocks
@@ -104,7 +105,8 @@
 	p.inFlight = append(p.inFlight, message{i, j, p.tables[i].NextQuery(p.clock(i))})
 }
 
-// check checks the invariants: no age is understated, no record is replaced by an older one, and no member that left comes back.
+// check checks the invariants: no age is understated, no record is replaced by an older one, and no member that left
+// comes back.
 func (p *simulation) check(t *rapid.T) {
 	for i, table := range p.tables {
 		for _, author := range table.KnownAuthors(p.clock(i), 1) {
@@ -131,9 +133,9 @@
 	}
 }
 
-// TestAgesAreNeverUnderstated runs generated scripts in which members publish, query, are suspended, restart and leave, and messages are
-// delayed, duplicated, dropped and reordered, with clocks of different rates. At the end all members reach each other, and each must know the
-// newest record of every other.
+// TestAgesAreNeverUnderstated runs generated scripts in which members publish, query, are suspended, restart and leave,
+// and messages are delayed, duplicated, dropped and reordered, with clocks of different rates. At the end all members
+// reach each other, and each must know the newest record of every other.
 func TestAgesAreNeverUnderstated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 4
@@ -244,8 +246,9 @@
 	})
 }
 
-// TestRemovedMemberDoesNotReturn checks that records of a member that left are rejected, however late others send them, and that records of
-// its next incarnation are accepted. The rejection may end only when any record that it concerns is too old.
+// TestRemovedMemberDoesNotReturn checks that records of a member that left are rejected, however late others send them,
+// and that records of its next incarnation are accepted. The rejection may end only when any record that it concerns is
+// too old.
 func TestRemovedMemberDoesNotReturn(t *testing.T) {
 	cfg := testConfig("me", 1)
 	table, err := New(cfg, 1)
@@ -276,8 +279,8 @@
 	}
 }
 
-// TestStaleRecords checks that Lookup returns no record that is older than the caller accepts or than the retention, and that a reply to a
-// query that is no longer pending is ignored.
+// TestStaleRecords checks that Lookup returns no record that is older than the caller accepts or than the retention,
+// and that a reply to a query that is no longer pending is ignored.
 func TestStaleRecords(t *testing.T) {
 	a, err := New(testConfig("a", 1), 1)
 	if err != nil {
@@ -314,8 +317,8 @@
 	}
 }
 
-// TestLimits checks that authors above the limit are not accepted, that messages stay within their size, and that authors that don't fit into
-// one query are learned by later ones.
+// TestLimits checks that authors above the limit are not accepted, that messages stay within their size, and that
+// authors that don't fit into one query are learned by later ones.
 func TestLimits(t *testing.T) {
 	c := testConfig("asker", 1)
 	c.MaxAuthors = 400
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue provides bounded queues between goroutines. The type of a queue says what happens when it is full: an [Evicting] queue drops
-// its oldest item, for data that newer data replaces; a [Rejecting] queue refuses the new item, for data that must not be lost silently once it
-// was accepted. A writer never waits for room.
+// Package queue provides bounded queues between goroutines. The type of a queue says what happens when it is full: an
+// [Evicting] queue drops its oldest item, for data that newer data replaces; a [Rejecting] queue refuses the new item,
+// for data that must not be lost silently once it was accepted. A writer never waits for room.
 //
 // A queue holds its lock only while it copies one item. It takes any number of writers and one reader.
 package queue
@@ -58,7 +58,8 @@
 	return s
 }
 
-// Ready returns a channel that receives a value when there may be items; the reader then calls Take until it returns false.
+// Ready returns a channel that receives a value when there may be items; the reader then calls Take until it returns
+// false.
 func (b *ringBuffer[T]) Ready() <-chan struct{} { return b.ready }
 
 // Take removes and returns the oldest item; ok is false if the queue is empty.
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestFullQueue checks that a full queue evicts the oldest item or rejects the new one, counts it, and keeps its order when indexes wrap around.
+// TestFullQueue checks that a full queue evicts the oldest item or rejects the new one, counts it, and keeps its order
+// when indexes wrap around.
 func TestFullQueue(t *testing.T) {
 	evicting, rejecting := NewEvicting[int](3), NewRejecting[int](3)
 	for i := range 5 {
@@ -34,7 +35,8 @@
 	}
 }
 
-// TestManyWriters checks that the items of many writers come out once each, in each writer's order, and that Ready reports the last one.
+// TestManyWriters checks that the items of many writers come out once each, in each writer's order, and that Ready
+// reports the last one.
 func TestManyWriters(t *testing.T) {
 	const writers, each = 8, 5000
 	r := NewRejecting[[2]int](64)
