--- a/cmd/sloectl/power.go
+++ b/cmd/sloectl/power.go
@@ -17,7 +17,7 @@
 		fmt.Fprintln(errs, "usage: sloectl power show FILE")
 		return exitTrouble
 	}
-	img, err := record.Read(record.OS{}, args[1])
+	img, err := record.Read(record.OSFS{}, args[1])
 	if err != nil {
 		fmt.Fprintf(errs, "sloectl: %s: %v\n", args[1], err)
 		return exitNo
@@ -26,10 +26,10 @@
 	return exitOK
 }
 
-func printImage(out io.Writer, img *recovery.Image) {
-	fmt.Fprintf(out, "%s, image %d of the line begun in life %d, written %s, under boot %s\n", img.Name, img.Mark.Count, img.Mark.Line,
-		img.Clock.Wall.UTC().Format("2006-01-02 15:04:05.000 UTC"), img.Clock.Boot)
-	fmt.Fprintf(out, "%d customers, %.1f units answered a second, %d other members known, one image each %v\n", len(img.Buckets), img.Work, len(img.Seen), img.Every)
+func printImage(out io.Writer, img *recovery.Snapshot) {
+	fmt.Fprintf(out, "%s, image %d of the line begun in life %d, written %s, under boot %s\n", img.Name, img.Version.Sequence, img.Version.Lineage,
+		img.TakenAt.Wall.UTC().Format("2006-01-02 15:04:05.000 UTC"), img.TakenAt.BootID)
+	fmt.Fprintf(out, "%d customers, %.1f units answered a second, %d other members known, one image each %v\n", len(img.Buckets), img.ServedRate, len(img.Peers), img.Interval)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CUSTOMER\tPLAN\tUSED OF ITS BURST")
 	for _, b := range recovery.Fullest(img.Buckets, powerShown) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,7 +63,7 @@
 	}
 	var level slog.LevelVar
 	log := slog.New(slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: &level})).With("gateway", cfg.Name)
-	sockets, err := service.Sockets()
+	sockets, err := service.Listeners()
 	if err != nil {
 		return err
 	}
@@ -111,13 +111,13 @@
 	for name := range sockets {
 		return fmt.Errorf("a socket %q was passed in, and nothing here has that name", name)
 	}
-	manager := service.New(log, getenv)
+	manager := service.NewNotifier(log, getenv)
 	r.manager = manager
 	stopped := make(chan struct{})
 	defer close(stopped)
 	cfg.OnReady = func(d *gateway.Core) {
 		manager.Ready()
-		go manager.Watch(d.Post, stopped)
+		go manager.RunWatchdog(d.Post, stopped)
 	}
 	context.AfterFunc(ctx, manager.Stopping)
 	log.Info("starting", "listen", cfg.Listen, "servers", len(cfg.KnownServers.Servers))
@@ -242,7 +242,7 @@
 	level   *slog.LevelVar
 	reloads chan gateway.Reload
 	fronts  []*h2.Frontend
-	manager *service.Manager
+	manager *service.Notifier
 	member  *gossip.Engine // nil: of no fleet
 	lock    *os.File       // of the state that is kept; held open for as long as the process lives
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -42,9 +42,9 @@
 		return // of no rig
 	}
 	system := clocks
-	clocks = func() recovery.Clock {
+	clocks = func() recovery.ClockReading {
 		c := system()
-		c.Wall, c.Boot = c.Wall.Add(by), boot
+		c.Wall, c.BootID = c.Wall.Add(by), boot
 		return c
 	}
 }
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -22,12 +22,12 @@
 
 // clocks is what clocks show now: the wall clock, and the boot's own, which goes on while the machine sleeps (CLOCK_BOOTTIME,
 // clock_gettime(2)). A system without them tells the wall clock alone.
-var clocks = func() recovery.Clock {
-	c := recovery.Clock{Wall: time.Now().Round(0)}
+var clocks = func() recovery.ClockReading {
+	c := recovery.ClockReading{Wall: time.Now().Round(0)}
 	id, err := os.ReadFile(bootFile)
 	var up unix.Timespec
 	if err == nil && unix.ClockGettime(unix.CLOCK_BOOTTIME, &up) == nil {
-		c.Boot, c.Up = strings.TrimSpace(string(id)), time.Duration(up.Nano())
+		c.BootID, c.Uptime = strings.TrimSpace(string(id)), time.Duration(up.Nano())
 	}
 	return c
 }
@@ -41,47 +41,47 @@
 	}
 	now := clocks()
 	set := &r.cfg.Settings.Decide
-	self := recovery.Self{Name: r.cfg.Name, Plans: set.Plans}
+	self := recovery.LocalMember{Name: r.cfg.Name, Plans: set.Plans}
 	life := uint64(max(0, now.Wall.UnixMilli()))
 	if r.member != nil {
 		life = r.member.Incarnation()
 	}
-	var img *recovery.Image
-	verdict := recovery.Absent
+	var img *recovery.Snapshot
+	verdict := recovery.SnapshotMissing
 	if b.File != "" {
 		if r.lock, err = record.Lock(b.File + ".lock"); err != nil {
 			return nil, err
 		}
-		if img, verdict, err = record.Load(record.OS{}, b.File); err != nil {
+		if img, verdict, err = record.Load(record.OSFS{}, b.File); err != nil {
 			r.log.Error("power: the state is not used", "file", b.File, "err", err)
 		}
 	}
-	keeper := record.NewKeeper(record.Config{FS: record.OS{}, File: b.File, Every: b.Every, Most: b.Customers, Name: self.Name,
-		Life: life, Plans: set.Plans, Clock: clocks}, r.log)
-	start := recovery.Begin(self, now, img, verdict)
+	keeper := record.NewStore(record.Config{FS: record.OSFS{}, Path: b.File, Interval: b.Every, MaxCustomers: b.Customers, Member: self.Name,
+		Incarnation: life, Plans: set.Plans, Clock: clocks}, r.log)
+	start := recovery.NewCollector(self, now, img, verdict)
 	if img != nil && img.Name == self.Name {
-		keeper.Before(img)
+		keeper.SetPrevious(img)
 	} else if img != nil {
 		r.log.Error("power: the state is another member's and is set aside", "file", b.File, "member", img.Name)
-		if err := record.Aside(record.OS{}, b.File); err != nil {
+		if err := record.SetAside(record.OSFS{}, b.File); err != nil {
 			r.log.Error("power: the state was not set aside", "err", err)
 		}
 	}
 	phase := &atomic.Int64{}
 	set.TrackChanges = true
 	r.cfg.Recovery = &gateway.RecoveryConfig{Start: start, Store: keeper, SaveInterval: b.Every, Clock: clocks,
-		Service: recovery.ServiceConfig{ColdFrom: set.Safety.ColdCapacity, ColdFor: set.Safety.ColdDuration, ColdTimes: decide.ColdLoadFactor(set.Safety), MaxAdvice: set.Limits.MaxRetryAfter,
-			MaxUnits: set.MaxUnits, DearPrice: dearest(r.cfg), Seed: uint64(r.cfg.Seed)},
+		Service: recovery.AdmissionConfig{ColdCapacity: set.Safety.ColdCapacity, ColdDuration: set.Safety.ColdDuration, ColdLoadFactor: decide.ColdLoadFactor(set.Safety), MaxRetryAfter: set.Limits.MaxRetryAfter,
+			MaxUnits: set.MaxUnits, MaxPrice: dearest(r.cfg), Seed: uint64(r.cfg.Seed)},
 		OnPhase: func(p recovery.Phase) { phase.Store(int64(p)) }}
 	if r.member != nil {
-		plans := recovery.PlansOf(set.Plans)
-		r.member.SetRecoverySource(gossip.RecoverySource{Phase: func() string { return recovery.Phase(phase.Load()).String() }, Snapshot: func() recovery.Word {
-			return keeper.Image().Word(clocks(), plans, recovery.Phase(phase.Load()) < recovery.Full)
+		plans := recovery.PlansByName(set.Plans)
+		r.member.SetRecoverySource(gossip.RecoverySource{Phase: func() string { return recovery.Phase(phase.Load()).String() }, Snapshot: func() recovery.PeerSnapshot {
+			return keeper.Snapshot().ForPeer(clocks(), plans, recovery.Phase(phase.Load()) < recovery.PhaseFull)
 		}})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var kept sync.WaitGroup
-	kept.Go(func() { keeper.Serve(ctx) })
+	kept.Go(func() { keeper.Run(ctx) })
 	return func() {
 		stop()
 		kept.Wait()
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -110,7 +110,7 @@
 	if len(b) == 0 || json.Unmarshal(b, &state) != nil {
 		return // of another version, and ignored
 	}
-	var snapshot recovery.Word
+	var snapshot recovery.PeerSnapshot
 	if len(state.RecoverySnapshot) > 0 && d.e.recoverySource.Load() != nil && cbor.Unmarshal(state.RecoverySnapshot, &snapshot) == nil {
 		d.e.mu.Lock()
 		core := d.e.core
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -223,8 +223,8 @@
 
 // RecoverySource provides what a member knows of the time before a power loss.
 type RecoverySource struct {
-	Snapshot func() recovery.Word // sent to other members that start; the gateway gets theirs by DeliverRecoverySnapshot
-	Phase    func() string        // progress of the recovery, for the status
+	Snapshot func() recovery.PeerSnapshot // sent to other members that start; the gateway gets theirs by DeliverRecoverySnapshot
+	Phase    func() string                // progress of the recovery, for the status
 }
 
 // SetRecoverySource makes the member send the source's snapshots and show its phase from now on.
--- a/internal/record/file.go
+++ b/internal/record/file.go
@@ -30,8 +30,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrSpoilt is what Read returns of a file that is no whole image.
-var ErrSpoilt = errors.New("not a whole image")
+// ErrCorrupt is what Read returns of a file that is no whole image.
+var ErrCorrupt = errors.New("not a whole image")
 
 // FS is the part of a file system that this package goes by, so that tests can have any call fail.
 type FS interface {
@@ -50,14 +50,14 @@
 	Sync() error
 }
 
-// OS is the system's own.
-type OS struct{}
+// OSFS is the system's own.
+type OSFS struct{}
 
 // ReadFile implements FS.
-func (OS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
+func (OSFS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
 
 // CreateTemp implements FS.
-func (OS) CreateTemp(dir, pattern string) (File, error) {
+func (OSFS) CreateTemp(dir, pattern string) (File, error) {
 	f, err := os.CreateTemp(dir, pattern)
 	if err != nil {
 		return nil, err // no File that holds no file
@@ -66,13 +66,13 @@
 }
 
 // Rename implements FS.
-func (OS) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove implements FS.
-func (OS) Remove(name string) error { return os.Remove(name) }
+func (OSFS) Remove(name string) error { return os.Remove(name) }
 
 // SyncDir implements FS.
-func (OS) SyncDir(dir string) error {
+func (OSFS) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -81,31 +81,31 @@
 }
 
 // Read reads an image. The error is fs.ErrNotExist where there is no file, and ErrSpoilt where it is none.
-func Read(fsys FS, name string) (*recovery.Image, error) {
+func Read(fsys FS, name string) (*recovery.Snapshot, error) {
 	b, err := fsys.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
 	if len(b) < headLen || string(b[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: it does not begin as one of this version", ErrSpoilt)
+		return nil, fmt.Errorf("%w: it does not begin as one of this version", ErrCorrupt)
 	}
 	size, sum := binary.BigEndian.Uint32(b[len(magic):]), binary.BigEndian.Uint32(b[len(magic)+4:])
 	body := b[headLen:]
 	if int(size) != len(body) {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrSpoilt, len(body), size)
+		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(body), size)
 	}
 	if crc32.Checksum(body, castagnoli) != sum {
-		return nil, fmt.Errorf("%w: its checksum differs", ErrSpoilt)
+		return nil, fmt.Errorf("%w: its checksum differs", ErrCorrupt)
 	}
-	img := &recovery.Image{}
+	img := &recovery.Snapshot{}
 	if err := cbor.Unmarshal(body, img); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSpoilt, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return img, nil
 }
 
 // Write puts an image in the place of a file, whole or not at all, also if the power is lost on the way. It returns the bytes.
-func Write(fsys FS, name string, img *recovery.Image) (n int, err error) {
+func Write(fsys FS, name string, img *recovery.Snapshot) (n int, err error) {
 	body, err := cbor.Marshal(img)
 	if err != nil {
 		return 0, fmt.Errorf("encoding an image: %w", err)
@@ -138,21 +138,21 @@
 }
 
 // Load reads a member's image at its start. One that can't be used is set aside beside its place, so that nothing is lost.
-func Load(fsys FS, name string) (img *recovery.Image, verdict recovery.Verdict, err error) {
+func Load(fsys FS, name string) (img *recovery.Snapshot, verdict recovery.SnapshotStatus, err error) {
 	img, err = Read(fsys, name)
 	switch {
 	case err == nil:
-		return img, recovery.Kept, nil
+		return img, recovery.SnapshotValid, nil
 	case errors.Is(err, os.ErrNotExist):
-		return nil, recovery.Absent, nil
-	case errors.Is(err, ErrSpoilt):
-		return nil, recovery.Spoilt, errors.Join(err, Aside(fsys, name))
+		return nil, recovery.SnapshotMissing, nil
+	case errors.Is(err, ErrCorrupt):
+		return nil, recovery.SnapshotCorrupt, errors.Join(err, SetAside(fsys, name))
 	}
-	return nil, recovery.Spoilt, err // it may be readable later, so it stays
+	return nil, recovery.SnapshotCorrupt, err // it may be readable later, so it stays
 }
 
-// Aside gives a file that can't be used another name, in place of a former one of that name.
-func Aside(fsys FS, name string) error { return fsys.Rename(name, name+aside) }
+// SetAside gives a file that can't be used another name, in place of a former one of that name.
+func SetAside(fsys FS, name string) error { return fsys.Rename(name, name+aside) }
 
 // Lock holds a file for this process, until the process ends: two must not keep one member's state. It is held by the file's own lock
 // (flock), which the system lets go.
--- a/internal/recovery/service_test.go
+++ b/internal/recovery/service_test.go
@@ -7,16 +7,16 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-func service(work float64) *Service {
-	s := NewService(ServiceConfig{ColdFrom: 0.2, ColdFor: 10 * time.Second, ColdTimes: 1.2, MaxAdvice: time.Second, MaxUnits: 2, DearPrice: 2, Seed: 1})
-	s.Judged()
-	s.Meet(time.Hour, work, false)
+func service(work float64) *AdmissionController {
+	s := NewAdmissionController(AdmissionConfig{ColdCapacity: 0.2, ColdDuration: 10 * time.Second, ColdLoadFactor: 1.2, MaxRetryAfter: time.Second, MaxUnits: 2, MaxPrice: 2, Seed: 1})
+	s.MarkDiskChecked()
+	s.Join(time.Hour, work, false)
 	s.Tick(time.Hour)
 	return s
 }
 
 // flow asks for far more than is let in, for a while, and returns the units a second that were.
-func flow(s *Service, now *time.Duration, d time.Duration, a Ask) float64 {
+func flow(s *AdmissionController, now *time.Duration, d time.Duration, a Request) float64 {
 	taken := 0.0
 	for end := *now + d; *now < end; *now += time.Millisecond {
 		if ok, _ := s.Admit(*now, a); ok {
@@ -30,17 +30,17 @@
 // while discovery is silent all nodes count as started at the return.
 func TestPaceOfReturn(t *testing.T) {
 	at := time.Hour
-	book := Ask{Keyed: true, Units: 2, Price: 2}
+	book := Request{Write: true, Units: 2, Price: 2}
 	for name, tc := range map[string]struct {
-		prepare func(s *Service)
+		prepare func(s *AdmissionController)
 		want    float64 // units a second in the second second
 	}{
-		"nobody told":                  {func(*Service) {}, 0.32 * 400},
-		"four back":                    {func(s *Service) { s.Alive(4) }, 0.32 * 100},
-		"nodes are warm":               {func(s *Service) { s.Nodes(true, []time.Duration{0, 0}) }, 400},
-		"one of two is cold":           {func(s *Service) { s.Nodes(true, []time.Duration{0, at}) }, 1.2 * 0.66 * 400},
-		"the list is from before":      {func(s *Service) { s.Nodes(false, []time.Duration{0, 0}) }, 0.32 * 400},
-		"cold for longer than we know": {func(s *Service) { s.Nodes(true, []time.Duration{at - 5*time.Second}) }, 1.2 * 0.72 * 400},
+		"nobody told":                  {func(*AdmissionController) {}, 0.32 * 400},
+		"four back":                    {func(s *AdmissionController) { s.SetMemberCount(4) }, 0.32 * 100},
+		"nodes are warm":               {func(s *AdmissionController) { s.SetServerStarts(true, []time.Duration{0, 0}) }, 400},
+		"one of two is cold":           {func(s *AdmissionController) { s.SetServerStarts(true, []time.Duration{0, at}) }, 1.2 * 0.66 * 400},
+		"the list is from before":      {func(s *AdmissionController) { s.SetServerStarts(false, []time.Duration{0, 0}) }, 0.32 * 400},
+		"cold for longer than we know": {func(s *AdmissionController) { s.SetServerStarts(true, []time.Duration{at - 5*time.Second}) }, 1.2 * 0.72 * 400},
 	} {
 		s, now := service(400), at
 		tc.prepare(s)
@@ -54,14 +54,14 @@
 // TestUnknownWorkGrowsByAnswers: where nobody knows what was answered before, what is let in doubles with what is answered.
 func TestUnknownWorkGrowsByAnswers(t *testing.T) {
 	s, now := service(0), time.Hour
-	last := flow(s, &now, 2*time.Second, Ask{Units: 1})
+	last := flow(s, &now, 2*time.Second, Request{Units: 1})
 	if last > 2*floorRate {
 		t.Errorf("%.0f units a second with nothing known", last)
 	}
 	for range 4 {
 		for range 100 {
 			now += 10 * time.Millisecond
-			s.Answered(now, last/100)
+			s.RecordServed(now, last/100)
 		}
 		got := s.Rate(now)
 		if got < 1.2*last || got > 2.2*last {
@@ -74,7 +74,7 @@
 // TestOrderOfService: repeats of keyed requests go before new ones, these before others, dear plans before cheap ones; nothing is let in
 // before the trickle, all after it, and refusals tell to return at times that are spread.
 func TestOrderOfService(t *testing.T) {
-	kinds := []Ask{{Keyed: true, Again: true, Units: 1, Price: 0.5}, {Keyed: true, Units: 1, Price: 2}, {Keyed: true, Units: 1, Price: 0.5}, {Units: 1, Price: 2}, {Units: 1, Price: 0.5}}
+	kinds := []Request{{Write: true, ClientRetry: true, Units: 1, Price: 0.5}, {Write: true, Units: 1, Price: 2}, {Write: true, Units: 1, Price: 0.5}, {Units: 1, Price: 2}, {Units: 1, Price: 0.5}}
 	s, now := service(50), time.Hour
 	var taken [5]int
 	for range 4000 { // each kind asks for five times of what is let in
@@ -111,18 +111,18 @@
 	if len(advised) < 8 {
 		t.Errorf("refusals tell to return at %v", advised)
 	}
-	if now += 10 * time.Second; s.Tick(now) == "" || s.Phase() != Full {
+	if now += 10 * time.Second; s.Tick(now) == "" || s.Phase() != PhaseFull {
 		t.Errorf("phase %v after the nodes are warm", s.Phase())
 	}
-	if ok, _ := s.Admit(now, Ask{Units: 1e9}); !ok {
+	if ok, _ := s.Admit(now, Request{Units: 1e9}); !ok {
 		t.Error("in full service a request is held back")
 	}
-	early := NewService(ServiceConfig{MaxAdvice: time.Second})
+	early := NewAdmissionController(AdmissionConfig{MaxRetryAfter: time.Second})
 	if ok, after := early.Admit(0, kinds[0]); ok || after <= 0 || after > time.Second {
 		t.Errorf("in the dark: %v, return after %v", ok, after)
 	}
-	lit := NewService(ServiceConfig{ColdFor: time.Minute})
-	if lit.Meet(0, 100, true); lit.Phase() != Full {
+	lit := NewAdmissionController(AdmissionConfig{ColdDuration: time.Minute})
+	if lit.Join(0, 100, true); lit.Phase() != PhaseFull {
 		t.Error("one that comes back to a fleet in full service holds requests back")
 	}
 }
@@ -135,34 +135,34 @@
 	const most = 300.0 // units a second before
 	rnd := seeds.Rand(seed)
 	for range 50 {
-		s := NewService(ServiceConfig{ColdFrom: rnd.Float64(), ColdFor: time.Duration(rnd.IntN(20)) * time.Second, MaxUnits: 4, Seed: seed})
-		now, phase, taken, since := time.Duration(0), Dark, 0.0, time.Duration(0)
+		s := NewAdmissionController(AdmissionConfig{ColdCapacity: rnd.Float64(), ColdDuration: time.Duration(rnd.IntN(20)) * time.Second, MaxUnits: 4, Seed: seed})
+		now, phase, taken, since := time.Duration(0), PhaseStarting, 0.0, time.Duration(0)
 		for range 3000 {
 			step := time.Duration(rnd.IntN(20)) * time.Millisecond
 			now += step
 			switch rnd.IntN(40) {
 			case 0:
-				s.Judged()
+				s.MarkDiskChecked()
 			case 1:
-				s.Meet(now, most*rnd.Float64(), rnd.IntN(10) == 0)
+				s.Join(now, most*rnd.Float64(), rnd.IntN(10) == 0)
 			case 2:
 				s.Tick(now)
 			case 3:
-				s.Alive(rnd.IntN(9))
+				s.SetMemberCount(rnd.IntN(9))
 			case 4:
-				s.Nodes(rnd.IntN(2) == 0, []time.Duration{0, now})
+				s.SetServerStarts(rnd.IntN(2) == 0, []time.Duration{0, now})
 			}
 			if s.Phase() < phase {
 				t.Fatalf("phase %v after %v", s.Phase(), phase)
 			}
 			phase = s.Phase()
-			if phase < Trickle {
+			if phase < PhaseRampUp {
 				since = now
 			}
 			units := 1 + 3*rnd.Float64()
-			if ok, _ := s.Admit(now, Ask{Units: units, Keyed: true, Again: true}); ok && phase < Full {
+			if ok, _ := s.Admit(now, Request{Units: units, Write: true, ClientRetry: true}); ok && phase < PhaseFull {
 				taken += units
-				if may := most*bucketFor.Seconds() + most*(now-since).Seconds(); phase < Trickle || taken > may {
+				if may := most*bucketFor.Seconds() + most*(now-since).Seconds(); phase < PhaseRampUp || taken > may {
 					t.Fatalf("in phase %v, %.0f units let in where %.0f may be", phase, taken, may)
 				}
 			}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,19 +13,19 @@
 	"github.com/coreos/go-systemd/v22/daemon"
 )
 
-// Manager is who runs the daemon. Make it with New.
-type Manager struct {
+// Notifier is who runs the daemon. Make it with New.
+type Notifier struct {
 	log     *slog.Logger
 	present bool
 	ready   atomic.Bool
 }
 
-// New finds the manager, if there is one.
-func New(log *slog.Logger, getenv func(string) string) *Manager {
-	return &Manager{log: log, present: getenv("NOTIFY_SOCKET") != ""}
+// NewNotifier finds the manager, if there is one.
+func NewNotifier(log *slog.Logger, getenv func(string) string) *Notifier {
+	return &Notifier{log: log, present: getenv("NOTIFY_SOCKET") != ""}
 }
 
-func (m *Manager) say(state string) {
+func (m *Notifier) say(state string) {
 	if !m.present {
 		return
 	}
@@ -35,31 +35,31 @@
 }
 
 // Ready tells that the daemon serves.
-func (m *Manager) Ready() {
+func (m *Notifier) Ready() {
 	m.ready.Store(true)
 	m.say(daemon.SdNotifyReady)
 }
 
 // Reloading tells that a reload has begun. Before the daemon is ready nothing is told of it.
-func (m *Manager) Reloading() {
+func (m *Notifier) Reloading() {
 	if m.ready.Load() {
 		m.say(daemon.SdNotifyReloading + "\n" + daemon.SdNotifyMonotonicUsec())
 	}
 }
 
 // Reloaded tells that it has ended, well or not.
-func (m *Manager) Reloaded() {
+func (m *Notifier) Reloaded() {
 	if m.ready.Load() {
 		m.say(daemon.SdNotifyReady)
 	}
 }
 
 // Stopping tells that the daemon ends.
-func (m *Manager) Stopping() { m.say(daemon.SdNotifyStopping) }
+func (m *Notifier) Stopping() { m.say(daemon.SdNotifyStopping) }
 
-// Watch tells, twice in the time that the manager set, that the daemon lives: as often as alive has been called back. It returns
+// RunWatchdog tells, twice in the time that the manager set, that the daemon lives: as often as alive has been called back. It returns
 // when done is closed, and at once where the manager set no time.
-func (m *Manager) Watch(alive func(then func()), done <-chan struct{}) {
+func (m *Notifier) RunWatchdog(alive func(then func()), done <-chan struct{}) {
 	every, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
 		m.log.Warn("reading the service manager's watchdog", "err", err)
@@ -79,8 +79,8 @@
 	}
 }
 
-// Sockets are the listeners that the manager passed in, by the names that it gave them. A name must stand for one.
-func Sockets() (map[string]net.Listener, error) {
+// Listeners are the listeners that the manager passed in, by the names that it gave them. A name must stand for one.
+func Listeners() (map[string]net.Listener, error) {
 	named, err := activation.ListenersWithNames()
 	if err != nil {
 		return nil, fmt.Errorf("sockets of the service manager: %w", err)
