--- a/cmd/sloectl/power.go
+++ b/cmd/sloectl/power.go
@@ -5,8 +5,8 @@
 	"io"
 	"text/tabwriter"
 
-	"sloepick/internal/record"
 	"sloepick/internal/recovery"
+	"sloepick/internal/snapshot"
 )
 
 const powerShown = 20 // customers: the fullest
@@ -17,7 +17,7 @@
 		fmt.Fprintln(errs, "usage: sloectl power show FILE")
 		return exitTrouble
 	}
-	img, err := record.Read(record.OSFS{}, args[1])
+	img, err := snapshot.Read(snapshot.OSFS{}, args[1])
 	if err != nil {
 		fmt.Fprintf(errs, "sloectl: %s: %v\n", args[1], err)
 		return exitNo
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,8 +24,8 @@
 	"sloepick/internal/operator"
 	"sloepick/internal/resp"
 	"sloepick/internal/route"
-	"sloepick/internal/service"
 	"sloepick/internal/sloe"
+	"sloepick/internal/systemd"
 	"sloepick/internal/tuning"
 )
 
@@ -63,7 +63,7 @@
 	}
 	var level slog.LevelVar
 	log := slog.New(slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: &level})).With("gateway", cfg.Name)
-	sockets, err := service.Listeners()
+	sockets, err := systemd.Listeners()
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	for name := range sockets {
 		return fmt.Errorf("a socket %q was passed in, and nothing here has that name", name)
 	}
-	manager := service.NewNotifier(log, getenv)
+	manager := systemd.NewNotifier(log, getenv)
 	r.manager = manager
 	stopped := make(chan struct{})
 	defer close(stopped)
@@ -242,7 +242,7 @@
 	level   *slog.LevelVar
 	reloads chan gateway.Reload
 	fronts  []*h2.Frontend
-	manager *service.Notifier
+	manager *systemd.Notifier
 	member  *gossip.Engine // nil: of no fleet
 	lock    *os.File       // of the state that is kept; held open for as long as the process lives
 }
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -14,8 +14,8 @@
 	"sloepick/internal/blocks"
 	"sloepick/internal/gateway"
 	"sloepick/internal/gossip"
-	"sloepick/internal/record"
 	"sloepick/internal/recovery"
+	"sloepick/internal/snapshot"
 )
 
 const bootFile = "/proc/sys/kernel/random/boot_id" // proc(5)
@@ -49,21 +49,21 @@
 	var img *recovery.Snapshot
 	verdict := recovery.SnapshotMissing
 	if b.File != "" {
-		if r.lock, err = record.Lock(b.File + ".lock"); err != nil {
+		if r.lock, err = snapshot.Lock(b.File + ".lock"); err != nil {
 			return nil, err
 		}
-		if img, verdict, err = record.Load(record.OSFS{}, b.File); err != nil {
+		if img, verdict, err = snapshot.Load(snapshot.OSFS{}, b.File); err != nil {
 			r.log.Error("power: the state is not used", "file", b.File, "err", err)
 		}
 	}
-	keeper := record.NewStore(record.Config{FS: record.OSFS{}, Path: b.File, Interval: b.Every, MaxCustomers: b.Customers, Member: self.Name,
+	keeper := snapshot.NewStore(snapshot.Config{FS: snapshot.OSFS{}, Path: b.File, Interval: b.Every, MaxCustomers: b.Customers, Member: self.Name,
 		Incarnation: life, Plans: set.Plans, Clock: clocks}, r.log)
 	start := recovery.NewCollector(self, now, img, verdict)
 	if img != nil && img.Name == self.Name {
 		keeper.SetPrevious(img)
 	} else if img != nil {
 		r.log.Error("power: the state is another member's and is set aside", "file", b.File, "member", img.Name)
-		if err := record.SetAside(record.OSFS{}, b.File); err != nil {
+		if err := snapshot.SetAside(snapshot.OSFS{}, b.File); err != nil {
 			r.log.Error("power: the state was not set aside", "err", err)
 		}
 	}
--- a/internal/record/file.go
+++ b/internal/snapshot/file.go
@@ -1,6 +1,6 @@
 // Package record keeps on a disk what must outlive a process: whole files that are versioned, checksummed and replaced at once, and a
 // keeper that writes what changed off the gateway's loop.
-package record
+package snapshot
 
 import (
 	"bytes"
--- a/internal/record/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -1,4 +1,4 @@
-package record
+package snapshot
 
 import (
 	"cmp"
--- a/internal/service/service.go
+++ b/internal/systemd/service.go
@@ -1,6 +1,6 @@
 // Package service speaks with the manager that runs the daemon: notices of readiness, reload, end and life by its datagram protocol
 // (sd_notify(3)), and sockets that it passes in (sd_listen_fds(3)). Where no manager named a socket for notices, nothing is sent.
-package service
+package systemd
 
 import (
 	"fmt"
