--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -16,30 +16,30 @@
 	"sloepick/internal/recovery"
 )
 
-// This file is what memberlist calls, and what members tell of themselves.
-
-// meta is what a member tells of itself, as it stands in the engine's data: 512 bytes at most.
-type meta struct {
-	Version    int    `json:"v"`
-	Name       string `json:"n"`
-	Life       uint64 `json:"l"`
-	Generation uint64 `json:"g,omitempty"`
-	Place      int    `json:"p"`
-	Term       uint64 `json:"t,omitempty"`
-	Pad        string `json:"z,omitempty"` // see padMost
-	Leaving    bool   `json:"x,omitempty"` // the engine tells its users only that one is gone, not that it said so
+// This file holds memberlist's callbacks and the metadata and state that members exchange by them.
+
+// nodeMeta is what a member announces about itself in memberlist's metadata, of at most 512 bytes.
+type nodeMeta struct {
+	Version     int    `json:"v"`
+	Name        string `json:"n"`
+	Incarnation uint64 `json:"l"`
+	Generation  uint64 `json:"g,omitempty"`
+	Slot        int    `json:"p"`
+	Term        uint64 `json:"t,omitempty"`
+	Padding     string `json:"z,omitempty"` // see paddingModulus
+	Leaving     bool   `json:"x,omitempty"` // memberlist reports only that a node is gone, not whether it left by itself
 }
 
-// delegate is what memberlist calls. It must not wait for the table's goroutine while that waits for memberlist, which it never
-// does.
+// delegate receives memberlist's callbacks. They may block until the event loop takes an event; the event loop never
+// waits for memberlist.
 type delegate struct{ e *Engine }
 
 // NodeMeta implements memberlist.Delegate.
 func (d delegate) NodeMeta(limit int) []byte {
-	m := d.e.self.Load()
-	b, err := json.Marshal(meta{m.Version, m.Name, m.Incarnation, m.Generation, m.Claim.Slot, m.Claim.Term, strings.Repeat("-", int(m.Incarnation%padMost)), d.e.leaving.Load()})
+	self := d.e.self.Load()
+	b, err := json.Marshal(nodeMeta{self.Version, self.Name, self.Incarnation, self.Generation, self.Claim.Slot, self.Claim.Term, strings.Repeat("-", int(self.Incarnation%paddingModulus)), d.e.leaving.Load()})
 	if err != nil || len(b) > limit {
-		return nil // a name is checked to be short
+		return nil // does not happen: the name's length is limited
 	}
 	return b
 }
@@ -47,100 +47,100 @@
 // NotifyMsg implements memberlist.Delegate.
 func (d delegate) NotifyMsg(b []byte) {
 	e := d.e
-	e.heard()
-	if len(b) <= headLen {
+	e.reportContact()
+	if len(b) <= headerBytes {
 		return
 	}
-	head, life := binary.BigEndian.Uint16(b), binary.BigEndian.Uint64(b[2:])
-	if len(b) > headLen+mostOf(head) {
+	slotAndFlags, incarnation := binary.BigEndian.Uint16(b), binary.BigEndian.Uint64(b[2:])
+	if len(b) > headerBytes+maxPayloadBytes(slotAndFlags) {
 		return
 	}
-	place := int(head &^ (dutyFlag | newsFlag))
-	s := e.standing.Load()
-	if place >= len(s.Holders) || s.Holders[place].Incarnation != life || place == s.Slot {
-		return // of one that has no place here, or not that one
+	slot := int(slotAndFlags &^ (dutyFlag | peerInfoFlag))
+	s := e.assignment.Load()
+	if slot >= len(s.Holders) || s.Holders[slot].Incarnation != incarnation || slot == s.Slot {
+		return // the sender has no slot here, or another one
 	}
-	if head&newsFlag != 0 {
-		e.news.message(place, b[headLen:])
+	if slotAndFlags&peerInfoFlag != 0 {
+		e.peerInfo.receive(slot, b[headerBytes:])
 		return
 	}
-	if head&dutyFlag != 0 {
-		e.duties.message(place, b[headLen:])
+	if slotAndFlags&dutyFlag != 0 {
+		e.duties.receive(slot, b[headerBytes:])
 		return
 	}
-	text := string(b[headLen:])
+	payload := string(b[headerBytes:])
 	e.mu.Lock()
-	door := e.door
+	core := e.core
 	e.mu.Unlock()
-	if door != nil {
-		door.DeliverMessage(place, text)
+	if core != nil {
+		core.DeliverMessage(slot, payload)
 	}
 }
 
-// GetBroadcasts implements memberlist.Delegate: all that is spread stands in members' own data.
+// GetBroadcasts implements memberlist.Delegate. There are none besides the members' own metadata.
 func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
 // LocalState implements memberlist.Delegate.
 func (d delegate) LocalState(bool) []byte {
-	s := state{SharedState: d.e.past.Load(), From: d.e.cfg.Name, Lost: d.e.lost.Load()}
-	if m := d.e.memory.Load(); m != nil {
+	state := exchangedState{SharedState: d.e.sharedState.Load(), Sender: d.e.cfg.Name, DroppedMessages: d.e.droppedMessages.Load()}
+	if m := d.e.recoverySource.Load(); m != nil {
 		var err error
-		if s.Word, err = cbor.Marshal(m.Snapshot()); err != nil {
-			d.e.log.Error("fleet: what is known can't be told", "err", err)
+		if state.RecoverySnapshot, err = cbor.Marshal(m.Snapshot()); err != nil {
+			d.e.log.Error("fleet: failed to encode the recovery snapshot", "err", err)
 		}
 	}
-	b, err := json.Marshal(s)
+	b, err := json.Marshal(state)
 	if err != nil {
 		return nil // numbers and strings always marshal
 	}
 	return b
 }
 
-// state is what goes with an exchange of whole states, as JSON. Members of a version without Word pass over it.
-type state struct {
+// exchangedState is sent as JSON in a full state exchange. Versions without RecoverySnapshot ignore it.
+type exchangedState struct {
 	*fleet.SharedState
-	From string `json:",omitempty"` // who tells it ...
-	Lost uint64 `json:",omitempty"` // ... and how many of its messages found its queue full
-	Word []byte `json:",omitempty"` // recovery.Word, in CBOR
+	Sender           string `json:"From,omitempty"` // the sender's name ...
+	DroppedMessages  uint64 `json:"Lost,omitempty"` // ... and how many of its messages were dropped because its queue was full
+	RecoverySnapshot []byte `json:"Word,omitempty"` // recovery.Word, in CBOR
 }
 
 // MergeRemoteState implements memberlist.Delegate.
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
-	s := state{SharedState: &fleet.SharedState{}}
-	if len(b) == 0 || json.Unmarshal(b, &s) != nil {
-		return // of another version: nothing is learned from it
+	state := exchangedState{SharedState: &fleet.SharedState{}}
+	if len(b) == 0 || json.Unmarshal(b, &state) != nil {
+		return // of another version, and ignored
 	}
-	var w recovery.PeerSnapshot
-	if len(s.Word) > 0 && d.e.memory.Load() != nil && cbor.Unmarshal(s.Word, &w) == nil {
+	var snapshot recovery.PeerSnapshot
+	if len(state.RecoverySnapshot) > 0 && d.e.recoverySource.Load() != nil && cbor.Unmarshal(state.RecoverySnapshot, &snapshot) == nil {
 		d.e.mu.Lock()
-		door := d.e.door
+		core := d.e.core
 		d.e.mu.Unlock()
-		if door != nil {
-			door.DeliverRecoverySnapshot(w)
+		if core != nil {
+			core.DeliverRecoverySnapshot(snapshot)
 		}
 	}
 	d.e.mu.Lock()
-	if _, known := d.e.drops[s.From]; s.From != "" && (known || len(d.e.drops) < dropsMost) {
-		d.e.drops[s.From] = s.Lost
+	if _, known := d.e.peerDrops[state.Sender]; state.Sender != "" && (known || len(d.e.peerDrops) < maxPeerDrops) {
+		d.e.peerDrops[state.Sender] = state.DroppedMessages
 	}
 	d.e.mu.Unlock()
-	d.e.events <- fleet.RemoteState{SharedState: *s.SharedState}
+	d.e.events <- fleet.RemoteState{SharedState: *state.SharedState}
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (d delegate) NotifyJoin(n *memberlist.Node) { d.seen(n) }
+func (d delegate) NotifyJoin(n *memberlist.Node) { d.nodeUpdated(n) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (d delegate) NotifyUpdate(n *memberlist.Node) { d.seen(n) }
+func (d delegate) NotifyUpdate(n *memberlist.Node) { d.nodeUpdated(n) }
 
-func (d delegate) seen(n *memberlist.Node) {
-	if m, leaving, ok := d.member(n); leaving {
-		d.e.news.left(m)
+func (d delegate) nodeUpdated(n *memberlist.Node) {
+	if m, leaving, ok := d.parseNode(n); leaving {
+		d.e.peerInfo.memberLeft(m)
 		d.e.events <- fleet.MemberGone{Name: m.Name, Incarnation: m.Incarnation, Left: true}
 	} else if ok {
-		c := *n
+		node := *n
 		d.e.mu.Lock()
-		d.e.nodes[n.Name] = &c
+		d.e.nodes[n.Name] = &node
 		d.e.mu.Unlock()
 		d.e.events <- fleet.MemberAlive{Member: m}
 	}
@@ -148,7 +148,7 @@
 
 // NotifyLeave implements memberlist.EventDelegate.
 func (d delegate) NotifyLeave(n *memberlist.Node) {
-	if m, leaving, ok := d.member(n); ok {
+	if m, leaving, ok := d.parseNode(n); ok {
 		d.e.mu.Lock()
 		delete(d.e.nodes, n.Name)
 		d.e.mu.Unlock()
@@ -156,36 +156,36 @@
 	}
 }
 
-// member reads what another member tells of itself; false: it is this one, or can't be read.
-func (d delegate) member(n *memberlist.Node) (m fleet.Member, leaving, ok bool) {
-	life, name, _ := strings.Cut(n.Name, ".")
-	no, err := strconv.ParseUint(life, 36, 64)
-	if err != nil || name == "" || no == d.e.life && name == d.e.cfg.Name {
+// parseNode reads another member's metadata. ok is false if the node is this member or its name can't be parsed.
+func (d delegate) parseNode(n *memberlist.Node) (m fleet.Member, leaving, ok bool) {
+	prefix, name, _ := strings.Cut(n.Name, ".")
+	incarnation, err := strconv.ParseUint(prefix, 36, 64)
+	if err != nil || name == "" || incarnation == d.e.incarnation && name == d.e.cfg.Name {
 		return m, false, false
 	}
-	m = fleet.Member{Name: name, Incarnation: no, Addr: n.Address(), Claim: fleet.NoClaim}
-	t := meta{Place: fleet.NoClaim.Slot}
-	if json.Unmarshal(n.Meta, &t) == nil {
-		m.Generation, m.Version = t.Generation, t.Version
-		if t.Place >= 0 {
-			m.Claim = fleet.Claim{Slot: t.Place, Term: t.Term}
+	m = fleet.Member{Name: name, Incarnation: incarnation, Addr: n.Address(), Claim: fleet.NoClaim}
+	meta := nodeMeta{Slot: fleet.NoClaim.Slot}
+	if json.Unmarshal(n.Meta, &meta) == nil {
+		m.Generation, m.Version = meta.Generation, meta.Version
+		if meta.Slot >= 0 {
+			m.Claim = fleet.Claim{Slot: meta.Slot, Term: meta.Term}
 		}
 	}
-	return m, t.Leaving, true
+	return m, meta.Leaving, true
 }
 
 // AckPayload implements memberlist.PingDelegate.
 func (d delegate) AckPayload() []byte {
-	d.e.heard() // a ping has come
+	d.e.reportContact() // a ping arrived
 	return nil
 }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
-func (d delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) { d.e.heard() }
+func (d delegate) NotifyPingComplete(*memberlist.Node, time.Duration, []byte) { d.e.reportContact() }
 
-// heard tells the table that another member is there. One that waits already says enough.
-func (e *Engine) heard() {
-	if len(e.events) < eventsMost/2 {
+// reportContact tells the table that another member was reached, unless many events are waiting already.
+func (e *Engine) reportContact() {
+	if len(e.events) < maxPendingEvents/2 {
 		select {
 		case e.events <- fleet.MemberContact{}:
 		default:
@@ -193,15 +193,15 @@
 	}
 }
 
-// logTo passes the engine's log on, without its time.
-type logTo struct{ log *slog.Logger }
+// logWriter passes errors and warnings of memberlist to the log, without their times.
+type logWriter struct{ log *slog.Logger }
 
-func (l logTo) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	line := strings.TrimSpace(string(b))
 	if strings.HasPrefix(line, "[ERR]") || strings.HasPrefix(line, "[WARN]") {
-		l.log.Debug("fleet's engine", "text", line)
+		l.log.Debug("message from memberlist", "text", line)
 	}
 	return len(b), nil
 }
 
-var _ io.Writer = logTo{}
+var _ io.Writer = logWriter{}
--- a/internal/gossip/duties.go
+++ b/internal/gossip/duties.go
@@ -12,51 +12,52 @@
 )
 
 const (
-	dutyFlag     = 1 << 15 // in a message's place: it is about a duty, and not the module's
-	dutyNameMost = 64      // bytes of the name of a member that may own
-	dutiesMost   = 1024    // messages on duties that wait for the table; more are lost, as datagrams may be
+	dutyFlag             = 1 << 15 // set in a message's slot: the message is about a duty and not one of the decision module
+	maxDutyNameBytes     = 64      // of a member's name: limited by the size of messages on duties
+	maxPendingDutyEvents = 1024    // events that wait for the table; further messages are dropped, as datagrams may be
 )
 
-// duties are this member's part in work on behalf of the fleet. The engine's goroutine owns the table. nil: there are none.
+// duties runs this member's part in the election of owners for the fleet's duties. The event loop owns the table. nil:
+// there are no duties.
 type duties struct {
-	e     *Engine
-	table *election.Table
-	in    chan election.Event
-	last  fleet.Assignment
-	owned atomic.Pointer[map[string]lease]
+	e          *Engine
+	table      *election.Table
+	events     chan election.Event
+	assignment fleet.Assignment
+	leases     atomic.Pointer[map[string]lease]
 }
 
-// lease is an ownership as those may read it who act for it.
+// lease is the ownership of a duty as MayAct reads it.
 type lease struct {
-	number uint64
-	until  time.Duration // since the engine's start, by the monotonic clock
-	wall   time.Time     // when it was told: a machine that slept has a wall clock that went on, and a monotonic one that did not
-	at     time.Duration
+	number       uint64
+	until        time.Duration // since the engine's start, by the monotonic clock
+	recordedWall time.Time     // a machine that was suspended has a wall clock that went on and a monotonic clock that stood still
+	recordedAt   time.Duration
 }
 
 func newDuties(e *Engine, cfg election.Config) (*duties, error) {
-	cfg.Self, cfg.Incarnation = e.cfg.Name, e.life
-	if len(cfg.Self) > dutyNameMost {
-		return nil, fmt.Errorf("the member's name has %d bytes, more than the %d that its messages on duties have room for", len(cfg.Self), dutyNameMost)
+	cfg.Self, cfg.Incarnation = e.cfg.Name, e.incarnation
+	if len(cfg.Self) > maxDutyNameBytes {
+		return nil, fmt.Errorf("the member's name has %d bytes, want at most %d for messages on duties", len(cfg.Self), maxDutyNameBytes)
 	}
 	t, err := election.New(cfg, time.Since(e.start), nil, e.saved.Voters)
 	if err != nil {
 		return nil, err
 	}
-	d := &duties{e: e, table: t, in: make(chan election.Event, dutiesMost)}
-	d.owned.Store(&map[string]lease{})
+	d := &duties{e: e, table: t, events: make(chan election.Event, maxPendingDutyEvents)}
+	d.leases.Store(&map[string]lease{})
 	return d, nil
 }
 
-// inbox is where events wait; nil, which is never ready, without duties.
+// inbox returns the channel of waiting events; without duties it is nil, which is never ready.
 func (d *duties) inbox() <-chan election.Event {
 	if d == nil {
 		return nil
 	}
-	return d.in
+	return d.events
 }
 
-// handle hands the table an event and does what it wants.
+// handle passes an event to the table and carries out the actions that it returns.
 func (d *duties) handle(ev election.Event) {
 	if d == nil {
 		return
@@ -65,10 +66,10 @@
 		for _, a := range d.table.Handle(time.Since(d.e.start), queue[0]) {
 			switch a := a.(type) {
 			case election.Send:
-				if a.To == d.last.Slot {
+				if a.To == d.assignment.Slot {
 					queue = append(queue, election.Received{From: a.To, Message: a.Message})
 				} else {
-					d.tell(a)
+					d.send(a)
 				}
 			case election.Acquired:
 				d.e.log.Info("duty: owned", "duty", a.Duty, "number", a.Number)
@@ -77,85 +78,86 @@
 			case election.ElectorateChange:
 				d.e.log.Info("duties: voters", "epoch", a.Epoch, "places", a.Voters, "next", a.NextVoters)
 				d.e.saved.Voters = a.Electorate
-				d.e.keep()
+				d.e.requestSave()
 			}
 		}
 	}
-	d.keep()
+	d.publishLeases()
 }
 
-// keep has those who act read what is owned.
-func (d *duties) keep() {
-	owned := map[string]lease{}
+// publishLeases makes the leases that this member holds visible to MayAct.
+func (d *duties) publishLeases() {
+	leases := map[string]lease{}
 	now := time.Now()
 	for _, name := range d.e.cfg.Election.Duties {
 		if until, number := d.table.LeaseEnd(name); until > 0 {
-			owned[name] = lease{number, until, now.Round(0), now.Sub(d.e.start)}
+			leases[name] = lease{number, until, now.Round(0), now.Sub(d.e.start)}
 		}
 	}
-	d.owned.Store(&owned)
+	d.leases.Store(&leases)
 }
 
-func (d *duties) tell(a election.Send) {
+func (d *duties) send(a election.Send) {
 	b, err := cbor.Marshal(a.Message)
 	if err == nil {
-		err = d.e.tellPlace(a.To, dutyFlag, string(b))
+		err = d.e.sendToSlot(a.To, dutyFlag, string(b))
 	}
 	if err != nil {
-		d.e.log.Debug("a message on a duty was not sent", "err", err) // as if lost
+		d.e.log.Debug("failed to send a message on a duty", "err", err) // the table treats it as lost
 	}
 }
 
-// message takes a message of the member in a place.
-func (d *duties) message(from int, b []byte) {
+// receive queues a message of the member in a slot.
+func (d *duties) receive(from int, b []byte) {
 	var m election.Message
 	if d == nil || cbor.Unmarshal(b, &m) != nil {
 		return
 	}
-	d.post(election.Received{From: from, Message: m})
+	d.enqueue(election.Received{From: from, Message: m})
 }
 
-func (d *duties) post(ev election.Event) {
+func (d *duties) enqueue(ev election.Event) {
 	select {
-	case d.in <- ev:
+	case d.events <- ev:
 	default:
 	}
 }
 
-func (d *duties) stand(s fleet.Assignment) {
+func (d *duties) applyAssignment(s fleet.Assignment) {
 	if d == nil {
 		return
 	}
-	e := election.FleetUpdate{Slot: s.Slot, SlotChanged: d.last.Holders != nil && (s.Slot != d.last.Slot || s.Term != d.last.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Fleet.ExpectedMembers}
+	update := election.FleetUpdate{Slot: s.Slot, SlotChanged: d.assignment.Holders != nil && (s.Slot != d.assignment.Slot || s.Term != d.assignment.Term), Isolated: s.Isolated, ExpectedMembers: d.e.cfg.Fleet.ExpectedMembers}
 	for _, h := range s.Holders {
-		e.Holders = append(e.Holders, election.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
+		update.Holders = append(update.Holders, election.Holder{Name: h.Name, Alive: h.Name != "" && h.State == fleet.Alive})
 	}
-	d.last = s
-	d.handle(e)
+	d.assignment = s
+	d.handle(update)
 }
 
-func (d *duties) rows() []election.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
+func (d *duties) statuses() []election.DutyStatus { return d.table.Duties(time.Since(d.e.start)) }
 
-// MayAct reports whether this member may act for a duty at this moment, and under which number. It is to be asked before and after each
-// step that can't be taken back: no after it means that the outcome is unknown. It may be called from any goroutine.
+// MayAct reports whether this member may act for a duty at this moment, and under which number. Call it before and
+// after each step that can't be undone: false after the step means that its outcome is unknown. It may be called from
+// any goroutine.
 func (e *Engine) MayAct(duty string) (election.Ownership, bool) {
 	if e.duties == nil {
 		return election.Ownership{}, false
 	}
-	l, ok := (*e.duties.owned.Load())[duty]
+	l, ok := (*e.duties.leases.Load())[duty]
 	now := time.Now()
-	mono := now.Sub(e.start)
-	if slept := now.Round(0).Sub(l.wall) - (mono - l.at); !ok || mono >= l.until || max(slept, -slept) > jumpMost {
+	elapsed := now.Sub(e.start)
+	if suspended := now.Round(0).Sub(l.recordedWall) - (elapsed - l.recordedAt); !ok || elapsed >= l.until || max(suspended, -suspended) > maxClockJump {
 		return election.Ownership{}, false
 	}
 	return election.Ownership{Number: l.number, Owner: e.duties.table.Identity()}, true
 }
 
-// ReportRejection tells that a receiver turned this member away below a number.
+// ReportRejection reports that a receiver rejected this member because it has seen the given, higher number.
 func (e *Engine) ReportRejection(duty string, number uint64) error {
 	if e.duties == nil {
-		return fmt.Errorf("there is no duty %q here", duty)
+		return fmt.Errorf("unknown duty %q: this member has no duties", duty)
 	}
-	e.duties.post(election.Rejected{Duty: duty, Number: number})
+	e.duties.enqueue(election.Rejected{Duty: duty, Number: number})
 	return nil
 }
--- a/internal/gossip/regions.go
+++ b/internal/gossip/regions.go
@@ -9,74 +9,74 @@
 )
 
 const (
-	quietAhead = 8 * 24 * time.Hour // windows are looked for so far ahead: a week, and the day that a calendar leaves out
-	offMost    = time.Second        // a member whose clock is further off than this, and the doubt, says so
-	wallStep   = time.Millisecond   // in which wall clocks are told
+	windowLookahead = 8 * 24 * time.Hour // windows are searched for a week, and for the day that a calendar may exclude
+	maxClockOffset  = time.Second        // beyond the uncertainty; a larger one is reported
+	wallResolution  = time.Millisecond   // of the wall clocks in records
 )
 
-// FleetClock is what the fleet's clock is by what members told of theirs.
+// FleetClock is the estimate of the fleet's clock from the wall clocks that members published.
 type FleetClock struct {
-	OK              bool          // more than half agree; else there is none
+	OK              bool          // more than half of the members agree; without that the fleet has no clock
 	AgreeingMembers int           `json:"Agree"`
-	TotalMembers    int           `json:"Of"`    // members, this one among them
-	Offset          time.Duration `json:"Ahead"` // of this member's clock, in the middle of what is possible
-	Uncertainty     time.Duration `json:"Doubt"` // it may be so much more or less
-	LocalClockOff   bool          `json:"Off"`   // this member's own clock is not among those that agree, by more than a second
+	TotalMembers    int           `json:"Of"`    // including this one
+	Offset          time.Duration `json:"Ahead"` // of the fleet's clock from this member's, the middle of the possible range
+	Uncertainty     time.Duration `json:"Doubt"` // the offset may be higher or lower by so much
+	LocalClockOff   bool          `json:"Off"`   // this member's clock is off by more than maxClockOffset and the uncertainty
 }
 
-// RegionStatus is when a region with a calendar is quiet, by the fleet's clock.
+// RegionStatus is the maintenance window of a region with a calendar, by the fleet's clock.
 type RegionStatus struct {
 	Name        string
-	Remaining   time.Duration `json:"Left"` // for which it is quiet at the least; 0: it may not be
-	WindowStart time.Time     `json:"From"` // the window that it is in, or the next one; zero: there is none for a week
+	Remaining   time.Duration `json:"Left"` // the current window lasts at least so long; 0: there may be none now
+	WindowStart time.Time     `json:"From"` // of the current window or else the next one; zero: there is none for a week
 	WindowEnd   time.Time     `json:"To"`
 }
 
-// calendar keeps the windows that were found: to look for one that is days away takes some ms.
-type calendar struct {
-	hours   map[string]*maintenance.Calendar
-	windows map[string]maintenance.Window
-	until   time.Time // windows hold until then ...
+// windowCache keeps the windows that were found, as a search for one that is days away takes some ms.
+type windowCache struct {
+	calendars  map[string]*maintenance.Calendar
+	windows    map[string]maintenance.Window
+	validUntil time.Time // a window ends, or an hour has passed
 }
 
-// SetRegions has the regions' calendars be these from now on.
-func (e *Engine) SetRegions(hours map[string]*maintenance.Calendar) { e.regions.Store(&hours) }
+// SetRegions replaces the regions' calendars.
+func (e *Engine) SetRegions(calendars map[string]*maintenance.Calendar) { e.regions.Store(&calendars) }
 
-// clock is the fleet's clock, at a time of this member's wall clock.
-func clockOf(rows []PeerInfoRow, self string, at time.Time) FleetClock {
+// estimateFleetClock estimates the fleet's clock at a time of this member's wall clock.
+func estimateFleetClock(rows []PeerInfoRow, self string, at time.Time) FleetClock {
 	var readings []maintenance.OffsetRange
 	for _, row := range rows {
 		if row.Name != self {
-			readings = append(readings, maintenance.EstimateOffset(time.UnixMilli(row.WallMillis), at, row.Age+wallStep))
+			readings = append(readings, maintenance.EstimateOffset(time.UnixMilli(row.WallMillis), at, row.Age+wallResolution))
 		}
 	}
 	r, agree, ok := maintenance.FleetOffset(readings)
 	c := FleetClock{OK: ok, AgreeingMembers: agree, TotalMembers: len(readings) + 1, Offset: (r.Min + r.Max) / 2, Uncertainty: (r.Max - r.Min) / 2}
-	c.LocalClockOff = ok && max(c.Offset, -c.Offset) > c.Uncertainty+offMost
+	c.LocalClockOff = ok && max(c.Offset, -c.Offset) > c.Uncertainty+maxClockOffset
 	return c
 }
 
-// rows are the regions as of a time of the fleet's clock.
-func (c *calendar) rows(hours map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
+// regionStatuses returns the status of all regions, by name, at a time of this member's wall clock.
+func (c *windowCache) regionStatuses(calendars map[string]*maintenance.Calendar, clock FleetClock, at time.Time) (rows []RegionStatus) {
 	if !clock.OK {
 		return nil
 	}
 	at = at.Add(clock.Offset)
-	if same := maps.Equal(c.hours, hours); !same || at.After(c.until) || at.Before(c.until.Add(-time.Hour)) {
-		c.hours, c.windows, c.until = hours, map[string]maintenance.Window{}, at.Add(time.Hour)
-		for name, h := range hours {
-			if w, ok := maintenance.NextWindow(at, quietAhead, h); ok {
+	if same := maps.Equal(c.calendars, calendars); !same || at.After(c.validUntil) || at.Before(c.validUntil.Add(-time.Hour)) {
+		c.calendars, c.windows, c.validUntil = calendars, map[string]maintenance.Window{}, at.Add(time.Hour)
+		for name, calendar := range calendars {
+			if w, ok := maintenance.NextWindow(at, windowLookahead, calendar); ok {
 				c.windows[name] = w
-				if w.To.Before(c.until) {
-					c.until = w.To
+				if w.To.Before(c.validUntil) {
+					c.validUntil = w.To
 				}
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(hours)) {
-		row := RegionStatus{Name: name, Remaining: maintenance.Remaining(at, clock.Uncertainty, hours[name])}
+	for _, name := range slices.Sorted(maps.Keys(calendars)) {
+		row := RegionStatus{Name: name, Remaining: maintenance.Remaining(at, clock.Uncertainty, calendars[name])}
 		if w, ok := c.windows[name]; ok {
-			row.WindowStart, row.WindowEnd = w.From.In(hours[name].Zone), w.To.In(hours[name].Zone)
+			row.WindowStart, row.WindowEnd = w.From.In(calendars[name].Zone), w.To.In(calendars[name].Zone)
 		}
 		rows = append(rows, row)
 	}
--- a/internal/gossip/regions_test.go
+++ b/internal/gossip/regions_test.go
@@ -7,23 +7,24 @@
 	"sloepick/internal/maintenance"
 )
 
-// TestClockOfMembers: a member whose clock is an hour or a year off has no say in the fleet's clock; if it is this one it says so, and goes by the
-// others'; where no more than half agree nothing is quiet.
-func TestClockOfMembers(t *testing.T) {
+// TestFleetClock checks that a member whose clock is an hour or a year off does not affect the fleet's clock. This
+// member reports an error of its own clock and uses the others'. Where no more than half of the members agree, no
+// region is in a maintenance window.
+func TestFleetClock(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
 	span, err := maintenance.ParseSpan("daily 13:00-14:00")
 	if err != nil {
 		t.Fatal(err)
 	}
-	hours := map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
+	calendars := map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	row := func(name string, ahead time.Duration) PeerInfoRow {
 		return PeerInfoRow{Name: name, Age: time.Second, WallMillis: at.Add(ahead - time.Second/2).UnixMilli()}
 	}
 	for _, tc := range []struct {
-		name       string
-		others     []PeerInfoRow
-		ok, off    bool
-		left, most time.Duration
+		name                       string
+		others                     []PeerInfoRow
+		ok, clockOff               bool
+		minRemaining, maxRemaining time.Duration
 	}{
 		{"all agree", []PeerInfoRow{row("b", 0), row("c", 0)}, true, false, 28 * time.Minute, 30 * time.Minute},
 		{"one is a year ahead", []PeerInfoRow{row("b", 0), row("c", 8760*time.Hour)}, true, false, 28 * time.Minute, 30 * time.Minute},
@@ -31,21 +32,22 @@
 		{"this one is an hour behind", []PeerInfoRow{row("b", time.Hour), row("c", time.Hour)}, true, true, 0, 0},
 		{"nobody agrees", []PeerInfoRow{row("b", time.Hour), row("c", 2*time.Hour)}, false, false, 0, 0},
 	} {
-		c := clockOf(append(tc.others, row("a", 0)), "a", at)
-		var days calendar
-		rows := days.rows(hours, c, at)
-		if c.OK != tc.ok || c.LocalClockOff != tc.off || c.TotalMembers != 3 || len(rows) != len(hours) && tc.ok {
+		c := estimateFleetClock(append(tc.others, row("a", 0)), "a", at)
+		var cache windowCache
+		rows := cache.regionStatuses(calendars, c, at)
+		if c.OK != tc.ok || c.LocalClockOff != tc.clockOff || c.TotalMembers != 3 || len(rows) != len(calendars) && tc.ok {
 			t.Errorf("%s: %+v, %+v", tc.name, c, rows)
 		}
 		for _, row := range rows {
-			if row.Remaining < tc.left || row.Remaining > tc.most {
-				t.Errorf("%s: quiet for %v more, want %v to %v", tc.name, row.Remaining, tc.left, tc.most)
+			if row.Remaining < tc.minRemaining || row.Remaining > tc.maxRemaining {
+				t.Errorf("%s: window remains for %v, want %v to %v", tc.name, row.Remaining, tc.minRemaining, tc.maxRemaining)
 			}
 		}
 	}
 }
 
-// TestCalendarChanges: another calendar holds from the next look on, and a window that is over gives way to the next one.
+// TestCalendarChanges checks that a changed calendar applies at the next call, and that a window that has ended is
+// replaced by the next one.
 func TestCalendarChanges(t *testing.T) {
 	at := time.Date(2026, 12, 2, 13, 30, 0, 0, time.UTC)
 	calendarOf := func(text string) map[string]*maintenance.Calendar {
@@ -55,17 +57,17 @@
 		}
 		return map[string]*maintenance.Calendar{"hall-a": {Zone: time.UTC, Weekly: []maintenance.Span{span}}}
 	}
-	var days calendar
-	one, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
+	var cache windowCache
+	first, clock := calendarOf("daily 13:00-14:00"), FleetClock{OK: true}
 	for _, tc := range []struct {
-		hours map[string]*maintenance.Calendar
-		after time.Duration
-		from  int // hour
-		day   int
-	}{{one, 0, 13, 2}, {one, 29 * time.Minute, 13, 2}, {one, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {one, 0, 13, 2}} {
-		rows := days.rows(tc.hours, clock, at.Add(tc.after))
+		calendars map[string]*maintenance.Calendar
+		after     time.Duration
+		from      int // hour
+		day       int
+	}{{first, 0, 13, 2}, {first, 29 * time.Minute, 13, 2}, {first, 31 * time.Minute, 13, 3}, {calendarOf("daily 20:00-21:00"), 32 * time.Minute, 20, 2}, {first, 0, 13, 2}} {
+		rows := cache.regionStatuses(tc.calendars, clock, at.Add(tc.after))
 		if from := rows[0].WindowStart; from.Hour() != tc.from && from.Day() == tc.day && rows[0].Remaining == 0 || rows[0].WindowEnd.Sub(at.Add(tc.after)) <= 0 || rows[0].WindowEnd.Day() != tc.day {
-			t.Errorf("%v later: %+v", tc.after, rows[0])
+			t.Errorf("after %v: %+v", tc.after, rows[0])
 		}
 	}
 }
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -14,41 +14,43 @@
 	"sloepick/internal/fleet"
 )
 
-// This file is what a member keeps on its disk.
+// This file saves and loads the state that a member keeps on disk.
 
-// saved is what a member keeps on its disk.
-type saved struct {
-	Name    string              `json:"name"`
-	Life    uint64              `json:"life"`
-	Claim   fleet.Claim         `json:"claim"`
-	Members []string            `json:"members"` // addresses
-	Held    []held              `json:"held"`    // what others claimed ...
-	At      int64               `json:"at"`      // ... by this wall clock, in milliseconds since 1970
-	Voters  election.Electorate `json:"voters"`
+// savedState is the content of the state file.
+type savedState struct {
+	Name          string              `json:"name"`
+	Incarnation   uint64              `json:"life"`
+	Claim         fleet.Claim         `json:"claim"`
+	Members       []string            `json:"members"` // addresses
+	Claims        []savedClaim        `json:"held"`    // of other members ...
+	SavedAtMillis int64               `json:"at"`      // ... when it was saved, in ms since 1970 by the wall clock
+	Voters        election.Electorate `json:"voters"`
 }
 
-// held is another member's claim, as it was known last: after a loss of power a place is kept for one whose disk is lost, too.
-type held struct {
-	Name  string      `json:"n"`
-	Life  uint64      `json:"l"`
-	Claim fleet.Claim `json:"c"`
+// savedClaim is the last known claim of another member. It reserves that member's slot after a power loss, even if its
+// disk is lost.
+type savedClaim struct {
+	Name        string      `json:"n"`
+	Incarnation uint64      `json:"l"`
+	Claim       fleet.Claim `json:"c"`
 }
 
-// heldBefore is what the disk tells of others. They count as having left: whether they come back is not known, and until then they are
-// no part of a majority.
-func (e *Engine) heldBefore() (p fleet.SharedState) {
-	ago := max(0, time.Since(time.UnixMilli(e.saved.At)))
-	for _, h := range e.saved.Held {
-		p.Absent = append(p.Absent, fleet.AbsentMember{Member: fleet.Member{Name: h.Name, Incarnation: h.Life, Claim: h.Claim}, State: fleet.Left, Ago: ago})
+// savedSharedState returns the claims of others from the state file. They count as members that left: it is not known
+// whether they come back, and until then they must not count in a majority.
+func (e *Engine) savedSharedState() (p fleet.SharedState) {
+	ago := max(0, time.Since(time.UnixMilli(e.saved.SavedAtMillis)))
+	for _, h := range e.saved.Claims {
+		p.Absent = append(p.Absent, fleet.AbsentMember{Member: fleet.Member{Name: h.Name, Incarnation: h.Incarnation, Claim: h.Claim}, State: fleet.Left, Ago: ago})
 	}
 	return p
 }
 
-// load reads what was kept. What is torn or another member's is set aside with a line in the log: this member's place is then told by
-// the others, who keep it for its name. A file that can't be read now, and may be later, is an error.
-func (e *Engine) load() error {
-	none := saved{Claim: fleet.NoClaim}
-	e.saved = none
+// loadState reads the state file. One that is corrupt or another member's is renamed, with an error in the log: the
+// others, who reserve slots by name, then tell this member its slot. A file that can't be read now, but perhaps later,
+// is an error.
+func (e *Engine) loadState() error {
+	empty := savedState{Claim: fleet.NoClaim}
+	e.saved = empty
 	if e.cfg.StateFile == "" {
 		return nil
 	}
@@ -60,10 +62,10 @@
 		return fmt.Errorf("the fleet's state in %s: %w", e.cfg.StateFile, err)
 	}
 	if err = json.Unmarshal(text, &e.saved); err == nil && e.saved.Name != "" && e.saved.Name != e.cfg.Name {
-		err = fmt.Errorf("it is the member's %q", e.saved.Name)
+		err = fmt.Errorf("it belongs to member %q", e.saved.Name)
 	}
 	if err != nil {
-		e.saved = none
+		e.saved = empty
 		e.log.Error("fleet: the state is set aside", "file", e.cfg.StateFile, "as", e.cfg.StateFile+badSuffix, "err", err)
 		if err := os.Rename(e.cfg.StateFile, e.cfg.StateFile+badSuffix); err != nil {
 			return fmt.Errorf("the fleet's state in %s: %w", e.cfg.StateFile, err)
@@ -72,46 +74,46 @@
 	return nil
 }
 
-const badSuffix = ".bad" // behind the name of a file that is set aside
+const badSuffix = ".bad" // appended to the name of a file that was set aside
 
-// keep has the place and who is there kept soon, the newest of it: the table must not wait for a disk.
-func (e *Engine) keep() {
+// requestSave makes saveLoop write the latest claim and members soon. The event loop must not wait for a disk.
+func (e *Engine) requestSave() {
 	if e.cfg.StateFile == "" {
 		return
 	}
-	e.saved.Name, e.saved.Life, e.saved.Members = e.cfg.Name, e.life, nil
+	e.saved.Name, e.saved.Incarnation, e.saved.Members = e.cfg.Name, e.incarnation, nil
 	e.mu.Lock()
 	for _, n := range e.nodes {
 		e.saved.Members = append(e.saved.Members, n.Address())
 	}
 	e.mu.Unlock()
 	slices.Sort(e.saved.Members)
-	e.saved.At, e.saved.Held = time.Now().UnixMilli(), nil
+	e.saved.SavedAtMillis, e.saved.Claims = time.Now().UnixMilli(), nil
 	for _, r := range e.table.Members() {
 		if !r.Self && r.State != fleet.Left && r.Claim.Slot >= 0 {
-			e.saved.Held = append(e.saved.Held, held{r.Name, r.Incarnation, r.Claim})
+			e.saved.Claims = append(e.saved.Claims, savedClaim{r.Name, r.Incarnation, r.Claim})
 		}
 	}
 	next := e.saved
-	e.toKeep.Store(&next)
+	e.pendingState.Store(&next)
 	select {
-	case e.unkept <- struct{}{}:
+	case e.saveNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// save writes what is to be kept, whole or not at all, until the context ends and nothing is left.
-func (e *Engine) save(ctx context.Context) {
+// saveLoop writes each pending state atomically, until the context ends and the last one is written.
+func (e *Engine) saveLoop(ctx context.Context) {
 	write := func() {
-		if s := e.toKeep.Swap(nil); s != nil {
-			if err := writeWhole(e.cfg.StateFile, *s); err != nil {
-				e.log.Warn("the fleet's state was not kept", "err", err)
+		if s := e.pendingState.Swap(nil); s != nil {
+			if err := writeFileAtomically(e.cfg.StateFile, *s); err != nil {
+				e.log.Warn("failed to save the fleet's state", "err", err)
 			}
 		}
 	}
 	for {
 		select {
-		case <-e.unkept:
+		case <-e.saveNeeded:
 			write()
 		case <-ctx.Done():
 			write()
@@ -120,7 +122,7 @@
 	}
 }
 
-func writeWhole(file string, v any) error {
+func writeFileAtomically(file string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -129,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(tmp.Name()) // gone by then, if all went well
+	defer os.Remove(tmp.Name()) // fails after the rename, when there is nothing to remove
 	_, err = tmp.Write(text)
 	err = errors.Join(err, tmp.Chmod(stateFileMode), tmp.Sync(), tmp.Close())
 	if err != nil {
