--- a/internal/h2/back.go
+++ b/internal/h2/back.go
@@ -30,36 +30,36 @@
 
 // NewTransport implements gateway.Back.
 func (b *Backend) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
-	return &node{cfg: b.cfg, d: d, place: p, spots: map[*gateway.Attempt]spot{}}
+	return &nodeTransport{cfg: b.cfg, core: d, endpoint: p, streams: map[*gateway.Attempt]attemptStream{}}
 }
 
-// node is a node at an address. All of it is the loop's.
-type node struct {
-	cfg     BackendConfig
-	d       *gateway.Core
-	place   *gateway.Endpoint
-	conns   []*nodeConn
-	dialing bool
-	stale   bool               // the connection that is being made leads to what has drained or moved since
-	waiting []*gateway.Attempt // for the connection that is being made
-	spots   map[*gateway.Attempt]spot
+// nodeTransport is a nodeTransport at an address. All of it is the loop's.
+type nodeTransport struct {
+	cfg         BackendConfig
+	core        *gateway.Core
+	endpoint    *gateway.Endpoint
+	conns       []*nodeConn
+	dialing     bool
+	discardDial bool               // the connection that is being made leads to what has drained or moved since
+	waiting     []*gateway.Attempt // for the connection that is being made
+	streams     map[*gateway.Attempt]attemptStream
 }
 
-// spot is where a try is out.
-type spot struct {
-	c      *nodeConn
+// attemptStream is where a try is out.
+type attemptStream struct {
+	conn   *nodeConn
 	stream uint32
 }
 
 // Start implements gateway.Transport. A try goes on the connection with the fewest open; where all are full, or still write,
 // another is made, one at a time, and as many wait for it as it will take.
-func (n *node) Start(t *gateway.Attempt) {
-	if c := n.free(); c != nil {
+func (n *nodeTransport) Start(t *gateway.Attempt) {
+	if c := n.availableConn(); c != nil {
 		c.send(t)
 		return
 	}
 	switch {
-	case len(n.waiting) >= n.cfg.MaxStreams, !n.dialing && (len(n.conns) >= n.cfg.MaxConns || !n.place.ReserveConn()):
+	case len(n.waiting) >= n.cfg.MaxStreams, !n.dialing && (len(n.conns) >= n.cfg.MaxConns || !n.endpoint.ReserveConn()):
 		t.Fail(gateway.NoLocalCapacity)
 		return
 	case !n.dialing:
@@ -68,36 +68,36 @@
 	n.waiting = append(n.waiting, t)
 }
 
-// free is the connection that a try may go out on now.
-func (n *node) free() (best *nodeConn) {
+// availableConn is the connection that a try may go out on now.
+func (n *nodeTransport) availableConn() (best *nodeConn) {
 	for _, c := range n.conns {
-		if !c.last && c.clear() && c.wire.AvailableStreams() > 0 && (best == nil || c.wire.OpenStreams() < best.wire.OpenStreams()) {
+		if !c.draining && c.writable() && c.proto.AvailableStreams() > 0 && (best == nil || c.proto.OpenStreams() < best.proto.OpenStreams()) {
 			best = c
 		}
 	}
 	return best
 }
 
-func (n *node) dial() {
+func (n *nodeTransport) dial() {
 	n.dialing = true
-	n.place.Dial(n.d, n.place.ConnectTimeout(), n.dialed)
+	n.endpoint.Dial(n.core, n.endpoint.ConnectTimeout(), n.dialed)
 }
 
-func (n *node) dialed(nc net.Conn, err error) {
-	stale, waiting := n.stale, n.waiting
-	n.dialing, n.stale, n.waiting = false, false, nil
+func (n *nodeTransport) dialed(nc net.Conn, err error) {
+	stale, waiting := n.discardDial, n.waiting
+	n.dialing, n.discardDial, n.waiting = false, false, nil
 	if err == nil && stale {
 		nc.Close()
 	}
 	if err != nil || stale {
-		n.place.ReleaseConn()
+		n.endpoint.ReleaseConn()
 		result := gateway.DialFailureResult(err)
 		for _, t := range waiting {
 			t.Fail(result)
 		}
 		return
 	}
-	n.begin(nc)
+	n.addConn(nc)
 	for _, t := range waiting {
 		if t.Revalidate() {
 			n.Start(t)
@@ -105,61 +105,61 @@
 	}
 }
 
-func (n *node) begin(nc net.Conn) {
+func (n *nodeTransport) addConn(nc net.Conn) {
 	limits := wire.DefaultLimits()
 	limits.MaxStreams = n.cfg.MaxStreams
-	now := n.d.Now()
-	c := &nodeConn{n: n, nc: nc, out: gateway.NewWriter(nc), wire: wire.NewClient(limits, now), tries: map[uint32]*gateway.Attempt{},
-		heard: now, used: now, resume: gateway.NewMailbox[struct{}]()}
+	now := n.core.Now()
+	c := &nodeConn{transport: n, nc: nc, writer: gateway.NewWriter(nc), proto: wire.NewClient(limits, now), attempts: map[uint32]*gateway.Attempt{},
+		lastReceived: now, lastUsed: now, resumeRead: gateway.NewMailbox[struct{}]()}
 	n.conns = append(n.conns, c)
 	c.flush()
-	c.watch()
-	go c.read()
+	c.checkLiveness()
+	go c.readLoop()
 }
 
 // Cancel implements gateway.Transport: the stream is reset, the connection stays. One that still writes is ended: the rest of the
 // request could go out after its end.
-func (n *node) Cancel(t *gateway.Attempt) {
+func (n *nodeTransport) Cancel(t *gateway.Attempt) {
 	if i := slices.Index(n.waiting, t); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 		return
 	}
-	if s, ok := n.spots[t]; ok {
-		s.c.forget(s.stream)
-		if !s.c.clear() {
-			s.c.end()
+	if s, ok := n.streams[t]; ok {
+		s.conn.removeAttempt(s.stream)
+		if !s.conn.writable() {
+			s.conn.close()
 			return
 		}
-		s.c.wire.ResetStream(s.stream, http2.ErrCodeCancel)
-		s.c.flush()
+		s.conn.proto.ResetStream(s.stream, http2.ErrCodeCancel)
+		s.conn.flush()
 	}
 }
 
 // Drain implements gateway.Transport.
-func (n *node) Drain() {
-	n.stale = n.dialing
+func (n *nodeTransport) Drain() {
+	n.discardDial = n.dialing
 	for _, c := range slices.Clone(n.conns) {
-		c.last = true
-		c.endIfDone()
+		c.draining = true
+		c.closeIfDrained()
 	}
 }
 
 // OldestIdle implements gateway.Transport.
-func (n *node) OldestIdle() (since time.Duration, any bool) {
-	c := n.idlest()
+func (n *nodeTransport) OldestIdle() (since time.Duration, any bool) {
+	c := n.longestIdle()
 	if c == nil {
 		return 0, false
 	}
-	return c.used, true
+	return c.lastUsed, true
 }
 
 // EvictIdle implements gateway.Transport.
-func (n *node) EvictIdle() { n.idlest().end() }
+func (n *nodeTransport) EvictIdle() { n.longestIdle().close() }
 
-// idlest is the connection on which nothing has been open for longest; nil: there is none.
-func (n *node) idlest() (idlest *nodeConn) {
+// longestIdle is the connection on which nothing has been open for longest; nil: there is none.
+func (n *nodeTransport) longestIdle() (idlest *nodeConn) {
 	for _, c := range n.conns {
-		if len(c.tries) == 0 && c.clear() && (idlest == nil || c.used < idlest.used) {
+		if len(c.attempts) == 0 && c.writable() && (idlest == nil || c.lastUsed < idlest.lastUsed) {
 			idlest = c
 		}
 	}
@@ -168,58 +168,58 @@
 
 // nodeConn is a connection to a node.
 type nodeConn struct {
-	n      *node
-	nc     net.Conn
-	out    *gateway.Writer
-	wire   *wire.Conn
-	tries  map[uint32]*gateway.Attempt // by stream
-	heard  time.Duration               // when something came
-	used   time.Duration               // when something was open
-	pinged bool                        // since something came
-	last   bool                        // nothing new goes out on it
-	unsent []byte
-	closed bool
-	resume gateway.Mailbox[struct{}]
-	alarm  func()
+	transport       *nodeTransport
+	nc              net.Conn
+	writer          *gateway.Writer
+	proto           *wire.Conn
+	attempts        map[uint32]*gateway.Attempt // by stream
+	lastReceived    time.Duration               // when something came
+	lastUsed        time.Duration               // when something was open
+	pingOutstanding bool                        // since something came
+	draining        bool                        // nothing new goes out on it
+	pending         []byte
+	closed          bool
+	resumeRead      gateway.Mailbox[struct{}]
+	cancelTimer     func()
 }
 
-// clear reports that what is written goes to the kernel at once: a request must not wait here, where it could be called off and
+// writable reports that what is written goes to the kernel at once: a request must not wait here, where it could be called off and
 // written all the same.
-func (c *nodeConn) clear() bool { return !c.out.Busy() && len(c.unsent) == 0 }
+func (c *nodeConn) writable() bool { return !c.writer.Busy() && len(c.pending) == 0 }
 
 // send puts a try on the connection.
 func (c *nodeConn) send(t *gateway.Attempt) {
 	v := t.Request()
-	stream, ok := c.wire.SendRequest(askFields(v, t.RemainingTime()), v.Body)
+	stream, ok := c.proto.SendRequest(requestFields(v, t.RemainingTime()), v.Body)
 	if !ok { // free has seen room
 		t.Fail(gateway.NoLocalCapacity)
 		return
 	}
-	c.tries[stream], c.n.spots[t] = t, spot{c, stream}
-	c.used = c.n.d.Now()
+	c.attempts[stream], c.transport.streams[t] = t, attemptStream{c, stream}
+	c.lastUsed = c.transport.core.Now()
 	t.MarkConnected()
 	c.flush()
 }
 
-// askFields are a request's, by the same mapping as the front's.
-func askFields(v *gateway.Request, left time.Duration) []hpack.HeaderField {
-	path := pathAsk + v.Class
+// requestFields are a request's, by the same mapping as the front's.
+func requestFields(v *gateway.Request, left time.Duration) []hpack.HeaderField {
+	path := pathRead + v.Class
 	if v.Write {
-		path = pathDo + v.Class
+		path = pathWrite + v.Class
 	}
 	fields := []hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
 		{Name: fieldCustomer, Value: v.Customer}, {Name: fieldPlan, Value: v.Plan},
 		{Name: fieldID, Value: v.ID, Sensitive: true}, // new with each: not worth a place in the table
-		{Name: fieldPatience, Value: strconv.FormatInt(max(left.Milliseconds(), 1), 10), Sensitive: true},
+		{Name: fieldClientTimeout, Value: strconv.FormatInt(max(left.Milliseconds(), 1), 10), Sensitive: true},
 		{Name: fieldUnits, Value: strconv.FormatFloat(v.Units, 'f', -1, 64)}}
 	if v.Key != "" {
-		fields = append(fields, hpack.HeaderField{Name: fieldKey, Value: strconv.Quote(v.Key), Sensitive: true})
+		fields = append(fields, hpack.HeaderField{Name: fieldIdempotencyKey, Value: strconv.Quote(v.Key), Sensitive: true})
 	}
 	if v.GatewayCount > 0 {
-		fields = append(fields, hpack.HeaderField{Name: fieldSet, Value: strconv.Itoa(v.GatewayCount) + ";" + strconv.Itoa(v.FirstGateway)})
+		fields = append(fields, hpack.HeaderField{Name: fieldGatewaySet, Value: strconv.Itoa(v.GatewayCount) + ";" + strconv.Itoa(v.FirstGateway)})
 	}
 	if v.ClientRetry {
-		fields = append(fields, hpack.HeaderField{Name: fieldAgain, Value: "1"})
+		fields = append(fields, hpack.HeaderField{Name: fieldClientRetry, Value: "1"})
 	}
 	if len(v.Body) > 0 {
 		fields = append(fields, hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(v.Body))})
@@ -229,81 +229,81 @@
 
 // flush writes what the connection has to say. Tries of which all is handed over may run from then on.
 func (c *nodeConn) flush() {
-	c.unsent = append(c.unsent, c.wire.TakeOutput()...)
-	if c.closed || c.out.Busy() || len(c.unsent) == 0 {
+	c.pending = append(c.pending, c.proto.TakeOutput()...)
+	if c.closed || c.writer.Busy() || len(c.pending) == 0 {
 		return
 	}
-	n, err := c.out.TryWrite(c.unsent)
+	n, err := c.writer.TryWrite(c.pending)
 	if err != nil {
-		c.end()
+		c.close()
 		return
 	}
-	for stream, t := range c.tries {
-		if c.wire.UnsentBytes(stream) == 0 {
+	for stream, t := range c.attempts {
+		if c.proto.UnsentBytes(stream) == 0 {
 			t.MarkFullySent()
 		}
 	}
-	if n == len(c.unsent) {
-		c.unsent = c.unsent[:0]
+	if n == len(c.pending) {
+		c.pending = c.pending[:0]
 		return
 	}
-	rest := c.unsent[n:]
-	c.unsent = nil
-	c.out.WriteAsync(rest, c.n.d.Tuning().Clients.Write, c.n.d, func(err error) {
+	rest := c.pending[n:]
+	c.pending = nil
+	c.writer.WriteAsync(rest, c.transport.core.Tuning().Clients.Write, c.transport.core, func(err error) {
 		if err != nil {
-			c.end()
+			c.close()
 			return
 		}
 		c.flush()
-		c.endIfDone()
+		c.closeIfDrained()
 	})
 }
 
-// read hands on what comes, a piece at a time.
-func (c *nodeConn) read() {
-	buf := make([]byte, chunk)
+// readLoop hands on what comes, a piece at a time.
+func (c *nodeConn) readLoop() {
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := c.nc.Read(buf)
 		if n > 0 {
-			c.n.d.Post(func() { c.fed(buf[:n]) })
-			if _, going := c.resume.Receive(); !going {
+			c.transport.core.Post(func() { c.receive(buf[:n]) })
+			if _, going := c.resumeRead.Receive(); !going {
 				return
 			}
 		}
 		if err != nil {
-			c.n.d.Post(c.end)
+			c.transport.core.Post(c.close)
 			return
 		}
 	}
 }
 
-func (c *nodeConn) fed(b []byte) {
+func (c *nodeConn) receive(b []byte) {
 	if c.closed {
 		return
 	}
-	c.heard, c.pinged = c.n.d.Now(), false
-	for _, e := range c.wire.Feed(c.heard, b) {
-		c.event(e)
+	c.lastReceived, c.pingOutstanding = c.transport.core.Now(), false
+	for _, e := range c.proto.Feed(c.lastReceived, b) {
+		c.handleEvent(e)
 	}
 	if c.closed {
 		return
 	}
 	c.flush()
-	c.endIfDone()
-	c.resume.TrySend(struct{}{})
+	c.closeIfDrained()
+	c.resumeRead.TrySend(struct{}{})
 }
 
-func (c *nodeConn) event(e wire.Event) {
+func (c *nodeConn) handleEvent(e wire.Event) {
 	switch e.Kind {
 	case wire.GoAwayReceived:
-		c.last = true
+		c.draining = true
 		return
 	case wire.ConnFailed:
-		c.n.d.Log().Debug("an HTTP/2 connection to a node ended", "node", c.n.place.Addr(), "code", e.Code.String(), "why", e.Reason)
-		c.end()
+		c.transport.core.Log().Debug("an HTTP/2 connection to a node ended", "node", c.transport.endpoint.Addr(), "code", e.Code.String(), "why", e.Reason)
+		c.close()
 		return
 	}
-	t := c.forget(e.Stream)
+	t := c.removeAttempt(e.Stream)
 	if t == nil {
 		return
 	}
@@ -311,7 +311,7 @@
 	case e.Kind == wire.RequestRefused:
 		t.Fail(gateway.RefusedByNode)
 	case e.Kind == wire.ResponseReceived:
-		conclude(t, e.Response)
+		finishAttempt(t, e.Response)
 	case e.Local:
 		t.Fail(gateway.BadResponse)
 	default:
@@ -319,12 +319,12 @@
 	}
 }
 
-// conclude takes an answer.
-func conclude(t *gateway.Attempt, a *wire.Response) {
+// finishAttempt takes an answer.
+func finishAttempt(t *gateway.Attempt, a *wire.Response) {
 	never := slices.ContainsFunc(a.Fields, func(f hpack.HeaderField) bool { return f.Name == fieldRan && f.Value == ranNever })
 	switch {
 	case a.Status == statusOK:
-		t.Succeed(a.Body, figures(a))
+		t.Succeed(a.Body, usageReport(a))
 	case never:
 		t.Fail(gateway.RefusedByNode)
 	default:
@@ -332,76 +332,76 @@
 	}
 }
 
-// figures are what a node told of a request's use.
-func figures(a *wire.Response) []byte {
+// usageReport are what a node told of a request's use.
+func usageReport(a *wire.Response) []byte {
 	for _, f := range a.Fields {
-		if f.Name == fieldUse {
+		if f.Name == fieldUsage {
 			return []byte(f.Value)
 		}
 	}
 	return nil
 }
 
-// forget takes a try off its stream.
-func (c *nodeConn) forget(stream uint32) *gateway.Attempt {
-	t := c.tries[stream]
-	delete(c.tries, stream)
-	delete(c.n.spots, t)
-	c.used = c.n.d.Now()
+// removeAttempt takes a try off its stream.
+func (c *nodeConn) removeAttempt(stream uint32) *gateway.Attempt {
+	t := c.attempts[stream]
+	delete(c.attempts, stream)
+	delete(c.transport.streams, t)
+	c.lastUsed = c.transport.core.Now()
 	return t
 }
 
-// endIfDone closes a connection that takes nothing new once nothing is open on it.
-func (c *nodeConn) endIfDone() {
-	if c.last && len(c.tries) == 0 && c.clear() {
-		c.end()
+// closeIfDrained closes a connection that takes nothing new once nothing is open on it.
+func (c *nodeConn) closeIfDrained() {
+	if c.draining && len(c.attempts) == 0 && c.writable() {
+		c.close()
 	}
 }
 
-// end closes the connection. What is open on it broke.
-func (c *nodeConn) end() {
+// close closes the connection. What is open on it broke.
+func (c *nodeConn) close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.nc.Close()
-	c.resume.Close()
-	if c.alarm != nil {
-		c.alarm()
+	c.resumeRead.Close()
+	if c.cancelTimer != nil {
+		c.cancelTimer()
 	}
-	c.n.conns = slices.DeleteFunc(c.n.conns, func(o *nodeConn) bool { return o == c })
-	c.n.place.ReleaseConn()
-	for _, stream := range slices.Sorted(maps.Keys(c.tries)) {
-		c.forget(stream).Fail(gateway.ConnectionLost)
+	c.transport.conns = slices.DeleteFunc(c.transport.conns, func(o *nodeConn) bool { return o == c })
+	c.transport.endpoint.ReleaseConn()
+	for _, stream := range slices.Sorted(maps.Keys(c.attempts)) {
+		c.removeAttempt(stream).Fail(gateway.ConnectionLost)
 	}
 }
 
-// watch finds connections that are silent, and retires those that are idle well before the node may close them.
-func (c *nodeConn) watch() {
+// checkLiveness finds connections that are silent, and retires those that are idle well before the node may close them.
+func (c *nodeConn) checkLiveness() {
 	if c.closed {
 		return
 	}
-	now, next := c.n.d.Now(), time.Duration(0)
+	now, next := c.transport.core.Now(), time.Duration(0)
 	switch {
-	case len(c.tries) == 0:
-		if next = c.used + c.n.cfg.IdleTimeout; next <= now {
-			c.end()
+	case len(c.attempts) == 0:
+		if next = c.lastUsed + c.transport.cfg.IdleTimeout; next <= now {
+			c.close()
 			return
 		}
-		next = min(next, now+c.n.cfg.PingInterval)
-	case now-max(c.heard, c.used) < c.n.cfg.PingInterval && !c.pinged:
-		next = max(c.heard, c.used) + c.n.cfg.PingInterval
-	case c.pinged:
-		c.n.d.Log().Info("a connection to a node is silent", "node", c.n.place.Addr(), "open", len(c.tries))
-		c.end()
+		next = min(next, now+c.transport.cfg.PingInterval)
+	case now-max(c.lastReceived, c.lastUsed) < c.transport.cfg.PingInterval && !c.pingOutstanding:
+		next = max(c.lastReceived, c.lastUsed) + c.transport.cfg.PingInterval
+	case c.pingOutstanding:
+		c.transport.core.Log().Info("a connection to a node is silent", "node", c.transport.endpoint.Addr(), "open", len(c.attempts))
+		c.close()
 		return
 	default:
-		c.pinged = true
-		c.wire.Ping()
+		c.pingOutstanding = true
+		c.proto.Ping()
 		c.flush()
-		next = now + c.n.cfg.PingInterval
+		next = now + c.transport.cfg.PingInterval
 	}
 	if !c.closed {
-		c.alarm = c.n.d.Schedule(next, c.watch)
+		c.cancelTimer = c.transport.core.Schedule(next, c.checkLiveness)
 	}
 }
--- a/internal/h2/back_test.go
+++ b/internal/h2/back_test.go
@@ -13,29 +13,29 @@
 	"sloepick/internal/testbed"
 )
 
-// newBackRig is a rig all of whose nodes speak HTTP/2.
-func newBackRig(t *testing.T, nodes int, change func(*BackendConfig)) *rig {
+// newBackendHarness is a rig all of whose nodes speak HTTP/2.
+func newBackendHarness(t *testing.T, nodes int, change func(*BackendConfig)) *harness {
 	t.Helper()
-	p := platform()
+	p := testPlatform()
 	p.H2Nodes = nodes
-	b := BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: patience, IdleTimeout: patience}
+	b := BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: testTimeout, IdleTimeout: testTimeout}
 	if change != nil {
 		change(&b)
 	}
-	return newRigOf(t, p, nodes, func(cfg *gateway.Config, _ *FrontendConfig) {
+	return newHarnessWithNodes(t, p, nodes, func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(b)}
 	})
 }
 
 // booking is a keyed request, which must not run twice.
 func booking(id string) testbed.H2Request {
-	q := look(id)
+	q := lookup(id)
 	q.Path, q.Key = "/v1/do/slot-book", `"`+id+`"`
 	return q
 }
 
 // once checks that a request took effect so often, by the nodes' own tally.
-func (r *rig) ran(id string, times int) {
+func (r *harness) checkEffects(id string, times int) {
 	r.t.Helper()
 	if n := r.site.Recorder.EffectCounts()[id]; n != times {
 		r.t.Errorf("%s took effect %d times, want %d", id, n, times)
@@ -69,7 +69,7 @@
 		"an answer too large":   {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, strings.Repeat("x", 64<<10+1)) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newBackRig(t, 2, nil)
+			r := newBackendHarness(t, 2, nil)
 			came := make(chan string, 16)
 			for _, n := range r.site.Nodes { // the first that gets it is rude, once
 				n.InterceptStreams(func(s *testbed.H2Stream) bool {
@@ -81,7 +81,7 @@
 					return true
 				})
 			}
-			a := r.call(r.dial(nil), booking("b"))
+			a := r.roundTrip(r.dial(nil), booking("b"))
 			if x.again {
 				if a.Status != 200 {
 					t.Errorf("got %+v", a)
@@ -92,7 +92,7 @@
 				if first, second := <-came, <-came; first == second {
 					t.Error("it came to one node twice")
 				}
-				r.ran("b", 1)
+				r.checkEffects("b", 1)
 				return
 			}
 			first := <-came
@@ -110,19 +110,19 @@
 
 // Many attempts share a connection, up to what the node allows, which may be lowered; giving one up leaves the others.
 func TestStreamsShareConnections(t *testing.T) {
-	r := newBackRig(t, 1, func(b *BackendConfig) { b.MaxConns = 1 })
+	r := newBackendHarness(t, 1, func(b *BackendConfig) { b.MaxConns = 1 })
 	conns := make(chan *testbed.H2NodeConn, 64)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		conns <- s.Conn
 		return false
 	})
-	let := r.hold()
+	let := r.holdResponses()
 	c := r.dial(nil)
 	var open []uint32
 	for i := range 3 {
-		open = append(open, r.ask(c, look(fmt.Sprint(i))))
+		open = append(open, r.send(c, lookup(fmt.Sprint(i))))
 	}
-	r.arrived(2) // the node has two cores; the third waits in its queue or arrives too
+	r.waitArrivals(2) // the node has two cores; the third waits in its queue or arrives too
 	one := <-conns
 	if other := <-conns; other != one {
 		t.Error("two connections were made")
@@ -130,17 +130,17 @@
 	if err := c.Framer.WriteRSTStream(open[0], http2.ErrCodeCancel); err != nil {
 		t.Fatal(err)
 	}
-	r.taken(c)
+	r.waitProcessed(c)
 	let()
 	for range 2 {
-		if a := r.read(c); a.Status != 200 || a.Stream == open[0] {
+		if a := r.readResponse(c); a.Status != 200 || a.Stream == open[0] {
 			t.Errorf("got %+v", a)
 		}
 	}
 	one.WriteFrames(func(f *http2.Framer) { f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0}) })
 	one.WriteFrames(func(f *http2.Framer) { f.WritePing(false, [8]byte{}) })
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // until it was taken
-		if a := r.call(c, look(fmt.Sprintf("full-%d", time.Now().UnixNano()))); a.Status == 503 {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until it was taken
+		if a := r.roundTrip(c, lookup(fmt.Sprintf("full-%d", time.Now().UnixNano()))); a.Status == 503 {
 			break
 		}
 		if time.Now().After(end) {
@@ -151,20 +151,20 @@
 
 // A node's GOAWAY: what is open on the connection is answered, what comes next takes a new one, and nothing is lost.
 func TestNodeGoesAway(t *testing.T) {
-	r := newBackRig(t, 1, nil)
+	r := newBackendHarness(t, 1, nil)
 	conns := make(chan *testbed.H2NodeConn, 64)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		conns <- s.Conn
 		return false
 	})
-	let := r.hold()
+	let := r.holdResponses()
 	c := r.dial(nil)
-	first := r.ask(c, look("first"))
+	first := r.send(c, lookup("first"))
 	old := <-conns
 	old.WriteFrames(func(f *http2.Framer) { f.WriteGoAway(1, http2.ErrCodeNo, nil) })
 	var second uint32
 	for { // until one takes the new connection: the GOAWAY may still be on its way
-		second = r.ask(c, look(fmt.Sprintf("next-%d", time.Now().UnixNano())))
+		second = r.send(c, lookup(fmt.Sprintf("next-%d", time.Now().UnixNano())))
 		if <-conns != old {
 			break
 		}
@@ -173,7 +173,7 @@
 	let()
 	seen := map[uint32]int{}
 	for seen[first] == 0 || seen[second] == 0 {
-		a := r.read(c)
+		a := r.readResponse(c)
 		seen[a.Stream] = a.Status
 	}
 	if seen[first] != 200 || seen[second] != 200 {
@@ -183,16 +183,16 @@
 
 // One connection carries many clinics' attempts when its node drains: all are answered, and nothing new goes to it.
 func TestNodeDrainsUnderStreams(t *testing.T) {
-	r := newBackRig(t, 2, nil)
-	let := r.hold()
+	r := newBackendHarness(t, 2, nil)
+	let := r.holdResponses()
 	c := r.dial(nil)
 	open := map[uint32]bool{}
 	for i := range 4 {
-		q := look(fmt.Sprint("open-", i))
+		q := lookup(fmt.Sprint("open-", i))
 		q.Customer = fmt.Sprintf("%016x", i+1)
-		open[r.ask(c, q)] = true
+		open[r.send(c, q)] = true
 	}
-	r.arrived(4)
+	r.waitArrivals(4)
 	before := len(r.site.Recorder.Arrivals())
 	r.site.Nodes[0].InterceptStreams(func(*testbed.H2Stream) bool { return false })
 	if err := r.site.Drain(0); err != nil {
@@ -200,13 +200,13 @@
 	}
 	time.Sleep(r.site.Platform.Rules.DrainGrace) // what the rule allows
 	for i := range 10 {
-		q := look(fmt.Sprint("late-", i))
+		q := lookup(fmt.Sprint("late-", i))
 		q.Customer = fmt.Sprintf("%016x", i+1)
-		open[r.ask(c, q)] = true
+		open[r.send(c, q)] = true
 	}
 	let()
 	for range 14 {
-		a := r.read(c)
+		a := r.readResponse(c)
 		if !open[a.Stream] || a.Status != 200 && a.Status != 503 {
 			t.Errorf("got %+v", a)
 		}
@@ -240,7 +240,7 @@
 		ended <- err
 		ln.Close()
 	}()
-	r := newBackRig(t, 1, func(b *BackendConfig) { b.PingInterval = 50 * time.Millisecond })
+	r := newBackendHarness(t, 1, func(b *BackendConfig) { b.PingInterval = 50 * time.Millisecond })
 	list := r.site.ServerList()
 	list.Version, list.Servers[0].Addr = 99, ln.Addr().String()
 	if err := r.site.Discovery.Set(99, list); err != nil {
@@ -248,8 +248,8 @@
 	}
 	c := r.dial(nil)
 	for i := 0; ; i++ { // until the gateway has the list
-		id := r.ask(c, booking(fmt.Sprint("b", i)))
-		a := r.read(c)
+		id := r.send(c, booking(fmt.Sprint("b", i)))
+		a := r.readResponse(c)
 		if a.Stream != id {
 			t.Fatalf("got %+v", a)
 		}
@@ -263,7 +263,7 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the silent connection is kept")
 	}
 }
@@ -271,9 +271,9 @@
 // The mixed load with half of the nodes behind HTTP/2, and all: the same quotas and endings as by RESP2 alone.
 func TestMixedBacks(t *testing.T) {
 	const seed = 3
-	units, ends := playMix(t, seed, 0, func(int) bool { return false })
+	units, ends := runMixedLoad(t, seed, 0, func(int) bool { return false })
 	for _, nodes := range []int{1, 2} {
-		u, e := playMix(t, seed, nodes, func(i int) bool { return i%2 == 0 })
+		u, e := runMixedLoad(t, seed, nodes, func(i int) bool { return i%2 == 0 })
 		if fmt.Sprint(u) != fmt.Sprint(units) || fmt.Sprint(e) != fmt.Sprint(ends) {
 			t.Errorf("with %d of 2 nodes by HTTP/2: units %v, by RESP2 %v", nodes, u, units)
 		}
@@ -282,7 +282,7 @@
 
 // A node that moves while an attempt is out: given up, it is reset on the old connection.
 func TestNodeMovesUnderAttempts(t *testing.T) {
-	r := newBackRig(t, 2, nil)
+	r := newBackendHarness(t, 2, nil)
 	came, over := make(chan struct{}, 16), make(chan string, 16)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		came <- struct{}{}
@@ -297,7 +297,7 @@
 		if err := r.site.Discovery.Set(version, list); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.After(patience); ; {
+		for end := time.After(testTimeout); ; {
 			select {
 			case q := <-r.site.Discovery.Queries:
 				if strings.Contains(q, fmt.Sprintf("after=%d&", version)) {
@@ -310,7 +310,7 @@
 	}
 	tell(50)
 	c := r.dial(nil)
-	open := r.ask(c, booking("open"))
+	open := r.send(c, booking("open"))
 	<-came
 	list.Servers[0].Addr = r.site.Nodes[1].Addr()
 	tell(99)
@@ -322,7 +322,7 @@
 		if got != "open" {
 			t.Errorf("%s was given up", got)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the attempt at the old address was not given up")
 	}
 }
@@ -341,16 +341,16 @@
 			if want == guesses && (h2.nodes == 1) != h2.client {
 				continue // each side's reading of figures is played once
 			}
-			p := platform()
+			p := testPlatform()
 			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = h2.nodes, true, 8
-			r := newRigOf(t, p, 1, func(cfg *gateway.Config, _ *FrontendConfig) {
-				cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: patience, IdleTimeout: patience})}
+			r := newHarnessWithNodes(t, p, 1, func(cfg *gateway.Config, _ *FrontendConfig) {
+				cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: testTimeout, IdleTimeout: testTimeout})}
 			})
 			r.site.Nodes[0].SetUseReport(func(testbed.Arrival) string { return figures })
 			c, served := &caller{r: r}, 0
 			c.dial()
 			for n := range guesses + 4 {
-				if c.call(look(fmt.Sprint("q", n)), h2.client) == 200 {
+				if c.send(lookup(fmt.Sprint("q", n)), h2.client) == 200 {
 					served++
 				}
 			}
--- a/internal/h2/crossing_test.go
+++ b/internal/h2/crossing_test.go
@@ -17,23 +17,23 @@
 // TestIdleCloseCrossesARequestByHTTP2: a client's next request crosses the end of its connection, which had been idle for too long. It
 // reads which requests were taken and a plain end; the other one reaches no node and can be sent again.
 func TestIdleCloseCrossesARequestByHTTP2(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) {
-		cfg.Tuning.Clients.Idle, cfg.Tuning.Clients.Fault = 50*time.Millisecond, patience
+	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
+		cfg.Tuning.Clients.Idle, cfg.Tuning.Clients.Fault = 50*time.Millisecond, testTimeout
 	})
 	c := r.dial(nil)
-	first := r.ask(c, look("one"))
-	if a := r.read(c); a.Stream != first || a.Status != 200 {
+	first := r.send(c, lookup("one"))
+	if a := r.readResponse(c); a.Stream != first || a.Status != 200 {
 		t.Fatalf("got %+v", a)
 	}
-	away := r.read(c)
+	away := r.readResponse(c)
 	if !away.GoAway || away.LastStream != first {
 		t.Fatalf("got %+v", away)
 	}
-	r.ask(c, look("two")) // the gateway has closed its side, the client has not seen it
+	r.send(c, lookup("two")) // the gateway has closed its side, the client has not seen it
 	if a, err := c.Read(); !errors.Is(err, io.EOF) {
 		t.Errorf("got %+v, %v, want a plain end", a, err)
 	}
-	if err := resetBy(t, c); err != 0 {
+	if err := socketError(t, c); err != 0 {
 		t.Errorf("the connection was reset: %v", err)
 	}
 	c.Close()
@@ -42,8 +42,8 @@
 	}
 }
 
-// resetBy is the error that the kernel has for a connection whose end was read.
-func resetBy(t *testing.T, c *testbed.H2Client) syscall.Errno {
+// socketError is the error that the kernel has for a connection whose end was read.
+func socketError(t *testing.T, c *testbed.H2Client) syscall.Errno {
 	t.Helper()
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -59,15 +59,15 @@
 // TestNothingIsBegunForAStreamThatWasReset: a client resets its stream while an attempt is out, and the attempt breaks after that: there
 // is no further one.
 func TestNothingIsBegunForAStreamThatWasReset(t *testing.T) {
-	r := newRig(t, platform(), nil)
-	let := r.hold()
+	r := newHarness(t, testPlatform(), nil)
+	let := r.holdResponses()
 	c := r.dial(nil)
-	stream := r.ask(c, look("one"))
-	r.arrived(1)
+	stream := r.send(c, lookup("one"))
+	r.waitArrivals(1)
 	if err := c.Framer.WriteRSTStream(stream, http2.ErrCodeCancel); err != nil {
 		t.Fatal(err)
 	}
-	r.taken(c)
+	r.waitProcessed(c)
 	at := r.site.Recorder.Arrivals()[0].Node
 	for _, n := range r.site.Nodes {
 		if n.ID() == at {
@@ -76,7 +76,7 @@
 	}
 	time.Sleep(20 * time.Millisecond) // in which its connections end; if they end later, the test shows less
 	let()
-	if a := r.call(c, look("two")); a.Status != 200 {
+	if a := r.roundTrip(c, lookup("two")); a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
 	for _, a := range r.site.Recorder.Arrivals()[1:] {
--- a/internal/h2/floods_test.go
+++ b/internal/h2/floods_test.go
@@ -16,7 +16,7 @@
 func TestFloods(t *testing.T) {
 	const many = 5000
 	block := func(f *http2.Framer, id uint32, ends bool) {
-		q := look(fmt.Sprint("flood-", id))
+		q := lookup(fmt.Sprint("flood-", id))
 		q.Customer = "0000000000000009"
 		f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndStream: ends, EndHeaders: true, BlockFragment: testbed.NewH2Encoder().HeaderBlock(q)})
 	}
@@ -48,13 +48,13 @@
 			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: []byte{0x3f, 0xe2, 0x1f, 0x82}})
 		}, code: http2.ErrCodeCompression},
 		"HPACK growth: a large field, referred": {flood: func(f *http2.Framer, i int) {
-			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: growth(i)})
+			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: hpackGrowthBlock(i)})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, platform(), nil)
+			r := newHarness(t, testPlatform(), nil)
 			good, rude := r.dial(nil), r.dial(nil)
-			if a := r.call(good, look("before")); a.Status != 200 {
+			if a := r.roundTrip(good, lookup("before")); a.Status != 200 {
 				t.Fatalf("got %+v", a)
 			}
 			ended := make(chan *http2.GoAwayFrame, 1)
@@ -83,18 +83,18 @@
 				if a == nil || a.ErrCode != x.code {
 					t.Errorf("the rude client got %v", a)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Error("the flood goes on")
 			}
-			if a := r.call(good, look("after")); a.Status != 200 {
+			if a := r.roundTrip(good, lookup("after")); a.Status != 200 {
 				t.Errorf("the usual client got %+v", a)
 			}
 		})
 	}
 }
 
-// growth is a block whose first piece puts a large field into the table, and that then names it over and over.
-func growth(i int) []byte {
+// hpackGrowthBlock is a block whose first piece puts a large field into the table, and that then names it over and over.
+func hpackGrowthBlock(i int) []byte {
 	var b []byte
 	if i == 0 {
 		b = append(b, 0x40, 1, 'a', 0x7f, 0xa1, 0x1e) // a value of 4,000 bytes: 127 + 0x21 + 0x1e x 128
@@ -105,18 +105,18 @@
 
 // A client that opens no window is given up after the stated time, on its stream alone.
 func TestNoWindow(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) {
+	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Clients.Write = 100 * time.Millisecond
 	})
 	c := r.dial(nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
-	stuck := r.ask(c, look("stuck"))
-	if a := r.read(c); a.Stream != stuck || !a.Reset || a.Code != http2.ErrCodeCancel {
+	stuck := r.send(c, lookup("stuck"))
+	if a := r.readResponse(c); a.Stream != stuck || !a.Reset || a.Code != http2.ErrCodeCancel {
 		t.Fatalf("got %+v", a)
 	}
 	if err := c.Framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1000}); err != nil {
 		t.Fatal(err)
 	}
-	if a := r.call(c, look("next")); a.Status != 200 {
+	if a := r.roundTrip(c, lookup("next")); a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
 }
--- a/internal/h2/front.go
+++ b/internal/h2/front.go
@@ -30,13 +30,13 @@
 // Frontend serves a listener.
 type Frontend struct {
 	gateway.Listener
-	l   FrontendConfig
+	cfg FrontendConfig
 	tls *identity // nil: plain TCP
 }
 
 // NewFrontend makes a front that does not listen yet. It reads the files of its identity.
 func NewFrontend(l FrontendConfig) (f *Frontend, err error) {
-	f = &Frontend{Listener: gateway.NewListener("listener "+l.Name, l.Address), l: l}
+	f = &Frontend{Listener: gateway.NewListener("listener "+l.Name, l.Address), cfg: l}
 	if l.TLS != nil {
 		if f.tls, err = newIdentity(*l.TLS); err != nil {
 			return nil, fmt.Errorf("listener %s: %w", l.Name, err)
@@ -53,233 +53,233 @@
 	}
 	next, err := f.tls.files.load()
 	if err != nil {
-		return nil, fmt.Errorf("listener %s: %w", f.l.Name, err)
+		return nil, fmt.Errorf("listener %s: %w", f.cfg.Name, err)
 	}
-	return func() { f.tls.now.Store(next) }, nil
+	return func() { f.tls.current.Store(next) }, nil
 }
 
 // Serve implements gateway.Front.
 func (f *Frontend) Serve(ctx context.Context, d *gateway.Core) {
-	f.AcceptLoop(ctx, d, func(nc net.Conn) { f.take(d, nc) })
+	f.AcceptLoop(ctx, d, func(nc net.Conn) { f.accept(d, nc) })
 }
 
-// take begins a connection, in the loop.
-func (f *Frontend) take(d *gateway.Core, nc net.Conn) {
+// accept begins a connection, in the loop.
+func (f *Frontend) accept(d *gateway.Core, nc net.Conn) {
 	now := d.Now()
-	c := &conn{f: f, d: d, nc: nc, raw: nc, used: now, came: now, asks: map[uint32]*ask{}, resume: gateway.NewMailbox[struct{}]()}
+	c := &clientConn{frontend: f, core: d, nc: nc, raw: nc, lastUsed: now, acceptedAt: now, requests: map[uint32]*openRequest{}, resumeRead: gateway.NewMailbox[struct{}]()}
 	if !d.AdmitConn(c) {
 		nc.Close() // unread, so nothing is lost
 		return
 	}
-	c.out = gateway.NewWriter(nc)
-	c.peek = c.out
+	c.writer = gateway.NewWriter(nc)
+	c.rawWriter = c.writer
 	if f.tls != nil {
 		c.nc = tls.Server(nc, f.tls.config())
-		c.out = gateway.NewWriter(c.nc)
+		c.writer = gateway.NewWriter(c.nc)
 	}
 	limits := wire.DefaultLimits()
-	limits.MaxStreams = f.l.MaxStreams
-	c.wire = wire.NewServer(limits, now)
-	c.watch()
+	limits.MaxStreams = f.cfg.MaxStreams
+	c.proto = wire.NewServer(limits, now)
+	c.checkTimeouts()
 	if f.tls == nil {
-		c.touch()
+		c.scheduleFlush()
 	}
-	go c.read()
+	go c.readLoop()
 }
 
-// conn is a client's connection. All but read is the loop's.
-type conn struct {
-	f        *Frontend
-	d        *gateway.Core
-	nc       net.Conn // raw, or TLS on it, whose closing would wait for the peer
-	raw      net.Conn
-	out      *gateway.Writer
-	peek     *gateway.Writer // raw's
-	wire     *wire.Conn
-	asks     map[uint32]*ask // by stream
-	bound    bool            // it may ask for owner alone
-	owner    string          // the customer that its certificate names
-	came     time.Duration
-	used     time.Duration
-	resume   gateway.Mailbox[struct{}] // lets the reader go on
-	unsent   []byte                    // behind what Finish writes
-	later    bool                      // to be flushed at the turn's end
-	half     bool                      // nothing more is written
-	ending   bool                      // to be closed once all is written
-	draining bool
-	closed   bool
-	alarm    func()
+// clientConn is a client's connection. All but read is the loop's.
+type clientConn struct {
+	frontend        *Frontend
+	core            *gateway.Core
+	nc              net.Conn // raw, or TLS on it, whose closing would wait for the peer
+	raw             net.Conn
+	writer          *gateway.Writer
+	rawWriter       *gateway.Writer // raw's
+	proto           *wire.Conn
+	requests        map[uint32]*openRequest // by stream
+	boundToCustomer bool                    // it may ask for owner alone
+	certCustomer    string                  // the customer that its certificate names
+	acceptedAt      time.Duration
+	lastUsed        time.Duration
+	resumeRead      gateway.Mailbox[struct{}] // lets the reader go on
+	pending         []byte                    // behind what Finish writes
+	flushScheduled  bool                      // to be flushed at the turn's end
+	writeClosed     bool                      // nothing more is written
+	closeAfterFlush bool                      // to be closed once all is written
+	draining        bool
+	closed          bool
+	cancelTimer     func()
 }
 
-// ask is a request that is open.
-type ask struct {
-	c      *conn
+// openRequest is a request that is open.
+type openRequest struct {
+	conn   *clientConn
 	stream uint32
-	v      *gateway.Request
+	req    *gateway.Request
 	handle gateway.RequestHandle
-	over   bool
+	done   bool
 }
 
-const chunk = 4 << 10 // bytes of a read: what a connection costs while it is quiet
+const readBufferBytes = 4 << 10 // bytes of a read: what a connection costs while it is quiet
 
-// read hands on what comes, piece by piece: the loop takes one before the next is read, so that a client that sends
+// readLoop hands on what comes, piece by piece: the loop takes one before the next is readLoop, so that a client that sends
 // faster than it is served waits in the kernel.
-func (c *conn) read() {
-	if t, ok := c.nc.(*tls.Conn); ok && !c.shake(t) {
-		c.d.Post(c.Close)
+func (c *clientConn) readLoop() {
+	if t, ok := c.nc.(*tls.Conn); ok && !c.handshake(t) {
+		c.core.Post(c.Close)
 		return
 	}
-	buf := make([]byte, chunk)
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := c.nc.Read(buf)
 		if n > 0 {
-			c.d.Post(func() { c.fed(buf[:n]) })
-			if _, going := c.resume.Receive(); !going {
+			c.core.Post(func() { c.receive(buf[:n]) })
+			if _, going := c.resumeRead.Receive(); !going {
 				return
 			}
 		}
 		if err != nil {
-			c.d.Post(c.Close)
+			c.core.Post(c.Close)
 			return
 		}
 	}
 }
 
-// shake does the TLS handshake, within its time, and reads the peer's identity.
-func (c *conn) shake(t *tls.Conn) bool {
-	if err := c.raw.SetDeadline(time.Now().Add(c.f.l.HandshakeTimeout)); err != nil {
+// handshake does the TLS handshake, within its time, and reads the peer's identity.
+func (c *clientConn) handshake(t *tls.Conn) bool {
+	if err := c.raw.SetDeadline(time.Now().Add(c.frontend.cfg.HandshakeTimeout)); err != nil {
 		return false
 	}
 	if err := t.Handshake(); err != nil {
-		c.d.Log().Debug("a TLS handshake failed", "listener", c.f.l.Name, "err", err)
+		c.core.Log().Debug("a TLS handshake failed", "listener", c.frontend.cfg.Name, "err", err)
 		return false
 	}
 	state := t.ConnectionState()
 	owner := ""
 	if len(state.PeerCertificates) > 0 {
-		owner = customerOf(state.PeerCertificates[0])
+		owner = customerFromCert(state.PeerCertificates[0])
 	}
-	c.d.Post(func() {
-		c.bound, c.owner = c.f.l.TLS.BindCustomer, owner
-		c.touch()
+	c.core.Post(func() {
+		c.boundToCustomer, c.certCustomer = c.frontend.cfg.TLS.BindCustomer, owner
+		c.scheduleFlush()
 	})
 	return state.NegotiatedProtocol == http2.NextProtoTLS && c.raw.SetDeadline(time.Time{}) == nil
 }
 
-// fed takes a piece of what the client sent.
-func (c *conn) fed(b []byte) {
+// receive takes a piece of what the client sent.
+func (c *clientConn) receive(b []byte) {
 	if c.closed {
 		return
 	}
-	for _, e := range c.wire.Feed(c.d.Now(), b) {
-		c.event(e)
+	for _, e := range c.proto.Feed(c.core.Now(), b) {
+		c.handleEvent(e)
 	}
-	c.touch()
-	if !c.wire.Failed() {
-		c.resume.TrySend(struct{}{}) // the reader waits for it, one piece at a time
+	c.scheduleFlush()
+	if !c.proto.Failed() {
+		c.resumeRead.TrySend(struct{}{}) // the reader waits for it, one piece at a time
 	}
 }
 
-func (c *conn) event(e wire.Event) {
+func (c *clientConn) handleEvent(e wire.Event) {
 	switch e.Kind {
 	case wire.RequestReceived:
-		c.begin(e.Stream, e.Request)
+		c.submit(e.Stream, e.Request)
 	case wire.RequestTooLarge:
-		c.tell(e.Stream, (&problem{e.Status, "too-large", "the request is larger than this gateway takes"}).tell())
+		c.sendResponse(e.Stream, (&problem{e.Status, "too-large", "the request is larger than this gateway takes"}).response())
 	case wire.StreamAborted:
-		if a := c.asks[e.Stream]; a != nil {
-			c.forget(a)
+		if a := c.requests[e.Stream]; a != nil {
+			c.abandonRequest(a)
 		}
 	case wire.ConnFailed:
-		c.d.Log().Debug("an HTTP/2 connection ended", "listener", c.f.l.Name, "code", e.Code.String(), "why", e.Reason)
-		c.end()
+		c.core.Log().Debug("an HTTP/2 connection ended", "listener", c.frontend.cfg.Name, "code", e.Code.String(), "why", e.Reason)
+		c.startClose()
 	}
 }
 
-// forget abandons a request whose stream is gone: nothing more goes out for it.
-func (c *conn) forget(a *ask) {
-	delete(c.asks, a.stream)
-	a.over = true
+// abandonRequest abandons a request whose stream is gone: nothing more goes out for it.
+func (c *clientConn) abandonRequest(a *openRequest) {
+	delete(c.requests, a.stream)
+	a.done = true
 	if a.handle.Open() {
-		c.d.Abandon(a.handle)
+		c.core.Abandon(a.handle)
 	}
 }
 
-// begin hands a request to the core, unless the connection came to its end by an earlier one of the same piece: nobody would
+// submit hands a request to the core, unless the connection came to its end by an earlier one of the same piece: nobody would
 // hear the answer.
-func (c *conn) begin(stream uint32, q *wire.Request) {
-	if c.ending || c.closed {
+func (c *clientConn) submit(stream uint32, q *wire.Request) {
+	if c.closeAfterFlush || c.closed {
 		return
 	}
-	v, p := read(q, c.d.Now())
-	if p == nil && c.bound && v.Customer != c.owner {
-		p = &problem{statusForeign, "foreign-customer", "the certificate is another customer's"}
+	v, p := parseRequest(q, c.core.Now())
+	if p == nil && c.boundToCustomer && v.Customer != c.certCustomer {
+		p = &problem{statusForbidden, "foreign-customer", "the certificate is another customer's"}
 	}
 	if p != nil {
-		c.tell(stream, p.tell())
+		c.sendResponse(stream, p.response())
 		return
 	}
-	a := &ask{c: c, stream: stream, v: v}
-	c.asks[stream] = a
-	a.handle = c.d.Submit(a, v)
+	a := &openRequest{conn: c, stream: stream, req: v}
+	c.requests[stream] = a
+	a.handle = c.core.Submit(a, v)
 }
 
 // Respond answers the request.
-func (a *ask) Respond(e gateway.Response) {
-	if a.over {
+func (a *openRequest) Respond(e gateway.Response) {
+	if a.done {
 		return
 	}
-	a.over = true
-	delete(a.c.asks, a.stream)
-	r := respond(e)
-	if room, ok := a.c.d.Allowance(a.v.Customer, a.v.Plan); ok && e.Kind != gateway.Rejected {
-		r.limits(a.v.Plan, a.v.Units, room)
+	a.done = true
+	delete(a.conn.requests, a.stream)
+	r := newResponse(e)
+	if room, ok := a.conn.core.Allowance(a.req.Customer, a.req.Plan); ok && e.Kind != gateway.Rejected {
+		r.addQuotaFields(a.req.Plan, a.req.Units, room)
 	}
-	a.c.tell(a.stream, r)
+	a.conn.sendResponse(a.stream, r)
 }
 
-func (c *conn) tell(stream uint32, r *response) {
-	c.wire.Respond(stream, r.status, r.fields, r.body)
-	c.used = c.d.Now()
-	if c.wire.Failed() {
-		c.end()
+func (c *clientConn) sendResponse(stream uint32, r *response) {
+	c.proto.Respond(stream, r.status, r.fields, r.body)
+	c.lastUsed = c.core.Now()
+	if c.proto.Failed() {
+		c.startClose()
 	}
-	c.touch()
+	c.scheduleFlush()
 }
 
-// touch has what is to be written go out at the turn's end, all at once.
-func (c *conn) touch() {
-	if !c.later && !c.closed {
-		c.later = true
-		c.d.Defer(c.flush)
+// scheduleFlush has what is to be written go out at the turn's end, all at once.
+func (c *clientConn) scheduleFlush() {
+	if !c.flushScheduled && !c.closed {
+		c.flushScheduled = true
+		c.core.Defer(c.flush)
 	}
 }
 
-func (c *conn) flush() {
-	c.later = false
+func (c *clientConn) flush() {
+	c.flushScheduled = false
 	if c.closed {
 		return
 	}
-	c.unsent = append(c.unsent, c.wire.TakeOutput()...)
-	if len(c.unsent) > c.d.Tuning().Clients.Unread {
+	c.pending = append(c.pending, c.proto.TakeOutput()...)
+	if len(c.pending) > c.core.Tuning().Clients.Unread {
 		c.Close()
 		return
 	}
-	if c.out.Busy() {
+	if c.writer.Busy() {
 		return
 	}
 	n, err := 0, error(nil)
-	if len(c.unsent) > 0 {
-		n, err = c.out.TryWrite(c.unsent)
+	if len(c.pending) > 0 {
+		n, err = c.writer.TryWrite(c.pending)
 	}
 	if err != nil {
 		c.Close()
 		return
 	}
-	if n < len(c.unsent) {
-		rest := c.unsent[n:]
-		c.unsent = nil
-		c.out.WriteAsyncUntilStall(rest, c.d.Tuning().Clients.Write, c.d, func(err error) {
+	if n < len(c.pending) {
+		rest := c.pending[n:]
+		c.pending = nil
+		c.writer.WriteAsyncUntilStall(rest, c.core.Tuning().Clients.Write, c.core, func(err error) {
 			if err != nil {
 				c.Close()
 				return
@@ -288,60 +288,60 @@
 		})
 		return
 	}
-	c.unsent = c.unsent[:0]
-	if c.ending || c.draining && c.wire.Drained() {
-		c.finish()
+	c.pending = c.pending[:0]
+	if c.closeAfterFlush || c.draining && c.proto.Drained() {
+		c.lingerClose()
 	}
 }
 
-// end closes the connection once what is written has gone. What was open is abandoned.
-func (c *conn) end() {
-	c.ending = true
-	c.abandon()
+// startClose closes the connection once what is written has gone. What was open is abandoned.
+func (c *clientConn) startClose() {
+	c.closeAfterFlush = true
+	c.abandonAll()
 }
 
-// abandon ends all that is open, in the order of streams.
-func (c *conn) abandon() {
-	for _, id := range slices.Sorted(maps.Keys(c.asks)) {
-		c.forget(c.asks[id])
+// abandonAll ends all that is open, in the order of streams.
+func (c *clientConn) abandonAll() {
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		c.abandonRequest(c.requests[id])
 	}
 }
 
-// finish lets the client read the last frames before the connection goes: what it still sends to one that is closed makes its
+// lingerClose lets the client read the last frames before the connection goes: what it still sends to one that is closed makes its
 // kernel throw away what it has not read.
-func (c *conn) finish() {
-	if c.half {
+func (c *clientConn) lingerClose() {
+	if c.writeClosed {
 		return
 	}
-	c.half = true
+	c.writeClosed = true
 	// Nothing is under way, either way: nothing was answered yet, or long ago.
-	settled := c.peek.ReceiveQueueEmpty() && (c.used == c.came || c.d.Now()-c.used > c.d.Tuning().Clients.Fault)
+	settled := c.rawWriter.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > c.core.Tuning().Clients.Fault)
 	w, ok := c.nc.(interface{ CloseWrite() error })
 	if settled || !ok {
 		c.Close()
 		return
 	}
 	go w.CloseWrite() // TLS's waits for room in the kernel; that it fails shows at Close
-	c.d.Schedule(c.d.Now()+c.d.Tuning().Clients.Fault, c.Close)
+	c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.Fault, c.Close)
 }
 
-// watch ends what a client lets wait: a connection that is quiet for too long, a request that does not come to its end, and
+// checkTimeouts ends what a client lets wait: a connection that is quiet for too long, a request that does not come to its end, and
 // an answer that is not taken.
-func (c *conn) watch() {
-	t, now := &c.d.Tuning().Clients, c.d.Now()
-	if c.closed || c.wire.Failed() {
+func (c *clientConn) checkTimeouts() {
+	t, now := &c.core.Tuning().Clients, c.core.Now()
+	if c.closed || c.proto.Failed() {
 		return
 	}
-	if c.wire.ResetStalled(now-t.Write) > 0 {
-		c.touch()
+	if c.proto.ResetStalled(now-t.Write) > 0 {
+		c.scheduleFlush()
 	}
 	next := now + t.Write
-	if at, ok := c.wire.WaitingSince(); ok {
+	if at, ok := c.proto.WaitingSince(); ok {
 		next = min(next, at+t.Write+time.Millisecond)
-	} else if c.wire.OpenStreams() == 0 {
-		quiet := c.used + t.Idle
-		if c.used == c.came { // nothing was answered yet
-			quiet = c.came + t.FirstCommand
+	} else if c.proto.OpenStreams() == 0 {
+		quiet := c.lastUsed + t.Idle
+		if c.lastUsed == c.acceptedAt { // nothing was answered yet
+			quiet = c.acceptedAt + t.FirstCommand
 		}
 		if quiet <= now {
 			c.Drain()
@@ -349,46 +349,48 @@
 			next = quiet
 		}
 	}
-	c.alarm = c.d.Schedule(next, c.watch)
+	c.cancelTimer = c.core.Schedule(next, c.checkTimeouts)
 }
 
 // Idle reports that nothing is owed.
-func (c *conn) Idle() bool { return c.wire.OpenStreams() == 0 && !c.draining && !c.ending }
+func (c *clientConn) Idle() bool {
+	return c.proto.OpenStreams() == 0 && !c.draining && !c.closeAfterFlush
+}
 
 // LastUsed is when it was last answered.
-func (c *conn) LastUsed() time.Duration { return c.used }
+func (c *clientConn) LastUsed() time.Duration { return c.lastUsed }
 
 // Drain ends it. While the gateway ends this is in the two steps of RFC 9113, 6.8, and what crosses the first GOAWAY is still
 // taken; else room is wanted at once, and a client whose request crosses the one GOAWAY reads there that it never ran.
-func (c *conn) Drain() {
+func (c *clientConn) Drain() {
 	if c.draining || c.closed {
 		return
 	}
 	c.draining = true
 	select {
-	case <-c.d.Closing():
-		c.wire.Shutdown()
-		c.d.Schedule(c.d.Now()+c.d.Tuning().Stop.LastCall, func() {
-			c.wire.RefuseNewStreams()
-			c.touch()
+	case <-c.core.Closing():
+		c.proto.Shutdown()
+		c.core.Schedule(c.core.Now()+c.core.Tuning().Stop.LastCall, func() {
+			c.proto.RefuseNewStreams()
+			c.scheduleFlush()
 		})
 	default:
-		c.wire.RefuseNewStreams()
+		c.proto.RefuseNewStreams()
 	}
-	c.touch()
+	c.scheduleFlush()
 }
 
 // Close ends it at once.
-func (c *conn) Close() {
+func (c *clientConn) Close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if c.alarm != nil {
-		c.alarm()
+	if c.cancelTimer != nil {
+		c.cancelTimer()
 	}
 	c.raw.Close()
-	c.resume.Close()
-	c.abandon()
-	c.d.RemoveConn(c)
+	c.resumeRead.Close()
+	c.abandonAll()
+	c.core.RemoveConn(c)
 }
--- a/internal/h2/front_test.go
+++ b/internal/h2/front_test.go
@@ -30,9 +30,9 @@
 
 // A request's values come to the node as by RESP2, and its answer carries the value, the bucket's room and the cost.
 func TestServed(t *testing.T) {
-	r := newRig(t, platform(), nil)
+	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
-	a := r.call(c, look("one"))
+	a := r.roundTrip(c, lookup("one"))
 	if a.Status != 200 || string(a.Body) != testbed.ReplyValue("one") || a.Fields["content-length"] != strconv.Itoa(len(a.Body)) {
 		t.Errorf("got %+v", a)
 	}
@@ -41,9 +41,9 @@
 			t.Errorf("%s: got %q, want %q", name, a.Fields[name], want)
 		}
 	}
-	book := look("two")
+	book := lookup("two")
 	book.Path, book.Key, book.Body, book.Units = "/v1/do/slot-book?x=y", `"k1"`, []byte("Tuesday 10:00"), "2"
-	if a := r.call(c, book); a.Status != 200 || a.Fields["sloepick-cost"] != "2" {
+	if a := r.roundTrip(c, book); a.Status != 200 || a.Fields["sloepick-cost"] != "2" {
 		t.Errorf("got %+v", a)
 	}
 	got := r.site.Recorder.Arrivals()
@@ -54,7 +54,7 @@
 
 // What can't be taken is answered before the module or a node hears of it, and each answer says that it never ran.
 func TestRejected(t *testing.T) {
-	r := newRig(t, platform(), nil)
+	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
 	for name, x := range map[string]struct {
 		change func(*testbed.H2Request)
@@ -86,10 +86,10 @@
 			q.ExtraFields = []string{"a", strings.Repeat("x", 7000), "b", strings.Repeat("x", 2000)}
 		}, 431, "larger"},
 	} {
-		q := look("id")
+		q := lookup("id")
 		x.change(&q)
-		id := r.ask(c, q)
-		a := r.read(c)
+		id := r.send(c, q)
+		a := r.readResponse(c)
 		switch {
 		case x.status == 0: // malformed, so the stream's end
 			if !a.Reset || a.Code != http2.ErrCodeProtocol {
@@ -107,14 +107,14 @@
 
 // Over the quota the answer is 429, at once, with when to come back and that it never ran.
 func TestOverTheQuota(t *testing.T) {
-	r := newRig(t, platform(), nil)
+	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
 	for i := range 18 { // half of the burst is there at a start
-		if a := r.call(c, look(fmt.Sprint(i))); a.Status != 200 {
+		if a := r.roundTrip(c, lookup(fmt.Sprint(i))); a.Status != 200 {
 			t.Fatalf("request %d: got %+v", i, a)
 		}
 	}
-	a := r.call(c, look("over"))
+	a := r.roundTrip(c, lookup("over"))
 	if ms, err := strconv.Atoi(a.Fields["sloepick-after"]); a.Status != 429 || a.Fields["sloepick-ran"] != "never" || err != nil || ms < 1 || a.Fields["retry-after"] == "" {
 		t.Errorf("got %+v", a)
 	}
@@ -123,30 +123,30 @@
 // A stream that is reset after its request was forwarded: nothing more comes on it, the quota is charged once, and the other
 // streams of the connection go on.
 func TestResetAfterForwarding(t *testing.T) {
-	r := newRig(t, platform(), nil)
-	let := r.hold()
+	r := newHarness(t, testPlatform(), nil)
+	let := r.holdResponses()
 	c := r.dial(nil)
-	gone, stays := r.ask(c, look("gone")), r.ask(c, look("stays"))
-	r.arrived(2)
+	gone, stays := r.send(c, lookup("gone")), r.send(c, lookup("stays"))
+	r.waitArrivals(2)
 	if err := c.Framer.WriteRSTStream(gone, http2.ErrCodeCancel); err != nil {
 		t.Fatal(err)
 	}
-	r.taken(c)
+	r.waitProcessed(c)
 	let()
-	a := r.read(c)
+	a := r.readResponse(c)
 	if a.Stream != stays || a.Status != 200 || a.Fields["ratelimit"] != `"network";r=16;t=2000` {
 		t.Errorf("got %+v, want an answer on %d", a, stays)
 	}
-	if a := r.call(c, look("after")); a.Status != 200 || a.Fields["ratelimit"] != `"network";r=15;t=2100` {
+	if a := r.roundTrip(c, lookup("after")); a.Status != 200 || a.Fields["ratelimit"] != `"network";r=15;t=2100` {
 		t.Errorf("got %+v", a)
 	}
 }
 
 // An id that is open by one protocol is turned away by the other, and each gets its own answer.
 func TestOneIDByBothProtocols(t *testing.T) {
-	r := newRig(t, platform(), nil)
-	let := r.hold()
-	old, err := testbed.Dial(r.resp)
+	r := newHarness(t, testPlatform(), nil)
+	let := r.holdResponses()
+	old, err := testbed.Dial(r.respAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,9 +154,9 @@
 	if err := old.Send("Q.ASK", customer, "same", "c=slot-lookup,t=network,d=20000"); err != nil {
 		t.Fatal(err)
 	}
-	r.arrived(1)
+	r.waitArrivals(1)
 	c := r.dial(nil)
-	if a := r.call(c, look("same")); a.Status != 409 {
+	if a := r.roundTrip(c, lookup("same")); a.Status != 409 {
 		t.Errorf("got %+v", a)
 	}
 	let()
@@ -168,15 +168,15 @@
 // A booking by HTTP/2 and its repeat by RESP2 with the same key, both before and after it was answered: it runs once in the
 // group, and each is answered.
 func TestOneKeyByBothProtocols(t *testing.T) {
-	p := platform()
-	r := newRigOf(t, p, 1, nil) // one group, so that the repeat meets the first
-	let := r.hold()
+	p := testPlatform()
+	r := newHarnessWithNodes(t, p, 1, nil) // one group, so that the repeat meets the first
+	let := r.holdResponses()
 	c := r.dial(nil)
-	q := look("first")
+	q := lookup("first")
 	q.Path, q.Key = "/v1/do/slot-book", `"same"`
-	first := r.ask(c, q)
-	r.arrived(1)
-	old, err := testbed.Dial(r.resp)
+	first := r.send(c, q)
+	r.waitArrivals(1)
+	old, err := testbed.Dial(r.respAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,9 +187,9 @@
 		}
 	}
 	repeat("second")
-	r.arrived(2)
+	r.waitArrivals(2)
 	let()
-	if a := r.read(c); a.Stream != first || a.Status != 200 {
+	if a := r.readResponse(c); a.Stream != first || a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
 	if got, err := old.Read(); err != nil || got != "$"+testbed.ReplyValue("second") {
@@ -210,26 +210,26 @@
 
 // The gateway's end: two GOAWAYs, what was open and what crossed the first is answered, and then the connection ends.
 func TestEndInTwoSteps(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) {
+	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Stop.LastCall = 2 * time.Second // in which the test must send the request that crosses
 	})
-	let := r.hold()
+	let := r.holdResponses()
 	c := r.dial(nil)
-	open := r.ask(c, look("open"))
-	r.arrived(1)
+	open := r.send(c, lookup("open"))
+	r.waitArrivals(1)
 	r.stop()
-	if a := r.read(c); !a.GoAway || a.Code != http2.ErrCodeNo || a.LastStream != 1<<31-1 {
+	if a := r.readResponse(c); !a.GoAway || a.Code != http2.ErrCodeNo || a.LastStream != 1<<31-1 {
 		t.Fatalf("got %+v", a)
 	}
-	crossed := r.ask(c, look("crossed"))
-	r.arrived(2)
-	if a := r.read(c); !a.GoAway || a.LastStream != crossed {
+	crossed := r.send(c, lookup("crossed"))
+	r.waitArrivals(2)
+	if a := r.readResponse(c); !a.GoAway || a.LastStream != crossed {
 		t.Fatalf("got %+v", a)
 	}
 	let()
 	answered := map[uint32]int{}
 	for range 2 {
-		a := r.read(c)
+		a := r.readResponse(c)
 		answered[a.Stream] = a.Status
 	}
 	if answered[open] != 200 || answered[crossed] != 200 {
@@ -247,20 +247,20 @@
 
 // A client that sends GOAWAY still gets what it is owed.
 func TestClientGoesAway(t *testing.T) {
-	r := newRig(t, platform(), nil)
+	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
-	id := r.ask(c, look("one"))
+	id := r.send(c, lookup("one"))
 	if err := c.Framer.WriteGoAway(0, http2.ErrCodeNo, nil); err != nil {
 		t.Fatal(err)
 	}
-	if a := r.read(c); a.Stream != id || a.Status != 200 {
+	if a := r.readResponse(c); a.Stream != id || a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
 }
 
 // Rapid reset on sockets (CVE-2023-44487): the offender is sent away with the right code, others are served all the while.
 func TestRapidReset(t *testing.T) {
-	r := newRig(t, platform(), nil)
+	r := newHarness(t, testPlatform(), nil)
 	good, rude := r.dial(nil), r.dial(nil)
 	ended := make(chan *http2.GoAwayFrame, 1)
 	go func() { // reads beside the writer, which it must not answer for
@@ -273,14 +273,14 @@
 		}
 	}()
 	for i := 0; ; i++ {
-		q := look(fmt.Sprintf("rude-%d", i))
+		q := lookup(fmt.Sprintf("rude-%d", i))
 		q.Customer = "0000000000000001"
 		id, err := rude.Send(q)
 		if err != nil || rude.Framer.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
 			break // it was sent away
 		}
 		if i == 100 {
-			if a := r.call(good, look("good")); a.Status != 200 {
+			if a := r.roundTrip(good, lookup("good")); a.Status != 200 {
 				t.Errorf("the good client got %+v", a)
 			}
 		}
@@ -291,7 +291,7 @@
 	if a := <-ended; a == nil || a.ErrCode != http2.ErrCodeEnhanceYourCalm {
 		t.Errorf("the rude client got %+v", a)
 	}
-	if a := r.call(good, look("good-2")); a.Status != 200 {
+	if a := r.roundTrip(good, lookup("good-2")); a.Status != 200 {
 		t.Errorf("the good client got %+v", a)
 	}
 }
@@ -300,10 +300,10 @@
 
 // Far more silent connections than there are descriptors: the quiet ones make room, and a client that asks is served.
 func TestIdleConnections(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) { cfg.Sockets = 256 })
+	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) { cfg.Sockets = 256 })
 	good := r.dial(nil)
 	for i := range *idle {
-		nc, err := net.Dial("tcp", r.front.Addr().String())
+		nc, err := net.Dial("tcp", r.frontend.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -311,7 +311,7 @@
 		if i%100 != 0 {
 			continue
 		}
-		q := look(fmt.Sprint("good-", i))
+		q := lookup(fmt.Sprint("good-", i))
 		q.Customer = fmt.Sprintf("%016x", i+1)
 		if id, err := good.Send(q); err == nil {
 			if a, err := good.Read(); err == nil && !a.GoAway && (a.Stream != id || a.Status != 200) {
@@ -322,7 +322,7 @@
 		}
 		good = r.dial(nil) // it had been quiet for longest, and was told
 	}
-	if a := r.call(r.dial(nil), look("one")); a.Status != 200 {
+	if a := r.roundTrip(r.dial(nil), lookup("one")); a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
 }
@@ -376,7 +376,7 @@
 	}
 	cert, key := a.leaf("gateway", 2)
 	files := TLSFiles{Certificate: put("cert.pem", cert), Key: put("key.pem", key), ClientCAs: put("clients.pem", a.pem), BindCustomer: true}
-	r := newRig(t, platform(), func(_ *gateway.Config, l *FrontendConfig) { l.TLS = &files })
+	r := newHarness(t, testPlatform(), func(_ *gateway.Config, l *FrontendConfig) { l.TLS = &files })
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(a.pem)
 	shows := func(a *authority, name string) *tls.Config {
@@ -389,19 +389,19 @@
 	}
 	mine := shows(a, customer)
 	c := r.dial(mine)
-	if got := r.call(c, look("one")); got.Status != 200 {
+	if got := r.roundTrip(c, lookup("one")); got.Status != 200 {
 		t.Errorf("got %+v", got)
 	}
-	other := look("two")
+	other := lookup("two")
 	other.Customer = "0000000000000007"
-	if got := r.call(c, other); got.Status != 403 {
+	if got := r.roundTrip(c, other); got.Status != 403 {
 		t.Errorf("another customer's certificate: got %+v", got)
 	}
-	if got := r.call(r.dial(shows(a, "")), look("three")); got.Status != 403 {
+	if got := r.roundTrip(r.dial(shows(a, "")), lookup("three")); got.Status != 403 {
 		t.Errorf("a certificate without a name: got %+v", got)
 	}
 	for name, by := range map[string]*tls.Config{"none": {RootCAs: roots, ServerName: "127.0.0.1"}, "another authority's": shows(newAuthority(t), customer)} {
-		c, err := testbed.DialH2(r.front.Addr().String(), by)
+		c, err := testbed.DialH2(r.frontend.Addr().String(), by)
 		if err != nil {
 			continue // turned away while it wrote
 		}
@@ -419,18 +419,18 @@
 	}
 	next, nextKey := a.leaf("gateway", 9)
 	put("cert.pem", next) // without its key yet
-	if _, err := r.front.Reload(); err == nil || serial() != 2 {
+	if _, err := r.frontend.Reload(); err == nil || serial() != 2 {
 		t.Errorf("a certificate without its key is taken: %v", err)
 	}
 	put("key.pem", nextKey)
-	take, err := r.front.Reload()
+	take, err := r.frontend.Reload()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if take(); serial() != 9 {
 		t.Error("the new certificate is not shown")
 	}
-	if got := r.call(c, look("four")); got.Status != 200 {
+	if got := r.roundTrip(c, lookup("four")); got.Status != 200 {
 		t.Errorf("the connection from before: got %+v", got)
 	}
 }
--- a/internal/h2/lookup_test.go
+++ b/internal/h2/lookup_test.go
@@ -20,8 +20,8 @@
 func BenchmarkLookup(b *testing.B) {
 	for _, by := range []string{"resp", "h2"} {
 		b.Run(by, func(b *testing.B) {
-			node := instant(b)
-			r := newRigOf(b, platform(), 1, func(cfg *gateway.Config, _ *FrontendConfig) {
+			node := startInstantNode(b)
+			r := newHarnessWithNodes(b, testPlatform(), 1, func(cfg *gateway.Config, _ *FrontendConfig) {
 				cfg.KnownServers.Servers[0].Addr = node
 				cfg.Tuning.Nodes.Rest = 0 // one connection carries all, so that none is made while it counts
 				d, err := testbed.NewDiscovery(cfg.KnownServers.Version, cfg.KnownServers)
@@ -34,10 +34,10 @@
 					cfg.Settings.Decide.Plans[i].Rate, cfg.Settings.Decide.Plans[i].Burst = 1e6, 1e6
 				}
 			})
-			call := callH2
-			addr := r.front.Addr().String()
+			call := h2Lookup
+			addr := r.frontend.Addr().String()
 			if by == "resp" {
-				call, addr = callRESP, r.resp
+				call, addr = respLookup, r.respAddr
 			}
 			nc, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// instant is a node that answers each command at once; they come one at a time on a connection.
-func instant(b *testing.B) (addr string) {
+// startInstantNode is a node that answers each command at once; they come one at a time on a connection.
+func startInstantNode(b *testing.B) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -88,14 +88,14 @@
 	return ln.Addr().String()
 }
 
-// callRESP prepares look-ups by RESP2.
-func callRESP(b *testing.B, nc net.Conn) func(i int) {
+// respLookup prepares look-ups by RESP2.
+func respLookup(b *testing.B, nc net.Conn) func(i int) {
 	const list = "c=slot-lookup,t=network,d=20000,spread=1,first=0"
 	cmd := fmt.Appendf(nil, "*4\r\n$5\r\nQ.ASK\r\n$16\r\n%016x\r\n$10\r\n%010d\r\n$%d\r\n%s\r\n", 1, 0, len(list), list)
 	id := cmd[bytes.Index(cmd, []byte("0000000000\r\n$")):][:10]
 	want, got := []byte("$6\r\nslot 4\r\n"), make([]byte, 12)
 	return func(i int) {
-		number(id, i)
+		putDigits(id, i)
 		if _, err := nc.Write(cmd); err != nil {
 			b.Fatal(err)
 		}
@@ -105,11 +105,11 @@
 	}
 }
 
-// callH2 prepares look-ups by HTTP/2, by fields that stand in no table (RFC 7541, 6.2.2).
-func callH2(b *testing.B, nc net.Conn) func(i int) {
+// h2Lookup prepares look-ups by HTTP/2, by fields that stand in no table (RFC 7541, 6.2.2).
+func h2Lookup(b *testing.B, nc net.Conn) func(i int) {
 	var block []byte
 	for _, f := range [][2]string{{":method", "POST"}, {":scheme", "http"}, {":path", "/v1/ask/slot-lookup"}, {fieldCustomer, fmt.Sprintf("%016x", 1)},
-		{fieldPlan, "network"}, {fieldPatience, "20000"}, {fieldID, "0000000000"}} {
+		{fieldPlan, "network"}, {fieldClientTimeout, "20000"}, {fieldID, "0000000000"}} {
 		block = append(append(append(append(block, 0, byte(len(f[0]))), f[0]...), byte(len(f[1]))), f[1]...)
 	}
 	const headerLen = 9 // of a frame (RFC 9113, 4.1)
@@ -123,7 +123,7 @@
 	}
 	buf := make([]byte, 16<<10)
 	return func(i int) {
-		number(id, i)
+		putDigits(id, i)
 		stream := uint32(2*i + 1)
 		binary.BigEndian.PutUint32(frame[5:], stream)
 		if _, err := nc.Write(frame); err != nil {
@@ -148,8 +148,8 @@
 	}
 }
 
-// number writes a count as ten digits.
-func number(digits []byte, n int) {
+// putDigits writes a count as ten digits.
+func putDigits(digits []byte, n int) {
 	for i := len(digits) - 1; i >= 0; i, n = i-1, n/10 {
 		digits[i] = byte('0' + n%10)
 	}
--- a/internal/h2/mapping_test.go
+++ b/internal/h2/mapping_test.go
@@ -24,12 +24,12 @@
 			q.Fields = append(q.Fields, hpack.HeaderField{Name: name, Value: value})
 			seen[name]++
 		}
-		v, p := read(q, time.Second)
+		v, p := parseRequest(q, time.Second)
 		if (v == nil) == (p == nil) {
 			t.Fatalf("values %+v and problem %+v", v, p)
 		}
 		if p != nil {
-			if r := p.tell(); r.status < 400 || r.status > 499 || len(r.body) == 0 {
+			if r := p.response(); r.status < 400 || r.status > 499 || len(r.body) == 0 {
 				t.Fatalf("the problem is told as %+v", r)
 			}
 			return
@@ -37,7 +37,7 @@
 		if method != "POST" || v.Customer == "" || v.Plan == "" || v.ID == "" || v.ClientTimeout < 0 || v.Units < 0 || seen[fieldID] != 1 {
 			t.Fatalf("taken: %+v", v)
 		}
-		if v.Write != strings.HasPrefix(path, pathDo) || strings.ContainsAny(v.Key, `"\`) {
+		if v.Write != strings.HasPrefix(path, pathWrite) || strings.ContainsAny(v.Key, `"\`) {
 			t.Fatalf("taken: %+v", v)
 		}
 	})
@@ -60,11 +60,11 @@
 		{gateway.Response{Kind: gateway.Rejected, Reason: "k is missing"}, 400, "never", ""},
 		{gateway.Response{Kind: gateway.Rejected, DuplicateID: true}, 409, "never", ""},
 	} {
-		r, got := respond(c.e), map[string]string{}
+		r, got := newResponse(c.e), map[string]string{}
 		for _, f := range r.fields {
 			got[f.Name] = f.Value
 		}
-		if r.status != c.status || got[fieldRan] != c.ran || got[fieldAfter] != c.after || (c.after != "") != (got["retry-after"] != "") {
+		if r.status != c.status || got[fieldRan] != c.ran || got[fieldRetryAfterMs] != c.after || (c.after != "") != (got["retry-after"] != "") {
 			t.Errorf("%+v: got %d %v", c.e, r.status, got)
 		}
 	}
--- a/internal/h2/mixed_test.go
+++ b/internal/h2/mixed_test.go
@@ -17,22 +17,22 @@
 
 // caller sends requests by either protocol, one at a time.
 type caller struct {
-	r   *rig
-	h2  *testbed.H2Client
-	old *testbed.Client
+	r          *harness
+	h2Client   *testbed.H2Client
+	respClient *testbed.Client
 }
 
 func (c *caller) dial() {
-	c.h2 = c.r.dial(nil)
+	c.h2Client = c.r.dial(nil)
 	var err error
-	if c.old, err = testbed.Dial(c.r.resp); err != nil {
+	if c.respClient, err = testbed.Dial(c.r.respAddr); err != nil {
 		c.r.t.Fatal(err)
 	}
-	c.r.t.Cleanup(c.old.Close)
+	c.r.t.Cleanup(c.respClient.Close)
 }
 
-// words are a request as RESP2 has it.
-func words(q testbed.H2Request) []string {
+// respCommand are a request as RESP2 has it.
+func respCommand(q testbed.H2Request) []string {
 	name, class, list := "Q.ASK", strings.TrimPrefix(q.Path, "/v1/ask/"), ""
 	if q.Key != "" {
 		name, class, list = "Q.DO", strings.TrimPrefix(q.Path, "/v1/do/"), ",k="+q.Key
@@ -40,20 +40,20 @@
 	return []string{name, q.Customer, q.ID, fmt.Sprintf("c=%s,t=%s,d=%d,units=%s%s", class, q.Plan, q.Patience.Milliseconds(), q.Units, list)}
 }
 
-// call asks and tells the status of the answer, as HTTP has it.
-func (c *caller) call(q testbed.H2Request, byH2 bool) int {
+// send asks and tells the status of the answer, as HTTP has it.
+func (c *caller) send(q testbed.H2Request, byH2 bool) int {
 	c.r.t.Helper()
 	if byH2 {
-		status := c.r.call(c.h2, q).Status
+		status := c.r.roundTrip(c.h2Client, q).Status
 		if status == 503 { // RESP2 has one word for both
 			status = 429
 		}
 		return status
 	}
-	if err := c.old.Send(words(q)...); err != nil {
+	if err := c.respClient.Send(respCommand(q)...); err != nil {
 		c.r.t.Fatal(err)
 	}
-	got, err := c.old.Read()
+	got, err := c.respClient.Read()
 	switch {
 	case err == nil && strings.HasPrefix(got, "$"):
 		return 200
@@ -64,18 +64,18 @@
 	return 0
 }
 
-// leave asks on a connection of its own and goes away once the request has come to a node, or was answered.
-func (c *caller) leave(q testbed.H2Request, byH2 bool) {
+// sendAndLeave asks on a connection of its own and goes away once the request has come to a node, or was answered.
+func (c *caller) sendAndLeave(q testbed.H2Request, byH2 bool) {
 	c.r.t.Helper()
 	answered := make(chan struct{})
 	if byH2 {
 		h2 := c.r.dial(nil)
-		id := c.r.ask(h2, q)
+		id := c.r.send(h2, q)
 		go func() {
 			h2.Read()
 			close(answered)
 		}()
-		c.wait(q.ID, answered)
+		c.waitArrivedOrAnswered(q.ID, answered)
 		h2.Conn.SetReadDeadline(time.Unix(1, 0)) // its reader ends, and the writer is alone
 		<-answered
 		if err := h2.Framer.WriteRSTStream(id, http2.ErrCodeCancel); err != nil {
@@ -83,25 +83,25 @@
 		}
 		return
 	}
-	old, err := testbed.Dial(c.r.resp)
+	old, err := testbed.Dial(c.r.respAddr)
 	if err != nil {
 		c.r.t.Fatal(err)
 	}
-	if err := old.Send(words(q)...); err != nil {
+	if err := old.Send(respCommand(q)...); err != nil {
 		c.r.t.Fatal(err)
 	}
 	go func() {
 		old.Read()
 		close(answered)
 	}()
-	c.wait(q.ID, answered)
+	c.waitArrivedOrAnswered(q.ID, answered)
 	old.Close()
 }
 
-// wait waits until a request has come to a node, or was answered.
-func (c *caller) wait(id string, answered <-chan struct{}) {
+// waitArrivedOrAnswered waits until a request has come to a node, or was answered.
+func (c *caller) waitArrivedOrAnswered(id string, answered <-chan struct{}) {
 	c.r.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		if slices.ContainsFunc(c.r.site.Recorder.Arrivals(), func(a testbed.Arrival) bool { return a.ID == id }) {
 			return
 		}
@@ -114,14 +114,14 @@
 	c.r.t.Fatalf("%s did not come to a node", id)
 }
 
-// playMix sends the same drawn requests by one protocol, the other, or each by either. Some clients go away while theirs is at
+// runMixedLoad sends the same drawn requests by one protocol, the other, or each by either. Some clients go away while theirs is at
 // a node; a node drains, and the gateway is restarted. It tells the units that were let in for each customer, and how each
 // request ended.
-func playMix(t *testing.T, seed uint64, h2Nodes int, byH2 func(i int) bool) (units map[string]float64, ends []string) {
-	p := platform()
+func runMixedLoad(t *testing.T, seed uint64, h2Nodes int, byH2 func(i int) bool) (units map[string]float64, ends []string) {
+	p := testPlatform()
 	p.H2Nodes = h2Nodes
-	r := newRig(t, p, func(cfg *gateway.Config, _ *FrontendConfig) {
-		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: patience, IdleTimeout: patience})}
+	r := newHarness(t, p, func(cfg *gateway.Config, _ *FrontendConfig) {
+		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: testTimeout, IdleTimeout: testTimeout})}
 	})
 	for _, n := range r.site.Nodes {
 		n.SetExtraDelay(func(a testbed.Arrival) time.Duration {
@@ -142,15 +142,15 @@
 				t.Fatal(err)
 			}
 		case requests * 2 / 3:
-			c.h2.Close()
-			c.old.Close()
-			r.end()
+			c.h2Client.Close()
+			c.respClient.Close()
+			r.shutdown()
 			r.start()
 			c.dial()
 		}
 		n := 1 + rnd.IntN(2)
 		q := testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: fmt.Sprintf("%016x", 1+rnd.IntN(12)), Plan: p.Plans[rnd.IntN(len(p.Plans))].Name,
-			ID: fmt.Sprintf("r-%d", i), Patience: patience, Units: strconv.Itoa(n)}
+			ID: fmt.Sprintf("r-%d", i), Patience: testTimeout, Units: strconv.Itoa(n)}
 		if rnd.IntN(2) == 0 {
 			q.Path, q.Key = "/v1/do/slot-book", fmt.Sprintf("k%d", i)
 		}
@@ -161,10 +161,10 @@
 		keyed[q.ID] = q.Key != ""
 		asked[q.ID] = float64(n)
 		if leaves {
-			c.leave(q, byH2(i))
+			c.sendAndLeave(q, byH2(i))
 			continue
 		}
-		ends = append(ends, fmt.Sprintf("%s %d", q.ID, c.call(q, byH2(i))))
+		ends = append(ends, fmt.Sprintf("%s %d", q.ID, c.send(q, byH2(i))))
 	}
 	units, seen := map[string]float64{}, map[string]bool{}
 	for _, a := range r.site.Recorder.Arrivals() {
@@ -188,9 +188,9 @@
 // request, and one answer each.
 func TestMixedProtocolsOneQuota(t *testing.T) {
 	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) {
-		units, ends := playMix(t, seed, 0, func(int) bool { return false })
+		units, ends := runMixedLoad(t, seed, 0, func(int) bool { return false })
 		for name, mix := range map[string]func(int) bool{"HTTP/2": func(int) bool { return true }, "both": func(i int) bool { return i%2 == 0 }} {
-			u, e := playMix(t, seed, 0, mix)
+			u, e := runMixedLoad(t, seed, 0, mix)
 			if fmt.Sprint(u) != fmt.Sprint(units) {
 				t.Errorf("%s: %v units, by RESP2 %v", name, u, units)
 			}
--- a/internal/h2/rig_test.go
+++ b/internal/h2/rig_test.go
@@ -20,43 +20,43 @@
 )
 
 const (
-	patience = 20 * time.Second // for what must come; no test waits for it to pass
-	customer = "00000000b4d65521"
+	testTimeout = 20 * time.Second // for what must come; no test waits for it to pass
+	customer    = "00000000b4d65521"
 )
 
-// rig is a gateway in this process, with RESP2's listener and one of HTTP/2, and a site of nodes.
-type rig struct {
-	t     testing.TB
-	site  *testbed.Site
-	resp  string
-	front *Frontend
-	cfg   gateway.Config
-	l     FrontendConfig
-	stop  context.CancelFunc
-	done  chan error
+// harness is a gateway in this process, with RESP2's listener and one of HTTP/2, and a site of nodes.
+type harness struct {
+	t           testing.TB
+	site        *testbed.Site
+	respAddr    string
+	frontend    *Frontend
+	cfg         gateway.Config
+	frontendCfg FrontendConfig
+	stop        context.CancelFunc
+	done        chan error
 }
 
-// platform is the clinic's, with quotas that don't refill while a test runs, and patient clients.
-func platform() *testbed.Platform {
+// testPlatform is the clinic's, with quotas that don't refill while a test runs, and patient clients.
+func testPlatform() *testbed.Platform {
 	p := testbed.SmallPlatform()
 	for i := range p.Plans {
 		p.Plans[i].Rate, p.Plans[i].Ceiling = 0.01, testbed.Ceiling{}
 	}
 	for i := range p.Classes {
-		p.Classes[i].Patience, p.Classes[i].Work = patience, time.Millisecond
+		p.Classes[i].Patience, p.Classes[i].Work = testTimeout, time.Millisecond
 	}
 	p.Rules.Ceilings = nil
 	return p
 }
 
-func newRig(t *testing.T, p *testbed.Platform, change func(*gateway.Config, *FrontendConfig)) *rig {
+func newHarness(t *testing.T, p *testbed.Platform, change func(*gateway.Config, *FrontendConfig)) *harness {
 	t.Helper()
-	return newRigOf(t, p, 2, change)
+	return newHarnessWithNodes(t, p, 2, change)
 }
 
-func newRigOf(t testing.TB, p *testbed.Platform, nodes int, change func(*gateway.Config, *FrontendConfig)) *rig {
+func newHarnessWithNodes(t testing.TB, p *testbed.Platform, nodes int, change func(*gateway.Config, *FrontendConfig)) *harness {
 	t.Helper()
-	r := &rig{t: t, done: make(chan error, 1)}
+	r := &harness{t: t, done: make(chan error, 1)}
 	var err error
 	if r.site, err = testbed.NewSite(p, nodes); err != nil {
 		t.Fatal(err)
@@ -84,25 +84,25 @@
 	if change != nil {
 		change(&cfg, &l)
 	}
-	r.cfg, r.l, r.resp = cfg, l, places[0].Listen
+	r.cfg, r.frontendCfg, r.respAddr = cfg, l, places[0].Listen
 	r.start()
-	t.Cleanup(r.end)
+	t.Cleanup(r.shutdown)
 	return r
 }
 
 // start starts the gateway and waits until it answers.
-func (r *rig) start() {
+func (r *harness) start() {
 	r.t.Helper()
 	var err error
-	if r.front, err = NewFrontend(r.l); err != nil {
+	if r.frontend, err = NewFrontend(r.frontendCfg); err != nil {
 		r.t.Fatal(err)
 	}
-	r.cfg.Frontends, r.cfg.DefaultBackend = []gateway.Frontend{resp.NewFrontend(r.cfg.Listen), r.front}, resp.Backend{}
+	r.cfg.Frontends, r.cfg.DefaultBackend = []gateway.Frontend{resp.NewFrontend(r.cfg.Listen), r.frontend}, resp.Backend{}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	go func() { r.done <- gateway.Run(ctx, r.cfg, nil, slog.New(slog.DiscardHandler)) }()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		c, err := testbed.Dial(r.resp)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		c, err := testbed.Dial(r.respAddr)
 		if err == nil {
 			c.Close()
 			return
@@ -113,37 +113,37 @@
 	}
 }
 
-// end stops it as SIGTERM would, and waits.
-func (r *rig) end() {
+// shutdown stops it as SIGTERM would, and waits.
+func (r *harness) shutdown() {
 	r.stop()
 	select {
 	case err := <-r.done:
 		if err != nil {
 			r.t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Error("the gateway does not end")
 	}
 }
 
-func (r *rig) dial(by *tls.Config, settings ...http2.Setting) *testbed.H2Client {
+func (r *harness) dial(by *tls.Config, settings ...http2.Setting) *testbed.H2Client {
 	r.t.Helper()
-	c, err := testbed.DialH2(r.front.Addr().String(), by, settings...)
+	c, err := testbed.DialH2(r.frontend.Addr().String(), by, settings...)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(c.Close)
-	if err := c.Conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.Conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		r.t.Fatal(err)
 	}
 	return c
 }
 
-func look(id string) testbed.H2Request {
-	return testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: customer, Plan: "network", ID: id, Patience: patience, Units: "1"}
+func lookup(id string) testbed.H2Request {
+	return testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: customer, Plan: "network", ID: id, Patience: testTimeout, Units: "1"}
 }
 
-func (r *rig) ask(c *testbed.H2Client, q testbed.H2Request) uint32 {
+func (r *harness) send(c *testbed.H2Client, q testbed.H2Request) uint32 {
 	r.t.Helper()
 	id, err := c.Send(q)
 	if err != nil {
@@ -152,7 +152,7 @@
 	return id
 }
 
-func (r *rig) read(c *testbed.H2Client) *testbed.H2Response {
+func (r *harness) readResponse(c *testbed.H2Client) *testbed.H2Response {
 	r.t.Helper()
 	a, err := c.Read()
 	if err != nil {
@@ -161,24 +161,24 @@
 	return a
 }
 
-func (r *rig) call(c *testbed.H2Client, q testbed.H2Request) *testbed.H2Response {
+func (r *harness) roundTrip(c *testbed.H2Client, q testbed.H2Request) *testbed.H2Response {
 	r.t.Helper()
-	id := r.ask(c, q)
-	a := r.read(c)
+	id := r.send(c, q)
+	a := r.readResponse(c)
 	if a.Stream != id {
 		r.t.Fatalf("asked on %d, got %+v", id, a)
 	}
 	return a
 }
 
-// hold keeps nodes from answering until the test lets go.
-func (r *rig) hold() (let func()) {
+// holdResponses keeps nodes from answering until the test lets go.
+func (r *harness) holdResponses() (let func()) {
 	gate := make(chan struct{})
 	for _, n := range r.site.Nodes {
 		n.SetExtraDelay(func(testbed.Arrival) time.Duration {
 			select {
 			case <-gate:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 			}
 			return 0
 		})
@@ -186,18 +186,18 @@
 	return func() { close(gate) }
 }
 
-// arrived waits until so many requests have come to the nodes.
-func (r *rig) arrived(n int) {
+// waitArrivals waits until so many requests have come to the nodes.
+func (r *harness) waitArrivals(n int) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); len(r.site.Recorder.Arrivals()) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(r.site.Recorder.Arrivals()) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("only %d requests came to the nodes", len(r.site.Recorder.Arrivals()))
 		}
 	}
 }
 
-// taken waits until the gateway has taken what was sent on a connection on which no answer is due.
-func (r *rig) taken(c *testbed.H2Client) {
+// waitProcessed waits until the gateway has waitProcessed what was sent on a connection on which no answer is due.
+func (r *harness) waitProcessed(c *testbed.H2Client) {
 	r.t.Helper()
 	if err := c.Framer.WritePing(false, [8]byte{1}); err != nil {
 		r.t.Fatal(err)
--- a/internal/h2/tls.go
+++ b/internal/h2/tls.go
@@ -20,8 +20,8 @@
 
 // identity is what the files held when they were last read whole.
 type identity struct {
-	files TLSFiles
-	now   atomic.Pointer[tls.Config]
+	files   TLSFiles
+	current atomic.Pointer[tls.Config]
 }
 
 func newIdentity(f TLSFiles) (*identity, error) {
@@ -30,12 +30,12 @@
 		return nil, err
 	}
 	i := &identity{files: f}
-	i.now.Store(c)
+	i.current.Store(c)
 	return i, nil
 }
 
 // config is that of a new connection. Open ones keep theirs.
-func (i *identity) config() *tls.Config { return i.now.Load() }
+func (i *identity) config() *tls.Config { return i.current.Load() }
 
 // load reads the files.
 func (f *TLSFiles) load() (*tls.Config, error) {
@@ -61,5 +61,5 @@
 	return c, nil
 }
 
-// customerOf is the customer that a certificate names.
-func customerOf(c *x509.Certificate) string { return c.Subject.CommonName }
+// customerFromCert is the customer that a certificate names.
+func customerFromCert(c *x509.Certificate) string { return c.Subject.CommonName }
--- a/internal/h2/wire/conn.go
+++ b/internal/h2/wire/conn.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	frameMost    = 16384 // bytes of a frame's payload, either way: the least that SETTINGS_MAX_FRAME_SIZE may be
-	frameHeader  = 9
-	windowFirst  = 65535 // of a connection and, without SETTINGS, of a stream (RFC 9113, 6.9.2)
-	windowMost   = 1<<31 - 1
-	tableSize    = 4096 // bytes of HPACK's dynamic table, either way
-	piecesMost   = 8    // frames of one header block: Block bytes need two
-	pastKept     = 128  // closed streams whose end is remembered
-	shortData    = 256  // bytes: DATA that is shorter and neither a stream's first nor its last is paid for
-	creditByData = 2    // given back for each DATA frame sent: the peer may answer it by two WINDOW_UPDATEs
+	maxFrameBytes         = 16384 // bytes of a frame's payload, either way: the least that SETTINGS_MAX_FRAME_SIZE may be
+	frameHeaderBytes      = 9
+	initialWindow         = 65535 // of a connection and, without SETTINGS, of a stream (RFC 9113, 6.9.2)
+	maxWindow             = 1<<31 - 1
+	hpackTableBytes       = 4096 // bytes of HPACK's dynamic table, either way
+	maxBlockFrames        = 8    // frames of one header block: Block bytes need two
+	closedStreamsKept     = 128  // closed streams whose end is remembered
+	shortDataBytes        = 256  // bytes: DATA that is shorter and neither a stream's first nor its last is paid for
+	overheadCreditPerData = 2    // given back for each DATA frame sent: the peer may answer it by two WINDOW_UPDATEs
 )
 
 // EventKind tells events apart.
@@ -69,102 +69,102 @@
 
 // stream is one that is open or half closed. Streams that are closed have no memory but a place in past.
 type stream struct {
-	id       uint32
-	req      *Request
-	length   int64 // that content-length tells; -1: none
-	got      int64 // bytes of the body
-	room     int64 // the window for what comes
-	window   int64 // the peer's, for what goes out
-	unsent   []byte
-	since    time.Duration // when it was begun or, later, answered
-	whole    bool          // the peer has ended it
-	refused  bool          // it is larger than the limits: what still comes of it is let go
-	answered bool          // its HEADERS are out
-	told     bool          // its request is out as an event; at a client: it is owed an event
-	status   int           // at a client: of its answer, once the HEADERS came
+	id            uint32
+	req           *Request
+	contentLength int64 // that content-length tells; -1: none
+	bodyBytes     int64 // bytes of the body
+	recvWindow    int64 // the window for what comes
+	sendWindow    int64 // the peer's, for what goes out
+	unsent        []byte
+	waitingSince  time.Duration // when it was begun or, later, answered
+	peerEnded     bool          // the peer has ended it
+	tooLarge      bool          // it is larger than the limits: what still comes of it is let go
+	responded     bool          // its HEADERS are out
+	delivered     bool          // its request is out as an event; at a client: it is owed an event
+	status        int           // at a client: of its answer, once the HEADERS came
 }
 
-// closed is how a stream ended that is no more.
-type closed struct {
-	id   uint32
-	mine bool // by RST_STREAM from here: frames may still be on their way
+// closedStream is how a stream ended that is no more.
+type closedStream struct {
+	id           uint32
+	resetLocally bool // by RST_STREAM from here: frames may still be on their way
 }
 
 // Conn is a connection. It is not safe for concurrent use.
 type Conn struct {
-	limits  Limits
-	now     time.Duration
-	source  source
-	framer  *http2.Framer
-	header  *http2.FrameHeader // read, with its payload yet to come
-	left    []byte             // bytes of a frame that is not whole
-	out     bytes.Buffer
-	events  []Event
-	preface int  // bytes of it that came
-	greeted bool // the peer's first SETTINGS came
-	failed  bool
-
-	decoder *hpack.Decoder
-	block   block
-	encoder *hpack.Encoder
-	encoded bytes.Buffer
-
-	streams map[uint32]*stream
-	last    uint32 // the highest stream that the peer began
-	past    [pastKept]closed
-	waiting []uint32 // streams with something unsent, the next first
-	unsent  int      // bytes, of all streams
-
-	room     int64 // the connection's window for what comes
-	owed     int64 // bytes of it to be given back
-	window   int64 // the peer's
-	firstOut int64 // the peer's SETTINGS_INITIAL_WINDOW_SIZE
-	calm     float64
-	calmed   time.Duration
-
-	refuseFrom uint32 // after the last GOAWAY: streams over it are let alone; 0: none was sent
-	away       bool
-
-	client bool
-	most   uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
+	limits           Limits
+	now              time.Duration
+	source           source
+	framer           *http2.Framer
+	frameHeader      *http2.FrameHeader // read, with its payload yet to come
+	partial          []byte             // bytes of a frame that is not whole
+	output           bytes.Buffer
+	events           []Event
+	prefaceBytes     int  // bytes of it that came
+	settingsReceived bool // the peer's first SETTINGS came
+	failed           bool
+
+	decoder   *hpack.Decoder
+	block     headerBlock
+	encoder   *hpack.Encoder
+	encodeBuf bytes.Buffer
+
+	streams       map[uint32]*stream
+	lastStream    uint32 // the highest stream that the peer began
+	closedStreams [closedStreamsKept]closedStream
+	sendQueue     []uint32 // streams with something unsent, the next first
+	unsentBytes   int      // bytes, of all streams
+
+	recvWindow         int64 // the connection's window for what comes
+	windowCredit       int64 // bytes of it to be given back
+	sendWindow         int64 // the peer's
+	peerInitialWindow  int64 // the peer's SETTINGS_INITIAL_WINDOW_SIZE
+	overheadTokens     float64
+	overheadRefilledAt time.Duration
+
+	refuseAbove    uint32 // after the last GOAWAY: streams over it are let alone; 0: none was sent
+	goAwayReceived bool
+
+	isClient       bool
+	peerMaxStreams uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
 }
 
 // NewServer begins a connection. Its SETTINGS are in Out at once.
 func NewServer(l Limits, now time.Duration) *Conn {
-	c := begin(l, now)
-	c.written(c.framer.WriteSettings(
+	c := newConn(l, now)
+	c.mustWrite(c.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(l.MaxStreams)},
-		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamRoom())},
+		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamWindow())},
 		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.MaxHeaderListBytes)}))
-	c.widen()
+	c.growConnWindow()
 	return c
 }
 
-func begin(l Limits, now time.Duration) *Conn {
-	c := &Conn{limits: l, now: now, streams: map[uint32]*stream{}, room: windowFirst, window: windowFirst, firstOut: windowFirst,
-		calm: l.Overhead.Burst, calmed: now}
-	c.framer = http2.NewFramer(&c.out, &c.source)
+func newConn(l Limits, now time.Duration) *Conn {
+	c := &Conn{limits: l, now: now, streams: map[uint32]*stream{}, recvWindow: initialWindow, sendWindow: initialWindow, peerInitialWindow: initialWindow,
+		overheadTokens: l.Overhead.Burst, overheadRefilledAt: now}
+	c.framer = http2.NewFramer(&c.output, &c.source)
 	c.framer.SetReuseFrames()
-	c.framer.SetMaxReadFrameSize(frameMost)
-	c.decoder = hpack.NewDecoder(tableSize, c.field)
+	c.framer.SetMaxReadFrameSize(maxFrameBytes)
+	c.decoder = hpack.NewDecoder(hpackTableBytes, c.handleField)
 	c.decoder.SetMaxStringLength(l.MaxHeaderListBytes)
-	c.encoder = hpack.NewEncoder(&c.encoded)
+	c.encoder = hpack.NewEncoder(&c.encodeBuf)
 	return c
 }
 
-// widen opens the connection's window as far as the limits go.
-func (c *Conn) widen() {
-	if more := int64(c.limits.ConnWindow) - c.room; more > 0 {
-		c.written(c.framer.WriteWindowUpdate(0, uint32(more)))
-		c.room += more
+// growConnWindow opens the connection's window as far as the limits go.
+func (c *Conn) growConnWindow() {
+	if more := int64(c.limits.ConnWindow) - c.recvWindow; more > 0 {
+		c.mustWrite(c.framer.WriteWindowUpdate(0, uint32(more)))
+		c.recvWindow += more
 	}
 }
 
-// streamRoom is a stream's window: one byte more than a body may have, so that a longer one shows and is refused.
-func (c *Conn) streamRoom() int64 { return max(windowFirst, int64(c.limits.MaxBodyBytes)+1) }
+// streamWindow is a stream's window: one byte more than a body may have, so that a longer one shows and is refused.
+func (c *Conn) streamWindow() int64 { return max(initialWindow, int64(c.limits.MaxBodyBytes)+1) }
 
-// written takes the error of a frame that the framer would not write: a slip of this package, as the buffer takes all.
-func (c *Conn) written(err error) {
+// mustWrite takes the error of a frame that the framer would not write: a slip of this package, as the buffer takes all.
+func (c *Conn) mustWrite(err error) {
 	if err != nil {
 		panic("http/2: " + err.Error())
 	}
@@ -181,8 +181,8 @@
 
 // TakeOutput is what is to be written, and empties it. It is valid until the connection is used again.
 func (c *Conn) TakeOutput() []byte {
-	b := c.out.Bytes()
-	c.out.Reset()
+	b := c.output.Bytes()
+	c.output.Reset()
 	return b
 }
 
@@ -195,79 +195,79 @@
 // Feed takes bytes of the peer's and tells what they came to. The events are valid until the next call.
 func (c *Conn) Feed(now time.Duration, p []byte) []Event {
 	c.now, c.events = max(c.now, now), c.events[:0]
-	if !c.client && c.preface < len(http2.ClientPreface) {
-		n := min(len(http2.ClientPreface)-c.preface, len(p))
-		if string(p[:n]) != http2.ClientPreface[c.preface:c.preface+n] {
+	if !c.isClient && c.prefaceBytes < len(http2.ClientPreface) {
+		n := min(len(http2.ClientPreface)-c.prefaceBytes, len(p))
+		if string(p[:n]) != http2.ClientPreface[c.prefaceBytes:c.prefaceBytes+n] {
 			c.fail(http2.ErrCodeProtocol, "no HTTP/2 preface")
 			return c.events
 		}
-		c.preface, p = c.preface+n, p[n:]
+		c.prefaceBytes, p = c.prefaceBytes+n, p[n:]
 	}
-	if len(c.left) > 0 {
-		c.left = append(c.left, p...)
-		p = c.left
+	if len(c.partial) > 0 {
+		c.partial = append(c.partial, p...)
+		p = c.partial
 	}
 	for !c.failed {
-		n := c.step(p)
+		n := c.readNext(p)
 		if n == 0 {
 			break
 		}
 		p = p[n:]
 	}
-	c.left = append(c.left[:0], p...)
+	c.partial = append(c.partial[:0], p...)
 	if c.failed {
-		c.left = nil
+		c.partial = nil
 	} else {
-		c.giveBack()
+		c.returnWindow()
 	}
 	return c.events
 }
 
-// step takes a frame's header or its payload, and returns how many bytes that was; 0: more must come, or the connection
+// readNext takes a frame's header or its payload, and returns how many bytes that was; 0: more must come, or the connection
 // has failed.
-func (c *Conn) step(p []byte) int {
-	if c.header == nil {
-		if len(p) < frameHeader {
+func (c *Conn) readNext(p []byte) int {
+	if c.frameHeader == nil {
+		if len(p) < frameHeaderBytes {
 			return 0
 		}
-		c.source.b = p[:frameHeader]
+		c.source.b = p[:frameHeaderBytes]
 		h, err := c.framer.ReadFrameHeader()
 		if err != nil {
-			c.framing(err)
+			c.handleFramerError(err)
 			return 0
 		}
-		c.header = &h
-		return frameHeader
+		c.frameHeader = &h
+		return frameHeaderBytes
 	}
-	n := int(c.header.Length)
+	n := int(c.frameHeader.Length)
 	if len(p) < n {
 		return 0
 	}
 	c.source.b = p[:n]
-	h := *c.header
-	c.header = nil
+	h := *c.frameHeader
+	c.frameHeader = nil
 	f, err := c.framer.ReadFrameForHeader(h)
 	switch {
 	case err != nil && (h.Type == http2.FrameHeaders || h.Type == http2.FrameContinuation): // its block is lost to HPACK
 		c.fail(http2.ErrCodeProtocol, "the frame can't be taken: "+err.Error())
 	case err != nil && h.Type == http2.FramePriority && h.StreamID != 0: // the framer is stricter than RFC 9113, 6.3
-		c.reset(h.StreamID, http2.ErrCodeFrameSize)
+		c.resetForError(h.StreamID, http2.ErrCodeFrameSize)
 	case err != nil:
-		c.framing(err)
+		c.handleFramerError(err)
 	default:
-		c.frame(f)
+		c.handleFrame(f)
 	}
 	if n == 0 && !c.failed {
-		return c.step(p) // a frame without payload: go on with the next
+		return c.readNext(p) // a frame without payload: go on with the next
 	}
 	return n
 }
 
-// framing takes an error that the framer found.
-func (c *Conn) framing(err error) {
+// handleFramerError takes an error that the framer found.
+func (c *Conn) handleFramerError(err error) {
 	switch e := err.(type) {
 	case http2.StreamError:
-		c.reset(e.StreamID, e.Code)
+		c.resetForError(e.StreamID, e.Code)
 	case http2.ConnectionError:
 		c.fail(http2.ErrCode(e), "the frame can't be taken: "+err.Error())
 	default: // too large: the framer has read no more than the header
@@ -275,51 +275,51 @@
 	}
 }
 
-// frame takes a whole frame.
-func (c *Conn) frame(f http2.Frame) {
-	if _, ok := f.(*http2.SettingsFrame); !ok && !c.greeted {
+// handleFrame takes a whole handleFrame.
+func (c *Conn) handleFrame(f http2.Frame) {
+	if _, ok := f.(*http2.SettingsFrame); !ok && !c.settingsReceived {
 		c.fail(http2.ErrCodeProtocol, "the first frame is not SETTINGS")
 		return
 	}
 	switch f := f.(type) {
 	case *http2.HeadersFrame:
-		c.headers(f)
+		c.handleHeaders(f)
 	case *http2.ContinuationFrame:
-		c.continued(f)
+		c.handleContinuation(f)
 	case *http2.DataFrame:
-		c.data(f)
+		c.handleData(f)
 	case *http2.RSTStreamFrame:
-		c.resetByPeer(f)
+		c.handleRSTStream(f)
 	case *http2.SettingsFrame:
-		c.settings(f)
+		c.handleSettings(f)
 	case *http2.PingFrame:
-		if c.charge(1) && !f.IsAck() {
-			c.written(c.framer.WritePing(true, f.Data))
+		if c.chargeOverhead(1) && !f.IsAck() {
+			c.mustWrite(c.framer.WritePing(true, f.Data))
 		}
 	case *http2.GoAwayFrame:
-		if c.charge(1) {
-			c.goneAway(f)
+		if c.chargeOverhead(1) {
+			c.handleGoAway(f)
 		}
 	case *http2.WindowUpdateFrame:
-		c.windowUpdate(f)
+		c.handleWindowUpdate(f)
 	case *http2.PriorityFrame: // deprecated (RFC 9113, 5.3.2), but for its one error
-		if c.charge(1) && f.StreamDep == f.StreamID {
+		if c.chargeOverhead(1) && f.StreamDep == f.StreamID {
 			c.fail(http2.ErrCodeProtocol, "a stream depends on itself")
 		}
 	case *http2.PushPromiseFrame:
 		c.fail(http2.ErrCodeProtocol, "PUSH_PROMISE, which was not allowed")
 	default:
-		c.charge(1) // of a type that is not known (RFC 9113, 5.5)
+		c.chargeOverhead(1) // of a type that is not known (RFC 9113, 5.5)
 	}
 }
 
-// charge takes from the store of calm. It reports false, and ends the connection, if there is not enough.
-func (c *Conn) charge(n float64) bool {
-	if c.now > c.calmed {
-		c.calm = min(c.limits.Overhead.Burst, c.calm+c.limits.Overhead.PerSecond*(c.now-c.calmed).Seconds())
-		c.calmed = c.now
+// chargeOverhead takes from the store of calm. It reports false, and ends the connection, if there is not enough.
+func (c *Conn) chargeOverhead(n float64) bool {
+	if c.now > c.overheadRefilledAt {
+		c.overheadTokens = min(c.limits.Overhead.Burst, c.overheadTokens+c.limits.Overhead.PerSecond*(c.now-c.overheadRefilledAt).Seconds())
+		c.overheadRefilledAt = c.now
 	}
-	if c.calm -= n; c.calm < 0 {
+	if c.overheadTokens -= n; c.overheadTokens < 0 {
 		c.fail(http2.ErrCodeEnhanceYourCalm, "too much that asks for nothing")
 		return false
 	}
@@ -332,17 +332,17 @@
 		return
 	}
 	c.failed = true
-	last := c.last
-	if c.client { // the last of the server's streams, which has none
+	last := c.lastStream
+	if c.isClient { // the last of the server's streams, which has none
 		last = 0
 	}
-	c.written(c.framer.WriteGoAway(last, code, []byte(why)))
-	for _, id := range c.ids() {
-		if c.streams[id].told {
+	c.mustWrite(c.framer.WriteGoAway(last, code, []byte(why)))
+	for _, id := range c.sortedStreamIDs() {
+		if c.streams[id].delivered {
 			c.events = append(c.events, Event{Kind: StreamAborted, Stream: id, Code: code, Local: true})
 		}
 	}
 	clear(c.streams)
-	c.waiting, c.unsent = nil, 0
+	c.sendQueue, c.unsentBytes = nil, 0
 	c.events = append(c.events, Event{Kind: ConnFailed, Code: code, Reason: why})
 }
--- a/internal/h2/wire/headers.go
+++ b/internal/h2/wire/headers.go
@@ -9,23 +9,23 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// block is a header block as it comes in, of one or more frames. It is decoded piece by piece, also where its stream is
+// headerBlock is a header headerBlock as it comes in, of one or more frames. It is decoded piece by piece, also where its stream is
 // refused: the compression's state is the whole connection's (RFC 9113, 4.3).
-type block struct {
-	stream  uint32
-	ends    bool // the stream ends with it
-	bytes   int
-	pieces  int
-	size    int  // of the list, as RFC 9113, 6.5.2 counts
-	plain   bool // a field that is no pseudo-header field has come
-	bad     bool // malformed (RFC 9113, 8.1.1)
-	self    bool // its stream depends on itself
-	req     *Request
-	seen    [pseudoFields]bool
-	length  int64
-	trailer bool
-	answer  bool // of an answer, whose status it tells
-	status  string
+type headerBlock struct {
+	stream        uint32
+	endStream     bool // the stream ends with it
+	bytes         int
+	frames        int
+	listSize      int  // of the list, as RFC 9113, 6.5.2 counts
+	regularSeen   bool // a field that is no pseudo-header field has come
+	malformed     bool // malformed (RFC 9113, 8.1.1)
+	selfDependent bool // its stream depends on itself
+	req           *Request
+	pseudoSeen    [pseudoFieldCount]bool
+	contentLength int64
+	trailer       bool
+	response      bool // of an answer, whose status it tells
+	status        string
 }
 
 const (
@@ -33,28 +33,28 @@
 	pseudoScheme
 	pseudoAuthority
 	pseudoPath
-	pseudoFields
+	pseudoFieldCount
 )
 
 const (
-	fieldOverhead = 32 // of a field in a list's size (RFC 9113, 6.5.2)
-	lengthDigits  = 18 // of content-length
+	fieldOverhead          = 32 // of a field in a list's size (RFC 9113, 6.5.2)
+	maxContentLengthDigits = 18 // of content-length
 )
 
-// headers takes the first frame of a header block.
-func (c *Conn) headers(f *http2.HeadersFrame) {
+// handleHeaders takes the first frame of a header block.
+func (c *Conn) handleHeaders(f *http2.HeadersFrame) {
 	id := f.StreamID
 	if id%2 == 0 {
 		c.fail(http2.ErrCodeProtocol, "HEADERS on a stream that is not a client's to begin")
 		return
 	}
 	s := c.streams[id]
-	if c.client && id > c.last {
+	if c.isClient && id > c.lastStream {
 		c.fail(http2.ErrCodeProtocol, "HEADERS on a stream that was never begun")
 		return
 	}
-	if s == nil && id <= c.last {
-		known, mine := c.gone(id)
+	if s == nil && id <= c.lastStream {
+		known, mine := c.recentlyClosed(id)
 		if !known {
 			c.fail(http2.ErrCodeProtocol, "HEADERS on a stream lower than one that was begun")
 			return
@@ -64,26 +64,26 @@
 			return
 		}
 	}
-	c.block = block{stream: id, ends: f.StreamEnded(), req: &Request{}, length: -1, trailer: id <= c.last,
-		self: f.HasPriority() && f.Priority.StreamDep == id, answer: c.client}
-	if c.client {
+	c.block = headerBlock{stream: id, endStream: f.StreamEnded(), req: &Request{}, contentLength: -1, trailer: id <= c.lastStream,
+		selfDependent: f.HasPriority() && f.Priority.StreamDep == id, response: c.isClient}
+	if c.isClient {
 		c.block.trailer = s != nil && s.status != 0
 	}
-	c.last = max(c.last, id)
+	c.lastStream = max(c.lastStream, id)
 	c.decoder.SetEmitEnabled(true)
-	c.piece(f.HeaderBlockFragment(), f.HeadersEnded())
+	c.decodeFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 }
 
-func (c *Conn) continued(f *http2.ContinuationFrame) {
-	c.piece(f.HeaderBlockFragment(), f.HeadersEnded())
+func (c *Conn) handleContinuation(f *http2.ContinuationFrame) {
+	c.decodeFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 }
 
-// piece decodes a piece of a block. A block of many or large pieces ends the connection before it is decoded
+// decodeFragment decodes a decodeFragment of a block. A block of many or large pieces ends the connection before it is decoded
 // (CVE-2024-27316).
-func (c *Conn) piece(p []byte, last bool) {
+func (c *Conn) decodeFragment(p []byte, last bool) {
 	b := &c.block
 	b.bytes += len(p)
-	if b.pieces++; b.bytes > c.limits.MaxHeaderBlockBytes || b.pieces > piecesMost {
+	if b.frames++; b.bytes > c.limits.MaxHeaderBlockBytes || b.frames > maxBlockFrames {
 		c.fail(http2.ErrCodeEnhanceYourCalm, "a header block that is too long")
 		return
 	}
@@ -97,35 +97,35 @@
 	case err != nil:
 		c.fail(http2.ErrCodeCompression, "the header block can't be decoded: "+err.Error())
 	case last:
-		c.blockEnded()
+		c.finishBlock()
 	}
 }
 
-// field takes a decoded field.
-func (c *Conn) field(f hpack.HeaderField) {
+// handleField takes a decoded handleField.
+func (c *Conn) handleField(f hpack.HeaderField) {
 	b := &c.block
-	if b.size += len(f.Name) + len(f.Value) + fieldOverhead; b.size > c.limits.MaxHeaderListBytes {
+	if b.listSize += len(f.Name) + len(f.Value) + fieldOverhead; b.listSize > c.limits.MaxHeaderListBytes {
 		c.decoder.SetEmitEnabled(false) // what follows is decoded for the table's sake and not kept
 		return
 	}
 	switch {
 	case !httpguts.ValidHeaderFieldValue(f.Value), strings.Trim(f.Value, " \t") != f.Value:
-		b.bad = true
+		b.malformed = true
 	case strings.HasPrefix(f.Name, ":"):
-		b.pseudo(f)
-	case !httpguts.ValidHeaderFieldName(f.Name), strings.ToLower(f.Name) != f.Name, connectionField(f):
-		b.bad = true
+		b.setPseudo(f)
+	case !httpguts.ValidHeaderFieldName(f.Name), strings.ToLower(f.Name) != f.Name, connectionSpecific(f):
+		b.malformed = true
 	default:
-		b.plain = true
+		b.regularSeen = true
 		if f.Name == "content-length" {
-			b.contentLength(f.Value)
+			b.parseContentLength(f.Value)
 		}
 		b.req.Fields = append(b.req.Fields, f)
 	}
 }
 
-// pseudo takes a pseudo-header field: each once, before all others, in requests only (RFC 9113, 8.3).
-func (b *block) pseudo(f hpack.HeaderField) {
+// setPseudo takes a setPseudo-header field: each once, before all others, in requests only (RFC 9113, 8.3).
+func (b *headerBlock) setPseudo(f hpack.HeaderField) {
 	at, to := 0, (*string)(nil)
 	switch f.Name {
 	case ":method":
@@ -137,20 +137,20 @@
 	case ":path":
 		at, to = pseudoPath, &b.req.Path
 	}
-	if b.answer {
+	if b.response {
 		if at, to = 0, nil; f.Name == ":status" {
 			to = &b.status
 		}
 	}
-	if to == nil || b.plain || b.trailer || b.seen[at] {
-		b.bad = true
+	if to == nil || b.regularSeen || b.trailer || b.pseudoSeen[at] {
+		b.malformed = true
 		return
 	}
-	b.seen[at], *to = true, f.Value
+	b.pseudoSeen[at], *to = true, f.Value
 }
 
-// connectionField reports fields that HTTP/2 has no place for (RFC 9113, 8.2.2).
-func connectionField(f hpack.HeaderField) bool {
+// connectionSpecific reports fields that HTTP/2 has no place for (RFC 9113, 8.2.2).
+func connectionSpecific(f hpack.HeaderField) bool {
 	switch f.Name {
 	case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
 		return true
@@ -160,76 +160,76 @@
 	return false
 }
 
-func (b *block) contentLength(v string) {
+func (b *headerBlock) parseContentLength(v string) {
 	n, err := strconv.ParseUint(v, 10, 64)
-	if err != nil || len(v) > lengthDigits || b.length >= 0 && b.length != int64(n) {
-		b.bad = true
+	if err != nil || len(v) > maxContentLengthDigits || b.contentLength >= 0 && b.contentLength != int64(n) {
+		b.malformed = true
 		return
 	}
-	b.length = int64(n)
+	b.contentLength = int64(n)
 }
 
-// whole reports whether the pseudo-header fields are those of a request. CONNECT has two of them (RFC 9113, 8.5).
-func (b *block) whole() bool {
+// hasRequiredPseudo reports whether the pseudo-header fields are those of a request. CONNECT has two of them (RFC 9113, 8.5).
+func (b *headerBlock) hasRequiredPseudo() bool {
 	if b.req.Method == "CONNECT" {
-		return b.seen[pseudoAuthority] && !b.seen[pseudoScheme] && !b.seen[pseudoPath]
+		return b.pseudoSeen[pseudoAuthority] && !b.pseudoSeen[pseudoScheme] && !b.pseudoSeen[pseudoPath]
 	}
 	return b.req.Method != "" && b.req.Scheme != "" && b.req.Path != ""
 }
 
-// blockEnded takes a block that was decoded to its end.
-func (c *Conn) blockEnded() {
+// finishBlock takes a block that was decoded to its end.
+func (c *Conn) finishBlock() {
 	b := &c.block
 	s := c.streams[b.stream]
 	switch {
-	case c.client && !b.trailer:
-		c.answerBegun(s)
+	case c.isClient && !b.trailer:
+		c.handleResponseHeaders(s)
 	case b.trailer:
-		c.trailers(s)
-	case c.refuseFrom > 0 && b.stream > c.refuseFrom: // after GOAWAY: its client knows that it was not taken
-		c.past[b.stream/2%pastKept] = closed{b.stream, true}
-		c.charge(1)
-	case b.self:
-		c.reset(b.stream, http2.ErrCodeProtocol)
+		c.handleTrailers(s)
+	case c.refuseAbove > 0 && b.stream > c.refuseAbove: // after GOAWAY: its client knows that it was not taken
+		c.closedStreams[b.stream/2%closedStreamsKept] = closedStream{b.stream, true}
+		c.chargeOverhead(1)
+	case b.selfDependent:
+		c.resetForError(b.stream, http2.ErrCodeProtocol)
 	case len(c.streams) >= c.limits.MaxStreams:
-		c.reset(b.stream, http2.ErrCodeRefusedStream)
-	case b.bad || b.size <= c.limits.MaxHeaderListBytes && !b.whole():
-		c.reset(b.stream, http2.ErrCodeProtocol)
+		c.resetForError(b.stream, http2.ErrCodeRefusedStream)
+	case b.malformed || b.listSize <= c.limits.MaxHeaderListBytes && !b.hasRequiredPseudo():
+		c.resetForError(b.stream, http2.ErrCodeProtocol)
 	default:
-		c.begin()
+		c.openStream()
 	}
-	c.block = block{}
+	c.block = headerBlock{}
 }
 
-// begin opens a stream.
-func (c *Conn) begin() {
+// openStream opens a stream.
+func (c *Conn) openStream() {
 	b := &c.block
-	s := &stream{id: b.stream, req: b.req, length: b.length, room: c.streamRoom(), window: c.firstOut, since: c.now}
+	s := &stream{id: b.stream, req: b.req, contentLength: b.contentLength, recvWindow: c.streamWindow(), sendWindow: c.peerInitialWindow, waitingSince: c.now}
 	c.streams[s.id] = s
 	switch {
-	case b.size > c.limits.MaxHeaderListBytes:
-		s.whole, s.refused = b.ends, true
-		c.tooBig(s, 431)
-	case b.ends && b.length > 0:
-		c.reset(s.id, http2.ErrCodeProtocol)
-	case b.ends:
-		c.whole(s)
+	case b.listSize > c.limits.MaxHeaderListBytes:
+		s.peerEnded, s.tooLarge = b.endStream, true
+		c.rejectTooLarge(s, 431)
+	case b.endStream && b.contentLength > 0:
+		c.resetForError(s.id, http2.ErrCodeProtocol)
+	case b.endStream:
+		c.deliver(s)
 	}
 }
 
-// trailers takes the block behind a body: it must end the stream, and says nothing here (RFC 9113, 8.1).
-func (c *Conn) trailers(s *stream) {
+// handleTrailers takes the block behind a body: it must end the stream, and says nothing here (RFC 9113, 8.1).
+func (c *Conn) handleTrailers(s *stream) {
 	b := &c.block
 	switch {
 	case s == nil:
-		c.charge(1) // it crossed the RST_STREAM
-	case s.whole:
-		c.reset(s.id, http2.ErrCodeStreamClosed)
-	case !b.ends || b.bad || s.length >= 0 && s.got != s.length:
-		c.reset(s.id, http2.ErrCodeProtocol)
-	case s.refused:
-		s.whole = true
+		c.chargeOverhead(1) // it crossed the RST_STREAM
+	case s.peerEnded:
+		c.resetForError(s.id, http2.ErrCodeStreamClosed)
+	case !b.endStream || b.malformed || s.contentLength >= 0 && s.bodyBytes != s.contentLength:
+		c.resetForError(s.id, http2.ErrCodeProtocol)
+	case s.tooLarge:
+		s.peerEnded = true
 	default:
-		c.whole(s)
+		c.deliver(s)
 	}
 }
--- a/internal/h2/wire/script_test.go
+++ b/internal/h2/wire/script_test.go
@@ -30,52 +30,52 @@
 		}
 		for _, part := range strings.Split("\n"+string(text), "\n== ")[1:] {
 			name, lines, _ := strings.Cut(part, "\n")
-			t.Run(filepath.Base(file)+"/"+name, func(t *testing.T) { play(t, name, lines) })
+			t.Run(filepath.Base(file)+"/"+name, func(t *testing.T) { runScript(t, name, lines) })
 		}
 	}
 }
 
-func small() Limits {
-	return Limits{MaxStreams: 3, MaxBodyBytes: 100, ConnWindow: windowFirst, MaxHeaderListBytes: 1000, MaxHeaderBlockBytes: 2000, MaxUnsentBytes: 300000, Overhead: OverheadBudget{PerSecond: 1, Burst: 20}}
+func testLimits() Limits {
+	return Limits{MaxStreams: 3, MaxBodyBytes: 100, ConnWindow: initialWindow, MaxHeaderListBytes: 1000, MaxHeaderBlockBytes: 2000, MaxUnsentBytes: 300000, Overhead: OverheadBudget{PerSecond: 1, Burst: 20}}
 }
 
-// player is a client that sends what its script says, broken or not.
-type player struct {
-	t       *testing.T
-	c       *Conn
-	now     time.Duration
-	bytes   bytes.Buffer
-	framer  *http2.Framer
-	encoder *hpack.Encoder
-	encoded bytes.Buffer
-	decoder *hpack.Decoder
-	back    source
-	reader  *http2.Framer
+// scriptRunner is a client that sends what its script says, broken or not.
+type scriptRunner struct {
+	t           *testing.T
+	c           *Conn
+	now         time.Duration
+	bytes       bytes.Buffer
+	framer      *http2.Framer
+	encoder     *hpack.Encoder
+	encoded     bytes.Buffer
+	decoder     *hpack.Decoder
+	replies     source
+	replyFramer *http2.Framer
 }
 
-func newPlayer(t *testing.T, l Limits) *player {
-	p := &player{t: t, c: NewServer(l, time.Hour), now: time.Hour, decoder: hpack.NewDecoder(4096, nil)}
+func newScriptRunner(t *testing.T, l Limits) *scriptRunner {
+	p := &scriptRunner{t: t, c: NewServer(l, time.Hour), now: time.Hour, decoder: hpack.NewDecoder(4096, nil)}
 	p.framer = http2.NewFramer(&p.bytes, nil)
 	p.framer.AllowIllegalWrites = true
 	p.encoder = hpack.NewEncoder(&p.encoded)
-	p.reader = http2.NewFramer(nil, &p.back)
+	p.replyFramer = http2.NewFramer(nil, &p.replies)
 	return p
 }
 
-func play(t *testing.T, name, lines string) {
-	p := newPlayer(t, small())
+func runScript(t *testing.T, name, lines string) {
+	p := newScriptRunner(t, testLimits())
 	switch {
 	case strings.HasSuffix(name, "(client)"):
-		p.c = NewClient(small(), p.now)
+		p.c = NewClient(testLimits(), p.now)
 		if out := p.c.TakeOutput(); !bytes.HasPrefix(out, []byte(http2.ClientPreface)) {
 			t.Fatalf("the connection begins with %q", out)
 		}
 		p.send([]string{"settings"})
 		p.c.Feed(p.now, p.bytes.Bytes())
 		p.bytes.Reset()
-		p.told(nil)
+		p.output(nil)
 	case !strings.HasSuffix(name, "(raw)"):
-		p.greet()
+		p.handshake()
 	}
 	var did string
 	var got, want []string
@@ -92,16 +92,16 @@
 		case line[0] == '>' || line[0] == '!':
 			check()
 			did = line
-			holds(t, p.c)
+			checkInvariants(t, p.c)
 			var events []Event
 			if line[0] == '>' {
 				p.send(strings.Fields(line[1:]))
 				events = p.c.Feed(p.now, p.bytes.Bytes())
 				p.bytes.Reset()
 			} else {
-				p.do(strings.Fields(line[1:]))
+				p.act(strings.Fields(line[1:]))
 			}
-			got = p.told(events)
+			got = p.output(events)
 		default:
 			want = append(want, line)
 		}
@@ -109,15 +109,15 @@
 	check()
 }
 
-func (p *player) greet() {
+func (p *scriptRunner) handshake() {
 	p.send([]string{"preface"})
 	p.send([]string{"settings"})
 	p.c.Feed(p.now, p.bytes.Bytes())
 	p.bytes.Reset()
-	p.told(nil)
+	p.output(nil)
 }
 
-func number(s string) uint32 {
+func parseUint32(s string) uint32 {
 	n, err := strconv.ParseUint(s, 0, 32)
 	if err != nil {
 		panic(err)
@@ -125,8 +125,8 @@
 	return uint32(n)
 }
 
-// code reads an error code by its name in the RFC.
-func code(s string) http2.ErrCode {
+// errCode reads an error errCode by its name in the RFC.
+func errCode(s string) http2.ErrCode {
 	for c := http2.ErrCode(0); c < 0xe; c++ {
 		if c.String() == s {
 			return c
@@ -136,33 +136,33 @@
 }
 
 // fields encodes name=value words; "get" and "post" stand for the usual pseudo-header fields.
-func (p *player) fields(words []string) []byte {
+func (p *scriptRunner) fields(words []string) []byte {
 	p.encoded.Reset()
 	for _, w := range words {
 		switch w {
 		case "get", "post":
-			p.fields2(":method", strings.ToUpper(w))
-			p.fields2(":scheme", "http")
-			p.fields2(":path", "/x")
+			p.encodeField(":method", strings.ToUpper(w))
+			p.encodeField(":scheme", "http")
+			p.encodeField(":path", "/x")
 			continue
 		}
 		at := strings.Index(w[1:], "=") + 1
-		p.fields2(w[:at], strings.ReplaceAll(strings.ReplaceAll(w[at+1:], "_", " "), "~", "\n"))
+		p.encodeField(w[:at], strings.ReplaceAll(strings.ReplaceAll(w[at+1:], "_", " "), "~", "\n"))
 	}
 	return bytes.Clone(p.encoded.Bytes())
 }
 
-func (p *player) fields2(name, value string) {
+func (p *scriptRunner) encodeField(name, value string) {
 	if n, times, ok := strings.Cut(value, "*"); ok {
-		value = strings.Repeat(n, int(number(times)))
+		value = strings.Repeat(n, int(parseUint32(times)))
 	}
 	if err := p.encoder.WriteField(hpack.HeaderField{Name: name, Value: value}); err != nil {
 		panic(err)
 	}
 }
 
-// cut takes a word out of a list, if it is there.
-func cut(words []string, word string) ([]string, bool) {
+// removeWord takes a word out of a list, if it is there.
+func removeWord(words []string, word string) ([]string, bool) {
 	for i, w := range words {
 		if w == word {
 			return append(append([]string{}, words[:i]...), words[i+1:]...), true
@@ -171,11 +171,11 @@
 	return words, false
 }
 
-func (p *player) send(w []string) {
+func (p *scriptRunner) send(w []string) {
 	f := p.framer
 	rest := w[1:]
-	rest, end := cut(rest, "end")
-	rest, open := cut(rest, "open") // the block goes on
+	rest, end := removeWord(rest, "end")
+	rest, open := removeWord(rest, "open") // the block goes on
 	switch w[0] {
 	case "preface":
 		p.bytes.WriteString(http2.ClientPreface)
@@ -186,43 +186,43 @@
 		if err != nil {
 			panic(err)
 		}
-		f.WriteRawFrame(http2.FrameType(number(rest[0])), http2.Flags(number(rest[1])), number(rest[2]), payload)
+		f.WriteRawFrame(http2.FrameType(parseUint32(rest[0])), http2.Flags(parseUint32(rest[1])), parseUint32(rest[2]), payload)
 	case "long": // a frame of a type with a payload of so many bytes
-		f.WriteRawFrame(http2.FrameType(number(rest[0])), 0, number(rest[1]), make([]byte, number(rest[2])))
+		f.WriteRawFrame(http2.FrameType(parseUint32(rest[0])), 0, parseUint32(rest[1]), make([]byte, parseUint32(rest[2])))
 	case "settings":
 		var all []http2.Setting
 		for _, kv := range rest {
 			k, v, _ := strings.Cut(kv, "=")
-			all = append(all, http2.Setting{ID: http2.SettingID(number(k)), Val: number(v)})
+			all = append(all, http2.Setting{ID: http2.SettingID(parseUint32(k)), Val: parseUint32(v)})
 		}
 		f.WriteSettings(all...)
 	case "settings-ack":
 		f.WriteSettingsAck()
 	case "headers":
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: number(rest[0]), EndStream: end, EndHeaders: !open, BlockFragment: p.fields(rest[1:])})
+		f.WriteHeaders(http2.HeadersFrameParam{StreamID: parseUint32(rest[0]), EndStream: end, EndHeaders: !open, BlockFragment: p.fields(rest[1:])})
 	case "depends": // headers of a stream that depends on another
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: number(rest[0]), EndStream: end, EndHeaders: true, BlockFragment: p.fields(rest[2:]),
-			Priority: http2.PriorityParam{StreamDep: number(rest[1]), Weight: 1}})
+		f.WriteHeaders(http2.HeadersFrameParam{StreamID: parseUint32(rest[0]), EndStream: end, EndHeaders: true, BlockFragment: p.fields(rest[2:]),
+			Priority: http2.PriorityParam{StreamDep: parseUint32(rest[1]), Weight: 1}})
 	case "continuation":
-		f.WriteContinuation(number(rest[0]), !open, p.fields(rest[1:]))
+		f.WriteContinuation(parseUint32(rest[0]), !open, p.fields(rest[1:]))
 	case "data":
-		f.WriteData(number(rest[0]), end, bytes.Repeat([]byte("x"), int(number(rest[1]))))
+		f.WriteData(parseUint32(rest[0]), end, bytes.Repeat([]byte("x"), int(parseUint32(rest[1]))))
 	case "padded":
-		f.WriteDataPadded(number(rest[0]), end, bytes.Repeat([]byte("x"), int(number(rest[1]))), make([]byte, number(rest[2])))
+		f.WriteDataPadded(parseUint32(rest[0]), end, bytes.Repeat([]byte("x"), int(parseUint32(rest[1]))), make([]byte, parseUint32(rest[2])))
 	case "rst":
-		f.WriteRSTStream(number(rest[0]), code(rest[1]))
+		f.WriteRSTStream(parseUint32(rest[0]), errCode(rest[1]))
 	case "ping":
 		f.WritePing(false, [8]byte{1})
 	case "pong":
 		f.WritePing(true, [8]byte{1})
 	case "goaway":
-		f.WriteGoAway(number(rest[0]), code(rest[1]), nil)
+		f.WriteGoAway(parseUint32(rest[0]), errCode(rest[1]), nil)
 	case "window":
-		f.WriteWindowUpdate(number(rest[0]), number(rest[1]))
+		f.WriteWindowUpdate(parseUint32(rest[0]), parseUint32(rest[1]))
 	case "priority":
-		f.WritePriority(number(rest[0]), http2.PriorityParam{StreamDep: number(rest[1])})
+		f.WritePriority(parseUint32(rest[0]), http2.PriorityParam{StreamDep: parseUint32(rest[1])})
 	case "times": // the same so often
-		for range number(w[1]) {
+		for range parseUint32(w[1]) {
 			p.send(w[2:])
 		}
 	default:
@@ -230,31 +230,31 @@
 	}
 }
 
-func (p *player) do(w []string) {
+func (p *scriptRunner) act(w []string) {
 	switch w[0] {
 	case "respond": // stream status bytes
-		body := bytes.Repeat([]byte("y"), int(number(w[3])))
-		p.c.Respond(number(w[1]), int(number(w[2])), []hpack.HeaderField{{Name: "a", Value: "b"}}, body)
+		body := bytes.Repeat([]byte("y"), int(parseUint32(w[3])))
+		p.c.Respond(parseUint32(w[1]), int(parseUint32(w[2])), []hpack.HeaderField{{Name: "a", Value: "b"}}, body)
 	case "ask": // bytes of body
-		if _, ok := p.c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, bytes.Repeat([]byte("y"), int(number(w[1])))); !ok {
+		if _, ok := p.c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, bytes.Repeat([]byte("y"), int(parseUint32(w[1])))); !ok {
 			p.t.Fatal("there is no room")
 		}
 	case "room": // that there is
-		if got := p.c.AvailableStreams(); got != int(number(w[1])) {
+		if got := p.c.AvailableStreams(); got != int(parseUint32(w[1])) {
 			p.t.Fatalf("there is room for %d, want %s", got, w[1])
 		}
 	case "unsent": // stream bytes
-		if got := p.c.UnsentBytes(number(w[1])); got != int(number(w[2])) {
+		if got := p.c.UnsentBytes(parseUint32(w[1])); got != int(parseUint32(w[2])) {
 			p.t.Fatalf("%d bytes are unsent, want %s", got, w[2])
 		}
 	case "ping":
 		p.c.Ping()
 	case "reset":
-		p.c.ResetStream(number(w[1]), code(w[2]))
+		p.c.ResetStream(parseUint32(w[1]), errCode(w[2]))
 	case "pass": // seconds
-		p.now += time.Duration(number(w[1])) * time.Second
+		p.now += time.Duration(parseUint32(w[1])) * time.Second
 	case "stalled": // for so many seconds
-		p.c.ResetStalled(p.now - time.Duration(number(w[1]))*time.Second)
+		p.c.ResetStalled(p.now - time.Duration(parseUint32(w[1]))*time.Second)
 	case "shutdown":
 		p.c.Shutdown()
 	case "refuse":
@@ -264,11 +264,11 @@
 	}
 }
 
-// told writes what came of a step: frames first, then events.
-func (p *player) told(events []Event) (all []string) {
-	p.back.b = bytes.Clone(p.c.TakeOutput())
-	for len(p.back.b) > 0 {
-		f, err := p.reader.ReadFrame()
+// output writes what came of a step: frames first, then events.
+func (p *scriptRunner) output(events []Event) (all []string) {
+	p.replies.b = bytes.Clone(p.c.TakeOutput())
+	for len(p.replies.b) > 0 {
+		f, err := p.replyFramer.ReadFrame()
 		if err != nil {
 			p.t.Fatalf("what came back can't be read: %v", err)
 		}
@@ -280,7 +280,7 @@
 	return all
 }
 
-func (p *player) describe(f http2.Frame) string {
+func (p *scriptRunner) describe(f http2.Frame) string {
 	end := map[bool]string{true: " end"}
 	switch f := f.(type) {
 	case *http2.HeadersFrame:
--- a/internal/h2/wire/settings.go
+++ b/internal/h2/wire/settings.go
@@ -6,44 +6,44 @@
 
 // This file has what a peer says of its limits: its settings and its windows.
 
-// settings takes SETTINGS (RFC 9113, 6.5), in their order.
-func (c *Conn) settings(f *http2.SettingsFrame) {
-	if !c.greeted && f.IsAck() {
+// handleSettings takes SETTINGS (RFC 9113, 6.5), in their order.
+func (c *Conn) handleSettings(f *http2.SettingsFrame) {
+	if !c.settingsReceived && f.IsAck() {
 		c.fail(http2.ErrCodeProtocol, "the first frame is not SETTINGS")
 		return
 	}
-	c.greeted = true
-	if !c.charge(1) || f.IsAck() {
+	c.settingsReceived = true
+	if !c.chargeOverhead(1) || f.IsAck() {
 		return
 	}
 	for i := range f.NumSettings() {
-		if err := c.setting(f.Setting(i)); err != nil {
-			c.framing(err)
+		if err := c.applySetting(f.Setting(i)); err != nil {
+			c.handleFramerError(err)
 			return
 		}
 	}
-	c.written(c.framer.WriteSettingsAck())
-	c.push()
+	c.mustWrite(c.framer.WriteSettingsAck())
+	c.sendPending()
 }
 
-func (c *Conn) setting(s http2.Setting) error {
+func (c *Conn) applySetting(s http2.Setting) error {
 	if err := s.Valid(); err != nil {
 		return err
 	}
 	switch s.ID {
 	case http2.SettingEnablePush:
-		if c.client && s.Val != 0 { // RFC 9113, 6.5.2
+		if c.isClient && s.Val != 0 { // RFC 9113, 6.5.2
 			return http2.ConnectionError(http2.ErrCodeProtocol)
 		}
 	case http2.SettingMaxConcurrentStreams:
-		c.most = s.Val
+		c.peerMaxStreams = s.Val
 	case http2.SettingHeaderTableSize:
-		c.encoder.SetMaxDynamicTableSize(min(s.Val, tableSize))
+		c.encoder.SetMaxDynamicTableSize(min(s.Val, hpackTableBytes))
 	case http2.SettingInitialWindowSize:
-		more := int64(s.Val) - c.firstOut
-		c.firstOut = int64(s.Val)
+		more := int64(s.Val) - c.peerInitialWindow
+		c.peerInitialWindow = int64(s.Val)
 		for _, st := range c.streams { // may go below nothing (RFC 9113, 6.9.2)
-			if st.window += more; st.window > windowMost {
+			if st.sendWindow += more; st.sendWindow > maxWindow {
 				return http2.ConnectionError(http2.ErrCodeFlowControl)
 			}
 		}
@@ -51,28 +51,28 @@
 	return nil
 }
 
-// windowUpdate takes WINDOW_UPDATE. It is paid for, and what is sent gives back more than it takes.
-func (c *Conn) windowUpdate(f *http2.WindowUpdateFrame) {
-	if !c.charge(1) {
+// handleWindowUpdate takes WINDOW_UPDATE. It is paid for, and what is sent gives back more than it takes.
+func (c *Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) {
+	if !c.chargeOverhead(1) {
 		return
 	}
 	if f.StreamID == 0 {
-		if c.window += int64(f.Increment); c.window > windowMost {
+		if c.sendWindow += int64(f.Increment); c.sendWindow > maxWindow {
 			c.fail(http2.ErrCodeFlowControl, "the connection's window is too large")
 			return
 		}
-		c.push()
+		c.sendPending()
 		return
 	}
-	if c.idle(f.StreamID) {
+	if c.isIdle(f.StreamID) {
 		c.fail(http2.ErrCodeProtocol, "WINDOW_UPDATE on a stream that was never begun")
 		return
 	}
 	if s := c.streams[f.StreamID]; s != nil {
-		if s.window += int64(f.Increment); s.window > windowMost {
-			c.reset(s.id, http2.ErrCodeFlowControl)
+		if s.sendWindow += int64(f.Increment); s.sendWindow > maxWindow {
+			c.resetForError(s.id, http2.ErrCodeFlowControl)
 			return
 		}
-		c.push()
+		c.sendPending()
 	}
 }
--- a/internal/h2/wire/wire_test.go
+++ b/internal/h2/wire/wire_test.go
@@ -16,11 +16,11 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// holds checks what must be true of a connection at all times.
-func holds(t testing.TB, c *Conn) {
+// checkInvariants checks what must be true of a connection at all times.
+func checkInvariants(t testing.TB, c *Conn) {
 	t.Helper()
 	unsent, waiting := 0, map[uint32]bool{}
-	for _, id := range c.waiting {
+	for _, id := range c.sendQueue {
 		waiting[id] = true
 	}
 	for _, s := range c.streams {
@@ -30,33 +30,33 @@
 		}
 	}
 	switch l := c.limits; {
-	case len(c.waiting) != len(waiting), unsent != c.unsent, unsent > l.MaxUnsentBytes:
-		t.Fatalf("%d unsent bytes, counted as %d; %d streams wait, %d of them once", unsent, c.unsent, len(c.waiting), len(waiting))
+	case len(c.sendQueue) != len(waiting), unsent != c.unsentBytes, unsent > l.MaxUnsentBytes:
+		t.Fatalf("%d unsent bytes, counted as %d; %d streams wait, %d of them once", unsent, c.unsentBytes, len(c.sendQueue), len(waiting))
 	case len(c.streams) > l.MaxStreams:
 		t.Fatalf("%d streams", len(c.streams))
-	case len(c.left) > frameMost+frameHeader:
-		t.Fatalf("%d bytes are kept of a frame", len(c.left))
-	case !c.failed && (c.room < 0 || c.room > max(windowFirst, int64(l.ConnWindow)) || c.owed != 0):
-		t.Fatalf("the window is %d, %d of it owed", c.room, c.owed)
+	case len(c.partial) > maxFrameBytes+frameHeaderBytes:
+		t.Fatalf("%d bytes are kept of a frame", len(c.partial))
+	case !c.failed && (c.recvWindow < 0 || c.recvWindow > max(initialWindow, int64(l.ConnWindow)) || c.windowCredit != 0):
+		t.Fatalf("the window is %d, %d of it owed", c.recvWindow, c.windowCredit)
 	}
 }
 
 // What a connection makes of its bytes does not depend on how they are cut.
 func TestScriptsCutAnywhere(t *testing.T) {
-	p := newPlayer(t, small())
+	p := newScriptRunner(t, testLimits())
 	for _, w := range []string{"preface", "settings 3=7", "headers 1 post k=v", "data 1 30", "padded 1 20 9 end", "headers 3 open get", "continuation 3 a=b",
 		"ping", "data 3 0 end", "headers 5 end get K=v", "window 0 9", "rst 3 CANCEL", "goaway 0 NO_ERROR", "priority 7 7"} {
 		p.send(strings.Fields(w))
 	}
 	stream := bytes.Clone(p.bytes.Bytes())
 	run := func(cut func() int) string {
-		c, log := NewServer(small(), time.Hour), ""
+		c, log := NewServer(testLimits(), time.Hour), ""
 		for b := stream; len(b) > 0; {
 			n := min(cut(), len(b))
 			for _, e := range c.Feed(time.Hour, b[:n]) {
 				log += describe(e) + "\n"
 			}
-			holds(t, c)
+			checkInvariants(t, c)
 			b = b[n:]
 		}
 		return log
@@ -89,7 +89,7 @@
 	seeds.Run(t, []uint64{1, 2, 3}, func(t *testing.T, seed uint64) {
 		r, asked := seeds.Rand(seed), 0
 		for range seeds.Rounds(150) {
-			asked += randomClient(t, r)
+			asked += runRandomClient(t, r)
 		}
 		if asked < 100 {
 			t.Errorf("only %d requests were handed on", asked)
@@ -97,9 +97,9 @@
 	})
 }
 
-func randomClient(t *testing.T, r *rand.Rand) (asked int) {
-	p := newPlayer(t, small())
-	p.greet()
+func runRandomClient(t *testing.T, r *rand.Rand) (asked int) {
+	p := newScriptRunner(t, testLimits())
+	p.handshake()
 	rude, open, next := r.IntN(8) == 0, map[uint32]bool{}, uint32(1)
 	id := func() uint32 { return 1 + 2*uint32(r.IntN(max(1, int(next)/2))) }
 	for range 200 {
@@ -149,8 +149,8 @@
 				delete(open, e.Stream)
 			}
 		}
-		p.told(nil) // what goes out can be read
-		holds(t, p.c)
+		p.output(nil) // what goes out can be read
+		checkInvariants(t, p.c)
 		if p.c.Failed() {
 			break
 		}
@@ -196,9 +196,9 @@
 			f.Fatal(err)
 		}
 		for _, part := range strings.Split("\n"+string(text), "\n== ")[1:] {
-			p := newPlayer(nil, small())
+			p := newScriptRunner(nil, testLimits())
 			if !strings.Contains(part, "(raw)\n") {
-				p.greet()
+				p.handshake()
 				p.send([]string{"preface"})
 				p.send([]string{"settings"})
 			}
@@ -211,7 +211,7 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, b []byte, cut uint16) {
-		c, now := NewServer(small(), time.Hour), time.Hour
+		c, now := NewServer(testLimits(), time.Hour), time.Hour
 		at := int(cut) % (len(b) + 1)
 		for _, p := range [][]byte{b[:at], b[at:]} {
 			for _, e := range c.Feed(now, p) {
@@ -220,7 +220,7 @@
 				}
 			}
 			if !c.Failed() {
-				holds(t, c)
+				checkInvariants(t, c)
 			}
 			now += time.Second
 		}
@@ -236,7 +236,7 @@
 		f.Fatal(err)
 	}
 	for _, part := range strings.Split("\n"+string(text), "\n== ")[1:] {
-		p := newPlayer(nil, small())
+		p := newScriptRunner(nil, testLimits())
 		p.send([]string{"settings"})
 		for _, line := range strings.Split(part, "\n") {
 			if strings.HasPrefix(line, "> ") {
@@ -246,7 +246,7 @@
 		f.Add(p.bytes.Bytes(), uint16(len(part)))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, cut uint16) {
-		c, now, owed := NewClient(small(), time.Hour), time.Hour, map[uint32]bool{}
+		c, now, owed := NewClient(testLimits(), time.Hour), time.Hour, map[uint32]bool{}
 		at := int(cut) % (len(b) + 1)
 		for _, p := range [][]byte{b[:at], b[at:]} {
 			if id, ok := c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, make([]byte, int(cut)%200)); ok {
@@ -261,7 +261,7 @@
 				}
 			}
 			if !c.Failed() {
-				holds(t, c)
+				checkInvariants(t, c)
 				if len(owed) != c.OpenStreams() {
 					t.Fatalf("%d requests are owed an event, %d streams are open", len(owed), c.OpenStreams())
 				}
