--- a/internal/h2/back.go
+++ b/internal/h2/back.go
@@ -26,11 +26,11 @@
 type Backend struct{ cfg BackendConfig }
 
 // NewBackend makes one.
-func NewBackend(c BackendConfig) *Backend { return &Backend{c} }
+func NewBackend(cfg BackendConfig) *Backend { return &Backend{cfg} }
 
 // NewTransport implements gateway.Back.
-func (b *Backend) NewTransport(d *gateway.Core, p *gateway.Endpoint) gateway.Transport {
-	return &nodeTransport{cfg: b.cfg, core: d, endpoint: p, streams: map[*gateway.Attempt]attemptStream{}}
+func (b *Backend) NewTransport(core *gateway.Core, endpoint *gateway.Endpoint) gateway.Transport {
+	return &nodeTransport{cfg: b.cfg, core: core, endpoint: endpoint, streams: map[*gateway.Attempt]attemptStream{}}
 }
 
 // nodeTransport is a nodeTransport at an address. All of it is the loop's.
@@ -53,19 +53,19 @@
 
 // Start implements gateway.Transport. A try goes on the connection with the fewest open; where all are full, or still write,
 // another is made, one at a time, and as many wait for it as it will take.
-func (n *nodeTransport) Start(t *gateway.Attempt) {
+func (n *nodeTransport) Start(a *gateway.Attempt) {
 	if c := n.availableConn(); c != nil {
-		c.send(t)
+		c.send(a)
 		return
 	}
 	switch {
 	case len(n.waiting) >= n.cfg.MaxStreams, !n.dialing && (len(n.conns) >= n.cfg.MaxConns || !n.endpoint.ReserveConn()):
-		t.Fail(gateway.NoLocalCapacity)
+		a.Fail(gateway.NoLocalCapacity)
 		return
 	case !n.dialing:
 		n.dial()
 	}
-	n.waiting = append(n.waiting, t)
+	n.waiting = append(n.waiting, a)
 }
 
 // availableConn is the connection that a try may go out on now.
@@ -84,23 +84,23 @@
 }
 
 func (n *nodeTransport) dialed(nc net.Conn, err error) {
-	stale, waiting := n.discardDial, n.waiting
+	discard, waiting := n.discardDial, n.waiting
 	n.dialing, n.discardDial, n.waiting = false, false, nil
-	if err == nil && stale {
+	if err == nil && discard {
 		nc.Close()
 	}
-	if err != nil || stale {
+	if err != nil || discard {
 		n.endpoint.ReleaseConn()
 		result := gateway.DialFailureResult(err)
-		for _, t := range waiting {
-			t.Fail(result)
+		for _, a := range waiting {
+			a.Fail(result)
 		}
 		return
 	}
 	n.addConn(nc)
-	for _, t := range waiting {
-		if t.Revalidate() {
-			n.Start(t)
+	for _, a := range waiting {
+		if a.Revalidate() {
+			n.Start(a)
 		}
 	}
 }
@@ -119,12 +119,12 @@
 
 // Cancel implements gateway.Transport: the stream is reset, the connection stays. One that still writes is ended: the rest of the
 // request could go out after its end.
-func (n *nodeTransport) Cancel(t *gateway.Attempt) {
-	if i := slices.Index(n.waiting, t); i >= 0 {
+func (n *nodeTransport) Cancel(a *gateway.Attempt) {
+	if i := slices.Index(n.waiting, a); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 		return
 	}
-	if s, ok := n.streams[t]; ok {
+	if s, ok := n.streams[a]; ok {
 		s.conn.removeAttempt(s.stream)
 		if !s.conn.writable() {
 			s.conn.close()
@@ -157,13 +157,13 @@
 func (n *nodeTransport) EvictIdle() { n.longestIdle().close() }
 
 // longestIdle is the connection on which nothing has been open for longest; nil: there is none.
-func (n *nodeTransport) longestIdle() (idlest *nodeConn) {
+func (n *nodeTransport) longestIdle() (best *nodeConn) {
 	for _, c := range n.conns {
-		if len(c.attempts) == 0 && c.writable() && (idlest == nil || c.lastUsed < idlest.lastUsed) {
-			idlest = c
+		if len(c.attempts) == 0 && c.writable() && (best == nil || c.lastUsed < best.lastUsed) {
+			best = c
 		}
 	}
-	return idlest
+	return best
 }
 
 // nodeConn is a connection to a node.
@@ -188,41 +188,41 @@
 func (c *nodeConn) writable() bool { return !c.writer.Busy() && len(c.pending) == 0 }
 
 // send puts a try on the connection.
-func (c *nodeConn) send(t *gateway.Attempt) {
-	v := t.Request()
-	stream, ok := c.proto.SendRequest(requestFields(v, t.RemainingTime()), v.Body)
+func (c *nodeConn) send(a *gateway.Attempt) {
+	req := a.Request()
+	stream, ok := c.proto.SendRequest(requestFields(req, a.RemainingTime()), req.Body)
 	if !ok { // free has seen room
-		t.Fail(gateway.NoLocalCapacity)
+		a.Fail(gateway.NoLocalCapacity)
 		return
 	}
-	c.attempts[stream], c.transport.streams[t] = t, attemptStream{c, stream}
+	c.attempts[stream], c.transport.streams[a] = a, attemptStream{c, stream}
 	c.lastUsed = c.transport.core.Now()
-	t.MarkConnected()
+	a.MarkConnected()
 	c.flush()
 }
 
 // requestFields are a request's, by the same mapping as the front's.
-func requestFields(v *gateway.Request, left time.Duration) []hpack.HeaderField {
-	path := pathRead + v.Class
-	if v.Write {
-		path = pathWrite + v.Class
+func requestFields(req *gateway.Request, remaining time.Duration) []hpack.HeaderField {
+	path := pathRead + req.Class
+	if req.Write {
+		path = pathWrite + req.Class
 	}
 	fields := []hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
-		{Name: fieldCustomer, Value: v.Customer}, {Name: fieldPlan, Value: v.Plan},
-		{Name: fieldID, Value: v.ID, Sensitive: true}, // new with each: not worth a place in the table
-		{Name: fieldClientTimeout, Value: strconv.FormatInt(max(left.Milliseconds(), 1), 10), Sensitive: true},
-		{Name: fieldUnits, Value: strconv.FormatFloat(v.Units, 'f', -1, 64)}}
-	if v.Key != "" {
-		fields = append(fields, hpack.HeaderField{Name: fieldIdempotencyKey, Value: strconv.Quote(v.Key), Sensitive: true})
+		{Name: fieldCustomer, Value: req.Customer}, {Name: fieldPlan, Value: req.Plan},
+		{Name: fieldID, Value: req.ID, Sensitive: true}, // new with each: not worth a place in the table
+		{Name: fieldClientTimeout, Value: strconv.FormatInt(max(remaining.Milliseconds(), 1), 10), Sensitive: true},
+		{Name: fieldUnits, Value: strconv.FormatFloat(req.Units, 'f', -1, 64)}}
+	if req.Key != "" {
+		fields = append(fields, hpack.HeaderField{Name: fieldIdempotencyKey, Value: strconv.Quote(req.Key), Sensitive: true})
 	}
-	if v.GatewayCount > 0 {
-		fields = append(fields, hpack.HeaderField{Name: fieldGatewaySet, Value: strconv.Itoa(v.GatewayCount) + ";" + strconv.Itoa(v.FirstGateway)})
+	if req.GatewayCount > 0 {
+		fields = append(fields, hpack.HeaderField{Name: fieldGatewaySet, Value: strconv.Itoa(req.GatewayCount) + ";" + strconv.Itoa(req.FirstGateway)})
 	}
-	if v.ClientRetry {
+	if req.ClientRetry {
 		fields = append(fields, hpack.HeaderField{Name: fieldClientRetry, Value: "1"})
 	}
-	if len(v.Body) > 0 {
-		fields = append(fields, hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(v.Body))})
+	if len(req.Body) > 0 {
+		fields = append(fields, hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(req.Body))})
 	}
 	return fields
 }
@@ -238,9 +238,9 @@
 		c.close()
 		return
 	}
-	for stream, t := range c.attempts {
+	for stream, a := range c.attempts {
 		if c.proto.UnsentBytes(stream) == 0 {
-			t.MarkFullySent()
+			a.MarkFullySent()
 		}
 	}
 	if n == len(c.pending) {
@@ -266,7 +266,7 @@
 		n, err := c.nc.Read(buf)
 		if n > 0 {
 			c.transport.core.Post(func() { c.receive(buf[:n]) })
-			if _, going := c.resumeRead.Receive(); !going {
+			if _, open := c.resumeRead.Receive(); !open {
 				return
 			}
 		}
@@ -303,38 +303,38 @@
 		c.close()
 		return
 	}
-	t := c.removeAttempt(e.Stream)
-	if t == nil {
+	a := c.removeAttempt(e.Stream)
+	if a == nil {
 		return
 	}
 	switch {
 	case e.Kind == wire.RequestRefused:
-		t.Fail(gateway.RefusedByNode)
+		a.Fail(gateway.RefusedByNode)
 	case e.Kind == wire.ResponseReceived:
-		finishAttempt(t, e.Response)
+		finishAttempt(a, e.Response)
 	case e.Local:
-		t.Fail(gateway.BadResponse)
+		a.Fail(gateway.BadResponse)
 	default:
-		t.Fail(gateway.ConnectionLost)
+		a.Fail(gateway.ConnectionLost)
 	}
 }
 
 // finishAttempt takes an answer.
-func finishAttempt(t *gateway.Attempt, a *wire.Response) {
-	never := slices.ContainsFunc(a.Fields, func(f hpack.HeaderField) bool { return f.Name == fieldRan && f.Value == ranNever })
+func finishAttempt(a *gateway.Attempt, resp *wire.Response) {
+	notRun := slices.ContainsFunc(resp.Fields, func(f hpack.HeaderField) bool { return f.Name == fieldRan && f.Value == ranNever })
 	switch {
-	case a.Status == statusOK:
-		t.Succeed(a.Body, usageReport(a))
-	case never:
-		t.Fail(gateway.RefusedByNode)
+	case resp.Status == statusOK:
+		a.Succeed(resp.Body, usageReport(resp))
+	case notRun:
+		a.Fail(gateway.RefusedByNode)
 	default:
-		t.Fail(gateway.BadResponse)
+		a.Fail(gateway.BadResponse)
 	}
 }
 
 // usageReport are what a node told of a request's use.
-func usageReport(a *wire.Response) []byte {
-	for _, f := range a.Fields {
+func usageReport(resp *wire.Response) []byte {
+	for _, f := range resp.Fields {
 		if f.Name == fieldUsage {
 			return []byte(f.Value)
 		}
@@ -344,11 +344,11 @@
 
 // removeAttempt takes a try off its stream.
 func (c *nodeConn) removeAttempt(stream uint32) *gateway.Attempt {
-	t := c.attempts[stream]
+	a := c.attempts[stream]
 	delete(c.attempts, stream)
-	delete(c.transport.streams, t)
+	delete(c.transport.streams, a)
 	c.lastUsed = c.transport.core.Now()
-	return t
+	return a
 }
 
 // closeIfDrained closes a connection that takes nothing new once nothing is open on it.
--- a/internal/h2/front.go
+++ b/internal/h2/front.go
@@ -35,11 +35,11 @@
 }
 
 // NewFrontend makes a front that does not listen yet. It reads the files of its identity.
-func NewFrontend(l FrontendConfig) (f *Frontend, err error) {
-	f = &Frontend{Listener: gateway.NewListener("listener "+l.Name, l.Address), cfg: l}
-	if l.TLS != nil {
-		if f.tls, err = newIdentity(*l.TLS); err != nil {
-			return nil, fmt.Errorf("listener %s: %w", l.Name, err)
+func NewFrontend(cfg FrontendConfig) (f *Frontend, err error) {
+	f = &Frontend{Listener: gateway.NewListener("listener "+cfg.Name, cfg.Address), cfg: cfg}
+	if cfg.TLS != nil {
+		if f.tls, err = newIdentity(*cfg.TLS); err != nil {
+			return nil, fmt.Errorf("listener %s: %w", cfg.Name, err)
 		}
 	}
 	return f, nil
@@ -47,7 +47,7 @@
 
 // Reload reads the files of its identity again. New connections go by them once take is called; if they can't be used,
 // nothing changes.
-func (f *Frontend) Reload() (take func(), err error) {
+func (f *Frontend) Reload() (apply func(), err error) {
 	if f.tls == nil {
 		return func() {}, nil
 	}
@@ -59,15 +59,15 @@
 }
 
 // Serve implements gateway.Front.
-func (f *Frontend) Serve(ctx context.Context, d *gateway.Core) {
-	f.AcceptLoop(ctx, d, func(nc net.Conn) { f.accept(d, nc) })
+func (f *Frontend) Serve(ctx context.Context, core *gateway.Core) {
+	f.AcceptLoop(ctx, core, func(nc net.Conn) { f.accept(core, nc) })
 }
 
 // accept begins a connection, in the loop.
-func (f *Frontend) accept(d *gateway.Core, nc net.Conn) {
-	now := d.Now()
-	c := &clientConn{frontend: f, core: d, nc: nc, raw: nc, lastUsed: now, acceptedAt: now, requests: map[uint32]*openRequest{}, resumeRead: gateway.NewMailbox[struct{}]()}
-	if !d.AdmitConn(c) {
+func (f *Frontend) accept(core *gateway.Core, nc net.Conn) {
+	now := core.Now()
+	c := &clientConn{frontend: f, core: core, nc: nc, raw: nc, lastUsed: now, acceptedAt: now, requests: map[uint32]*openRequest{}, resumeRead: gateway.NewMailbox[struct{}]()}
+	if !core.AdmitConn(c) {
 		nc.Close() // unread, so nothing is lost
 		return
 	}
@@ -134,7 +134,7 @@
 		n, err := c.nc.Read(buf)
 		if n > 0 {
 			c.core.Post(func() { c.receive(buf[:n]) })
-			if _, going := c.resumeRead.Receive(); !going {
+			if _, open := c.resumeRead.Receive(); !open {
 				return
 			}
 		}
@@ -155,12 +155,12 @@
 		return false
 	}
 	state := t.ConnectionState()
-	owner := ""
+	customer := ""
 	if len(state.PeerCertificates) > 0 {
-		owner = customerFromCert(state.PeerCertificates[0])
+		customer = customerFromCert(state.PeerCertificates[0])
 	}
 	c.core.Post(func() {
-		c.boundToCustomer, c.certCustomer = c.frontend.cfg.TLS.BindCustomer, owner
+		c.boundToCustomer, c.certCustomer = c.frontend.cfg.TLS.BindCustomer, customer
 		c.scheduleFlush()
 	})
 	return state.NegotiatedProtocol == http2.NextProtoTLS && c.raw.SetDeadline(time.Time{}) == nil
@@ -187,8 +187,8 @@
 	case wire.RequestTooLarge:
 		c.sendResponse(e.Stream, (&problem{e.Status, "too-large", "the request is larger than this gateway takes"}).response())
 	case wire.StreamAborted:
-		if a := c.requests[e.Stream]; a != nil {
-			c.abandonRequest(a)
+		if r := c.requests[e.Stream]; r != nil {
+			c.abandonRequest(r)
 		}
 	case wire.ConnFailed:
 		c.core.Log().Debug("an HTTP/2 connection ended", "listener", c.frontend.cfg.Name, "code", e.Code.String(), "why", e.Reason)
@@ -197,49 +197,49 @@
 }
 
 // abandonRequest abandons a request whose stream is gone: nothing more goes out for it.
-func (c *clientConn) abandonRequest(a *openRequest) {
-	delete(c.requests, a.stream)
-	a.done = true
-	if a.handle.Open() {
-		c.core.Abandon(a.handle)
+func (c *clientConn) abandonRequest(r *openRequest) {
+	delete(c.requests, r.stream)
+	r.done = true
+	if r.handle.Open() {
+		c.core.Abandon(r.handle)
 	}
 }
 
 // submit hands a request to the core, unless the connection came to its end by an earlier one of the same piece: nobody would
 // hear the answer.
-func (c *clientConn) submit(stream uint32, q *wire.Request) {
+func (c *clientConn) submit(stream uint32, msg *wire.Request) {
 	if c.closeAfterFlush || c.closed {
 		return
 	}
-	v, p := parseRequest(q, c.core.Now())
-	if p == nil && c.boundToCustomer && v.Customer != c.certCustomer {
-		p = &problem{statusForbidden, "foreign-customer", "the certificate is another customer's"}
+	req, prob := parseRequest(msg, c.core.Now())
+	if prob == nil && c.boundToCustomer && req.Customer != c.certCustomer {
+		prob = &problem{statusForbidden, "foreign-customer", "the certificate is another customer's"}
 	}
-	if p != nil {
-		c.sendResponse(stream, p.response())
+	if prob != nil {
+		c.sendResponse(stream, prob.response())
 		return
 	}
-	a := &openRequest{conn: c, stream: stream, req: v}
-	c.requests[stream] = a
-	a.handle = c.core.Submit(a, v)
+	r := &openRequest{conn: c, stream: stream, req: req}
+	c.requests[stream] = r
+	r.handle = c.core.Submit(r, req)
 }
 
 // Respond answers the request.
-func (a *openRequest) Respond(e gateway.Response) {
-	if a.done {
+func (r *openRequest) Respond(res gateway.Response) {
+	if r.done {
 		return
 	}
-	a.done = true
-	delete(a.conn.requests, a.stream)
-	r := newResponse(e)
-	if room, ok := a.conn.core.Allowance(a.req.Customer, a.req.Plan); ok && e.Kind != gateway.Rejected {
-		r.addQuotaFields(a.req.Plan, a.req.Units, room)
+	r.done = true
+	delete(r.conn.requests, r.stream)
+	out := newResponse(res)
+	if allowance, ok := r.conn.core.Allowance(r.req.Customer, r.req.Plan); ok && res.Kind != gateway.Rejected {
+		out.addQuotaFields(r.req.Plan, r.req.Units, allowance)
 	}
-	a.conn.sendResponse(a.stream, r)
+	r.conn.sendResponse(r.stream, out)
 }
 
-func (c *clientConn) sendResponse(stream uint32, r *response) {
-	c.proto.Respond(stream, r.status, r.fields, r.body)
+func (c *clientConn) sendResponse(stream uint32, resp *response) {
+	c.proto.Respond(stream, resp.status, resp.fields, resp.body)
 	c.lastUsed = c.core.Now()
 	if c.proto.Failed() {
 		c.startClose()
@@ -315,13 +315,13 @@
 	}
 	c.writeClosed = true
 	// Nothing is under way, either way: nothing was answered yet, or long ago.
-	settled := c.rawWriter.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > c.core.Tuning().Clients.Fault)
-	w, ok := c.nc.(interface{ CloseWrite() error })
-	if settled || !ok {
+	nothingInFlight := c.rawWriter.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > c.core.Tuning().Clients.Fault)
+	writeCloser, ok := c.nc.(interface{ CloseWrite() error })
+	if nothingInFlight || !ok {
 		c.Close()
 		return
 	}
-	go w.CloseWrite() // TLS's waits for room in the kernel; that it fails shows at Close
+	go writeCloser.CloseWrite() // TLS's waits for room in the kernel; that it fails shows at Close
 	c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.Fault, c.Close)
 }
 
@@ -336,17 +336,17 @@
 		c.scheduleFlush()
 	}
 	next := now + t.Write
-	if at, ok := c.proto.WaitingSince(); ok {
-		next = min(next, at+t.Write+time.Millisecond)
+	if since, ok := c.proto.WaitingSince(); ok {
+		next = min(next, since+t.Write+time.Millisecond)
 	} else if c.proto.OpenStreams() == 0 {
-		quiet := c.lastUsed + t.Idle
+		idleUntil := c.lastUsed + t.Idle
 		if c.lastUsed == c.acceptedAt { // nothing was answered yet
-			quiet = c.acceptedAt + t.FirstCommand
+			idleUntil = c.acceptedAt + t.FirstCommand
 		}
-		if quiet <= now {
+		if idleUntil <= now {
 			c.Drain()
 		} else {
-			next = quiet
+			next = idleUntil
 		}
 	}
 	c.cancelTimer = c.core.Schedule(next, c.checkTimeouts)
--- a/internal/h2/mapping.go
+++ b/internal/h2/mapping.go
@@ -66,30 +66,30 @@
 }
 
 // parseRequest makes a request's values of what came. Whether they fit the site's settings is for the core to say.
-func parseRequest(q *wire.Request, came time.Duration) (*gateway.Request, *problem) {
-	v := &gateway.Request{Units: 1, Body: q.Body, ReceivedAt: came}
-	path, _, _ := strings.Cut(q.Path, "?")
-	class, ask := strings.CutPrefix(path, pathRead)
-	if !ask {
-		if class, v.Write = strings.CutPrefix(path, pathWrite); !v.Write {
+func parseRequest(msg *wire.Request, receivedAt time.Duration) (*gateway.Request, *problem) {
+	req := &gateway.Request{Units: 1, Body: msg.Body, ReceivedAt: receivedAt}
+	path, _, _ := strings.Cut(msg.Path, "?")
+	class, isRead := strings.CutPrefix(path, pathRead)
+	if !isRead {
+		if class, req.Write = strings.CutPrefix(path, pathWrite); !req.Write {
 			return nil, &problem{statusNotFound, "not-found", "there is " + pathRead + "CLASS and " + pathWrite + "CLASS"}
 		}
 	}
-	if q.Method != "POST" {
+	if msg.Method != "POST" {
 		return nil, &problem{statusMethodNotAllowed, "method", "requests are made by POST"}
 	}
-	v.Class = class
+	req.Class = class
 	seen := map[string]bool{}
-	for _, f := range q.Fields {
-		take := fieldParsers[f.Name]
-		if take == nil {
+	for _, f := range msg.Fields {
+		parse := fieldParsers[f.Name]
+		if parse == nil {
 			continue
 		}
 		if seen[f.Name] {
 			return nil, badRequest("%s comes twice", f.Name)
 		}
 		seen[f.Name] = true
-		if !take(v, f.Value) {
+		if !parse(req, f.Value) {
 			return nil, badRequest("the value of %s can't be used", f.Name)
 		}
 	}
@@ -98,10 +98,10 @@
 			return nil, badRequest("%s is missing", name)
 		}
 	}
-	if !validListToken(v.Class) || !validListToken(v.Plan) || !validListToken(v.Key) {
+	if !validListToken(req.Class) || !validListToken(req.Plan) || !validListToken(req.Key) {
 		return nil, badRequest("a value holds a comma, a space or what is not printable")
 	}
-	return v, nil
+	return req, nil
 }
 
 // validListToken reports that a value can stand in the list of names and values that RESP2's nodes are sent.
@@ -115,33 +115,33 @@
 }
 
 // fieldParsers take a request's fieldParsers. They report false for what can't be used.
-var fieldParsers = map[string]func(v *gateway.Request, s string) bool{
-	fieldCustomer: func(v *gateway.Request, s string) bool { v.Customer = s; return s != "" },
-	fieldPlan:     func(v *gateway.Request, s string) bool { v.Plan = s; return s != "" },
-	fieldID:       func(v *gateway.Request, s string) bool { v.ID = s; return s != "" },
-	fieldClientTimeout: func(v *gateway.Request, s string) bool {
+var fieldParsers = map[string]func(req *gateway.Request, s string) bool{
+	fieldCustomer: func(req *gateway.Request, s string) bool { req.Customer = s; return s != "" },
+	fieldPlan:     func(req *gateway.Request, s string) bool { req.Plan = s; return s != "" },
+	fieldID:       func(req *gateway.Request, s string) bool { req.ID = s; return s != "" },
+	fieldClientTimeout: func(req *gateway.Request, s string) bool {
 		ms, err := strconv.ParseUint(s, 10, 31)
-		v.ClientTimeout = time.Duration(ms) * time.Millisecond
+		req.ClientTimeout = time.Duration(ms) * time.Millisecond
 		return err == nil
 	},
-	fieldUnits: func(v *gateway.Request, s string) (ok bool) {
+	fieldUnits: func(req *gateway.Request, s string) (ok bool) {
 		units, err := strconv.ParseFloat(s, 64)
-		v.Units = units
+		req.Units = units
 		return err == nil && strings.Trim(s, "0123456789.") == ""
 	},
-	fieldGatewaySet: func(v *gateway.Request, s string) bool {
-		a, b, _ := strings.Cut(s, ";")
-		spread, err := strconv.ParseUint(a, 10, 20)
-		first, err2 := strconv.ParseUint(b, 10, 20)
-		v.GatewayCount, v.FirstGateway = int(spread), int(first)
-		return err == nil && err2 == nil && spread > 0
+	fieldGatewaySet: func(req *gateway.Request, s string) bool {
+		countText, firstText, _ := strings.Cut(s, ";")
+		count, err := strconv.ParseUint(countText, 10, 20)
+		first, err2 := strconv.ParseUint(firstText, 10, 20)
+		req.GatewayCount, req.FirstGateway = int(count), int(first)
+		return err == nil && err2 == nil && count > 0
 	},
-	fieldClientRetry: func(v *gateway.Request, s string) bool { v.ClientRetry = s == "1"; return s == "0" || s == "1" },
-	fieldIdempotencyKey: func(v *gateway.Request, s string) bool {
+	fieldClientRetry: func(req *gateway.Request, s string) bool { req.ClientRetry = s == "1"; return s == "0" || s == "1" },
+	fieldIdempotencyKey: func(req *gateway.Request, s string) bool {
 		if len(s) >= 2 && strings.HasPrefix(s, quote) && strings.HasSuffix(s, quote) { // a structured string (RFC 9651)
 			s = s[1 : len(s)-1]
 		}
-		v.Key = s
+		req.Key = s
 		return s != "" && !strings.ContainsAny(s, `"\`)
 	},
 }
@@ -158,24 +158,24 @@
 }
 
 // setBody sets the body with its type and length.
-func (r *response) setBody(body []byte, kind string) {
+func (r *response) setBody(body []byte, contentType string) {
 	r.body = body
-	r.addField("content-type", kind)
+	r.addField("content-type", contentType)
 	r.addField("content-length", strconv.Itoa(len(body)))
 }
 
 // response is a problem as an answer. It never ran.
 func (p *problem) response() *response {
 	r := &response{status: p.status}
-	text, err := json.Marshal(struct {
+	body, err := json.Marshal(struct {
 		Type   string `json:"type"`
 		Status int    `json:"status"`
 		Detail string `json:"detail"`
 	}{problemTypePrefix + p.kind, p.status, p.detail})
 	if err != nil {
-		text = nil // strings and a number always marshal
+		body = nil // strings and a number always marshal
 	}
-	r.setBody(text, contentTypeProblem)
+	r.setBody(body, contentTypeProblem)
 	r.addField(fieldRan, ranNever)
 	if p.status == statusMethodNotAllowed {
 		r.addField("allow", "POST")
@@ -184,37 +184,37 @@
 }
 
 // newResponse is an ending as HTTP has it.
-func newResponse(e gateway.Response) *response {
+func newResponse(res gateway.Response) *response {
 	r := &response{}
-	switch e.Kind {
+	switch res.Kind {
 	case gateway.Served:
 		r.status = statusOK
-		r.setBody(e.Value, contentTypeOctets)
+		r.setBody(res.Value, contentTypeOctets)
 	case gateway.Refused:
-		if r.status = statusServiceUnavailable; e.QuotaExceeded {
+		if r.status = statusServiceUnavailable; res.QuotaExceeded {
 			r.status = statusTooManyRequests
 		}
-		after := e.RetryAfter
-		if after <= 0 {
-			after = defaultRetryAfter
+		retryAfter := res.RetryAfter
+		if retryAfter <= 0 {
+			retryAfter = defaultRetryAfter
 		}
-		r.addField("retry-after", strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10))
-		r.addField(fieldRetryAfterMs, strconv.FormatInt(int64((after+time.Millisecond-1)/time.Millisecond), 10))
+		r.addField("retry-after", strconv.FormatInt(int64((retryAfter+time.Second-1)/time.Second), 10))
+		r.addField(fieldRetryAfterMs, strconv.FormatInt(int64((retryAfter+time.Millisecond-1)/time.Millisecond), 10))
 		r.addField(fieldRan, ranNever)
 	case gateway.Failed:
-		if r.status = statusBadGateway; e.TimedOut {
+		if r.status = statusBadGateway; res.TimedOut {
 			r.status = statusGatewayTimeout
 		}
 		r.addField(fieldRan, ranUnknown)
 	default:
-		if e.DuplicateID {
-			return (&problem{statusConflict, "id-open", e.Reason}).response()
+		if res.DuplicateID {
+			return (&problem{statusConflict, "id-open", res.Reason}).response()
 		}
-		why := e.Reason
-		if here := reasonTexts[why]; here != "" {
-			why = here
+		reason := res.Reason
+		if text := reasonTexts[reason]; text != "" {
+			reason = text
 		}
-		return badRequest("%s", why).response()
+		return badRequest("%s", reason).response()
 	}
 	return r
 }
@@ -227,10 +227,10 @@
 }
 
 // addQuotaFields tells the room of the customer's bucket and the request's cost.
-func (r *response) addQuotaFields(plan string, units float64, room decide.Allowance) {
+func (r *response) addQuotaFields(plan string, units float64, allowance decide.Allowance) {
 	name := strconv.Quote(plan)
-	r.addField(fieldRateLimitPolicy, fmt.Sprintf("%s;q=%d;w=%d", name, room.Limit, ceilSeconds(room.Window)))
-	r.addField(fieldRateLimit, fmt.Sprintf("%s;r=%d;t=%d", name, room.Remaining, ceilSeconds(room.ResetIn)))
+	r.addField(fieldRateLimitPolicy, fmt.Sprintf("%s;q=%d;w=%d", name, allowance.Limit, ceilSeconds(allowance.Window)))
+	r.addField(fieldRateLimit, fmt.Sprintf("%s;r=%d;t=%d", name, allowance.Remaining, ceilSeconds(allowance.ResetIn)))
 	r.addField(fieldCost, strconv.FormatFloat(units, 'f', -1, 64))
 }
 
--- a/internal/h2/wire/client.go
+++ b/internal/h2/wire/client.go
@@ -15,14 +15,14 @@
 
 // NewClient begins a connection as its client. Preface and SETTINGS are in Out at once; Limits.Body, Window, Fields and Block
 // bound answers.
-func NewClient(l Limits, now time.Duration) *Conn {
-	c := newConn(l, now)
+func NewClient(limits Limits, now time.Duration) *Conn {
+	c := newConn(limits, now)
 	c.isClient, c.peerMaxStreams = true, initialMaxStreams
 	c.output.WriteString(http2.ClientPreface)
 	c.mustWrite(c.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingEnablePush, Val: 0},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamWindow())},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.MaxHeaderListBytes)}))
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(limits.MaxHeaderListBytes)}))
 	c.growConnWindow()
 	return c
 }
--- a/internal/h2/wire/conn.go
+++ b/internal/h2/wire/conn.go
@@ -130,33 +130,33 @@
 }
 
 // NewServer begins a connection. Its SETTINGS are in Out at once.
-func NewServer(l Limits, now time.Duration) *Conn {
-	c := newConn(l, now)
+func NewServer(limits Limits, now time.Duration) *Conn {
+	c := newConn(limits, now)
 	c.mustWrite(c.framer.WriteSettings(
-		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(l.MaxStreams)},
+		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(limits.MaxStreams)},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamWindow())},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.MaxHeaderListBytes)}))
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(limits.MaxHeaderListBytes)}))
 	c.growConnWindow()
 	return c
 }
 
-func newConn(l Limits, now time.Duration) *Conn {
-	c := &Conn{limits: l, now: now, streams: map[uint32]*stream{}, recvWindow: initialWindow, sendWindow: initialWindow, peerInitialWindow: initialWindow,
-		overheadTokens: l.Overhead.Burst, overheadRefilledAt: now}
+func newConn(limits Limits, now time.Duration) *Conn {
+	c := &Conn{limits: limits, now: now, streams: map[uint32]*stream{}, recvWindow: initialWindow, sendWindow: initialWindow, peerInitialWindow: initialWindow,
+		overheadTokens: limits.Overhead.Burst, overheadRefilledAt: now}
 	c.framer = http2.NewFramer(&c.output, &c.source)
 	c.framer.SetReuseFrames()
 	c.framer.SetMaxReadFrameSize(maxFrameBytes)
 	c.decoder = hpack.NewDecoder(hpackTableBytes, c.handleField)
-	c.decoder.SetMaxStringLength(l.MaxHeaderListBytes)
+	c.decoder.SetMaxStringLength(limits.MaxHeaderListBytes)
 	c.encoder = hpack.NewEncoder(&c.encodeBuf)
 	return c
 }
 
 // growConnWindow opens the connection's window as far as the limits go.
 func (c *Conn) growConnWindow() {
-	if more := int64(c.limits.ConnWindow) - c.recvWindow; more > 0 {
-		c.mustWrite(c.framer.WriteWindowUpdate(0, uint32(more)))
-		c.recvWindow += more
+	if increment := int64(c.limits.ConnWindow) - c.recvWindow; increment > 0 {
+		c.mustWrite(c.framer.WriteWindowUpdate(0, uint32(increment)))
+		c.recvWindow += increment
 	}
 }
 
@@ -327,16 +327,16 @@
 }
 
 // fail ends the connection: GOAWAY is the last that goes out. What was open on it is left, in the order of streams.
-func (c *Conn) fail(code http2.ErrCode, why string) {
+func (c *Conn) fail(code http2.ErrCode, reason string) {
 	if c.failed {
 		return
 	}
 	c.failed = true
-	last := c.lastStream
+	lastStream := c.lastStream
 	if c.isClient { // the last of the server's streams, which has none
-		last = 0
+		lastStream = 0
 	}
-	c.mustWrite(c.framer.WriteGoAway(last, code, []byte(why)))
+	c.mustWrite(c.framer.WriteGoAway(lastStream, code, []byte(reason)))
 	for _, id := range c.sortedStreamIDs() {
 		if c.streams[id].delivered {
 			c.events = append(c.events, Event{Kind: StreamAborted, Stream: id, Code: code, Local: true})
@@ -344,5 +344,5 @@
 	}
 	clear(c.streams)
 	c.sendQueue, c.unsentBytes = nil, 0
-	c.events = append(c.events, Event{Kind: ConnFailed, Code: code, Reason: why})
+	c.events = append(c.events, Event{Kind: ConnFailed, Code: code, Reason: reason})
 }
--- a/internal/h2/wire/data.go
+++ b/internal/h2/wire/data.go
@@ -18,8 +18,8 @@
 		return
 	}
 	s, body := c.streams[f.StreamID], f.Data()
-	free := s != nil && s.bodyBytes == 0 && len(body) > 0 // many send a short body and its end in two frames
-	if len(body) < shortDataBytes && !f.StreamEnded() && !free && !c.chargeOverhead(1) {
+	exempt := s != nil && s.bodyBytes == 0 && len(body) > 0 // many send a short body and its end in two frames
+	if len(body) < shortDataBytes && !f.StreamEnded() && !exempt && !c.chargeOverhead(1) {
 		return
 	}
 	if s == nil || s.peerEnded {
@@ -62,11 +62,11 @@
 
 // handleLateData takes what came on a stream that the peer has ended, or that is closed.
 func (c *Conn) handleLateData(id uint32, s *stream) {
-	_, mine := c.recentlyClosed(id)
+	_, resetLocally := c.recentlyClosed(id)
 	switch {
 	case s != nil:
 		c.resetForError(id, http2.ErrCodeStreamClosed)
-	case mine: // it crossed the RST_STREAM
+	case resetLocally: // it crossed the RST_STREAM
 		c.chargeOverhead(1)
 	default:
 		c.fail(http2.ErrCodeStreamClosed, "a frame on a stream that was closed")
--- a/internal/h2/wire/headers.go
+++ b/internal/h2/wire/headers.go
@@ -54,12 +54,12 @@
 		return
 	}
 	if s == nil && id <= c.lastStream {
-		known, mine := c.recentlyClosed(id)
+		known, resetLocally := c.recentlyClosed(id)
 		if !known {
 			c.fail(http2.ErrCodeProtocol, "HEADERS on a stream lower than one that was begun")
 			return
 		}
-		if !mine {
+		if !resetLocally {
 			c.fail(http2.ErrCodeStreamClosed, "HEADERS on a stream that was closed")
 			return
 		}
@@ -126,27 +126,27 @@
 
 // setPseudo takes a setPseudo-header field: each once, before all others, in requests only (RFC 9113, 8.3).
 func (b *headerBlock) setPseudo(f hpack.HeaderField) {
-	at, to := 0, (*string)(nil)
+	index, target := 0, (*string)(nil)
 	switch f.Name {
 	case ":method":
-		at, to = pseudoMethod, &b.req.Method
+		index, target = pseudoMethod, &b.req.Method
 	case ":scheme":
-		at, to = pseudoScheme, &b.req.Scheme
+		index, target = pseudoScheme, &b.req.Scheme
 	case ":authority":
-		at, to = pseudoAuthority, &b.req.Authority
+		index, target = pseudoAuthority, &b.req.Authority
 	case ":path":
-		at, to = pseudoPath, &b.req.Path
+		index, target = pseudoPath, &b.req.Path
 	}
 	if b.response {
-		if at, to = 0, nil; f.Name == ":status" {
-			to = &b.status
+		if index, target = 0, nil; f.Name == ":status" {
+			target = &b.status
 		}
 	}
-	if to == nil || b.regularSeen || b.trailer || b.pseudoSeen[at] {
+	if target == nil || b.regularSeen || b.trailer || b.pseudoSeen[index] {
 		b.malformed = true
 		return
 	}
-	b.pseudoSeen[at], *to = true, f.Value
+	b.pseudoSeen[index], *target = true, f.Value
 }
 
 // connectionSpecific reports fields that HTTP/2 has no place for (RFC 9113, 8.2.2).
--- a/internal/h2/wire/reset.go
+++ b/internal/h2/wire/reset.go
@@ -9,12 +9,12 @@
 // This file has how streams end before their time.
 
 func (c *Conn) sortedStreamIDs() []uint32 {
-	all := make([]uint32, 0, len(c.streams))
+	ids := make([]uint32, 0, len(c.streams))
 	for id := range c.streams {
-		all = append(all, id)
+		ids = append(ids, id)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(ids)
+	return ids
 }
 
 // resetForError ends a stream for an error of the peer's. Each costs calm: a peer that makes this end resetForError streams that it
@@ -39,9 +39,9 @@
 }
 
 // removeStream drops a stream that is closed.
-func (c *Conn) removeStream(s *stream, mine bool) {
+func (c *Conn) removeStream(s *stream, resetLocally bool) {
 	delete(c.streams, s.id)
-	c.closedStreams[s.id/2%closedStreamsKept] = closedStream{s.id, mine}
+	c.closedStreams[s.id/2%closedStreamsKept] = closedStream{s.id, resetLocally}
 	c.unsentBytes -= len(s.unsent)
 	s.unsent = nil
 	if i := slices.Index(c.sendQueue, s.id); i >= 0 {
@@ -56,7 +56,7 @@
 func (c *Conn) isIdle(id uint32) bool { return id%2 == 0 || id > c.lastStream }
 
 // recentlyClosed reports whether a stream that is not open was closed lately, and by whom.
-func (c *Conn) recentlyClosed(id uint32) (known, mine bool) {
+func (c *Conn) recentlyClosed(id uint32) (known, resetLocally bool) {
 	p := c.closedStreams[id/2%closedStreamsKept]
 	return p.id == id, p.id == id && p.resetLocally
 }
--- a/internal/h2/wire/send.go
+++ b/internal/h2/wire/send.go
@@ -36,10 +36,10 @@
 func (c *Conn) encodeField(f hpack.HeaderField) { c.mustWrite(c.encoder.WriteField(f)) }
 
 // writeHeaderBlock writes what was encoded as HEADERS, and CONTINUATION where one frame does not hold it.
-func (c *Conn) writeHeaderBlock(id uint32, ends bool) {
+func (c *Conn) writeHeaderBlock(id uint32, endStream bool) {
 	b := c.encodeBuf.Bytes()
 	n := min(len(b), maxFrameBytes)
-	c.mustWrite(c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: b[:n], EndStream: ends, EndHeaders: n == len(b)}))
+	c.mustWrite(c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: b[:n], EndStream: endStream, EndHeaders: n == len(b)}))
 	for b = b[n:]; len(b) > 0; b = b[n:] {
 		n = min(len(b), maxFrameBytes)
 		c.mustWrite(c.framer.WriteContinuation(id, n == len(b), b[:n]))
@@ -48,17 +48,17 @@
 
 // sendPending sends of what waits, a frame a stream in turn, as far as the windows go.
 func (c *Conn) sendPending() {
-	for stuck := 0; stuck < len(c.sendQueue) && c.sendWindow > 0 && !c.failed; {
+	for blocked := 0; blocked < len(c.sendQueue) && c.sendWindow > 0 && !c.failed; {
 		id := c.sendQueue[0]
 		c.sendQueue = append(c.sendQueue[:0], c.sendQueue[1:]...)
 		s := c.streams[id]
 		n := min(int64(len(s.unsent)), s.sendWindow, c.sendWindow, maxFrameBytes)
 		if n <= 0 {
 			c.sendQueue = append(c.sendQueue, id)
-			stuck++
+			blocked++
 			continue
 		}
-		stuck = 0
+		blocked = 0
 		last := n == int64(len(s.unsent))
 		c.mustWrite(c.framer.WriteData(id, last, s.unsent[:n]))
 		s.unsent = s.unsent[n:]
@@ -99,24 +99,24 @@
 
 // ResetStalled ends the streams for which the peer has been waited for since before a time: requests that are not whole, and
 // answers that it gives no window for. Streams that wait for this end are let alone. It tells how many it ended.
-func (c *Conn) ResetStalled(before time.Duration) (ended int) {
+func (c *Conn) ResetStalled(before time.Duration) (count int) {
 	for _, id := range c.sortedStreamIDs() {
 		if s := c.streams[id]; s.waitingSince < before && (!s.delivered || s.responded) {
 			c.ResetStream(id, http2.ErrCodeCancel)
-			ended++
+			count++
 		}
 	}
-	return ended
+	return count
 }
 
 // WaitingSince is since when the peer has been waited for, of all streams, or false if it is not.
-func (c *Conn) WaitingSince() (at time.Duration, ok bool) {
+func (c *Conn) WaitingSince() (since time.Duration, ok bool) {
 	for _, s := range c.streams {
-		if (!s.delivered || s.responded) && (!ok || s.waitingSince < at) {
-			at, ok = s.waitingSince, true
+		if (!s.delivered || s.responded) && (!ok || s.waitingSince < since) {
+			since, ok = s.waitingSince, true
 		}
 	}
-	return at, ok
+	return since, ok
 }
 
 // Shutdown begins a graceful end (RFC 9113, 6.8): the peer is told to begin nothing new, and what it begins before it
--- a/internal/h2/wire/settings.go
+++ b/internal/h2/wire/settings.go
@@ -40,10 +40,10 @@
 	case http2.SettingHeaderTableSize:
 		c.encoder.SetMaxDynamicTableSize(min(s.Val, hpackTableBytes))
 	case http2.SettingInitialWindowSize:
-		more := int64(s.Val) - c.peerInitialWindow
+		delta := int64(s.Val) - c.peerInitialWindow
 		c.peerInitialWindow = int64(s.Val)
 		for _, st := range c.streams { // may go below nothing (RFC 9113, 6.9.2)
-			if st.sendWindow += more; st.sendWindow > maxWindow {
+			if st.sendWindow += delta; st.sendWindow > maxWindow {
 				return http2.ConnectionError(http2.ErrCodeFlowControl)
 			}
 		}
