--- a/internal/h2/backend.go
+++ b/internal/h2/backend.go
@@ -14,45 +14,45 @@
 	"sloepick/internal/h2/wire"
 )
 
-// BackendConfig is how nodes of a kind are reached.
+// BackendConfig configures how the nodes of one kind are reached.
 type BackendConfig struct {
-	MaxStreams   int           // attempts out on a connection
-	MaxConns     int           // to a node
-	PingInterval time.Duration // a connection on which something is open and nothing comes for so long is asked whether it is there
-	IdleTimeout  time.Duration // one on which nothing is open is closed after so long
+	MaxStreams   int           // concurrent attempts per connection
+	MaxConns     int           // per node
+	PingInterval time.Duration // silence with attempts open before a PING is sent, and after it before the connection is closed
+	IdleTimeout  time.Duration // a connection without open attempts is closed after this time
 }
 
-// Backend reaches nodes that speak HTTP/2 with prior knowledge: an attempt is a stream.
+// Backend reaches nodes that speak HTTP/2 with prior knowledge. Each attempt is a stream.
 type Backend struct{ cfg BackendConfig }
 
-// NewBackend makes one.
+// NewBackend returns a backend for one kind of nodes.
 func NewBackend(cfg BackendConfig) *Backend { return &Backend{cfg} }
 
-// NewTransport implements gateway.Back.
+// NewTransport implements gateway.Backend.
 func (b *Backend) NewTransport(core *gateway.Core, endpoint *gateway.Endpoint) gateway.Transport {
 	return &nodeTransport{cfg: b.cfg, core: core, endpoint: endpoint, streams: map[*gateway.Attempt]attemptStream{}}
 }
 
-// nodeTransport is a nodeTransport at an address. All of it is the loop's.
+// nodeTransport holds the connections to one node at one address. All of it runs in the core's loop.
 type nodeTransport struct {
 	cfg         BackendConfig
 	core        *gateway.Core
 	endpoint    *gateway.Endpoint
 	conns       []*nodeConn
 	dialing     bool
-	discardDial bool               // the connection that is being made leads to what has drained or moved since
-	waiting     []*gateway.Attempt // for the connection that is being made
+	discardDial bool               // the node has drained or moved since dialing began: close the new connection
+	waiting     []*gateway.Attempt // for the connection being dialed
 	streams     map[*gateway.Attempt]attemptStream
 }
 
-// attemptStream is where a try is out.
+// attemptStream is the stream that carries an attempt.
 type attemptStream struct {
 	conn   *nodeConn
 	stream uint32
 }
 
-// Start implements gateway.Transport. A try goes on the connection with the fewest open; where all are full, or still write,
-// another is made, one at a time, and as many wait for it as it will take.
+// Start implements gateway.Transport. An attempt goes to the connection with the fewest open streams. If all are full or still
+// writing, another connection is dialed, one at a time, and as many attempts wait for it as it may carry.
 func (n *nodeTransport) Start(a *gateway.Attempt) {
 	if c := n.availableConn(); c != nil {
 		c.send(a)
@@ -68,7 +68,7 @@
 	n.waiting = append(n.waiting, a)
 }
 
-// availableConn is the connection that a try may go out on now.
+// availableConn returns the connection that can carry an attempt now, or nil.
 func (n *nodeTransport) availableConn() (best *nodeConn) {
 	for _, c := range n.conns {
 		if !c.draining && c.writable() && c.proto.AvailableStreams() > 0 && (best == nil || c.proto.OpenStreams() < best.proto.OpenStreams()) {
@@ -117,8 +117,8 @@
 	go c.readLoop()
 }
 
-// Cancel implements gateway.Transport: the stream is reset, the connection stays. One that still writes is ended: the rest of the
-// request could go out after its end.
+// Cancel implements gateway.Transport. The stream is reset and the connection stays open, except if it is still writing: then
+// it is closed, as the rest of the request could be written after the cancellation.
 func (n *nodeTransport) Cancel(a *gateway.Attempt) {
 	if i := slices.Index(n.waiting, a); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
@@ -156,7 +156,7 @@
 // EvictIdle implements gateway.Transport.
 func (n *nodeTransport) EvictIdle() { n.longestIdle().close() }
 
-// longestIdle is the connection on which nothing has been open for longest; nil: there is none.
+// longestIdle returns the connection that has been idle for longest, or nil if none is.
 func (n *nodeTransport) longestIdle() (best *nodeConn) {
 	for _, c := range n.conns {
 		if len(c.attempts) == 0 && c.writable() && (best == nil || c.lastUsed < best.lastUsed) {
@@ -173,25 +173,25 @@
 	writer          *gateway.Writer
 	proto           *wire.Conn
 	attempts        map[uint32]*gateway.Attempt // by stream
-	lastReceived    time.Duration               // when something came
-	lastUsed        time.Duration               // when something was open
-	pingOutstanding bool                        // since something came
-	draining        bool                        // nothing new goes out on it
+	lastReceived    time.Duration               // when bytes were last received
+	lastUsed        time.Duration               // when an attempt last started or ended
+	pingOutstanding bool                        // a PING was sent since lastReceived
+	draining        bool                        // takes no new attempts
 	pending         []byte
 	closed          bool
 	resumeRead      gateway.Mailbox[struct{}]
 	cancelTimer     func()
 }
 
-// writable reports that what is written goes to the kernel at once: a request must not wait here, where it could be called off and
-// written all the same.
+// writable reports whether the kernel has taken all earlier output, so that a new request can go to it at once. A request must
+// not wait in this process, where it could be written after it was cancelled.
 func (c *nodeConn) writable() bool { return !c.writer.Busy() && len(c.pending) == 0 }
 
-// send puts a try on the connection.
+// send sends an attempt on the connection.
 func (c *nodeConn) send(a *gateway.Attempt) {
 	req := a.Request()
 	stream, ok := c.proto.SendRequest(requestFields(req, a.RemainingTime()), req.Body)
-	if !ok { // free has seen room
+	if !ok { // not expected: availableConn found an available stream
 		a.Fail(gateway.NoLocalCapacity)
 		return
 	}
@@ -201,7 +201,7 @@
 	c.flush()
 }
 
-// requestFields are a request's, by the same mapping as the front's.
+// requestFields returns the header fields of a request, by the same mapping as the frontend's.
 func requestFields(req *gateway.Request, remaining time.Duration) []hpack.HeaderField {
 	path := pathRead + req.Class
 	if req.Write {
@@ -209,7 +209,7 @@
 	}
 	fields := []hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
 		{Name: fieldCustomer, Value: req.Customer}, {Name: fieldPlan, Value: req.Plan},
-		{Name: fieldID, Value: req.ID, Sensitive: true}, // new with each: not worth a place in the table
+		{Name: fieldID, Value: req.ID, Sensitive: true}, // differs in each request, so it is kept out of the HPACK table
 		{Name: fieldClientTimeout, Value: strconv.FormatInt(max(remaining.Milliseconds(), 1), 10), Sensitive: true},
 		{Name: fieldUnits, Value: strconv.FormatFloat(req.Units, 'f', -1, 64)}}
 	if req.Key != "" {
@@ -227,7 +227,7 @@
 	return fields
 }
 
-// flush writes what the connection has to say. Tries of which all is handed over may run from then on.
+// flush writes the pending output. An attempt that is completely handed to the kernel may run from then on.
 func (c *nodeConn) flush() {
 	c.pending = append(c.pending, c.proto.TakeOutput()...)
 	if c.closed || c.writer.Busy() || len(c.pending) == 0 {
@@ -259,7 +259,7 @@
 	})
 }
 
-// readLoop hands on what comes, a piece at a time.
+// readLoop passes received bytes to the core's loop, one chunk at a time.
 func (c *nodeConn) readLoop() {
 	buf := make([]byte, readBufferBytes)
 	for {
@@ -299,7 +299,7 @@
 		c.draining = true
 		return
 	case wire.ConnFailed:
-		c.transport.core.Log().Debug("an HTTP/2 connection to a node ended", "node", c.transport.endpoint.Addr(), "code", e.Code.String(), "why", e.Reason)
+		c.transport.core.Log().Debug("HTTP/2 connection to a node failed", "node", c.transport.endpoint.Addr(), "code", e.Code.String(), "why", e.Reason)
 		c.close()
 		return
 	}
@@ -319,7 +319,7 @@
 	}
 }
 
-// finishAttempt takes an answer.
+// finishAttempt ends an attempt by the node's response.
 func finishAttempt(a *gateway.Attempt, resp *wire.Response) {
 	notRun := slices.ContainsFunc(resp.Fields, func(f hpack.HeaderField) bool { return f.Name == fieldRan && f.Value == ranNever })
 	switch {
@@ -332,7 +332,7 @@
 	}
 }
 
-// usageReport are what a node told of a request's use.
+// usageReport returns the node's report of what the request used, or nil.
 func usageReport(resp *wire.Response) []byte {
 	for _, f := range resp.Fields {
 		if f.Name == fieldUsage {
@@ -342,7 +342,7 @@
 	return nil
 }
 
-// removeAttempt takes a try off its stream.
+// removeAttempt removes and returns the attempt on a stream.
 func (c *nodeConn) removeAttempt(stream uint32) *gateway.Attempt {
 	a := c.attempts[stream]
 	delete(c.attempts, stream)
@@ -351,14 +351,14 @@
 	return a
 }
 
-// closeIfDrained closes a connection that takes nothing new once nothing is open on it.
+// closeIfDrained closes a draining connection once no attempt is open on it.
 func (c *nodeConn) closeIfDrained() {
 	if c.draining && len(c.attempts) == 0 && c.writable() {
 		c.close()
 	}
 }
 
-// close closes the connection. What is open on it broke.
+// close closes the connection. Its open attempts fail with ConnectionLost.
 func (c *nodeConn) close() {
 	if c.closed {
 		return
@@ -376,7 +376,8 @@
 	}
 }
 
-// checkLiveness finds connections that are silent, and retires those that are idle well before the node may close them.
+// checkLiveness closes connections that stay silent after a PING, and idle ones well before the node may close them. It
+// schedules itself again.
 func (c *nodeConn) checkLiveness() {
 	if c.closed {
 		return
@@ -392,7 +393,7 @@
 	case now-max(c.lastReceived, c.lastUsed) < c.transport.cfg.PingInterval && !c.pingOutstanding:
 		next = max(c.lastReceived, c.lastUsed) + c.transport.cfg.PingInterval
 	case c.pingOutstanding:
-		c.transport.core.Log().Info("a connection to a node is silent", "node", c.transport.endpoint.Addr(), "open", len(c.attempts))
+		c.transport.core.Log().Info("connection to a node is silent", "node", c.transport.endpoint.Addr(), "open", len(c.attempts))
 		c.close()
 		return
 	default:
--- a/internal/h2/frontend.go
+++ b/internal/h2/frontend.go
@@ -1,6 +1,7 @@
-// Package h2 is HTTP/2's front: clients that speak it, with prior knowledge on plain TCP or over TLS by ALPN, are served by
-// the same core as RESP2's. A connection's protocol is the state machine of package wire; here it meets sockets and the
-// core. One goroutine a connection reads; everything else happens in the core's loop.
+// Package h2 is the gateway's HTTP/2 frontend and backend. Clients connect over plain TCP with prior knowledge or over TLS
+// with ALPN; nodes are reached over plain TCP with prior knowledge. Both are served by the same core as RESP2. Package wire
+// implements the protocol as a state machine; this package connects it to sockets and to the core. Each connection has one
+// goroutine that reads; everything else runs in the core's loop.
 package h2
 
 import (
@@ -18,23 +19,23 @@
 	"sloepick/internal/h2/wire"
 )
 
-// FrontendConfig is one listener of the operators' file.
+// FrontendConfig configures one listener of the operators' file.
 type FrontendConfig struct {
 	Name             string
 	Address          string // host:port
-	MaxStreams       int    // requests open at once on a connection
+	MaxStreams       int    // concurrent requests per connection
 	HandshakeTimeout time.Duration
-	TLS              *TLSFiles // nil: plain TCP, with prior knowledge
+	TLS              *TLSFiles // nil: plain TCP with prior knowledge
 }
 
-// Frontend serves a listener.
+// Frontend serves HTTP/2 clients on one listener.
 type Frontend struct {
 	gateway.Listener
 	cfg FrontendConfig
 	tls *identity // nil: plain TCP
 }
 
-// NewFrontend makes a front that does not listen yet. It reads the files of its identity.
+// NewFrontend returns a frontend that does not listen yet. It reads the TLS files.
 func NewFrontend(cfg FrontendConfig) (f *Frontend, err error) {
 	f = &Frontend{Listener: gateway.NewListener("listener "+cfg.Name, cfg.Address), cfg: cfg}
 	if cfg.TLS != nil {
@@ -45,8 +46,8 @@
 	return f, nil
 }
 
-// Reload reads the files of its identity again. New connections go by them once take is called; if they can't be used,
-// nothing changes.
+// Reload reads the TLS files again. New connections use them once apply is called. If the files are not valid, Reload
+// returns an error and nothing changes.
 func (f *Frontend) Reload() (apply func(), err error) {
 	if f.tls == nil {
 		return func() {}, nil
@@ -58,17 +59,18 @@
 	return func() { f.tls.current.Store(next) }, nil
 }
 
-// Serve implements gateway.Front.
+// Serve implements gateway.Frontend.
 func (f *Frontend) Serve(ctx context.Context, core *gateway.Core) {
 	f.AcceptLoop(ctx, core, func(nc net.Conn) { f.accept(core, nc) })
 }
 
-// accept begins a connection, in the loop.
+// accept sets up a new connection. It runs in the core's loop.
 func (f *Frontend) accept(core *gateway.Core, nc net.Conn) {
 	now := core.Now()
-	c := &clientConn{frontend: f, core: core, nc: nc, raw: nc, lastUsed: now, acceptedAt: now, requests: map[uint32]*openRequest{}, resumeRead: gateway.NewMailbox[struct{}]()}
+	c := &clientConn{frontend: f, core: core, nc: nc, raw: nc, lastUsed: now, acceptedAt: now, requests: map[uint32]*openRequest{},
+		resumeRead: gateway.NewMailbox[struct{}]()}
 	if !core.AdmitConn(c) {
-		nc.Close() // unread, so nothing is lost
+		nc.Close() // no request was read from it
 		return
 	}
 	c.writer = gateway.NewWriter(nc)
@@ -87,31 +89,31 @@
 	go c.readLoop()
 }
 
-// clientConn is a client's connection. All but read is the loop's.
+// clientConn is a client's connection. Apart from readLoop and handshake, everything runs in the core's loop.
 type clientConn struct {
 	frontend        *Frontend
 	core            *gateway.Core
-	nc              net.Conn // raw, or TLS on it, whose closing would wait for the peer
+	nc              net.Conn // raw, or TLS on top of it, whose Close could wait for the peer
 	raw             net.Conn
 	writer          *gateway.Writer
-	rawWriter       *gateway.Writer // raw's
+	rawWriter       *gateway.Writer // of raw
 	proto           *wire.Conn
 	requests        map[uint32]*openRequest // by stream
-	boundToCustomer bool                    // it may ask for owner alone
-	certCustomer    string                  // the customer that its certificate names
+	boundToCustomer bool                    // it may send requests for certCustomer only
+	certCustomer    string                  // the customer named by the client's certificate
 	acceptedAt      time.Duration
 	lastUsed        time.Duration
-	resumeRead      gateway.Mailbox[struct{}] // lets the reader go on
-	pending         []byte                    // behind what Finish writes
-	flushScheduled  bool                      // to be flushed at the turn's end
+	resumeRead      gateway.Mailbox[struct{}] // lets readLoop continue
+	pending         []byte                    // to be written after what writer is writing
+	flushScheduled  bool                      // flush runs at the end of this loop turn
 	writeClosed     bool                      // nothing more is written
-	closeAfterFlush bool                      // to be closed once all is written
+	closeAfterFlush bool                      // to be closed once everything is written
 	draining        bool
 	closed          bool
 	cancelTimer     func()
 }
 
-// openRequest is a request that is open.
+// openRequest is a request that was submitted to the core and not answered yet.
 type openRequest struct {
 	conn   *clientConn
 	stream uint32
@@ -120,10 +122,10 @@
 	done   bool
 }
 
-const readBufferBytes = 4 << 10 // bytes of a read: what a connection costs while it is quiet
+const readBufferBytes = 4 << 10 // the memory that a connection's reader costs while it is idle
 
-// readLoop hands on what comes, piece by piece: the loop takes one before the next is readLoop, so that a client that sends
-// faster than it is served waits in the kernel.
+// readLoop passes received bytes to the core's loop. It reads the next chunk only after the loop has processed the last one, so
+// that the data of a client that sends faster than it is served waits in the kernel.
 func (c *clientConn) readLoop() {
 	if t, ok := c.nc.(*tls.Conn); ok && !c.handshake(t) {
 		c.core.Post(c.Close)
@@ -145,13 +147,13 @@
 	}
 }
 
-// handshake does the TLS handshake, within its time, and reads the peer's identity.
+// handshake does the TLS handshake within HandshakeTimeout and reads the customer from the client's certificate.
 func (c *clientConn) handshake(t *tls.Conn) bool {
 	if err := c.raw.SetDeadline(time.Now().Add(c.frontend.cfg.HandshakeTimeout)); err != nil {
 		return false
 	}
 	if err := t.Handshake(); err != nil {
-		c.core.Log().Debug("a TLS handshake failed", "listener", c.frontend.cfg.Name, "err", err)
+		c.core.Log().Debug("TLS handshake failed", "listener", c.frontend.cfg.Name, "err", err)
 		return false
 	}
 	state := t.ConnectionState()
@@ -166,7 +168,7 @@
 	return state.NegotiatedProtocol == http2.NextProtoTLS && c.raw.SetDeadline(time.Time{}) == nil
 }
 
-// receive takes a piece of what the client sent.
+// receive processes a chunk of received bytes.
 func (c *clientConn) receive(b []byte) {
 	if c.closed {
 		return
@@ -176,7 +178,7 @@
 	}
 	c.scheduleFlush()
 	if !c.proto.Failed() {
-		c.resumeRead.TrySend(struct{}{}) // the reader waits for it, one piece at a time
+		c.resumeRead.TrySend(struct{}{}) // readLoop waits for this after each chunk
 	}
 }
 
@@ -191,12 +193,12 @@
 			c.abandonRequest(r)
 		}
 	case wire.ConnFailed:
-		c.core.Log().Debug("an HTTP/2 connection ended", "listener", c.frontend.cfg.Name, "code", e.Code.String(), "why", e.Reason)
+		c.core.Log().Debug("HTTP/2 connection failed", "listener", c.frontend.cfg.Name, "code", e.Code.String(), "why", e.Reason)
 		c.startClose()
 	}
 }
 
-// abandonRequest abandons a request whose stream is gone: nothing more goes out for it.
+// abandonRequest abandons a request whose stream has ended: the core starts no further attempts for it.
 func (c *clientConn) abandonRequest(r *openRequest) {
 	delete(c.requests, r.stream)
 	r.done = true
@@ -205,8 +207,8 @@
 	}
 }
 
-// submit hands a request to the core, unless the connection came to its end by an earlier one of the same piece: nobody would
-// hear the answer.
+// submit passes a request to the core, unless an earlier request of the same chunk has ended the connection, as the response
+// could not be sent.
 func (c *clientConn) submit(stream uint32, msg *wire.Request) {
 	if c.closeAfterFlush || c.closed {
 		return
@@ -224,7 +226,7 @@
 	r.handle = c.core.Submit(r, req)
 }
 
-// Respond answers the request.
+// Respond sends the core's response to the client.
 func (r *openRequest) Respond(res gateway.Response) {
 	if r.done {
 		return
@@ -247,7 +249,7 @@
 	c.scheduleFlush()
 }
 
-// scheduleFlush has what is to be written go out at the turn's end, all at once.
+// scheduleFlush schedules one flush at the end of the loop turn, so that all output of the turn is written at once.
 func (c *clientConn) scheduleFlush() {
 	if !c.flushScheduled && !c.closed {
 		c.flushScheduled = true
@@ -294,39 +296,39 @@
 	}
 }
 
-// startClose closes the connection once what is written has gone. What was open is abandoned.
+// startClose abandons the open requests and closes the connection once the pending output is written.
 func (c *clientConn) startClose() {
 	c.closeAfterFlush = true
 	c.abandonAll()
 }
 
-// abandonAll ends all that is open, in the order of streams.
+// abandonAll abandons all open requests, in the order of their streams.
 func (c *clientConn) abandonAll() {
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		c.abandonRequest(c.requests[id])
 	}
 }
 
-// lingerClose lets the client read the last frames before the connection goes: what it still sends to one that is closed makes its
-// kernel throw away what it has not read.
+// lingerClose closes the write side first and the connection later, so that the client can read the last frames. If it still
+// sent data to a closed socket, the resulting TCP reset would make its kernel discard what it has not read yet.
 func (c *clientConn) lingerClose() {
 	if c.writeClosed {
 		return
 	}
 	c.writeClosed = true
-	// Nothing is under way, either way: nothing was answered yet, or long ago.
+	// Nothing is in flight in either direction: no received bytes are unread, and no response was sent recently, if at all.
 	nothingInFlight := c.rawWriter.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > c.core.Tuning().Clients.Fault)
 	writeCloser, ok := c.nc.(interface{ CloseWrite() error })
 	if nothingInFlight || !ok {
 		c.Close()
 		return
 	}
-	go writeCloser.CloseWrite() // TLS's waits for room in the kernel; that it fails shows at Close
+	go writeCloser.CloseWrite() // for TLS it waits for space in the socket buffer; after an error, Close does the rest
 	c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.Fault, c.Close)
 }
 
-// checkTimeouts ends what a client lets wait: a connection that is quiet for too long, a request that does not come to its end, and
-// an answer that is not taken.
+// checkTimeouts drains a connection that is idle for too long, and resets streams whose request is not completed, or whose
+// response is not accepted, in time. It schedules itself again.
 func (c *clientConn) checkTimeouts() {
 	t, now := &c.core.Tuning().Clients, c.core.Now()
 	if c.closed || c.proto.Failed() {
@@ -340,7 +342,7 @@
 		next = min(next, since+t.Write+time.Millisecond)
 	} else if c.proto.OpenStreams() == 0 {
 		idleUntil := c.lastUsed + t.Idle
-		if c.lastUsed == c.acceptedAt { // nothing was answered yet
+		if c.lastUsed == c.acceptedAt { // no response was sent yet
 			idleUntil = c.acceptedAt + t.FirstCommand
 		}
 		if idleUntil <= now {
@@ -352,16 +354,17 @@
 	c.cancelTimer = c.core.Schedule(next, c.checkTimeouts)
 }
 
-// Idle reports that nothing is owed.
+// Idle implements gateway.ClientConn: no stream is open, and the connection is not closing.
 func (c *clientConn) Idle() bool {
 	return c.proto.OpenStreams() == 0 && !c.draining && !c.closeAfterFlush
 }
 
-// LastUsed is when it was last answered.
+// LastUsed implements gateway.ClientConn: when a response was last sent, or when the connection was accepted.
 func (c *clientConn) LastUsed() time.Duration { return c.lastUsed }
 
-// Drain ends it. While the gateway ends this is in the two steps of RFC 9113, 6.8, and what crosses the first GOAWAY is still
-// taken; else room is wanted at once, and a client whose request crosses the one GOAWAY reads there that it never ran.
+// Drain implements gateway.ClientConn. While the gateway stops, it shuts down in the two steps of RFC 9113, 6.8: requests that
+// cross the first GOAWAY are still accepted. Otherwise the connection is needed for another client at once: there is a single
+// GOAWAY, and it tells a client whose request crosses it that the request did not run.
 func (c *clientConn) Drain() {
 	if c.draining || c.closed {
 		return
@@ -380,7 +383,7 @@
 	c.scheduleFlush()
 }
 
-// Close ends it at once.
+// Close implements gateway.ClientConn: it closes the connection at once and abandons its requests.
 func (c *clientConn) Close() {
 	if c.closed {
 		return
--- a/internal/h2/mapping.go
+++ b/internal/h2/mapping.go
@@ -15,30 +15,30 @@
 	"sloepick/internal/h2/wire"
 )
 
-// The mapping, version 1. Names are in lower case, as HTTP/2 has them.
+// The mapping of requests and responses to HTTP, version 1. HTTP/2 field names are in lower case.
 const (
 	pathRead  = "/v1/ask/" // classes that are safe to repeat
-	pathWrite = "/v1/do/"  // the others
+	pathWrite = "/v1/do/"  // all other classes
 
 	fieldCustomer       = "sloepick-customer" // 16 hex digits
 	fieldPlan           = "sloepick-plan"
-	fieldID             = "sloepick-id"       // new with every request
-	fieldClientTimeout  = "sloepick-patience" // ms that the client waits, from when it sent the request
+	fieldID             = "sloepick-id"       // unique per request
+	fieldClientTimeout  = "sloepick-patience" // ms that the client waits for the response, from when it sent the request
 	fieldUnits          = "sloepick-units"
-	fieldGatewaySet     = "sloepick-set"    // spread and first, as "3;1"
-	fieldClientRetry    = "sloepick-again"  // "1" marks a client's own repeat
+	fieldGatewaySet     = "sloepick-set"    // number of gateways and the first of them, as "3;1"
+	fieldClientRetry    = "sloepick-again"  // "1" marks a retry by the client
 	fieldIdempotencyKey = "idempotency-key" // draft-ietf-httpapi-idempotency-key-header-07
 
-	fieldRan                 = "sloepick-ran"   // of an answer: what is promised of a request that was not served
-	fieldRetryAfterMs        = "sloepick-after" // ms after which to come again
+	fieldRan                 = "sloepick-ran"   // of a response: whether the request may have run
+	fieldRetryAfterMs        = "sloepick-after" // ms after which to retry
 	fieldCost                = "sloepick-cost"  // units that the request takes from the quota
-	fieldUsage               = "sloepick-use"   // of a node's answer: figures on use, "used=86,units=3"
+	fieldUsage               = "sloepick-use"   // of a node's response: what the request used, as "used=86,units=3"
 	ranNever                 = "never"
 	ranUnknown               = "unknown"
 	fieldRateLimit           = "ratelimit" // draft-ietf-httpapi-ratelimit-headers-10
 	fieldRateLimitPolicy     = "ratelimit-policy"
-	problemTypePrefix        = "tag:sloepick,2026:" // of problem types (RFC 9457)
-	defaultRetryAfter        = time.Second          // to come again after, where the core advises nothing
+	problemTypePrefix        = "tag:sloepick,2026:" // RFC 9457
+	defaultRetryAfter        = time.Second          // where the core gives none
 	quote                    = `"`
 	contentTypeOctets        = "application/octet-stream"
 	contentTypeProblem       = "application/problem+json"
@@ -54,10 +54,10 @@
 	statusGatewayTimeout     = 504
 )
 
-// problem is a request that can't be taken, as its client is told (RFC 9457).
+// problem describes why a request was rejected (RFC 9457).
 type problem struct {
 	status int
-	kind   string // of its type
+	kind   string // last part of the problem type
 	detail string
 }
 
@@ -65,7 +65,7 @@
 	return &problem{statusBadRequest, "bad-request", fmt.Sprintf(format, args...)}
 }
 
-// parseRequest makes a request's values of what came. Whether they fit the site's settings is for the core to say.
+// parseRequest reads a gateway request from an HTTP request. The core checks the values against the settings.
 func parseRequest(msg *wire.Request, receivedAt time.Duration) (*gateway.Request, *problem) {
 	req := &gateway.Request{Units: 1, Body: msg.Body, ReceivedAt: receivedAt}
 	path, _, _ := strings.Cut(msg.Path, "?")
@@ -104,7 +104,7 @@
 	return req, nil
 }
 
-// validListToken reports that a value can stand in the list of names and values that RESP2's nodes are sent.
+// validListToken reports whether a value can be part of the comma-separated list that RESP2 nodes receive.
 func validListToken(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == ',' || s[i] > '~' {
@@ -114,7 +114,7 @@
 	return true
 }
 
-// fieldParsers take a request's fieldParsers. They report false for what can't be used.
+// fieldParsers parse the header fields of a request into it. They return false for an invalid value.
 var fieldParsers = map[string]func(req *gateway.Request, s string) bool{
 	fieldCustomer: func(req *gateway.Request, s string) bool { req.Customer = s; return s != "" },
 	fieldPlan:     func(req *gateway.Request, s string) bool { req.Plan = s; return s != "" },
@@ -138,7 +138,7 @@
 	},
 	fieldClientRetry: func(req *gateway.Request, s string) bool { req.ClientRetry = s == "1"; return s == "0" || s == "1" },
 	fieldIdempotencyKey: func(req *gateway.Request, s string) bool {
-		if len(s) >= 2 && strings.HasPrefix(s, quote) && strings.HasSuffix(s, quote) { // a structured string (RFC 9651)
+		if len(s) >= 2 && strings.HasPrefix(s, quote) && strings.HasSuffix(s, quote) { // a structured field string (RFC 9651)
 			s = s[1 : len(s)-1]
 		}
 		req.Key = s
@@ -146,7 +146,7 @@
 	},
 }
 
-// response is an answer as it goes out.
+// response is a response to send.
 type response struct {
 	status int
 	fields []hpack.HeaderField
@@ -157,14 +157,14 @@
 	r.fields = append(r.fields, hpack.HeaderField{Name: name, Value: value})
 }
 
-// setBody sets the body with its type and length.
+// setBody sets the body, its content type and its length.
 func (r *response) setBody(body []byte, contentType string) {
 	r.body = body
 	r.addField("content-type", contentType)
 	r.addField("content-length", strconv.Itoa(len(body)))
 }
 
-// response is a problem as an answer. It never ran.
+// response returns the response for a rejected request, which says that the request did not run.
 func (p *problem) response() *response {
 	r := &response{status: p.status}
 	body, err := json.Marshal(struct {
@@ -183,7 +183,7 @@
 	return r
 }
 
-// newResponse is an ending as HTTP has it.
+// newResponse maps a response of the core to HTTP.
 func newResponse(res gateway.Response) *response {
 	r := &response{}
 	switch res.Kind {
@@ -219,14 +219,14 @@
 	return r
 }
 
-// reasonTexts are the core's words for what is wrong with a request, where they name a value by RESP2's letter.
+// reasonTexts replaces those of the core's reasons that name RESP2 parameters or commands.
 var reasonTexts = map[string]string{
 	"k is missing":                          fieldIdempotencyKey + " is missing",
 	"d is out of range":                     fieldClientTimeout + " is out of range",
 	"the class goes with the other command": "the class goes with the other of " + pathRead + " and " + pathWrite,
 }
 
-// addQuotaFields tells the room of the customer's bucket and the request's cost.
+// addQuotaFields adds the customer's remaining allowance and the cost of the request.
 func (r *response) addQuotaFields(plan string, units float64, allowance decide.Allowance) {
 	name := strconv.Quote(plan)
 	r.addField(fieldRateLimitPolicy, fmt.Sprintf("%s;q=%d;w=%d", name, allowance.Limit, ceilSeconds(allowance.Window)))
--- a/internal/h2/wire/client.go
+++ b/internal/h2/wire/client.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	initialMaxStreams = 100       // at once until the server's SETTINGS have come (RFC 9113, 6.5.2 sets no bound)
-	maxStreamID       = 1<<31 - 1 // that there can be
+	initialMaxStreams = 100       // limit before the server's SETTINGS arrive (RFC 9113, 6.5.2 sets none)
+	maxStreamID       = 1<<31 - 1 // RFC 9113, 5.1.1
 )
 
-// NewClient begins a connection as its client. Preface and SETTINGS are in Out at once; Limits.Body, Window, Fields and Block
-// bound answers.
+// NewClient returns the client end of a new connection. TakeOutput returns its preface and SETTINGS at once. MaxBodyBytes,
+// ConnWindow, MaxHeaderListBytes and MaxHeaderBlockBytes limit responses.
 func NewClient(limits Limits, now time.Duration) *Conn {
 	c := newConn(limits, now)
 	c.isClient, c.peerMaxStreams = true, initialMaxStreams
@@ -27,7 +27,8 @@
 	return c
 }
 
-// AvailableStreams is how many requests may be begun now: the server's SETTINGS and GOAWAY bound it, and the numbers of streams.
+// AvailableStreams returns how many requests may be sent now. The limits are the server's SETTINGS and GOAWAY,
+// Limits.MaxStreams and the range of stream ids.
 func (c *Conn) AvailableStreams() int {
 	if !c.isClient || c.failed || c.goAwayReceived || c.lastStream >= maxStreamID-2 {
 		return 0
@@ -35,9 +36,9 @@
 	return max(0, int(min(int64(c.peerMaxStreams), int64(c.limits.MaxStreams)))-len(c.streams))
 }
 
-// SendRequest begins a request, as far as the server's windows take its body, and tells its stream. It is owed one event: Answered,
-// Refused or Left, unless Reset ends it. It reports false, and nothing has gone out, where there is no Room, or where more
-// than Limits.Unsent bytes of bodies would wait for the server's windows.
+// SendRequest sends a request, its body as far as the server's windows allow, and returns its stream id. One event follows:
+// ResponseReceived, RequestRefused or StreamAborted, unless ResetStream is called first. SendRequest returns false, having sent
+// nothing, if no stream is available or if more than Limits.MaxUnsentBytes of bodies would wait for the server's windows.
 func (c *Conn) SendRequest(fields []hpack.HeaderField, body []byte) (id uint32, ok bool) {
 	if c.AvailableStreams() == 0 || c.unsentBytes+len(body) > c.limits.MaxUnsentBytes {
 		return 0, false
@@ -62,7 +63,8 @@
 	return id, true
 }
 
-// UnsentBytes is how many bytes of a request wait for the server's windows. While there are any, it can't have run.
+// UnsentBytes returns how many bytes of a request's body wait for the server's windows. While there are any, the server
+// can't have run the request.
 func (c *Conn) UnsentBytes(id uint32) int {
 	if s := c.streams[id]; s != nil {
 		return len(s.unsent)
@@ -70,23 +72,23 @@
 	return 0
 }
 
-// Ping asks the server whether it is there. Its answer is Heard by Feed like anything else.
+// Ping sends a PING. Feed processes the acknowledgement and returns no event for it.
 func (c *Conn) Ping() {
 	if !c.failed {
 		c.mustWrite(c.framer.WritePing(false, [8]byte{}))
 	}
 }
 
-// handleResponseHeaders takes the HEADERS of an answer. Those of an interim one go by unread (RFC 9113, 8.1).
+// handleResponseHeaders processes the header block of a response. Interim responses are ignored (RFC 9113, 8.1).
 func (c *Conn) handleResponseHeaders(s *stream) {
 	b := &c.block
 	status, err := strconv.Atoi(b.status)
 	interim := status/100 == 1
 	switch {
 	case s == nil:
-		c.chargeOverhead(1) // it crossed the RST_STREAM
+		c.chargeOverhead(1) // in flight when this end sent RST_STREAM
 	case err != nil || len(b.status) != 3 || status < 100 || b.malformed || interim && (b.endStream || status == 101):
-		c.resetForError(s.id, http2.ErrCodeProtocol) // malformed; 101 has no place here (RFC 9113, 8.6)
+		c.resetForError(s.id, http2.ErrCodeProtocol) // malformed; HTTP/2 has no status 101 (RFC 9113, 8.6)
 	case b.listSize > c.limits.MaxHeaderListBytes:
 		c.rejectTooLarge(s, 0)
 	case interim:
@@ -102,7 +104,7 @@
 	}
 }
 
-// deliverResponse hands an answer on. A request that is not sent to its end is not sent any further.
+// deliverResponse returns a response as an event. If the request body is not sent completely, the rest is not sent.
 func (c *Conn) deliverResponse(s *stream) {
 	if len(s.unsent) > 0 {
 		c.mustWrite(c.framer.WriteRSTStream(s.id, http2.ErrCodeNo))
@@ -111,7 +113,7 @@
 	c.events = append(c.events, Event{Kind: ResponseReceived, Stream: s.id, Response: &Response{s.status, s.req.Fields, s.req.Body}})
 }
 
-// handleGoAway takes GOAWAY. A server did nothing for streams over the last that it names (RFC 9113, 6.8).
+// handleGoAway processes GOAWAY. The server has not processed streams above the last one that it names (RFC 9113, 6.8).
 func (c *Conn) handleGoAway(f *http2.GoAwayFrame) {
 	if !c.goAwayReceived {
 		c.goAwayReceived = true
--- a/internal/h2/wire/conn.go
+++ b/internal/h2/wire/conn.go
@@ -1,11 +1,10 @@
-// Package wire is one end of an HTTP/2 connection, the server's or the client's (RFC 9113, with HPACK of RFC 7541), as a
-// state machine: bytes
-// go in, events come out, and the frames to be written are collected. It is pure: no I/O, no clock, no goroutine; time
-// comes in as a value. Framing and header compression are golang.org/x/net/http2's; streams, windows, limits and what
-// counts as an error are here.
+// Package wire implements one end of an HTTP/2 connection, server or client (RFC 9113, with HPACK of RFC 7541), as a
+// state machine: it is fed the received bytes, returns events, and collects the frames to write. It does no I/O, reads no
+// clock and starts no goroutine; the current time is passed in. Framing and header compression come from
+// golang.org/x/net/http2; streams, flow control, limits and error handling are implemented here.
 //
-// Every error of the peer's ends as the RFC says: a stream's by RST_STREAM, a connection's by GOAWAY. What a peer can
-// make this end keep is bounded by Limits before anything is kept.
+// Protocol errors of the peer are handled as the RFC requires: a stream error by RST_STREAM, a connection error by
+// GOAWAY. Everything that a peer can make this end store is checked against Limits before it is stored.
 package wire
 
 import (
@@ -17,91 +16,91 @@
 )
 
 const (
-	maxFrameBytes         = 16384 // bytes of a frame's payload, either way: the least that SETTINGS_MAX_FRAME_SIZE may be
+	maxFrameBytes         = 16384 // frame payload in both directions: the lowest allowed SETTINGS_MAX_FRAME_SIZE
 	frameHeaderBytes      = 9
-	initialWindow         = 65535 // of a connection and, without SETTINGS, of a stream (RFC 9113, 6.9.2)
+	initialWindow         = 65535 // bytes, of a connection and, before SETTINGS, of a stream (RFC 9113, 6.9.2)
 	maxWindow             = 1<<31 - 1
-	hpackTableBytes       = 4096 // bytes of HPACK's dynamic table, either way
-	maxBlockFrames        = 8    // frames of one header block: Block bytes need two
-	closedStreamsKept     = 128  // closed streams whose end is remembered
-	shortDataBytes        = 256  // bytes: DATA that is shorter and neither a stream's first nor its last is paid for
-	overheadCreditPerData = 2    // given back for each DATA frame sent: the peer may answer it by two WINDOW_UPDATEs
+	hpackTableBytes       = 4096 // HPACK dynamic table, in both directions
+	maxBlockFrames        = 8    // a header block of DefaultLimits().MaxHeaderBlockBytes needs one or two
+	closedStreamsKept     = 128  // how many recently closed streams are remembered
+	shortDataBytes        = 256  // shorter DATA frames are charged as overhead, except a stream's first and last
+	overheadCreditPerData = 2    // tokens returned per DATA frame sent: the peer may answer it with two WINDOW_UPDATEs
 )
 
-// EventKind tells events apart.
+// EventKind is the type of an Event.
 type EventKind int
 
 const (
-	RequestReceived  EventKind = iota + 1 // a request is whole; it is owed one Respond, or Reset
-	RequestTooLarge                       // a request is larger than the limits: Status is owed by Respond
-	StreamAborted                         // nobody waits for the stream any more: nothing can be sent on it
-	GoAwayReceived                        // the peer sent GOAWAY: it begins nothing new and takes what is owed
-	ConnFailed                            // the connection is at its end: what Out holds is the last
-	ResponseReceived                      // at a client: an answer is whole
-	RequestRefused                        // at a client: the request never ran (RFC 9113, 8.7)
+	RequestReceived  EventKind = iota + 1 // a request is complete; the caller owes it one Respond or ResetStream
+	RequestTooLarge                       // a request exceeds the limits; the caller must Respond with Status
+	StreamAborted                         // the stream was reset by either end; nothing can be sent on it any more
+	GoAwayReceived                        // the peer sent GOAWAY: it opens no new streams but still accepts pending responses
+	ConnFailed                            // the connection has ended; TakeOutput returns the last bytes to write
+	ResponseReceived                      // client only: a response is complete
+	RequestRefused                        // client only: the server did not process the request (RFC 9113, 8.7)
 )
 
-// Event is something that the peer did.
+// Event reports something that the peer did, or the result of it.
 type Event struct {
 	Kind     EventKind
 	Stream   uint32
-	Request  *Request      // of Asked
-	Status   int           // of TooBig: 413 or 431
-	Response *Response     // of Answered
-	Code     http2.ErrCode // of Left and Ended: what was told
-	Local    bool          // of Left: for an error of the peer's that was found here
-	Reason   string        // of Ended, for the log
+	Request  *Request      // set for RequestReceived
+	Status   int           // set for RequestTooLarge: 413 or 431
+	Response *Response     // set for ResponseReceived
+	Code     http2.ErrCode // the error code sent or received, for all but requests and responses
+	Local    bool          // set for StreamAborted if this end detected an error of the peer
+	Reason   string        // set for ConnFailed, for the log
 }
 
-// Response is an answer as it came.
+// Response is a received response.
 type Response struct {
 	Status int
 	Fields []hpack.HeaderField
 	Body   []byte
 }
 
-// Request is a request as it came. Field names are in lower case, and pseudo-header fields are not among Fields.
+// Request is a received request. Field names are in lower case; Fields holds no pseudo-header fields.
 type Request struct {
 	Method, Scheme, Authority, Path string
 	Fields                          []hpack.HeaderField
 	Body                            []byte
 }
 
-// stream is one that is open or half closed. Streams that are closed have no memory but a place in past.
+// stream is an open or half-closed stream. Of a closed one, only an entry in Conn.closedStreams is kept.
 type stream struct {
 	id            uint32
 	req           *Request
-	contentLength int64 // that content-length tells; -1: none
-	bodyBytes     int64 // bytes of the body
-	recvWindow    int64 // the window for what comes
-	sendWindow    int64 // the peer's, for what goes out
+	contentLength int64 // value of the content-length field; -1: none
+	bodyBytes     int64 // received bytes of the body, without those discarded
+	recvWindow    int64 // flow-control window for received DATA
+	sendWindow    int64 // the peer's window, for DATA to send; may be negative
 	unsent        []byte
-	waitingSince  time.Duration // when it was begun or, later, answered
-	peerEnded     bool          // the peer has ended it
-	tooLarge      bool          // it is larger than the limits: what still comes of it is let go
-	responded     bool          // its HEADERS are out
-	delivered     bool          // its request is out as an event; at a client: it is owed an event
-	status        int           // at a client: of its answer, once the HEADERS came
+	waitingSince  time.Duration // when it was opened or, later, responded to
+	peerEnded     bool          // the peer sent END_STREAM
+	tooLarge      bool          // the request exceeds the limits: the rest of it is discarded
+	responded     bool          // the response HEADERS were sent
+	delivered     bool          // server: the request was returned as an event; client: an event is still owed
+	status        int           // client only: status of the response, 0 before its HEADERS
 }
 
-// closedStream is how a stream ended that is no more.
+// closedStream records how a closed stream ended.
 type closedStream struct {
 	id           uint32
-	resetLocally bool // by RST_STREAM from here: frames may still be on their way
+	resetLocally bool // by an RST_STREAM from this end: frames of the peer may still be in flight
 }
 
-// Conn is a connection. It is not safe for concurrent use.
+// Conn is the state of a connection. It is not safe for concurrent use.
 type Conn struct {
 	limits           Limits
 	now              time.Duration
 	source           source
 	framer           *http2.Framer
-	frameHeader      *http2.FrameHeader // read, with its payload yet to come
-	partial          []byte             // bytes of a frame that is not whole
+	frameHeader      *http2.FrameHeader // already read, payload still missing
+	partial          []byte             // received bytes of an incomplete frame
 	output           bytes.Buffer
 	events           []Event
-	prefaceBytes     int  // bytes of it that came
-	settingsReceived bool // the peer's first SETTINGS came
+	prefaceBytes     int  // received bytes of the client preface
+	settingsReceived bool // the peer's first SETTINGS were received
 	failed           bool
 
 	decoder   *hpack.Decoder
@@ -110,26 +109,26 @@
 	encodeBuf bytes.Buffer
 
 	streams       map[uint32]*stream
-	lastStream    uint32 // the highest stream that the peer began
+	lastStream    uint32 // server: highest stream opened by the peer; client: last stream opened here
 	closedStreams [closedStreamsKept]closedStream
-	sendQueue     []uint32 // streams with something unsent, the next first
-	unsentBytes   int      // bytes, of all streams
+	sendQueue     []uint32 // streams with unsent body bytes, the next one first
+	unsentBytes   int      // of all streams
 
-	recvWindow         int64 // the connection's window for what comes
-	windowCredit       int64 // bytes of it to be given back
-	sendWindow         int64 // the peer's
+	recvWindow         int64 // the connection's window for received DATA
+	windowCredit       int64 // consumed bytes to return to the peer by WINDOW_UPDATE
+	sendWindow         int64 // the peer's window for the connection
 	peerInitialWindow  int64 // the peer's SETTINGS_INITIAL_WINDOW_SIZE
 	overheadTokens     float64
 	overheadRefilledAt time.Duration
 
-	refuseAbove    uint32 // after the last GOAWAY: streams over it are let alone; 0: none was sent
+	refuseAbove    uint32 // last stream named in the final GOAWAY: higher ones are ignored; 0: none was sent
 	goAwayReceived bool
 
 	isClient       bool
 	peerMaxStreams uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
 }
 
-// NewServer begins a connection. Its SETTINGS are in Out at once.
+// NewServer returns the server end of a new connection. TakeOutput returns its SETTINGS at once.
 func NewServer(limits Limits, now time.Duration) *Conn {
 	c := newConn(limits, now)
 	c.mustWrite(c.framer.WriteSettings(
@@ -141,8 +140,8 @@
 }
 
 func newConn(limits Limits, now time.Duration) *Conn {
-	c := &Conn{limits: limits, now: now, streams: map[uint32]*stream{}, recvWindow: initialWindow, sendWindow: initialWindow, peerInitialWindow: initialWindow,
-		overheadTokens: limits.Overhead.Burst, overheadRefilledAt: now}
+	c := &Conn{limits: limits, now: now, streams: map[uint32]*stream{}, recvWindow: initialWindow, sendWindow: initialWindow,
+		peerInitialWindow: initialWindow, overheadTokens: limits.Overhead.Burst, overheadRefilledAt: now}
 	c.framer = http2.NewFramer(&c.output, &c.source)
 	c.framer.SetReuseFrames()
 	c.framer.SetMaxReadFrameSize(maxFrameBytes)
@@ -152,7 +151,7 @@
 	return c
 }
 
-// growConnWindow opens the connection's window as far as the limits go.
+// growConnWindow raises the connection's receive window to Limits.ConnWindow.
 func (c *Conn) growConnWindow() {
 	if increment := int64(c.limits.ConnWindow) - c.recvWindow; increment > 0 {
 		c.mustWrite(c.framer.WriteWindowUpdate(0, uint32(increment)))
@@ -160,17 +159,18 @@
 	}
 }
 
-// streamWindow is a stream's window: one byte more than a body may have, so that a longer one shows and is refused.
+// streamWindow is a stream's initial receive window: at least one byte more than the largest allowed body, so that a
+// longer body is detected and refused instead of stalling.
 func (c *Conn) streamWindow() int64 { return max(initialWindow, int64(c.limits.MaxBodyBytes)+1) }
 
-// mustWrite takes the error of a frame that the framer would not write: a slip of this package, as the buffer takes all.
+// mustWrite panics if the framer refused to write a frame. Writes to the buffer can't fail, so that is a bug here.
 func (c *Conn) mustWrite(err error) {
 	if err != nil {
 		panic("http/2: " + err.Error())
 	}
 }
 
-// source hands the framer what Feed has made sure of.
+// source is the reader of the framer. It holds exactly the bytes of the frame header or payload to read.
 type source struct{ b []byte }
 
 func (s *source) Read(p []byte) (int, error) {
@@ -179,20 +179,21 @@
 	return n, nil
 }
 
-// TakeOutput is what is to be written, and empties it. It is valid until the connection is used again.
+// TakeOutput returns the bytes to write to the peer and empties the output buffer. The result is valid until the
+// connection is used again.
 func (c *Conn) TakeOutput() []byte {
 	b := c.output.Bytes()
 	c.output.Reset()
 	return b
 }
 
-// OpenStreams is how many streams are owed something or still send.
+// OpenStreams returns how many streams are open or half closed.
 func (c *Conn) OpenStreams() int { return len(c.streams) }
 
-// Failed reports that the connection is at its end.
+// Failed reports whether the connection has ended with an error.
 func (c *Conn) Failed() bool { return c.failed }
 
-// Feed takes bytes of the peer's and tells what they came to. The events are valid until the next call.
+// Feed processes received bytes and returns the resulting events, which are valid until the next call.
 func (c *Conn) Feed(now time.Duration, p []byte) []Event {
 	c.now, c.events = max(c.now, now), c.events[:0]
 	if !c.isClient && c.prefaceBytes < len(http2.ClientPreface) {
@@ -223,8 +224,8 @@
 	return c.events
 }
 
-// readNext takes a frame's header or its payload, and returns how many bytes that was; 0: more must come, or the connection
-// has failed.
+// readNext reads a frame's header or its payload and returns how many bytes that took. 0 means that more bytes are needed or
+// that the connection has failed.
 func (c *Conn) readNext(p []byte) int {
 	if c.frameHeader == nil {
 		if len(p) < frameHeaderBytes {
@@ -248,7 +249,7 @@
 	c.frameHeader = nil
 	f, err := c.framer.ReadFrameForHeader(h)
 	switch {
-	case err != nil && (h.Type == http2.FrameHeaders || h.Type == http2.FrameContinuation): // its block is lost to HPACK
+	case err != nil && (h.Type == http2.FrameHeaders || h.Type == http2.FrameContinuation): // the HPACK state is lost with the block
 		c.fail(http2.ErrCodeProtocol, "the frame can't be taken: "+err.Error())
 	case err != nil && h.Type == http2.FramePriority && h.StreamID != 0: // the framer is stricter than RFC 9113, 6.3
 		c.resetForError(h.StreamID, http2.ErrCodeFrameSize)
@@ -258,24 +259,24 @@
 		c.handleFrame(f)
 	}
 	if n == 0 && !c.failed {
-		return c.readNext(p) // a frame without payload: go on with the next
+		return c.readNext(p) // a frame without payload: continue with the next one, as 0 would mean that bytes are missing
 	}
 	return n
 }
 
-// handleFramerError takes an error that the framer found.
+// handleFramerError handles an error returned by the framer.
 func (c *Conn) handleFramerError(err error) {
 	switch e := err.(type) {
 	case http2.StreamError:
 		c.resetForError(e.StreamID, e.Code)
 	case http2.ConnectionError:
 		c.fail(http2.ErrCode(e), "the frame can't be taken: "+err.Error())
-	default: // too large: the framer has read no more than the header
+	default: // frame too large: the framer has read only the header
 		c.fail(http2.ErrCodeFrameSize, "the frame can't be taken: "+err.Error())
 	}
 }
 
-// handleFrame takes a whole handleFrame.
+// handleFrame processes a complete frame.
 func (c *Conn) handleFrame(f http2.Frame) {
 	if _, ok := f.(*http2.SettingsFrame); !ok && !c.settingsReceived {
 		c.fail(http2.ErrCodeProtocol, "the first frame is not SETTINGS")
@@ -302,18 +303,18 @@
 		}
 	case *http2.WindowUpdateFrame:
 		c.handleWindowUpdate(f)
-	case *http2.PriorityFrame: // deprecated (RFC 9113, 5.3.2), but for its one error
+	case *http2.PriorityFrame: // deprecated (RFC 9113, 5.3.2) and ignored, except for the self-dependency error
 		if c.chargeOverhead(1) && f.StreamDep == f.StreamID {
 			c.fail(http2.ErrCodeProtocol, "a stream depends on itself")
 		}
 	case *http2.PushPromiseFrame:
 		c.fail(http2.ErrCodeProtocol, "PUSH_PROMISE, which was not allowed")
 	default:
-		c.chargeOverhead(1) // of a type that is not known (RFC 9113, 5.5)
+		c.chargeOverhead(1) // unknown frame types are ignored (RFC 9113, 5.5)
 	}
 }
 
-// chargeOverhead takes from the store of calm. It reports false, and ends the connection, if there is not enough.
+// chargeOverhead takes n tokens from the overhead budget. If there are too few, it ends the connection and returns false.
 func (c *Conn) chargeOverhead(n float64) bool {
 	if c.now > c.overheadRefilledAt {
 		c.overheadTokens = min(c.limits.Overhead.Burst, c.overheadTokens+c.limits.Overhead.PerSecond*(c.now-c.overheadRefilledAt).Seconds())
@@ -326,14 +327,15 @@
 	return true
 }
 
-// fail ends the connection: GOAWAY is the last that goes out. What was open on it is left, in the order of streams.
+// fail ends the connection with a GOAWAY as its last frame, whose debug data is reason. Streams with a delivered request
+// are aborted, in the order of their ids.
 func (c *Conn) fail(code http2.ErrCode, reason string) {
 	if c.failed {
 		return
 	}
 	c.failed = true
 	lastStream := c.lastStream
-	if c.isClient { // the last of the server's streams, which has none
+	if c.isClient { // GOAWAY names the peer's last stream, and the server opens none
 		lastStream = 0
 	}
 	c.mustWrite(c.framer.WriteGoAway(lastStream, code, []byte(reason)))
--- a/internal/h2/wire/data.go
+++ b/internal/h2/wire/data.go
@@ -4,9 +4,9 @@
 	"golang.org/x/net/http2"
 )
 
-// This file has what comes as the body of a request or an answer.
+// This file receives the bodies of requests and responses.
 
-// handleData takes DATA. The whole frame counts against the windows, its padding too (RFC 9113, 6.1).
+// handleData processes DATA. The whole frame counts against the windows, including padding (RFC 9113, 6.1).
 func (c *Conn) handleData(f *http2.DataFrame) {
 	if c.isIdle(f.StreamID) {
 		c.fail(http2.ErrCodeProtocol, "DATA on a stream that was never begun")
@@ -18,7 +18,7 @@
 		return
 	}
 	s, body := c.streams[f.StreamID], f.Data()
-	exempt := s != nil && s.bodyBytes == 0 && len(body) > 0 // many send a short body and its end in two frames
+	exempt := s != nil && s.bodyBytes == 0 && len(body) > 0 // many clients send a short body and the end of the stream in two frames
 	if len(body) < shortDataBytes && !f.StreamEnded() && !exempt && !c.chargeOverhead(1) {
 		return
 	}
@@ -60,20 +60,21 @@
 	}
 }
 
-// handleLateData takes what came on a stream that the peer has ended, or that is closed.
+// handleLateData handles DATA on a stream that the peer has ended (s) or that is closed (s is nil).
 func (c *Conn) handleLateData(id uint32, s *stream) {
 	_, resetLocally := c.recentlyClosed(id)
 	switch {
 	case s != nil:
 		c.resetForError(id, http2.ErrCodeStreamClosed)
-	case resetLocally: // it crossed the RST_STREAM
+	case resetLocally: // in flight when this end sent RST_STREAM
 		c.chargeOverhead(1)
 	default:
 		c.fail(http2.ErrCodeStreamClosed, "a frame on a stream that was closed")
 	}
 }
 
-// rejectTooLarge refuses what is larger than the limits: a request is to be answered, an answer is not wanted.
+// rejectTooLarge handles a message that exceeds the limits: a request is answered with an error status, the stream of a
+// response is reset.
 func (c *Conn) rejectTooLarge(s *stream, status int) {
 	if c.isClient {
 		c.resetForError(s.id, http2.ErrCodeCancel)
@@ -82,7 +83,7 @@
 	c.events = append(c.events, Event{Kind: RequestTooLarge, Stream: s.id, Status: status})
 }
 
-// deliver hands a request or an answer on.
+// deliver returns a complete request or response as an event.
 func (c *Conn) deliver(s *stream) {
 	if c.isClient {
 		c.deliverResponse(s)
@@ -94,7 +95,7 @@
 	s.req = nil
 }
 
-// returnWindow opens the connection's window by what was handed on.
+// returnWindow reopens the connection's receive window by the bytes that were consumed.
 func (c *Conn) returnWindow() {
 	if c.windowCredit > 0 {
 		c.mustWrite(c.framer.WriteWindowUpdate(0, uint32(c.windowCredit)))
--- a/internal/h2/wire/headers.go
+++ b/internal/h2/wire/headers.go
@@ -9,22 +9,22 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// headerBlock is a header headerBlock as it comes in, of one or more frames. It is decoded piece by piece, also where its stream is
-// refused: the compression's state is the whole connection's (RFC 9113, 4.3).
+// headerBlock is a header block being received, in one or more frames. It is decoded fragment by fragment, even if its
+// stream is refused, as the HPACK state is shared by the whole connection (RFC 9113, 4.3).
 type headerBlock struct {
 	stream        uint32
-	endStream     bool // the stream ends with it
+	endStream     bool // it ends the stream
 	bytes         int
 	frames        int
-	listSize      int  // of the list, as RFC 9113, 6.5.2 counts
-	regularSeen   bool // a field that is no pseudo-header field has come
-	malformed     bool // malformed (RFC 9113, 8.1.1)
-	selfDependent bool // its stream depends on itself
+	listSize      int  // decoded size of the field list, counted as in RFC 9113, 6.5.2
+	regularSeen   bool // a field other than a pseudo-header field was decoded
+	malformed     bool // RFC 9113, 8.1.1
+	selfDependent bool // its priority makes the stream depend on itself
 	req           *Request
 	pseudoSeen    [pseudoFieldCount]bool
 	contentLength int64
 	trailer       bool
-	response      bool // of an answer, whose status it tells
+	response      bool // it is a response and has a status
 	status        string
 }
 
@@ -37,11 +37,11 @@
 )
 
 const (
-	fieldOverhead          = 32 // of a field in a list's size (RFC 9113, 6.5.2)
-	maxContentLengthDigits = 18 // of content-length
+	fieldOverhead          = 32 // bytes added per field to the size of a field list (RFC 9113, 6.5.2)
+	maxContentLengthDigits = 18 // keeps content-length within an int64
 )
 
-// handleHeaders takes the first frame of a header block.
+// handleHeaders processes the first frame of a header block.
 func (c *Conn) handleHeaders(f *http2.HeadersFrame) {
 	id := f.StreamID
 	if id%2 == 0 {
@@ -78,8 +78,8 @@
 	c.decodeFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 }
 
-// decodeFragment decodes a decodeFragment of a block. A block of many or large pieces ends the connection before it is decoded
-// (CVE-2024-27316).
+// decodeFragment decodes a fragment of a header block. If the block has too many frames or bytes, the connection ends before
+// the fragment is decoded (CVE-2024-27316).
 func (c *Conn) decodeFragment(p []byte, last bool) {
 	b := &c.block
 	b.bytes += len(p)
@@ -101,11 +101,11 @@
 	}
 }
 
-// handleField takes a decoded handleField.
+// handleField processes a decoded field.
 func (c *Conn) handleField(f hpack.HeaderField) {
 	b := &c.block
 	if b.listSize += len(f.Name) + len(f.Value) + fieldOverhead; b.listSize > c.limits.MaxHeaderListBytes {
-		c.decoder.SetEmitEnabled(false) // what follows is decoded for the table's sake and not kept
+		c.decoder.SetEmitEnabled(false) // the rest is only decoded to keep the dynamic table in step
 		return
 	}
 	switch {
@@ -124,7 +124,8 @@
 	}
 }
 
-// setPseudo takes a setPseudo-header field: each once, before all others, in requests only (RFC 9113, 8.3).
+// setPseudo stores a pseudo-header field. Each may occur once, before all regular fields, only in the direction that it is
+// defined for, and not in trailers (RFC 9113, 8.3).
 func (b *headerBlock) setPseudo(f hpack.HeaderField) {
 	index, target := 0, (*string)(nil)
 	switch f.Name {
@@ -149,7 +150,7 @@
 	b.pseudoSeen[index], *target = true, f.Value
 }
 
-// connectionSpecific reports fields that HTTP/2 has no place for (RFC 9113, 8.2.2).
+// connectionSpecific reports whether a field is connection-specific and so forbidden in HTTP/2 (RFC 9113, 8.2.2).
 func connectionSpecific(f hpack.HeaderField) bool {
 	switch f.Name {
 	case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
@@ -169,7 +170,8 @@
 	b.contentLength = int64(n)
 }
 
-// hasRequiredPseudo reports whether the pseudo-header fields are those of a request. CONNECT has two of them (RFC 9113, 8.5).
+// hasRequiredPseudo reports whether a request's mandatory pseudo-header fields are there. CONNECT has only :method and
+// :authority (RFC 9113, 8.5).
 func (b *headerBlock) hasRequiredPseudo() bool {
 	if b.req.Method == "CONNECT" {
 		return b.pseudoSeen[pseudoAuthority] && !b.pseudoSeen[pseudoScheme] && !b.pseudoSeen[pseudoPath]
@@ -177,7 +179,7 @@
 	return b.req.Method != "" && b.req.Scheme != "" && b.req.Path != ""
 }
 
-// finishBlock takes a block that was decoded to its end.
+// finishBlock processes a completely decoded header block.
 func (c *Conn) finishBlock() {
 	b := &c.block
 	s := c.streams[b.stream]
@@ -186,7 +188,7 @@
 		c.handleResponseHeaders(s)
 	case b.trailer:
 		c.handleTrailers(s)
-	case c.refuseAbove > 0 && b.stream > c.refuseAbove: // after GOAWAY: its client knows that it was not taken
+	case c.refuseAbove > 0 && b.stream > c.refuseAbove: // sent after our GOAWAY, which tells the client that it was not processed
 		c.closedStreams[b.stream/2%closedStreamsKept] = closedStream{b.stream, true}
 		c.chargeOverhead(1)
 	case b.selfDependent:
@@ -201,7 +203,7 @@
 	c.block = headerBlock{}
 }
 
-// openStream opens a stream.
+// openStream opens a stream for the request in the current header block.
 func (c *Conn) openStream() {
 	b := &c.block
 	s := &stream{id: b.stream, req: b.req, contentLength: b.contentLength, recvWindow: c.streamWindow(), sendWindow: c.peerInitialWindow, waitingSince: c.now}
@@ -217,12 +219,12 @@
 	}
 }
 
-// handleTrailers takes the block behind a body: it must end the stream, and says nothing here (RFC 9113, 8.1).
+// handleTrailers processes the header block after a body. It must end the stream (RFC 9113, 8.1); its fields are ignored.
 func (c *Conn) handleTrailers(s *stream) {
 	b := &c.block
 	switch {
 	case s == nil:
-		c.chargeOverhead(1) // it crossed the RST_STREAM
+		c.chargeOverhead(1) // in flight when this end sent RST_STREAM
 	case s.peerEnded:
 		c.resetForError(s.id, http2.ErrCodeStreamClosed)
 	case !b.endStream || b.malformed || s.contentLength >= 0 && s.bodyBytes != s.contentLength:
--- a/internal/h2/wire/limits.go
+++ b/internal/h2/wire/limits.go
@@ -1,26 +1,27 @@
 package wire
 
-// Limits bound what one connection may hold and ask for.
+// Limits bound what one connection may store and request.
 type Limits struct {
-	MaxStreams          int // requests open at once; told in SETTINGS, over it a stream is refused (RFC 9113, 5.1.2)
-	MaxBodyBytes        int // bytes of a request's body
-	ConnWindow          int // bytes of all bodies that are not whole yet
-	MaxHeaderListBytes  int // bytes of a header list, counted as in RFC 9113, 6.5.2
-	MaxHeaderBlockBytes int // bytes of a header block as it comes, over all its frames
-	MaxUnsentBytes      int // bytes of answers that wait for the peer's windows
+	MaxStreams          int // concurrent streams; a server announces it in SETTINGS and refuses streams above it (RFC 9113, 5.1.2)
+	MaxBodyBytes        int // body of one received message
+	ConnWindow          int // bytes; receive window for all bodies that are not complete yet
+	MaxHeaderListBytes  int // decoded field list, counted as in RFC 9113, 6.5.2
+	MaxHeaderBlockBytes int // encoded header block, over all its frames
+	MaxUnsentBytes      int // bodies to send that wait for the peer's windows
 	Overhead            OverheadBudget
 }
 
-// OverheadBudget is a store of what a peer may do that costs work and asks for nothing: PING, SETTINGS, PRIORITY, RST_STREAM,
-// frames without content, and whatever has to be answered by RST_STREAM. Each takes one; over it the connection ends
-// with ENHANCE_YOUR_CALM.
+// OverheadBudget is a token bucket for frames that cost work but carry no request: PING, SETTINGS, PRIORITY, RST_STREAM,
+// GOAWAY, WINDOW_UPDATE, short DATA, interim responses, unknown types, and everything that has to be answered by RST_STREAM.
+// Each takes a token; without one left, the connection ends with ENHANCE_YOUR_CALM.
 type OverheadBudget struct {
-	PerSecond float64 // by which the store fills
-	Burst     float64 // that it holds, and begins with
+	PerSecond float64 // tokens added per second
+	Burst     float64 // capacity in tokens, and the initial level
 }
 
-// DefaultLimits suit requests of a few hundred bytes and answers of 64 KiB at most.
+// DefaultLimits returns limits for requests of a few hundred bytes and responses of up to 64 KiB.
 func DefaultLimits() Limits {
-	return Limits{MaxStreams: 100, MaxBodyBytes: 64 << 10, ConnWindow: 256 << 10, MaxHeaderListBytes: 8 << 10, MaxHeaderBlockBytes: 16 << 10, MaxUnsentBytes: 1 << 20,
-		Overhead: OverheadBudget{PerSecond: 100, Burst: 200}}
+	return Limits{MaxStreams: 100, MaxBodyBytes: 64 << 10, ConnWindow: 256 << 10, MaxHeaderListBytes: 8 << 10, MaxHeaderBlockBytes: 16 << 10,
+		MaxUnsentBytes: 1 << 20,
+		Overhead:       OverheadBudget{PerSecond: 100, Burst: 200}}
 }
--- a/internal/h2/wire/reset.go
+++ b/internal/h2/wire/reset.go
@@ -6,7 +6,7 @@
 	"golang.org/x/net/http2"
 )
 
-// This file has how streams end before their time.
+// This file ends streams early: on errors, and on RST_STREAM from the peer.
 
 func (c *Conn) sortedStreamIDs() []uint32 {
 	ids := make([]uint32, 0, len(c.streams))
@@ -17,8 +17,8 @@
 	return ids
 }
 
-// resetForError ends a stream for an error of the peer's. Each costs calm: a peer that makes this end resetForError streams that it
-// has begun could else have work done without limit (CVE-2025-8671).
+// resetForError resets a stream because of an error of the peer. Each reset is charged as overhead: otherwise a peer that
+// provokes resets of the streams it has opened could cause unlimited work (CVE-2025-8671).
 func (c *Conn) resetForError(id uint32, code http2.ErrCode) {
 	if c.isIdle(id) {
 		c.fail(code, "an error on a stream that was never begun")
@@ -38,7 +38,7 @@
 	c.closedStreams[id/2%closedStreamsKept] = closedStream{id, true}
 }
 
-// removeStream drops a stream that is closed.
+// removeStream drops a closed stream and remembers how it ended.
 func (c *Conn) removeStream(s *stream, resetLocally bool) {
 	delete(c.streams, s.id)
 	c.closedStreams[s.id/2%closedStreamsKept] = closedStream{s.id, resetLocally}
@@ -48,20 +48,20 @@
 		c.sendQueue = slices.Delete(c.sendQueue, i, i+1)
 	}
 	if !s.delivered || c.isClient {
-		c.windowCredit += s.bodyBytes // a server's was given back when the request was handed on
+		c.windowCredit += s.bodyBytes // a server returned it to the window when it delivered the request
 	}
 }
 
-// isIdle reports that the peer can't know the stream: it has not begun it, or it is not the peer's to begin.
+// isIdle reports whether no frame may refer to the stream: it was never opened, or its id is even, and servers open none here.
 func (c *Conn) isIdle(id uint32) bool { return id%2 == 0 || id > c.lastStream }
 
-// recentlyClosed reports whether a stream that is not open was closed lately, and by whom.
+// recentlyClosed reports whether a stream is among the remembered closed ones, and whether this end reset it.
 func (c *Conn) recentlyClosed(id uint32) (known, resetLocally bool) {
 	p := c.closedStreams[id/2%closedStreamsKept]
 	return p.id == id, p.id == id && p.resetLocally
 }
 
-// handleRSTStream takes RST_STREAM. Opening and resetting streams in a row is paid for (CVE-2023-44487).
+// handleRSTStream processes RST_STREAM. It is charged as overhead, which bounds rapid resets (CVE-2023-44487).
 func (c *Conn) handleRSTStream(f *http2.RSTStreamFrame) {
 	if c.isIdle(f.StreamID) {
 		c.fail(http2.ErrCodeProtocol, "RST_STREAM on a stream that was never begun")
--- a/internal/h2/wire/send.go
+++ b/internal/h2/wire/send.go
@@ -8,8 +8,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Respond answers a stream: the status, fields and the whole body, as far as the peer's windows take it. It reports
-// false where nobody waits for it. The body is kept until it is sent.
+// Respond sends the response to a stream: status, fields and the body, as far as the peer's windows allow. The rest of the
+// body is kept until it can be sent. Respond returns false, having sent nothing, if the stream is owed no response.
 func (c *Conn) Respond(id uint32, status int, fields []hpack.HeaderField, body []byte) bool {
 	s := c.streams[id]
 	if s == nil || s.responded || !s.delivered && !s.tooLarge || c.failed {
@@ -35,7 +35,7 @@
 
 func (c *Conn) encodeField(f hpack.HeaderField) { c.mustWrite(c.encoder.WriteField(f)) }
 
-// writeHeaderBlock writes what was encoded as HEADERS, and CONTINUATION where one frame does not hold it.
+// writeHeaderBlock writes the encoded fields as HEADERS, and as CONTINUATION frames what does not fit into it.
 func (c *Conn) writeHeaderBlock(id uint32, endStream bool) {
 	b := c.encodeBuf.Bytes()
 	n := min(len(b), maxFrameBytes)
@@ -46,7 +46,7 @@
 	}
 }
 
-// sendPending sends of what waits, a frame a stream in turn, as far as the windows go.
+// sendPending sends queued body bytes as far as the windows allow, one frame per stream in turn.
 func (c *Conn) sendPending() {
 	for blocked := 0; blocked < len(c.sendQueue) && c.sendWindow > 0 && !c.failed; {
 		id := c.sendQueue[0]
@@ -75,11 +75,11 @@
 	}
 }
 
-// finishSend closes a stream that was answered to the end. A client that still sends its request is told to stop
-// (RFC 9113, 8.1).
+// finishSend closes a stream whose response is sent completely. If the client is still sending the request, RST_STREAM
+// tells it to stop (RFC 9113, 8.1).
 func (c *Conn) finishSend(s *stream) {
 	if c.isClient {
-		return // the answer is yet to come
+		return // the response is still to come
 	}
 	if !s.peerEnded {
 		c.mustWrite(c.framer.WriteRSTStream(s.id, http2.ErrCodeNo))
@@ -88,7 +88,7 @@
 	c.returnWindow()
 }
 
-// ResetStream ends a stream from this end, whatever of its answer is not sent yet.
+// ResetStream ends a stream by RST_STREAM and drops what is still unsent on it.
 func (c *Conn) ResetStream(id uint32, code http2.ErrCode) {
 	if s := c.streams[id]; s != nil && !c.failed {
 		c.mustWrite(c.framer.WriteRSTStream(id, code))
@@ -97,8 +97,9 @@
 	}
 }
 
-// ResetStalled ends the streams for which the peer has been waited for since before a time: requests that are not whole, and
-// answers that it gives no window for. Streams that wait for this end are let alone. It tells how many it ended.
+// ResetStalled resets the streams on which this end has been waiting for the peer since before the given time: incomplete
+// requests, and responses that the peer gives no window for. Streams that wait for this end are kept. It returns how many it
+// reset.
 func (c *Conn) ResetStalled(before time.Duration) (count int) {
 	for _, id := range c.sortedStreamIDs() {
 		if s := c.streams[id]; s.waitingSince < before && (!s.delivered || s.responded) {
@@ -109,7 +110,8 @@
 	return count
 }
 
-// WaitingSince is since when the peer has been waited for, of all streams, or false if it is not.
+// WaitingSince returns since when this end has been waiting for the peer on the stream that waits longest, or false if it
+// waits on none.
 func (c *Conn) WaitingSince() (since time.Duration, ok bool) {
 	for _, s := range c.streams {
 		if (!s.delivered || s.responded) && (!ok || s.waitingSince < since) {
@@ -119,16 +121,16 @@
 	return since, ok
 }
 
-// Shutdown begins a graceful end (RFC 9113, 6.8): the peer is told to begin nothing new, and what it begins before it
-// has heard is still taken. Refuse, a round trip later, ends that.
+// Shutdown begins a graceful shutdown (RFC 9113, 6.8): a GOAWAY tells the peer to open no new streams, and those that it
+// opens before it has received the GOAWAY are still accepted. RefuseNewStreams, called a round trip later, ends that.
 func (c *Conn) Shutdown() {
 	if !c.failed && c.refuseAbove == 0 {
 		c.mustWrite(c.framer.WriteGoAway(maxWindow, http2.ErrCodeNo, nil))
 	}
 }
 
-// RefuseNewStreams tells the last stream that was taken. Higher ones are let alone from now on, and their client knows that they
-// never ran.
+// RefuseNewStreams sends a GOAWAY with the last accepted stream. Higher ones are ignored from now on, and the GOAWAY tells the
+// client that they were not processed.
 func (c *Conn) RefuseNewStreams() {
 	if c.failed || c.refuseAbove > 0 {
 		return
@@ -137,5 +139,6 @@
 	c.refuseAbove = max(c.lastStream, 1)
 }
 
-// Drained reports that the connection can be closed with nothing lost: Refuse was called and nothing is open.
+// Drained reports whether the connection can be closed without losing anything: it has failed, or RefuseNewStreams was
+// called and no stream is open.
 func (c *Conn) Drained() bool { return c.failed || c.refuseAbove > 0 && len(c.streams) == 0 }
--- a/internal/h2/wire/settings.go
+++ b/internal/h2/wire/settings.go
@@ -4,9 +4,9 @@
 	"golang.org/x/net/http2"
 )
 
-// This file has what a peer says of its limits: its settings and its windows.
+// This file handles the peer's SETTINGS and WINDOW_UPDATE frames.
 
-// handleSettings takes SETTINGS (RFC 9113, 6.5), in their order.
+// handleSettings applies the settings in their order (RFC 9113, 6.5).
 func (c *Conn) handleSettings(f *http2.SettingsFrame) {
 	if !c.settingsReceived && f.IsAck() {
 		c.fail(http2.ErrCodeProtocol, "the first frame is not SETTINGS")
@@ -42,7 +42,7 @@
 	case http2.SettingInitialWindowSize:
 		delta := int64(s.Val) - c.peerInitialWindow
 		c.peerInitialWindow = int64(s.Val)
-		for _, st := range c.streams { // may go below nothing (RFC 9113, 6.9.2)
+		for _, st := range c.streams { // a window may become negative (RFC 9113, 6.9.2)
 			if st.sendWindow += delta; st.sendWindow > maxWindow {
 				return http2.ConnectionError(http2.ErrCodeFlowControl)
 			}
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// handleWindowUpdate takes WINDOW_UPDATE. It is paid for, and what is sent gives back more than it takes.
+// handleWindowUpdate processes WINDOW_UPDATE. Each is charged as overhead; sendPending returns the tokens for every DATA
+// frame that it sends.
 func (c *Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) {
 	if !c.chargeOverhead(1) {
 		return
