--- a/internal/h2/wire/conn_test.go
+++ b/internal/h2/wire/conn_test.go
@@ -16,33 +16,33 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// checkInvariants checks what must be true of a connection at all times.
+// checkInvariants checks what must hold for a connection at all times.
 func checkInvariants(t testing.TB, c *Conn) {
 	t.Helper()
-	unsent, waiting := 0, map[uint32]bool{}
+	unsent, queued := 0, map[uint32]bool{}
 	for _, id := range c.sendQueue {
-		waiting[id] = true
+		queued[id] = true
 	}
 	for _, s := range c.streams {
 		unsent += len(s.unsent)
-		if (len(s.unsent) > 0) != waiting[s.id] {
-			t.Fatalf("stream %d with %d unsent bytes waits: %v", s.id, len(s.unsent), waiting[s.id])
+		if (len(s.unsent) > 0) != queued[s.id] {
+			t.Fatalf("stream %d with %d unsent bytes is queued: %v", s.id, len(s.unsent), queued[s.id])
 		}
 	}
-	switch l := c.limits; {
-	case len(c.sendQueue) != len(waiting), unsent != c.unsentBytes, unsent > l.MaxUnsentBytes:
-		t.Fatalf("%d unsent bytes, counted as %d; %d streams wait, %d of them once", unsent, c.unsentBytes, len(c.sendQueue), len(waiting))
-	case len(c.streams) > l.MaxStreams:
+	switch limits := c.limits; {
+	case len(c.sendQueue) != len(queued), unsent != c.unsentBytes, unsent > limits.MaxUnsentBytes:
+		t.Fatalf("%d unsent bytes, counted as %d; %d queue entries for %d streams", unsent, c.unsentBytes, len(c.sendQueue), len(queued))
+	case len(c.streams) > limits.MaxStreams:
 		t.Fatalf("%d streams", len(c.streams))
 	case len(c.partial) > maxFrameBytes+frameHeaderBytes:
-		t.Fatalf("%d bytes are kept of a frame", len(c.partial))
-	case !c.failed && (c.recvWindow < 0 || c.recvWindow > max(initialWindow, int64(l.ConnWindow)) || c.windowCredit != 0):
-		t.Fatalf("the window is %d, %d of it owed", c.recvWindow, c.windowCredit)
+		t.Fatalf("%d bytes of an incomplete frame are kept", len(c.partial))
+	case !c.failed && (c.recvWindow < 0 || c.recvWindow > max(initialWindow, int64(limits.ConnWindow)) || c.windowCredit != 0):
+		t.Fatalf("the receive window is %d, with %d bytes not returned", c.recvWindow, c.windowCredit)
 	}
 }
 
-// What a connection makes of its bytes does not depend on how they are cut.
-func TestScriptsCutAnywhere(t *testing.T) {
+// TestFeedCutAnywhere checks that the events do not depend on how the received bytes are split into calls of Feed.
+func TestFeedCutAnywhere(t *testing.T) {
 	p := newScriptRunner(t, testLimits())
 	for _, w := range []string{"preface", "settings 3=7", "headers 1 post k=v", "data 1 30", "padded 1 20 9 end", "headers 3 open get", "continuation 3 a=b",
 		"ping", "data 3 0 end", "headers 5 end get K=v", "window 0 9", "rst 3 CANCEL", "goaway 0 NO_ERROR", "priority 7 7"} {
@@ -83,24 +83,24 @@
 	}
 }
 
-// Random clients, rude ones among them, and a front that answers, resets and ends in any order: nothing is broken, each
-// request that was handed on is answered or left exactly once, and nothing is sent for it afterwards.
+// TestRandomClients runs random clients, some of them misbehaving, against a server that responds, resets and times out in any
+// order. The invariants hold, and each delivered request is answered or aborted exactly once, with nothing sent afterwards.
 func TestRandomClients(t *testing.T) {
 	seeds.Run(t, []uint64{1, 2, 3}, func(t *testing.T, seed uint64) {
-		r, asked := seeds.Rand(seed), 0
+		r, delivered := seeds.Rand(seed), 0
 		for range seeds.Rounds(150) {
-			asked += runRandomClient(t, r)
+			delivered += runRandomClient(t, r)
 		}
-		if asked < 100 {
-			t.Errorf("only %d requests were handed on", asked)
+		if delivered < 100 {
+			t.Errorf("only %d requests were delivered", delivered)
 		}
 	})
 }
 
-func runRandomClient(t *testing.T, r *rand.Rand) (asked int) {
+func runRandomClient(t *testing.T, r *rand.Rand) (delivered int) {
 	p := newScriptRunner(t, testLimits())
 	p.handshake()
-	rude, open, next := r.IntN(8) == 0, map[uint32]bool{}, uint32(1)
+	misbehaving, open, next := r.IntN(8) == 0, map[uint32]bool{}, uint32(1)
 	id := func() uint32 { return 1 + 2*uint32(r.IntN(max(1, int(next)/2))) }
 	for range 200 {
 		switch k := r.IntN(14); k {
@@ -120,7 +120,7 @@
 		case 7:
 			p.send([]string{"settings", fmt.Sprintf("4=%d", r.IntN(70000))})
 		case 8:
-			if rude {
+			if misbehaving {
 				p.send([]string{"frame", fmt.Sprint(r.IntN(11)), fmt.Sprint(r.IntN(256)), fmt.Sprint(r.IntN(9)), strings.Repeat("00", r.IntN(12))})
 			}
 		case 9:
@@ -129,9 +129,9 @@
 			p.c.ResetStalled(p.now - time.Duration(r.IntN(4))*time.Second)
 		default:
 			id := id()
-			if answered := p.c.Respond(id, 200, []hpack.HeaderField{{Name: "k", Value: "v"}}, make([]byte, r.IntN(70000))); answered && !open[id] {
-				t.Fatalf("stream %d was answered, which nobody waits for", id)
-			} else if answered {
+			if responded := p.c.Respond(id, 200, []hpack.HeaderField{{Name: "k", Value: "v"}}, make([]byte, r.IntN(70000))); responded && !open[id] {
+				t.Fatalf("a response was sent on stream %d, which has no open request", id)
+			} else if responded {
 				delete(open, id)
 			}
 		}
@@ -141,7 +141,7 @@
 		for _, e := range events {
 			switch e.Kind {
 			case RequestReceived:
-				asked++
+				delivered++
 				open[e.Stream] = true
 			case RequestTooLarge:
 				p.c.Respond(e.Stream, e.Status, nil, nil)
@@ -149,16 +149,16 @@
 				delete(open, e.Stream)
 			}
 		}
-		p.output(nil) // what goes out can be read
+		p.output(nil) // fails unless the output can be parsed
 		checkInvariants(t, p.c)
 		if p.c.Failed() {
 			break
 		}
 	}
-	return asked
+	return delivered
 }
 
-// BenchmarkRequest is a small request and its answer of 64 bytes.
+// BenchmarkRequest measures a small request and its response of 64 bytes.
 func BenchmarkRequest(b *testing.B) {
 	c := NewServer(DefaultLimits(), 0)
 	var in, encoded bytes.Buffer
@@ -188,7 +188,7 @@
 	}
 }
 
-// FuzzConn feeds whatever bytes, cut in two, with answers in between.
+// FuzzConn feeds arbitrary bytes to a server in two calls, and responds to the requests.
 func FuzzConn(f *testing.F) {
 	for _, name := range []string{"requests", "streams", "floods"} {
 		text, err := os.ReadFile(filepath.Join("testdata", name+".txt"))
@@ -229,7 +229,7 @@
 	})
 }
 
-// FuzzClient feeds whatever bytes to a client with requests out.
+// FuzzClient feeds arbitrary bytes to a client with open requests.
 func FuzzClient(f *testing.F) {
 	text, err := os.ReadFile(filepath.Join("testdata", "client.txt"))
 	if err != nil {
@@ -255,7 +255,7 @@
 			for _, e := range c.Feed(now, p) {
 				if e.Kind == ResponseReceived || e.Kind == RequestRefused || e.Kind == StreamAborted {
 					if !owed[e.Stream] {
-						t.Fatalf("stream %d ended twice, or was never begun", e.Stream)
+						t.Fatalf("stream %d ended twice or was never opened", e.Stream)
 					}
 					delete(owed, e.Stream)
 				}
@@ -266,7 +266,7 @@
 					t.Fatalf("%d requests are owed an event, %d streams are open", len(owed), c.OpenStreams())
 				}
 			} else if len(owed) > 0 {
-				t.Fatalf("%d requests have had no event, and the connection is at its end", len(owed))
+				t.Fatalf("the connection failed without an event for %d requests", len(owed))
 			}
 		}
 	})
--- a/internal/h2/wire/script_test.go
+++ b/internal/h2/wire/script_test.go
@@ -15,9 +15,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Scripts are in testdata: "== name" begins one. A line with ">" is what the client sends, one with "!" what this end
-// does or that time passes; the lines under it, with "<" for frames that come back and "=" for events, are all that
-// must come of it. A script begins with a greeted connection, unless its name ends with "(raw)"; with "(client)" this end is the client.
+// TestScripts runs the scripts in testdata. "== name" begins a script. A line with ">" is what the peer sends, one with "!" is
+// a call on the tested Conn or the passing of time. The lines below it, "<" for frames that the Conn writes and "=" for events,
+// are the complete expected result. The Conn is a server, or a client if the name ends with "(client)". Preface and SETTINGS
+// are already exchanged, unless the name ends with "(raw)".
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -36,10 +37,11 @@
 }
 
 func testLimits() Limits {
-	return Limits{MaxStreams: 3, MaxBodyBytes: 100, ConnWindow: initialWindow, MaxHeaderListBytes: 1000, MaxHeaderBlockBytes: 2000, MaxUnsentBytes: 300000, Overhead: OverheadBudget{PerSecond: 1, Burst: 20}}
+	return Limits{MaxStreams: 3, MaxBodyBytes: 100, ConnWindow: initialWindow, MaxHeaderListBytes: 1000, MaxHeaderBlockBytes: 2000,
+		MaxUnsentBytes: 300000, Overhead: OverheadBudget{PerSecond: 1, Burst: 20}}
 }
 
-// scriptRunner is a client that sends what its script says, broken or not.
+// scriptRunner is the peer of the tested Conn. It sends what its script says, valid or not.
 type scriptRunner struct {
 	t           *testing.T
 	c           *Conn
@@ -53,8 +55,8 @@
 	replyFramer *http2.Framer
 }
 
-func newScriptRunner(t *testing.T, l Limits) *scriptRunner {
-	p := &scriptRunner{t: t, c: NewServer(l, time.Hour), now: time.Hour, decoder: hpack.NewDecoder(4096, nil)}
+func newScriptRunner(t *testing.T, limits Limits) *scriptRunner {
+	p := &scriptRunner{t: t, c: NewServer(limits, time.Hour), now: time.Hour, decoder: hpack.NewDecoder(4096, nil)}
 	p.framer = http2.NewFramer(&p.bytes, nil)
 	p.framer.AllowIllegalWrites = true
 	p.encoder = hpack.NewEncoder(&p.encoded)
@@ -77,11 +79,11 @@
 	case !strings.HasSuffix(name, "(raw)"):
 		p.handshake()
 	}
-	var did string
+	var step string
 	var got, want []string
 	check := func() {
 		if strings.Join(got, "\n") != strings.Join(want, "\n") {
-			t.Fatalf("%s\ngot\n  %s\nwant\n  %s", did, strings.Join(got, "\n  "), strings.Join(want, "\n  "))
+			t.Fatalf("%s\ngot\n  %s\nwant\n  %s", step, strings.Join(got, "\n  "), strings.Join(want, "\n  "))
 		}
 		want = nil
 	}
@@ -91,7 +93,7 @@
 		case line == "" || line[0] == '#':
 		case line[0] == '>' || line[0] == '!':
 			check()
-			did = line
+			step = line
 			checkInvariants(t, p.c)
 			var events []Event
 			if line[0] == '>' {
@@ -125,7 +127,7 @@
 	return uint32(n)
 }
 
-// errCode reads an error errCode by its name in the RFC.
+// errCode returns the error code with the given name in RFC 9113.
 func errCode(s string) http2.ErrCode {
 	for c := http2.ErrCode(0); c < 0xe; c++ {
 		if c.String() == s {
@@ -135,7 +137,8 @@
 	panic(s)
 }
 
-// fields encodes name=value words; "get" and "post" stand for the usual pseudo-header fields.
+// fields encodes name=value words; "get" and "post" stand for the usual pseudo-header fields. In values, "_" is a space, "~" a
+// line break, and "x*9" stands for nine times x.
 func (p *scriptRunner) fields(words []string) []byte {
 	p.encoded.Reset()
 	for _, w := range words {
@@ -153,15 +156,15 @@
 }
 
 func (p *scriptRunner) encodeField(name, value string) {
-	if n, times, ok := strings.Cut(value, "*"); ok {
-		value = strings.Repeat(n, int(parseUint32(times)))
+	if unit, times, ok := strings.Cut(value, "*"); ok {
+		value = strings.Repeat(unit, int(parseUint32(times)))
 	}
 	if err := p.encoder.WriteField(hpack.HeaderField{Name: name, Value: value}); err != nil {
 		panic(err)
 	}
 }
 
-// removeWord takes a word out of a list, if it is there.
+// removeWord removes the first occurrence of a word from a list and reports whether there was one.
 func removeWord(words []string, word string) ([]string, bool) {
 	for i, w := range words {
 		if w == word {
@@ -175,7 +178,7 @@
 	f := p.framer
 	rest := w[1:]
 	rest, end := removeWord(rest, "end")
-	rest, open := removeWord(rest, "open") // the block goes on
+	rest, unfinished := removeWord(rest, "open") // the header block continues
 	switch w[0] {
 	case "preface":
 		p.bytes.WriteString(http2.ClientPreface)
@@ -187,24 +190,24 @@
 			panic(err)
 		}
 		f.WriteRawFrame(http2.FrameType(parseUint32(rest[0])), http2.Flags(parseUint32(rest[1])), parseUint32(rest[2]), payload)
-	case "long": // a frame of a type with a payload of so many bytes
+	case "long": // type stream bytes: a payload of zeros
 		f.WriteRawFrame(http2.FrameType(parseUint32(rest[0])), 0, parseUint32(rest[1]), make([]byte, parseUint32(rest[2])))
 	case "settings":
-		var all []http2.Setting
+		var settings []http2.Setting
 		for _, kv := range rest {
 			k, v, _ := strings.Cut(kv, "=")
-			all = append(all, http2.Setting{ID: http2.SettingID(parseUint32(k)), Val: parseUint32(v)})
+			settings = append(settings, http2.Setting{ID: http2.SettingID(parseUint32(k)), Val: parseUint32(v)})
 		}
-		f.WriteSettings(all...)
+		f.WriteSettings(settings...)
 	case "settings-ack":
 		f.WriteSettingsAck()
 	case "headers":
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: parseUint32(rest[0]), EndStream: end, EndHeaders: !open, BlockFragment: p.fields(rest[1:])})
-	case "depends": // headers of a stream that depends on another
+		f.WriteHeaders(http2.HeadersFrameParam{StreamID: parseUint32(rest[0]), EndStream: end, EndHeaders: !unfinished, BlockFragment: p.fields(rest[1:])})
+	case "depends": // stream dependency fields: HEADERS with a priority
 		f.WriteHeaders(http2.HeadersFrameParam{StreamID: parseUint32(rest[0]), EndStream: end, EndHeaders: true, BlockFragment: p.fields(rest[2:]),
 			Priority: http2.PriorityParam{StreamDep: parseUint32(rest[1]), Weight: 1}})
 	case "continuation":
-		f.WriteContinuation(parseUint32(rest[0]), !open, p.fields(rest[1:]))
+		f.WriteContinuation(parseUint32(rest[0]), !unfinished, p.fields(rest[1:]))
 	case "data":
 		f.WriteData(parseUint32(rest[0]), end, bytes.Repeat([]byte("x"), int(parseUint32(rest[1]))))
 	case "padded":
@@ -221,7 +224,7 @@
 		f.WriteWindowUpdate(parseUint32(rest[0]), parseUint32(rest[1]))
 	case "priority":
 		f.WritePriority(parseUint32(rest[0]), http2.PriorityParam{StreamDep: parseUint32(rest[1])})
-	case "times": // the same so often
+	case "repeat": // count command
 		for range parseUint32(w[1]) {
 			p.send(w[2:])
 		}
@@ -232,16 +235,16 @@
 
 func (p *scriptRunner) act(w []string) {
 	switch w[0] {
-	case "respond": // stream status bytes
+	case "respond": // stream status body-bytes
 		body := bytes.Repeat([]byte("y"), int(parseUint32(w[3])))
 		p.c.Respond(parseUint32(w[1]), int(parseUint32(w[2])), []hpack.HeaderField{{Name: "a", Value: "b"}}, body)
-	case "ask": // bytes of body
+	case "send-request": // body bytes
 		if _, ok := p.c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, bytes.Repeat([]byte("y"), int(parseUint32(w[1])))); !ok {
-			p.t.Fatal("there is no room")
+			p.t.Fatal("the request was not accepted")
 		}
-	case "room": // that there is
+	case "available": // streams
 		if got := p.c.AvailableStreams(); got != int(parseUint32(w[1])) {
-			p.t.Fatalf("there is room for %d, want %s", got, w[1])
+			p.t.Fatalf("%d streams are available, want %s", got, w[1])
 		}
 	case "unsent": // stream bytes
 		if got := p.c.UnsentBytes(parseUint32(w[1])); got != int(parseUint32(w[2])) {
@@ -251,33 +254,33 @@
 		p.c.Ping()
 	case "reset":
 		p.c.ResetStream(parseUint32(w[1]), errCode(w[2]))
-	case "pass": // seconds
+	case "advance": // seconds
 		p.now += time.Duration(parseUint32(w[1])) * time.Second
-	case "stalled": // for so many seconds
+	case "reset-stalled": // seconds
 		p.c.ResetStalled(p.now - time.Duration(parseUint32(w[1]))*time.Second)
 	case "shutdown":
 		p.c.Shutdown()
-	case "refuse":
+	case "refuse-new":
 		p.c.RefuseNewStreams()
 	default:
 		p.t.Fatalf("unknown word %q", w[0])
 	}
 }
 
-// output writes what came of a step: frames first, then events.
-func (p *scriptRunner) output(events []Event) (all []string) {
+// output describes the result of a step: first the frames that the Conn wrote, then the events.
+func (p *scriptRunner) output(events []Event) (lines []string) {
 	p.replies.b = bytes.Clone(p.c.TakeOutput())
 	for len(p.replies.b) > 0 {
 		f, err := p.replyFramer.ReadFrame()
 		if err != nil {
-			p.t.Fatalf("what came back can't be read: %v", err)
+			p.t.Fatalf("the output can't be parsed: %v", err)
 		}
-		all = append(all, "< "+p.describe(f))
+		lines = append(lines, "< "+p.describe(f))
 	}
 	for _, e := range events {
-		all = append(all, "= "+describe(e))
+		lines = append(lines, "= "+describe(e))
 	}
-	return all
+	return lines
 }
 
 func (p *scriptRunner) describe(f http2.Frame) string {
@@ -317,15 +320,15 @@
 func describe(e Event) string {
 	switch e.Kind {
 	case RequestReceived:
-		s := fmt.Sprintf("asked %d %s %s", e.Stream, e.Request.Method, e.Request.Path)
+		s := fmt.Sprintf("request %d %s %s", e.Stream, e.Request.Method, e.Request.Path)
 		for _, f := range e.Request.Fields {
 			s += " " + f.Name + "=" + f.Value
 		}
 		return fmt.Sprintf("%s body=%d", s, len(e.Request.Body))
 	case RequestTooLarge:
-		return fmt.Sprintf("toobig %d %d", e.Stream, e.Status)
+		return fmt.Sprintf("too-large %d %d", e.Stream, e.Status)
 	case ResponseReceived:
-		s := fmt.Sprintf("answered %d %d", e.Stream, e.Response.Status)
+		s := fmt.Sprintf("response %d %d", e.Stream, e.Response.Status)
 		for _, f := range e.Response.Fields {
 			s += " " + f.Name + "=" + f.Value
 		}
@@ -334,11 +337,11 @@
 		return fmt.Sprintf("refused %d %s", e.Stream, e.Code)
 	case StreamAborted:
 		if e.Local {
-			return fmt.Sprintf("left %d %s mine", e.Stream, e.Code)
+			return fmt.Sprintf("aborted %d %s local", e.Stream, e.Code)
 		}
-		return fmt.Sprintf("left %d %s", e.Stream, e.Code)
+		return fmt.Sprintf("aborted %d %s", e.Stream, e.Code)
 	case GoAwayReceived:
-		return fmt.Sprintf("away %s", e.Code)
+		return fmt.Sprintf("goaway-received %s", e.Code)
 	}
-	return fmt.Sprintf("ended %s", e.Code)
+	return fmt.Sprintf("failed %s", e.Code)
 }
