--- a/internal/h2/backend_test.go
+++ b/internal/h2/backend_test.go
@@ -18,12 +18,12 @@
 	t.Helper()
 	p := testPlatform()
 	p.H2Nodes = nodes
-	b := BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: testTimeout, IdleTimeout: testTimeout}
+	backendCfg := BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: testTimeout, IdleTimeout: testTimeout}
 	if change != nil {
-		change(&b)
+		change(&backendCfg)
 	}
 	return newHarnessWithNodes(t, p, nodes, func(cfg *gateway.Config, _ *FrontendConfig) {
-		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(b)}
+		cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(backendCfg)}
 	})
 }
 
@@ -48,7 +48,7 @@
 	reset := func(code http2.ErrCode) func(*testbed.H2Stream) {
 		return func(s *testbed.H2Stream) { s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteRSTStream(s.ID, code) }) }
 	}
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		do    func(*testbed.H2Stream)
 		again bool // it goes to the other group
 	}{
@@ -70,34 +70,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newBackendHarness(t, 2, nil)
-			came := make(chan string, 16)
+			received := make(chan string, 16)
 			for _, n := range r.site.Nodes { // the first that gets it is rude, once
 				n.InterceptStreams(func(s *testbed.H2Stream) bool {
-					came <- n.ID()
-					if len(came) > 1 {
+					received <- n.ID()
+					if len(received) > 1 {
 						return false
 					}
-					x.do(s)
+					tc.do(s)
 					return true
 				})
 			}
 			a := r.roundTrip(r.dial(nil), booking("b"))
-			if x.again {
+			if tc.again {
 				if a.Status != 200 {
 					t.Errorf("got %+v", a)
 				}
-				if len(came) != 2 {
-					t.Fatalf("it came %d times", len(came))
+				if len(received) != 2 {
+					t.Fatalf("it came %d times", len(received))
 				}
-				if first, second := <-came, <-came; first == second {
+				if first, second := <-received, <-received; first == second {
 					t.Error("it came to one node twice")
 				}
 				r.checkEffects("b", 1)
 				return
 			}
-			first := <-came
-			for len(came) > 0 {
-				if next := <-came; next != first {
+			first := <-received
+			for len(received) > 0 {
+				if next := <-received; next != first {
 					t.Errorf("it may have run at %s and went to %s", first, next)
 				}
 			}
@@ -110,40 +110,40 @@
 
 // Many attempts share a connection, up to what the node allows, which may be lowered; giving one up leaves the others.
 func TestStreamsShareConnections(t *testing.T) {
-	r := newBackendHarness(t, 1, func(b *BackendConfig) { b.MaxConns = 1 })
+	r := newBackendHarness(t, 1, func(backendCfg *BackendConfig) { backendCfg.MaxConns = 1 })
 	conns := make(chan *testbed.H2NodeConn, 64)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
 		conns <- s.Conn
 		return false
 	})
-	let := r.holdResponses()
+	release := r.holdResponses()
 	c := r.dial(nil)
 	var open []uint32
 	for i := range 3 {
 		open = append(open, r.send(c, lookup(fmt.Sprint(i))))
 	}
 	r.waitArrivals(2) // the node has two cores; the third waits in its queue or arrives too
-	one := <-conns
-	if other := <-conns; other != one {
+	conn := <-conns
+	if second := <-conns; second != conn {
 		t.Error("two connections were made")
 	}
 	if err := c.Framer.WriteRSTStream(open[0], http2.ErrCodeCancel); err != nil {
 		t.Fatal(err)
 	}
 	r.waitProcessed(c)
-	let()
+	release()
 	for range 2 {
 		if a := r.readResponse(c); a.Status != 200 || a.Stream == open[0] {
 			t.Errorf("got %+v", a)
 		}
 	}
-	one.WriteFrames(func(f *http2.Framer) { f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0}) })
-	one.WriteFrames(func(f *http2.Framer) { f.WritePing(false, [8]byte{}) })
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until it was taken
+	conn.WriteFrames(func(f *http2.Framer) { f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0}) })
+	conn.WriteFrames(func(f *http2.Framer) { f.WritePing(false, [8]byte{}) })
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until it was taken
 		if a := r.roundTrip(c, lookup(fmt.Sprintf("full-%d", time.Now().UnixNano()))); a.Status == 503 {
 			break
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatal("attempts go on over the node's bound")
 		}
 	}
@@ -157,7 +157,7 @@
 		conns <- s.Conn
 		return false
 	})
-	let := r.holdResponses()
+	release := r.holdResponses()
 	c := r.dial(nil)
 	first := r.send(c, lookup("first"))
 	old := <-conns
@@ -170,7 +170,7 @@
 		}
 		time.Sleep(50 * time.Millisecond) // so few are open that none is shed
 	}
-	let()
+	release()
 	seen := map[uint32]int{}
 	for seen[first] == 0 || seen[second] == 0 {
 		a := r.readResponse(c)
@@ -184,7 +184,7 @@
 // One connection carries many clinics' attempts when its node drains: all are answered, and nothing new goes to it.
 func TestNodeDrainsUnderStreams(t *testing.T) {
 	r := newBackendHarness(t, 2, nil)
-	let := r.holdResponses()
+	release := r.holdResponses()
 	c := r.dial(nil)
 	open := map[uint32]bool{}
 	for i := range 4 {
@@ -204,7 +204,7 @@
 		q.Customer = fmt.Sprintf("%016x", i+1)
 		open[r.send(c, q)] = true
 	}
-	let()
+	release()
 	for range 14 {
 		a := r.readResponse(c)
 		if !open[a.Stream] || a.Status != 200 && a.Status != 503 {
@@ -226,18 +226,18 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	ended := make(chan error, 1)
+	readErr := make(chan error, 1)
 	go func() { // takes all and says nothing
 		nc, err := ln.Accept()
 		if err != nil {
-			ended <- err
+			readErr <- err
 			return
 		}
 		buf := make([]byte, 4096)
 		for err == nil {
 			_, err = nc.Read(buf)
 		}
-		ended <- err
+		readErr <- err
 		ln.Close()
 	}()
 	r := newBackendHarness(t, 1, func(b *BackendConfig) { b.PingInterval = 50 * time.Millisecond })
@@ -262,7 +262,7 @@
 		break
 	}
 	select {
-	case <-ended:
+	case <-readErr:
 	case <-time.After(testTimeout):
 		t.Error("the silent connection is kept")
 	}
@@ -271,11 +271,11 @@
 // The mixed load with half of the nodes behind HTTP/2, and all: the same quotas and endings as by RESP2 alone.
 func TestMixedBacks(t *testing.T) {
 	const seed = 3
-	units, ends := runMixedLoad(t, seed, 0, func(int) bool { return false })
+	units, statuses := runMixedLoad(t, seed, 0, func(int) bool { return false })
 	for _, nodes := range []int{1, 2} {
-		u, e := runMixedLoad(t, seed, nodes, func(i int) bool { return i%2 == 0 })
-		if fmt.Sprint(u) != fmt.Sprint(units) || fmt.Sprint(e) != fmt.Sprint(ends) {
-			t.Errorf("with %d of 2 nodes by HTTP/2: units %v, by RESP2 %v", nodes, u, units)
+		gotUnits, gotStatuses := runMixedLoad(t, seed, nodes, func(i int) bool { return i%2 == 0 })
+		if fmt.Sprint(gotUnits) != fmt.Sprint(units) || fmt.Sprint(gotStatuses) != fmt.Sprint(statuses) {
+			t.Errorf("with %d of 2 nodes by HTTP/2: units %v, by RESP2 %v", nodes, gotUnits, units)
 		}
 	}
 }
@@ -283,42 +283,42 @@
 // A node that moves while an attempt is out: given up, it is reset on the old connection.
 func TestNodeMovesUnderAttempts(t *testing.T) {
 	r := newBackendHarness(t, 2, nil)
-	came, over := make(chan struct{}, 16), make(chan string, 16)
+	arrived, cancelled := make(chan struct{}, 16), make(chan string, 16)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		<-s.Cancelled
-		over <- s.Arrival.ID
+		cancelled <- s.Arrival.ID
 		return true
 	})
 	list := r.site.ServerList()
 	list.Servers = list.Servers[:1]
-	tell := func(version uint64) { // and waits until the gateway has it: it asks for what is newer
+	publish := func(version uint64) { // and waits until the gateway has it: it asks for what is newer
 		list.Version = version
 		if err := r.site.Discovery.Set(version, list); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.After(testTimeout); ; {
+		for timeout := time.After(testTimeout); ; {
 			select {
 			case q := <-r.site.Discovery.Queries:
 				if strings.Contains(q, fmt.Sprintf("after=%d&", version)) {
 					return
 				}
-			case <-end:
+			case <-timeout:
 				t.Fatal("the gateway does not take the list")
 			}
 		}
 	}
-	tell(50)
+	publish(50)
 	c := r.dial(nil)
 	open := r.send(c, booking("open"))
-	<-came
+	<-arrived
 	list.Servers[0].Addr = r.site.Nodes[1].Addr()
-	tell(99)
+	publish(99)
 	if err := c.Framer.WriteRSTStream(open, http2.ErrCodeCancel); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case got := <-over:
+	case got := <-cancelled:
 		if got != "open" {
 			t.Errorf("%s was given up", got)
 		}
@@ -332,30 +332,30 @@
 func TestTrueUnitsSettle(t *testing.T) {
 	// A burst of 36 counts as half used at the start and does not refill: there is room for 18 guesses of 1, or for 5 of
 	// which each takes 4 once it is answered (the fifth finds 34 of 36 used).
-	const guesses, settled = 18, 5
-	for figures, want := range map[string]int{"used=200,units=4": settled, "": guesses, "units=x": guesses, "units=9": guesses, "units=4,units=4": guesses} {
-		for name, h2 := range map[string]struct {
+	const estimated, settled = 18, 5
+	for report, want := range map[string]int{"used=200,units=4": settled, "": estimated, "units=x": estimated, "units=9": estimated, "units=4,units=4": estimated} {
+		for name, protocols := range map[string]struct {
 			nodes  int
 			client bool
 		}{"RESP2 to RESP2": {0, false}, "RESP2 to HTTP/2": {1, false}, "HTTP/2 to RESP2": {0, true}, "HTTP/2 to HTTP/2": {1, true}} {
-			if want == guesses && (h2.nodes == 1) != h2.client {
+			if want == estimated && (protocols.nodes == 1) != protocols.client {
 				continue // each side's reading of figures is played once
 			}
 			p := testPlatform()
-			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = h2.nodes, true, 8
+			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = protocols.nodes, true, 8
 			r := newHarnessWithNodes(t, p, 1, func(cfg *gateway.Config, _ *FrontendConfig) {
 				cfg.BackendsByKind = map[string]gateway.Backend{testbed.H2NodeKind: NewBackend(BackendConfig{MaxStreams: 100, MaxConns: 2, PingInterval: testTimeout, IdleTimeout: testTimeout})}
 			})
-			r.site.Nodes[0].SetUseReport(func(testbed.Arrival) string { return figures })
+			r.site.Nodes[0].SetUseReport(func(testbed.Arrival) string { return report })
 			c, served := &caller{r: r}, 0
 			c.dial()
-			for n := range guesses + 4 {
-				if c.send(lookup(fmt.Sprint("q", n)), h2.client) == 200 {
+			for n := range estimated + 4 {
+				if c.send(lookup(fmt.Sprint("q", n)), protocols.client) == 200 {
 					served++
 				}
 			}
 			if served != want {
-				t.Errorf("%s, %q: %d were let in, want %d", name, figures, served, want)
+				t.Errorf("%s, %q: %d were let in, want %d", name, report, served, want)
 			}
 		}
 	}
--- a/internal/h2/floods_test.go
+++ b/internal/h2/floods_test.go
@@ -14,13 +14,13 @@
 
 // Each flood on sockets: its client is sent away with the right code, and the usual one is served before and after.
 func TestFloods(t *testing.T) {
-	const many = 5000
+	const frames = 5000
 	block := func(f *http2.Framer, id uint32, ends bool) {
 		q := lookup(fmt.Sprint("flood-", id))
 		q.Customer = "0000000000000009"
 		f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndStream: ends, EndHeaders: true, BlockFragment: testbed.NewH2Encoder().HeaderBlock(q)})
 	}
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		flood func(f *http2.Framer, i int)
 		begin func(f *http2.Framer)
 		code  http2.ErrCode
@@ -53,40 +53,40 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, testPlatform(), nil)
-			good, rude := r.dial(nil), r.dial(nil)
-			if a := r.roundTrip(good, lookup("before")); a.Status != 200 {
+			wellBehaved, abusive := r.dial(nil), r.dial(nil)
+			if a := r.roundTrip(wellBehaved, lookup("before")); a.Status != 200 {
 				t.Fatalf("got %+v", a)
 			}
-			ended := make(chan *http2.GoAwayFrame, 1)
+			goAway := make(chan *http2.GoAwayFrame, 1)
 			go func() { // reads beside the writer, and answers nothing
-				for f := http2.NewFramer(nil, rude.Conn); ; {
+				for f := http2.NewFramer(nil, abusive.Conn); ; {
 					x, err := f.ReadFrame()
-					if away, ok := x.(*http2.GoAwayFrame); ok || err != nil {
-						ended <- away
+					if frame, ok := x.(*http2.GoAwayFrame); ok || err != nil {
+						goAway <- frame
 						return
 					}
 				}
 			}()
-			f := http2.NewFramer(rude.Conn, nil)
+			f := http2.NewFramer(abusive.Conn, nil)
 			f.AllowIllegalWrites = true
-			if x.begin != nil {
-				x.begin(f)
+			if tc.begin != nil {
+				tc.begin(f)
 			}
-			for i := range many {
-				x.flood(f, i) // errors show that it was sent away
+			for i := range frames {
+				tc.flood(f, i) // errors show that it was sent away
 			}
-			if x.code == 0 {
-				x.code = http2.ErrCodeEnhanceYourCalm
+			if tc.code == 0 {
+				tc.code = http2.ErrCodeEnhanceYourCalm
 			}
 			select {
-			case a := <-ended:
-				if a == nil || a.ErrCode != x.code {
+			case a := <-goAway:
+				if a == nil || a.ErrCode != tc.code {
 					t.Errorf("the rude client got %v", a)
 				}
 			case <-time.After(testTimeout):
 				t.Error("the flood goes on")
 			}
-			if a := r.roundTrip(good, lookup("after")); a.Status != 200 {
+			if a := r.roundTrip(wellBehaved, lookup("after")); a.Status != 200 {
 				t.Errorf("the usual client got %+v", a)
 			}
 		})
--- a/internal/h2/frontend_test.go
+++ b/internal/h2/frontend_test.go
@@ -41,9 +41,9 @@
 			t.Errorf("%s: got %q, want %q", name, a.Fields[name], want)
 		}
 	}
-	book := lookup("two")
-	book.Path, book.Key, book.Body, book.Units = "/v1/do/slot-book?x=y", `"k1"`, []byte("Tuesday 10:00"), "2"
-	if a := r.roundTrip(c, book); a.Status != 200 || a.Fields["sloepick-cost"] != "2" {
+	booking := lookup("two")
+	booking.Path, booking.Key, booking.Body, booking.Units = "/v1/do/slot-book?x=y", `"k1"`, []byte("Tuesday 10:00"), "2"
+	if a := r.roundTrip(c, booking); a.Status != 200 || a.Fields["sloepick-cost"] != "2" {
 		t.Errorf("got %+v", a)
 	}
 	got := r.site.Recorder.Arrivals()
@@ -56,7 +56,7 @@
 func TestRejected(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		change func(*testbed.H2Request)
 		status int
 		detail string
@@ -87,16 +87,16 @@
 		}, 431, "larger"},
 	} {
 		q := lookup("id")
-		x.change(&q)
+		tc.change(&q)
 		id := r.send(c, q)
 		a := r.readResponse(c)
 		switch {
-		case x.status == 0: // malformed, so the stream's end
+		case tc.status == 0: // malformed, so the stream's end
 			if !a.Reset || a.Code != http2.ErrCodeProtocol {
 				t.Errorf("%s: got %+v", name, a)
 			}
-		case a.Stream != id || a.Status != x.status || a.Fields["sloepick-ran"] != "never" || a.Fields["content-type"] != "application/problem+json" ||
-			!strings.Contains(string(a.Body), x.detail):
+		case a.Stream != id || a.Status != tc.status || a.Fields["sloepick-ran"] != "never" || a.Fields["content-type"] != "application/problem+json" ||
+			!strings.Contains(string(a.Body), tc.detail):
 			t.Errorf("%s: got %+v with %s", name, a, a.Body)
 		}
 	}
@@ -124,18 +124,18 @@
 // streams of the connection go on.
 func TestResetAfterForwarding(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
-	let := r.holdResponses()
+	release := r.holdResponses()
 	c := r.dial(nil)
-	gone, stays := r.send(c, lookup("gone")), r.send(c, lookup("stays"))
+	cancelled, kept := r.send(c, lookup("gone")), r.send(c, lookup("stays"))
 	r.waitArrivals(2)
-	if err := c.Framer.WriteRSTStream(gone, http2.ErrCodeCancel); err != nil {
+	if err := c.Framer.WriteRSTStream(cancelled, http2.ErrCodeCancel); err != nil {
 		t.Fatal(err)
 	}
 	r.waitProcessed(c)
-	let()
+	release()
 	a := r.readResponse(c)
-	if a.Stream != stays || a.Status != 200 || a.Fields["ratelimit"] != `"network";r=16;t=2000` {
-		t.Errorf("got %+v, want an answer on %d", a, stays)
+	if a.Stream != kept || a.Status != 200 || a.Fields["ratelimit"] != `"network";r=16;t=2000` {
+		t.Errorf("got %+v, want an answer on %d", a, kept)
 	}
 	if a := r.roundTrip(c, lookup("after")); a.Status != 200 || a.Fields["ratelimit"] != `"network";r=15;t=2100` {
 		t.Errorf("got %+v", a)
@@ -145,13 +145,13 @@
 // An id that is open by one protocol is turned away by the other, and each gets its own answer.
 func TestOneIDByBothProtocols(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
-	let := r.holdResponses()
-	old, err := testbed.Dial(r.respAddr)
+	release := r.holdResponses()
+	respClient, err := testbed.Dial(r.respAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Close()
-	if err := old.Send("Q.ASK", customer, "same", "c=slot-lookup,t=network,d=20000"); err != nil {
+	defer respClient.Close()
+	if err := respClient.Send("Q.ASK", customer, "same", "c=slot-lookup,t=network,d=20000"); err != nil {
 		t.Fatal(err)
 	}
 	r.waitArrivals(1)
@@ -159,8 +159,8 @@
 	if a := r.roundTrip(c, lookup("same")); a.Status != 409 {
 		t.Errorf("got %+v", a)
 	}
-	let()
-	if got, err := old.Read(); err != nil || got != "$"+testbed.ReplyValue("same") {
+	release()
+	if got, err := respClient.Read(); err != nil || got != "$"+testbed.ReplyValue("same") {
 		t.Errorf("got %q, %v", got, err)
 	}
 }
@@ -170,33 +170,33 @@
 func TestOneKeyByBothProtocols(t *testing.T) {
 	p := testPlatform()
 	r := newHarnessWithNodes(t, p, 1, nil) // one group, so that the repeat meets the first
-	let := r.holdResponses()
+	release := r.holdResponses()
 	c := r.dial(nil)
 	q := lookup("first")
 	q.Path, q.Key = "/v1/do/slot-book", `"same"`
 	first := r.send(c, q)
 	r.waitArrivals(1)
-	old, err := testbed.Dial(r.respAddr)
+	respClient, err := testbed.Dial(r.respAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Close()
+	defer respClient.Close()
 	repeat := func(id string) {
-		if err := old.Send("Q.DO", customer, id, "c=slot-book,t=network,d=20000,k=same"); err != nil {
+		if err := respClient.Send("Q.DO", customer, id, "c=slot-book,t=network,d=20000,k=same"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	repeat("second")
 	r.waitArrivals(2)
-	let()
+	release()
 	if a := r.readResponse(c); a.Stream != first || a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
-	if got, err := old.Read(); err != nil || got != "$"+testbed.ReplyValue("second") {
+	if got, err := respClient.Read(); err != nil || got != "$"+testbed.ReplyValue("second") {
 		t.Errorf("got %q, %v", got, err)
 	}
 	repeat("third")
-	if got, err := old.Read(); err != nil || got != "$"+testbed.ReplyValue("third") {
+	if got, err := respClient.Read(); err != nil || got != "$"+testbed.ReplyValue("third") {
 		t.Errorf("got %q, %v", got, err)
 	}
 	ran := 0
@@ -213,7 +213,7 @@
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Stop.LastCall = 2 * time.Second // in which the test must send the request that crosses
 	})
-	let := r.holdResponses()
+	release := r.holdResponses()
 	c := r.dial(nil)
 	open := r.send(c, lookup("open"))
 	r.waitArrivals(1)
@@ -226,7 +226,7 @@
 	if a := r.readResponse(c); !a.GoAway || a.LastStream != crossed {
 		t.Fatalf("got %+v", a)
 	}
-	let()
+	release()
 	answered := map[uint32]int{}
 	for range 2 {
 		a := r.readResponse(c)
@@ -261,13 +261,13 @@
 // Rapid reset on sockets (CVE-2023-44487): the offender is sent away with the right code, others are served all the while.
 func TestRapidReset(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
-	good, rude := r.dial(nil), r.dial(nil)
-	ended := make(chan *http2.GoAwayFrame, 1)
+	wellBehaved, abusive := r.dial(nil), r.dial(nil)
+	goAway := make(chan *http2.GoAwayFrame, 1)
 	go func() { // reads beside the writer, which it must not answer for
-		for f := http2.NewFramer(nil, rude.Conn); ; {
+		for f := http2.NewFramer(nil, abusive.Conn); ; {
 			x, err := f.ReadFrame()
-			if away, ok := x.(*http2.GoAwayFrame); ok || err != nil {
-				ended <- away
+			if frame, ok := x.(*http2.GoAwayFrame); ok || err != nil {
+				goAway <- frame
 				return
 			}
 		}
@@ -275,12 +275,12 @@
 	for i := 0; ; i++ {
 		q := lookup(fmt.Sprintf("rude-%d", i))
 		q.Customer = "0000000000000001"
-		id, err := rude.Send(q)
-		if err != nil || rude.Framer.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
+		id, err := abusive.Send(q)
+		if err != nil || abusive.Framer.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
 			break // it was sent away
 		}
 		if i == 100 {
-			if a := r.roundTrip(good, lookup("good")); a.Status != 200 {
+			if a := r.roundTrip(wellBehaved, lookup("good")); a.Status != 200 {
 				t.Errorf("the good client got %+v", a)
 			}
 		}
@@ -288,10 +288,10 @@
 			t.Fatal("resets go on without end")
 		}
 	}
-	if a := <-ended; a == nil || a.ErrCode != http2.ErrCodeEnhanceYourCalm {
+	if a := <-goAway; a == nil || a.ErrCode != http2.ErrCodeEnhanceYourCalm {
 		t.Errorf("the rude client got %+v", a)
 	}
-	if a := r.roundTrip(good, lookup("good-2")); a.Status != 200 {
+	if a := r.roundTrip(wellBehaved, lookup("good-2")); a.Status != 200 {
 		t.Errorf("the good client got %+v", a)
 	}
 }
@@ -301,7 +301,7 @@
 // Far more silent connections than there are descriptors: the quiet ones make room, and a client that asks is served.
 func TestIdleConnections(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) { cfg.Sockets = 256 })
-	good := r.dial(nil)
+	active := r.dial(nil)
 	for i := range *idle {
 		nc, err := net.Dial("tcp", r.frontend.Addr().String())
 		if err != nil {
@@ -313,14 +313,14 @@
 		}
 		q := lookup(fmt.Sprint("good-", i))
 		q.Customer = fmt.Sprintf("%016x", i+1)
-		if id, err := good.Send(q); err == nil {
-			if a, err := good.Read(); err == nil && !a.GoAway && (a.Stream != id || a.Status != 200) {
+		if id, err := active.Send(q); err == nil {
+			if a, err := active.Read(); err == nil && !a.GoAway && (a.Stream != id || a.Status != 200) {
 				t.Fatalf("got %+v", a)
 			} else if err == nil && !a.GoAway {
 				continue
 			}
 		}
-		good = r.dial(nil) // it had been quiet for longest, and was told
+		active = r.dial(nil) // it had been quiet for longest, and was told
 	}
 	if a := r.roundTrip(r.dial(nil), lookup("one")); a.Status != 200 {
 		t.Errorf("got %+v", a)
@@ -341,11 +341,11 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	by := a.key
-	if by == nil {
-		by = private
+	signer := a.key
+	if signer == nil {
+		signer = private
 	}
-	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &private.PublicKey, by)
+	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &private.PublicKey, signer)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -367,7 +367,7 @@
 // replaced while the gateway runs, all or nothing.
 func TestTLS(t *testing.T) {
 	a, dir := newAuthority(t), t.TempDir()
-	put := func(name string, text []byte) string {
+	writeFile := func(name string, text []byte) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -375,11 +375,11 @@
 		return path
 	}
 	cert, key := a.leaf("gateway", 2)
-	files := TLSFiles{Certificate: put("cert.pem", cert), Key: put("key.pem", key), ClientCAs: put("clients.pem", a.pem), BindCustomer: true}
+	files := TLSFiles{Certificate: writeFile("cert.pem", cert), Key: writeFile("key.pem", key), ClientCAs: writeFile("clients.pem", a.pem), BindCustomer: true}
 	r := newHarness(t, testPlatform(), func(_ *gateway.Config, l *FrontendConfig) { l.TLS = &files })
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(a.pem)
-	shows := func(a *authority, name string) *tls.Config {
+	clientTLS := func(a *authority, name string) *tls.Config {
 		cert, key := a.leaf(name, 3)
 		pair, err := tls.X509KeyPair(cert, key)
 		if err != nil {
@@ -387,8 +387,8 @@
 		}
 		return &tls.Config{RootCAs: roots, ServerName: "127.0.0.1", Certificates: []tls.Certificate{pair}}
 	}
-	mine := shows(a, customer)
-	c := r.dial(mine)
+	ownCert := clientTLS(a, customer)
+	c := r.dial(ownCert)
 	if got := r.roundTrip(c, lookup("one")); got.Status != 200 {
 		t.Errorf("got %+v", got)
 	}
@@ -397,11 +397,11 @@
 	if got := r.roundTrip(c, other); got.Status != 403 {
 		t.Errorf("another customer's certificate: got %+v", got)
 	}
-	if got := r.roundTrip(r.dial(shows(a, "")), lookup("three")); got.Status != 403 {
+	if got := r.roundTrip(r.dial(clientTLS(a, "")), lookup("three")); got.Status != 403 {
 		t.Errorf("a certificate without a name: got %+v", got)
 	}
-	for name, by := range map[string]*tls.Config{"none": {RootCAs: roots, ServerName: "127.0.0.1"}, "another authority's": shows(newAuthority(t), customer)} {
-		c, err := testbed.DialH2(r.frontend.Addr().String(), by)
+	for name, tlsCfg := range map[string]*tls.Config{"none": {RootCAs: roots, ServerName: "127.0.0.1"}, "another authority's": clientTLS(newAuthority(t), customer)} {
+		c, err := testbed.DialH2(r.frontend.Addr().String(), tlsCfg)
 		if err != nil {
 			continue // turned away while it wrote
 		}
@@ -411,23 +411,23 @@
 		c.Close()
 	}
 	serial := func() int64 {
-		c := r.dial(mine)
+		c := r.dial(ownCert)
 		if err := c.Conn.(*tls.Conn).Handshake(); err != nil {
 			t.Fatal(err)
 		}
 		return c.Conn.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 	}
 	next, nextKey := a.leaf("gateway", 9)
-	put("cert.pem", next) // without its key yet
+	writeFile("cert.pem", next) // without its key yet
 	if _, err := r.frontend.Reload(); err == nil || serial() != 2 {
 		t.Errorf("a certificate without its key is taken: %v", err)
 	}
-	put("key.pem", nextKey)
-	take, err := r.frontend.Reload()
+	writeFile("key.pem", nextKey)
+	apply, err := r.frontend.Reload()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if take(); serial() != 9 {
+	if apply(); serial() != 9 {
 		t.Error("the new certificate is not shown")
 	}
 	if got := r.roundTrip(c, lookup("four")); got.Status != 200 {
--- a/internal/h2/harness_test.go
+++ b/internal/h2/harness_test.go
@@ -62,11 +62,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.site.Close)
-	places, err := testbed.AllocateEndpoints(1)
+	endpoints, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := p.GatewayConfig(0, places, r.site.Discovery.Addr().String(), 1, r.site.ServerList())
+	text, err := p.GatewayConfig(0, endpoints, r.site.Discovery.Addr().String(), 1, r.site.ServerList())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,11 +80,11 @@
 	}
 	cfg.Tuning = tuning.Default()
 	cfg.Tuning.Stop.Accept, cfg.Tuning.Stop.LastCall, cfg.Tuning.Clients.Fault = 50*time.Millisecond, 50*time.Millisecond, 100*time.Millisecond
-	l := FrontendConfig{Name: "test", Address: "127.0.0.1:0", MaxStreams: 100, HandshakeTimeout: 5 * time.Second}
+	frontendCfg := FrontendConfig{Name: "test", Address: "127.0.0.1:0", MaxStreams: 100, HandshakeTimeout: 5 * time.Second}
 	if change != nil {
-		change(&cfg, &l)
+		change(&cfg, &frontendCfg)
 	}
-	r.cfg, r.frontendCfg, r.respAddr = cfg, l, places[0].Listen
+	r.cfg, r.frontendCfg, r.respAddr = cfg, frontendCfg, endpoints[0].Listen
 	r.start()
 	t.Cleanup(r.shutdown)
 	return r
@@ -101,13 +101,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	go func() { r.done <- gateway.Run(ctx, r.cfg, nil, slog.New(slog.DiscardHandler)) }()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		c, err := testbed.Dial(r.respAddr)
 		if err == nil {
 			c.Close()
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			r.t.Fatal(err)
 		}
 	}
@@ -126,9 +126,9 @@
 	}
 }
 
-func (r *harness) dial(by *tls.Config, settings ...http2.Setting) *testbed.H2Client {
+func (r *harness) dial(tlsCfg *tls.Config, settings ...http2.Setting) *testbed.H2Client {
 	r.t.Helper()
-	c, err := testbed.DialH2(r.frontend.Addr().String(), by, settings...)
+	c, err := testbed.DialH2(r.frontend.Addr().String(), tlsCfg, settings...)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -143,9 +143,9 @@
 	return testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: customer, Plan: "network", ID: id, Patience: testTimeout, Units: "1"}
 }
 
-func (r *harness) send(c *testbed.H2Client, q testbed.H2Request) uint32 {
+func (r *harness) send(c *testbed.H2Client, req testbed.H2Request) uint32 {
 	r.t.Helper()
-	id, err := c.Send(q)
+	id, err := c.Send(req)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -161,9 +161,9 @@
 	return a
 }
 
-func (r *harness) roundTrip(c *testbed.H2Client, q testbed.H2Request) *testbed.H2Response {
+func (r *harness) roundTrip(c *testbed.H2Client, req testbed.H2Request) *testbed.H2Response {
 	r.t.Helper()
-	id := r.send(c, q)
+	id := r.send(c, req)
 	a := r.readResponse(c)
 	if a.Stream != id {
 		r.t.Fatalf("asked on %d, got %+v", id, a)
@@ -172,25 +172,25 @@
 }
 
 // holdResponses keeps nodes from answering until the test lets go.
-func (r *harness) holdResponses() (let func()) {
-	gate := make(chan struct{})
+func (r *harness) holdResponses() (release func()) {
+	released := make(chan struct{})
 	for _, n := range r.site.Nodes {
 		n.SetExtraDelay(func(testbed.Arrival) time.Duration {
 			select {
-			case <-gate:
+			case <-released:
 			case <-time.After(testTimeout):
 			}
 			return 0
 		})
 	}
-	return func() { close(gate) }
+	return func() { close(released) }
 }
 
 // waitArrivals waits until so many requests have come to the nodes.
 func (r *harness) waitArrivals(n int) {
 	r.t.Helper()
-	for end := time.Now().Add(testTimeout); len(r.site.Recorder.Arrivals()) < n; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(testTimeout); len(r.site.Recorder.Arrivals()) < n; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			r.t.Fatalf("only %d requests came to the nodes", len(r.site.Recorder.Arrivals()))
 		}
 	}
--- a/internal/h2/lookup_bench_test.go
+++ b/internal/h2/lookup_bench_test.go
@@ -18,8 +18,8 @@
 // BenchmarkLookup tells what the whole gateway allocates for a small look-up, front to back and return, one at a time by each
 // protocol. Client and node allocate nothing themselves: they send bytes made beforehand.
 func BenchmarkLookup(b *testing.B) {
-	for _, by := range []string{"resp", "h2"} {
-		b.Run(by, func(b *testing.B) {
+	for _, protocol := range []string{"resp", "h2"} {
+		b.Run(protocol, func(b *testing.B) {
 			node := startInstantNode(b)
 			r := newHarnessWithNodes(b, testPlatform(), 1, func(cfg *gateway.Config, _ *FrontendConfig) {
 				cfg.KnownServers.Servers[0].Addr = node
@@ -34,10 +34,10 @@
 					cfg.Settings.Decide.Plans[i].Rate, cfg.Settings.Decide.Plans[i].Burst = 1e6, 1e6
 				}
 			})
-			call := h2Lookup
+			prepare := h2Lookup
 			addr := r.frontend.Addr().String()
-			if by == "resp" {
-				call, addr = respLookup, r.respAddr
+			if protocol == "resp" {
+				prepare, addr = respLookup, r.respAddr
 			}
 			nc, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -47,11 +47,11 @@
 			if err := nc.SetDeadline(time.Now().Add(10 * time.Minute)); err != nil {
 				b.Fatal(err)
 			}
-			one := call(b, nc)
-			one(0)
+			lookupOnce := prepare(b, nc)
+			lookupOnce(0)
 			b.ReportAllocs()
 			for i := 1; b.Loop(); i++ {
-				one(i)
+				lookupOnce(i)
 			}
 		})
 	}
@@ -115,10 +115,10 @@
 	const headerLen = 9 // of a frame (RFC 9113, 4.1)
 	frame := append([]byte{0, 0, byte(len(block)), byte(http2.FrameHeaders), byte(http2.FlagHeadersEndHeaders | http2.FlagHeadersEndStream), 0, 0, 0, 0}, block...)
 	id := frame[len(frame)-10:]
-	begin := []byte(http2.ClientPreface)
-	begin = append(begin, 0, 0, 0, byte(http2.FrameSettings), 0, 0, 0, 0, 0)
-	begin = append(begin, 0, 0, 4, byte(http2.FrameWindowUpdate), 0, 0, 0, 0, 0, 0x40, 0, 0, 0)
-	if _, err := nc.Write(begin); err != nil {
+	preface := []byte(http2.ClientPreface)
+	preface = append(preface, 0, 0, 0, byte(http2.FrameSettings), 0, 0, 0, 0, 0)
+	preface = append(preface, 0, 0, 4, byte(http2.FrameWindowUpdate), 0, 0, 0, 0, 0, 0x40, 0, 0, 0)
+	if _, err := nc.Write(preface); err != nil {
 		b.Fatal(err)
 	}
 	buf := make([]byte, 16<<10)
@@ -133,12 +133,12 @@
 			if _, err := io.ReadFull(nc, buf[:headerLen]); err != nil {
 				b.Fatal(err)
 			}
-			n, of := int(buf[0])<<16|int(buf[1])<<8|int(buf[2]), binary.BigEndian.Uint32(buf[5:])
+			n, frameStream := int(buf[0])<<16|int(buf[1])<<8|int(buf[2]), binary.BigEndian.Uint32(buf[5:])
 			kind, flags := http2.FrameType(buf[3]), http2.Flags(buf[4])
 			if _, err := io.ReadFull(nc, buf[:n]); err != nil {
 				b.Fatal(err)
 			}
-			if kind == http2.FrameData && of == stream && flags.Has(http2.FlagDataEndStream) {
+			if kind == http2.FrameData && frameStream == stream && flags.Has(http2.FlagDataEndStream) {
 				if string(buf[:n]) != "slot 4" {
 					b.Fatalf("got %q", buf[:n])
 				}
--- a/internal/h2/mixed_load_test.go
+++ b/internal/h2/mixed_load_test.go
@@ -69,39 +69,39 @@
 	c.r.t.Helper()
 	answered := make(chan struct{})
 	if byH2 {
-		h2 := c.r.dial(nil)
-		id := c.r.send(h2, q)
+		h2Client := c.r.dial(nil)
+		id := c.r.send(h2Client, q)
 		go func() {
-			h2.Read()
+			h2Client.Read()
 			close(answered)
 		}()
 		c.waitArrivedOrAnswered(q.ID, answered)
-		h2.Conn.SetReadDeadline(time.Unix(1, 0)) // its reader ends, and the writer is alone
+		h2Client.Conn.SetReadDeadline(time.Unix(1, 0)) // its reader ends, and the writer is alone
 		<-answered
-		if err := h2.Framer.WriteRSTStream(id, http2.ErrCodeCancel); err != nil {
+		if err := h2Client.Framer.WriteRSTStream(id, http2.ErrCodeCancel); err != nil {
 			c.r.t.Error(err)
 		}
 		return
 	}
-	old, err := testbed.Dial(c.r.respAddr)
+	respClient, err := testbed.Dial(c.r.respAddr)
 	if err != nil {
 		c.r.t.Fatal(err)
 	}
-	if err := old.Send(respCommand(q)...); err != nil {
+	if err := respClient.Send(respCommand(q)...); err != nil {
 		c.r.t.Fatal(err)
 	}
 	go func() {
-		old.Read()
+		respClient.Read()
 		close(answered)
 	}()
 	c.waitArrivedOrAnswered(q.ID, answered)
-	old.Close()
+	respClient.Close()
 }
 
 // waitArrivedOrAnswered waits until a request has come to a node, or was answered.
 func (c *caller) waitArrivedOrAnswered(id string, answered <-chan struct{}) {
 	c.r.t.Helper()
-	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
 		if slices.ContainsFunc(c.r.site.Recorder.Arrivals(), func(a testbed.Arrival) bool { return a.ID == id }) {
 			return
 		}
@@ -117,7 +117,7 @@
 // runMixedLoad sends the same drawn requests by one protocol, the other, or each by either. Some clients go away while theirs is at
 // a node; a node drains, and the gateway is restarted. It tells the units that were let in for each customer, and how each
 // request ended.
-func runMixedLoad(t *testing.T, seed uint64, h2Nodes int, byH2 func(i int) bool) (units map[string]float64, ends []string) {
+func runMixedLoad(t *testing.T, seed uint64, h2Nodes int, byH2 func(i int) bool) (units map[string]float64, statuses []string) {
 	p := testPlatform()
 	p.H2Nodes = h2Nodes
 	r := newHarness(t, p, func(cfg *gateway.Config, _ *FrontendConfig) {
@@ -133,7 +133,7 @@
 	}
 	rnd, c := seeds.Rand(seed), &caller{r: r}
 	c.dial()
-	asked, keyed := map[string]float64{}, map[string]bool{}
+	sentUnits, keyed := map[string]float64{}, map[string]bool{}
 	const requests = 300
 	for i := range requests {
 		switch i {
@@ -154,22 +154,22 @@
 		if rnd.IntN(2) == 0 {
 			q.Path, q.Key = "/v1/do/slot-book", fmt.Sprintf("k%d", i)
 		}
-		leaves := rnd.IntN(20) == 0
-		if leaves {
+		abandons := rnd.IntN(20) == 0
+		if abandons {
 			q.ID = fmt.Sprintf("gone-%d", i)
 		}
 		keyed[q.ID] = q.Key != ""
-		asked[q.ID] = float64(n)
-		if leaves {
+		sentUnits[q.ID] = float64(n)
+		if abandons {
 			c.sendAndLeave(q, byH2(i))
 			continue
 		}
-		ends = append(ends, fmt.Sprintf("%s %d", q.ID, c.send(q, byH2(i))))
+		statuses = append(statuses, fmt.Sprintf("%s %d", q.ID, c.send(q, byH2(i))))
 	}
 	units, seen := map[string]float64{}, map[string]bool{}
 	for _, a := range r.site.Recorder.Arrivals() {
-		if a.Units != asked[a.ID] {
-			t.Errorf("%s came with %v units, not %v", a.ID, a.Units, asked[a.ID])
+		if a.Units != sentUnits[a.ID] {
+			t.Errorf("%s came with %v units, not %v", a.ID, a.Units, sentUnits[a.ID])
 		}
 		if !seen[a.ID] {
 			units[a.Customer] += a.Units
@@ -181,31 +181,31 @@
 			t.Errorf("%s took effect %d times", id, n)
 		}
 	}
-	return units, ends
+	return units, statuses
 }
 
 // The same load by RESP2, by HTTP/2 and by both in turn: the same units let in for each customer, the same ending of each
 // request, and one answer each.
 func TestMixedProtocolsOneQuota(t *testing.T) {
 	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) {
-		units, ends := runMixedLoad(t, seed, 0, func(int) bool { return false })
-		for name, mix := range map[string]func(int) bool{"HTTP/2": func(int) bool { return true }, "both": func(i int) bool { return i%2 == 0 }} {
-			u, e := runMixedLoad(t, seed, 0, mix)
-			if fmt.Sprint(u) != fmt.Sprint(units) {
-				t.Errorf("%s: %v units, by RESP2 %v", name, u, units)
+		units, statuses := runMixedLoad(t, seed, 0, func(int) bool { return false })
+		for name, byH2 := range map[string]func(int) bool{"HTTP/2": func(int) bool { return true }, "both": func(i int) bool { return i%2 == 0 }} {
+			gotUnits, gotStatuses := runMixedLoad(t, seed, 0, byH2)
+			if fmt.Sprint(gotUnits) != fmt.Sprint(units) {
+				t.Errorf("%s: %v units, by RESP2 %v", name, gotUnits, units)
 			}
-			if !slices.Equal(e, ends) {
+			if !slices.Equal(gotStatuses, statuses) {
 				t.Errorf("%s: requests end in another way than by RESP2", name)
 			}
 		}
 		served := 0
-		for _, e := range ends {
+		for _, e := range statuses {
 			if strings.HasSuffix(e, " 200") {
 				served++
 			}
 		}
 		if served < 50 || served > 250 {
-			t.Errorf("%d of %d were served: too little for a test", served, len(ends))
+			t.Errorf("%d of %d were served: too little for a test", served, len(statuses))
 		}
 	})
 }
--- a/internal/h2/races_test.go
+++ b/internal/h2/races_test.go
@@ -25,9 +25,9 @@
 	if a := r.readResponse(c); a.Stream != first || a.Status != 200 {
 		t.Fatalf("got %+v", a)
 	}
-	away := r.readResponse(c)
-	if !away.GoAway || away.LastStream != first {
-		t.Fatalf("got %+v", away)
+	goAway := r.readResponse(c)
+	if !goAway.GoAway || goAway.LastStream != first {
+		t.Fatalf("got %+v", goAway)
 	}
 	r.send(c, lookup("two")) // the gateway has closed its side, the client has not seen it
 	if a, err := c.Read(); !errors.Is(err, io.EOF) {
@@ -60,7 +60,7 @@
 // is no further one.
 func TestNothingIsBegunForAStreamThatWasReset(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
-	let := r.holdResponses()
+	release := r.holdResponses()
 	c := r.dial(nil)
 	stream := r.send(c, lookup("one"))
 	r.waitArrivals(1)
@@ -68,14 +68,14 @@
 		t.Fatal(err)
 	}
 	r.waitProcessed(c)
-	at := r.site.Recorder.Arrivals()[0].Node
+	nodeID := r.site.Recorder.Arrivals()[0].Node
 	for _, n := range r.site.Nodes {
-		if n.ID() == at {
+		if n.ID() == nodeID {
 			go n.Close() // it waits for what it works on
 		}
 	}
 	time.Sleep(20 * time.Millisecond) // in which its connections end; if they end later, the test shows less
-	let()
+	release()
 	if a := r.roundTrip(c, lookup("two")); a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
