--- a/internal/h2/backend_test.go
+++ b/internal/h2/backend_test.go
@@ -13,7 +13,7 @@
 	"sloepick/internal/testbed"
 )
 
-// newBackendHarness is a rig all of whose nodes speak HTTP/2.
+// newBackendHarness returns a harness whose nodes all speak HTTP/2.
 func newBackendHarness(t *testing.T, nodes int, change func(*BackendConfig)) *harness {
 	t.Helper()
 	p := testPlatform()
@@ -27,14 +27,14 @@
 	})
 }
 
-// booking is a keyed request, which must not run twice.
+// booking returns a request with an idempotency key, which must not run twice.
 func booking(id string) testbed.H2Request {
 	q := lookup(id)
 	q.Path, q.Key = "/v1/do/slot-book", `"`+id+`"`
 	return q
 }
 
-// once checks that a request took effect so often, by the nodes' own tally.
+// checkEffects checks how often a request took effect, by the nodes' own count.
 func (r *harness) checkEffects(id string, times int) {
 	r.t.Helper()
 	if n := r.site.Recorder.EffectCounts()[id]; n != times {
@@ -42,36 +42,37 @@
 	}
 }
 
-// What an attempt by HTTP/2 ends with decides whether it may go out again: what never ran goes to the other node, what may have
-// run stays in its group, where repeats are dropped, and the client is told the truth.
-func TestWhatMayHaveRun(t *testing.T) {
+// TestRetriesByAttemptResult checks where an attempt may be retried, by how it ended: a request that did not run goes to the
+// other node; one that may have run is only retried in its group, where repeats are dropped, and otherwise the response says that
+// it may have run.
+func TestRetriesByAttemptResult(t *testing.T) {
 	reset := func(code http2.ErrCode) func(*testbed.H2Stream) {
 		return func(s *testbed.H2Stream) { s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteRSTStream(s.ID, code) }) }
 	}
 	for name, tc := range map[string]struct {
 		do    func(*testbed.H2Stream)
-		again bool // it goes to the other group
+		again bool // it is retried in the other group
 	}{
 		"REFUSED_STREAM": {reset(http2.ErrCodeRefusedStream), true},
-		"GOAWAY with a lower one": {func(s *testbed.H2Stream) {
+		"GOAWAY with a lower last stream": {func(s *testbed.H2Stream) {
 			s.Conn.WriteFrames(func(f *http2.Framer) { f.WriteGoAway(s.ID-1, http2.ErrCodeNo, nil) })
 		}, true},
-		"503 that promises it":  {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 503, "", "sloepick-ran", "never") }, true},
-		"429 that promises it":  {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 429, "", "sloepick-ran", "never") }, true},
-		"503":                   {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 503, "") }, false},
-		"500":                   {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 500, "x") }, false},
-		"CANCEL":                {reset(http2.ErrCodeCancel), false},
-		"NO_ERROR":              {reset(http2.ErrCodeNo), false},
-		"the connection breaks": {func(s *testbed.H2Stream) { s.Conn.Conn.Close() }, false},
-		"no answer at all":      {func(s *testbed.H2Stream) { s.Conn.Conn.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }, false},
-		"a malformed answer":    {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "Upper", "case") }, false},
-		"a length that lies":    {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "content-length", "5") }, false},
-		"an answer too large":   {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, strings.Repeat("x", 64<<10+1)) }, false},
+		"503, sloepick-ran: never": {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 503, "", "sloepick-ran", "never") }, true},
+		"429, sloepick-ran: never": {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 429, "", "sloepick-ran", "never") }, true},
+		"503":                      {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 503, "") }, false},
+		"500":                      {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 500, "x") }, false},
+		"CANCEL":                   {reset(http2.ErrCodeCancel), false},
+		"NO_ERROR":                 {reset(http2.ErrCodeNo), false},
+		"connection closed":        {func(s *testbed.H2Stream) { s.Conn.Conn.Close() }, false},
+		"not HTTP/2":               {func(s *testbed.H2Stream) { s.Conn.Conn.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }, false},
+		"malformed response":       {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "Upper", "case") }, false},
+		"wrong content-length":     {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, "x", "content-length", "5") }, false},
+		"response too large":       {func(s *testbed.H2Stream) { s.Conn.Respond(s.ID, 200, strings.Repeat("x", 64<<10+1)) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newBackendHarness(t, 2, nil)
 			received := make(chan string, 16)
-			for _, n := range r.site.Nodes { // the first that gets it is rude, once
+			for _, n := range r.site.Nodes { // only the first node that receives it fails, once
 				n.InterceptStreams(func(s *testbed.H2Stream) bool {
 					received <- n.ID()
 					if len(received) > 1 {
@@ -87,10 +88,10 @@
 					t.Errorf("got %+v", a)
 				}
 				if len(received) != 2 {
-					t.Fatalf("it came %d times", len(received))
+					t.Fatalf("it arrived %d times", len(received))
 				}
 				if first, second := <-received, <-received; first == second {
-					t.Error("it came to one node twice")
+					t.Error("it arrived at the same node twice")
 				}
 				r.checkEffects("b", 1)
 				return
@@ -98,7 +99,7 @@
 			first := <-received
 			for len(received) > 0 {
 				if next := <-received; next != first {
-					t.Errorf("it may have run at %s and went to %s", first, next)
+					t.Errorf("it may have run at %s and was sent to %s", first, next)
 				}
 			}
 			if a.Status != 200 && (a.Status != 502 && a.Status != 504 || a.Fields["sloepick-ran"] != "unknown") {
@@ -108,7 +109,8 @@
 	}
 }
 
-// Many attempts share a connection, up to what the node allows, which may be lowered; giving one up leaves the others.
+// TestStreamsShareConnections checks that attempts share a connection up to the node's stream limit, also after the node has
+// lowered it, and that cancelling one attempt does not affect the others.
 func TestStreamsShareConnections(t *testing.T) {
 	r := newBackendHarness(t, 1, func(backendCfg *BackendConfig) { backendCfg.MaxConns = 1 })
 	conns := make(chan *testbed.H2NodeConn, 64)
@@ -122,7 +124,7 @@
 	for i := range 3 {
 		open = append(open, r.send(c, lookup(fmt.Sprint(i))))
 	}
-	r.waitArrivals(2) // the node has two cores; the third waits in its queue or arrives too
+	r.waitArrivals(2) // the node has two cores; the third request is queued there or arrives too
 	conn := <-conns
 	if second := <-conns; second != conn {
 		t.Error("two connections were made")
@@ -139,18 +141,19 @@
 	}
 	conn.WriteFrames(func(f *http2.Framer) { f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0}) })
 	conn.WriteFrames(func(f *http2.Framer) { f.WritePing(false, [8]byte{}) })
-	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until it was taken
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until the gateway has applied the setting
 		if a := r.roundTrip(c, lookup(fmt.Sprintf("full-%d", time.Now().UnixNano()))); a.Status == 503 {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("attempts go on over the node's bound")
+			t.Fatal("attempts are sent above the node's stream limit")
 		}
 	}
 }
 
-// A node's GOAWAY: what is open on the connection is answered, what comes next takes a new one, and nothing is lost.
-func TestNodeGoesAway(t *testing.T) {
+// TestNodeGoAway checks that after a node's GOAWAY the open attempts of the connection are answered, and later ones use a new
+// connection.
+func TestNodeGoAway(t *testing.T) {
 	r := newBackendHarness(t, 1, nil)
 	conns := make(chan *testbed.H2NodeConn, 64)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
@@ -163,12 +166,12 @@
 	old := <-conns
 	old.WriteFrames(func(f *http2.Framer) { f.WriteGoAway(1, http2.ErrCodeNo, nil) })
 	var second uint32
-	for { // until one takes the new connection: the GOAWAY may still be on its way
+	for { // until one uses the new connection: the GOAWAY may still be in flight
 		second = r.send(c, lookup(fmt.Sprintf("next-%d", time.Now().UnixNano())))
 		if <-conns != old {
 			break
 		}
-		time.Sleep(50 * time.Millisecond) // so few are open that none is shed
+		time.Sleep(50 * time.Millisecond) // limits the open requests, so that none is shed
 	}
 	release()
 	seen := map[uint32]int{}
@@ -181,8 +184,9 @@
 	}
 }
 
-// One connection carries many clinics' attempts when its node drains: all are answered, and nothing new goes to it.
-func TestNodeDrainsUnderStreams(t *testing.T) {
+// TestNodeDrainsWithOpenStreams drains a node while one connection carries attempts of several customers. All are answered, and
+// no new ones are sent to the node.
+func TestNodeDrainsWithOpenStreams(t *testing.T) {
 	r := newBackendHarness(t, 2, nil)
 	release := r.holdResponses()
 	c := r.dial(nil)
@@ -198,7 +202,7 @@
 	if err := r.site.Drain(0); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(r.site.Platform.Rules.DrainGrace) // what the rule allows
+	time.Sleep(r.site.Platform.Rules.DrainGrace) // new attempts are allowed during this time
 	for i := range 10 {
 		q := lookup(fmt.Sprint("late-", i))
 		q.Customer = fmt.Sprintf("%016x", i+1)
@@ -214,12 +218,13 @@
 	}
 	for _, a := range r.site.Recorder.Arrivals()[before:] {
 		if a.Node == r.site.Nodes[0].ID() {
-			t.Errorf("%s came to the node that drains", a.ID)
+			t.Errorf("%s arrived at the draining node", a.ID)
 		}
 	}
 }
 
-// A connection that is silent is found by PING in the stated time, and what was on it may have run.
+// TestSilentConnection checks that a silent connection is detected by PING and closed, and that the response says that its
+// requests may have run.
 func TestSilentConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -227,7 +232,7 @@
 	}
 	defer ln.Close()
 	readErr := make(chan error, 1)
-	go func() { // takes all and says nothing
+	go func() { // reads everything and sends nothing
 		nc, err := ln.Accept()
 		if err != nil {
 			readErr <- err
@@ -247,7 +252,7 @@
 		t.Fatal(err)
 	}
 	c := r.dial(nil)
-	for i := 0; ; i++ { // until the gateway has the list
+	for i := 0; ; i++ { // until the gateway has the new list of servers
 		id := r.send(c, booking(fmt.Sprint("b", i)))
 		a := r.readResponse(c)
 		if a.Stream != id {
@@ -264,12 +269,13 @@
 	select {
 	case <-readErr:
 	case <-time.After(testTimeout):
-		t.Error("the silent connection is kept")
+		t.Error("the silent connection is not closed")
 	}
 }
 
-// The mixed load with half of the nodes behind HTTP/2, and all: the same quotas and endings as by RESP2 alone.
-func TestMixedBacks(t *testing.T) {
+// TestMixedBackends runs the mixed load with half of the nodes reached by HTTP/2, then all. Admitted units and statuses are the
+// same as with RESP2 alone.
+func TestMixedBackends(t *testing.T) {
 	const seed = 3
 	units, statuses := runMixedLoad(t, seed, 0, func(int) bool { return false })
 	for _, nodes := range []int{1, 2} {
@@ -280,8 +286,9 @@
 	}
 }
 
-// A node that moves while an attempt is out: given up, it is reset on the old connection.
-func TestNodeMovesUnderAttempts(t *testing.T) {
+// TestNodeMovesDuringAttempt moves a node to another address while an attempt is open. When the request is cancelled, the stream
+// on the old connection is reset.
+func TestNodeMovesDuringAttempt(t *testing.T) {
 	r := newBackendHarness(t, 2, nil)
 	arrived, cancelled := make(chan struct{}, 16), make(chan string, 16)
 	r.site.Nodes[0].InterceptStreams(func(s *testbed.H2Stream) bool {
@@ -292,7 +299,7 @@
 	})
 	list := r.site.ServerList()
 	list.Servers = list.Servers[:1]
-	publish := func(version uint64) { // and waits until the gateway has it: it asks for what is newer
+	publish := func(version uint64) { // returns when the gateway has the list, which shows as it asks for a newer one
 		list.Version = version
 		if err := r.site.Discovery.Set(version, list); err != nil {
 			t.Fatal(err)
@@ -304,7 +311,7 @@
 					return
 				}
 			case <-timeout:
-				t.Fatal("the gateway does not take the list")
+				t.Fatal("the gateway does not receive the list")
 			}
 		}
 	}
@@ -320,18 +327,18 @@
 	select {
 	case got := <-cancelled:
 		if got != "open" {
-			t.Errorf("%s was given up", got)
+			t.Errorf("%s was cancelled", got)
 		}
 	case <-time.After(testTimeout):
-		t.Error("the attempt at the old address was not given up")
+		t.Error("the attempt at the old address was not cancelled")
 	}
 }
 
-// TestTrueUnitsSettle: a request's units are a guess, and the node's answer tells four times as many. Whatever protocol the
-// client and the node speak, the same bucket is settled, once a request, and figures that can't be meant settle nothing.
-func TestTrueUnitsSettle(t *testing.T) {
-	// A burst of 36 counts as half used at the start and does not refill: there is room for 18 guesses of 1, or for 5 of
-	// which each takes 4 once it is answered (the fifth finds 34 of 36 used).
+// TestActualUnitsSettle estimates each request at one unit, and the node reports four. Whichever protocols the client and the
+// node use, the same bucket is settled, once per request, and invalid reports settle nothing.
+func TestActualUnitsSettle(t *testing.T) {
+	// A burst of 36 counts as half used at the start and does not refill: that admits 18 requests estimated at 1, or 5 that each
+	// take 4 once they are answered (the fifth finds 34 of 36 used).
 	const estimated, settled = 18, 5
 	for report, want := range map[string]int{"used=200,units=4": settled, "": estimated, "units=x": estimated, "units=9": estimated, "units=4,units=4": estimated} {
 		for name, protocols := range map[string]struct {
@@ -339,7 +346,7 @@
 			client bool
 		}{"RESP2 to RESP2": {0, false}, "RESP2 to HTTP/2": {1, false}, "HTTP/2 to RESP2": {0, true}, "HTTP/2 to HTTP/2": {1, true}} {
 			if want == estimated && (protocols.nodes == 1) != protocols.client {
-				continue // each side's reading of figures is played once
+				continue // invalid reports are tested once per backend
 			}
 			p := testPlatform()
 			p.H2Nodes, p.EstimatedUnits, p.MaxUnits = protocols.nodes, true, 8
@@ -355,7 +362,7 @@
 				}
 			}
 			if served != want {
-				t.Errorf("%s, %q: %d were let in, want %d", name, report, served, want)
+				t.Errorf("%s, %q: %d were admitted, want %d", name, report, served, want)
 			}
 		}
 	}
--- a/internal/h2/floods_test.go
+++ b/internal/h2/floods_test.go
@@ -12,7 +12,8 @@
 	"sloepick/internal/testbed"
 )
 
-// Each flood on sockets: its client is sent away with the right code, and the usual one is served before and after.
+// TestFloods runs each denial-of-service flood over sockets. Its client gets GOAWAY with the right error code, and another client
+// is served before and after.
 func TestFloods(t *testing.T) {
 	const frames = 5000
 	block := func(f *http2.Framer, id uint32, ends bool) {
@@ -44,10 +45,10 @@
 			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: []byte{0x82}})
 		}},
 		"WINDOW_UPDATE by one (CVE-2019-9517)": {flood: func(f *http2.Framer, _ int) { f.WriteWindowUpdate(0, 1) }},
-		"HPACK: a table size beyond the bound": {flood: func(f *http2.Framer, i int) {
+		"HPACK: a table size above the limit": {flood: func(f *http2.Framer, i int) {
 			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: []byte{0x3f, 0xe2, 0x1f, 0x82}})
 		}, code: http2.ErrCodeCompression},
-		"HPACK growth: a large field, referred": {flood: func(f *http2.Framer, i int) {
+		"HPACK amplification: a large field, referenced": {flood: func(f *http2.Framer, i int) {
 			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: hpackGrowthBlock(i)})
 		}},
 	} {
@@ -58,7 +59,7 @@
 				t.Fatalf("got %+v", a)
 			}
 			goAway := make(chan *http2.GoAwayFrame, 1)
-			go func() { // reads beside the writer, and answers nothing
+			go func() { // reads concurrently with the writer below
 				for f := http2.NewFramer(nil, abusive.Conn); ; {
 					x, err := f.ReadFrame()
 					if frame, ok := x.(*http2.GoAwayFrame); ok || err != nil {
@@ -73,7 +74,7 @@
 				tc.begin(f)
 			}
 			for i := range frames {
-				tc.flood(f, i) // errors show that it was sent away
+				tc.flood(f, i) // write errors are expected once the gateway has closed the connection
 			}
 			if tc.code == 0 {
 				tc.code = http2.ErrCodeEnhanceYourCalm
@@ -81,30 +82,32 @@
 			select {
 			case a := <-goAway:
 				if a == nil || a.ErrCode != tc.code {
-					t.Errorf("the rude client got %v", a)
+					t.Errorf("the abusive client got %v", a)
 				}
 			case <-time.After(testTimeout):
-				t.Error("the flood goes on")
+				t.Error("the flood is not stopped")
 			}
 			if a := r.roundTrip(wellBehaved, lookup("after")); a.Status != 200 {
-				t.Errorf("the usual client got %+v", a)
+				t.Errorf("the well-behaved client got %+v", a)
 			}
 		})
 	}
 }
 
-// hpackGrowthBlock is a block whose first piece puts a large field into the table, and that then names it over and over.
+// hpackGrowthBlock returns a header block that references a large field of the dynamic table 1000 times. The first block adds
+// the field to the table.
 func hpackGrowthBlock(i int) []byte {
 	var b []byte
 	if i == 0 {
 		b = append(b, 0x40, 1, 'a', 0x7f, 0xa1, 0x1e) // a value of 4,000 bytes: 127 + 0x21 + 0x1e x 128
 		b = append(b, bytes.Repeat([]byte("x"), 127+0x21+0x1e*128)...)
 	}
-	return append(b, bytes.Repeat([]byte{0xbe}, 1000)...) // the table's newest
+	return append(b, bytes.Repeat([]byte{0xbe}, 1000)...) // index 62: the newest entry of the dynamic table
 }
 
-// A client that opens no window is given up after the stated time, on its stream alone.
-func TestNoWindow(t *testing.T) {
+// TestStalledResponseIsReset checks that if a client opens no window for a response, its stream alone is reset after
+// Clients.Write.
+func TestStalledResponseIsReset(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Clients.Write = 100 * time.Millisecond
 	})
--- a/internal/h2/frontend_test.go
+++ b/internal/h2/frontend_test.go
@@ -28,8 +28,9 @@
 	"sloepick/internal/testbed"
 )
 
-// A request's values come to the node as by RESP2, and its answer carries the value, the bucket's room and the cost.
-func TestServed(t *testing.T) {
+// TestServedRequests checks that a request's values reach the node, and that the response has the value, the remaining quota and
+// the cost.
+func TestServedRequests(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
 	a := r.roundTrip(c, lookup("one"))
@@ -48,12 +49,12 @@
 	}
 	got := r.site.Recorder.Arrivals()
 	if len(got) != 2 || got[1].Key != "k1" || got[1].Units != 2 || got[1].Customer != customer || got[1].Class != "slot-book" {
-		t.Errorf("the nodes saw %+v", got)
+		t.Errorf("the nodes received %+v", got)
 	}
 }
 
-// What can't be taken is answered before the module or a node hears of it, and each answer says that it never ran.
-func TestRejected(t *testing.T) {
+// TestRejectedRequests checks that invalid requests reach no node, and that each response says that the request did not run.
+func TestRejectedRequests(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
 	for name, tc := range map[string]struct {
@@ -91,7 +92,7 @@
 		id := r.send(c, q)
 		a := r.readResponse(c)
 		switch {
-		case tc.status == 0: // malformed, so the stream's end
+		case tc.status == 0: // malformed: the stream is reset
 			if !a.Reset || a.Code != http2.ErrCodeProtocol {
 				t.Errorf("%s: got %+v", name, a)
 			}
@@ -101,15 +102,15 @@
 		}
 	}
 	if got := r.site.Recorder.Arrivals(); len(got) > 0 {
-		t.Errorf("the nodes saw %+v", got)
+		t.Errorf("the nodes received %+v", got)
 	}
 }
 
-// Over the quota the answer is 429, at once, with when to come back and that it never ran.
-func TestOverTheQuota(t *testing.T) {
+// TestQuotaExceeded checks that a request over the quota gets 429 with the time to retry, and that it did not run.
+func TestQuotaExceeded(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
-	for i := range 18 { // half of the burst is there at a start
+	for i := range 18 { // half of the burst is available at the start
 		if a := r.roundTrip(c, lookup(fmt.Sprint(i))); a.Status != 200 {
 			t.Fatalf("request %d: got %+v", i, a)
 		}
@@ -120,8 +121,8 @@
 	}
 }
 
-// A stream that is reset after its request was forwarded: nothing more comes on it, the quota is charged once, and the other
-// streams of the connection go on.
+// TestResetAfterForwarding resets a stream after its request was forwarded to a node. Nothing more is sent on the stream, the
+// quota is charged once, and the other streams of the connection continue.
 func TestResetAfterForwarding(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	release := r.holdResponses()
@@ -135,15 +136,16 @@
 	release()
 	a := r.readResponse(c)
 	if a.Stream != kept || a.Status != 200 || a.Fields["ratelimit"] != `"network";r=16;t=2000` {
-		t.Errorf("got %+v, want an answer on %d", a, kept)
+		t.Errorf("got %+v, want a response on stream %d", a, kept)
 	}
 	if a := r.roundTrip(c, lookup("after")); a.Status != 200 || a.Fields["ratelimit"] != `"network";r=15;t=2100` {
 		t.Errorf("got %+v", a)
 	}
 }
 
-// An id that is open by one protocol is turned away by the other, and each gets its own answer.
-func TestOneIDByBothProtocols(t *testing.T) {
+// TestDuplicateIDAcrossProtocols sends a request by HTTP/2 with the id of an open RESP2 request. It is rejected, and the open one
+// is still answered.
+func TestDuplicateIDAcrossProtocols(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	release := r.holdResponses()
 	respClient, err := testbed.Dial(r.respAddr)
@@ -165,11 +167,11 @@
 	}
 }
 
-// A booking by HTTP/2 and its repeat by RESP2 with the same key, both before and after it was answered: it runs once in the
-// group, and each is answered.
-func TestOneKeyByBothProtocols(t *testing.T) {
+// TestIdempotencyKeyAcrossProtocols sends a booking by HTTP/2 and repeats it by RESP2 with the same key, before and after it was
+// answered. It takes effect once, and each request is answered.
+func TestIdempotencyKeyAcrossProtocols(t *testing.T) {
 	p := testPlatform()
-	r := newHarnessWithNodes(t, p, 1, nil) // one group, so that the repeat meets the first
+	r := newHarnessWithNodes(t, p, 1, nil) // one node, so that the repeat reaches the node of the first request
 	release := r.holdResponses()
 	c := r.dial(nil)
 	q := lookup("first")
@@ -208,10 +210,11 @@
 	}
 }
 
-// The gateway's end: two GOAWAYs, what was open and what crossed the first is answered, and then the connection ends.
-func TestEndInTwoSteps(t *testing.T) {
+// TestGracefulShutdown stops the gateway: it sends two GOAWAYs, answers the open request and the one that crossed the first
+// GOAWAY, and closes the connection.
+func TestGracefulShutdown(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
-		cfg.Tuning.Stop.LastCall = 2 * time.Second // in which the test must send the request that crosses
+		cfg.Tuning.Stop.LastCall = 2 * time.Second // the test must send the crossing request within this time
 	})
 	release := r.holdResponses()
 	c := r.dial(nil)
@@ -242,11 +245,11 @@
 	if err := <-r.done; err != nil {
 		t.Error(err)
 	}
-	r.done <- nil // for the rig's own end
+	r.done <- nil // for the harness's shutdown
 }
 
-// A client that sends GOAWAY still gets what it is owed.
-func TestClientGoesAway(t *testing.T) {
+// TestClientGoAway checks that a client that sends GOAWAY still gets its open responses.
+func TestClientGoAway(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	c := r.dial(nil)
 	id := r.send(c, lookup("one"))
@@ -258,12 +261,13 @@
 	}
 }
 
-// Rapid reset on sockets (CVE-2023-44487): the offender is sent away with the right code, others are served all the while.
+// TestRapidReset runs a rapid reset attack (CVE-2023-44487) over sockets. The abusive client gets GOAWAY with
+// ENHANCE_YOUR_CALM, and another client is served during and after the attack.
 func TestRapidReset(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	wellBehaved, abusive := r.dial(nil), r.dial(nil)
 	goAway := make(chan *http2.GoAwayFrame, 1)
-	go func() { // reads beside the writer, which it must not answer for
+	go func() { // reads concurrently with the writer below
 		for f := http2.NewFramer(nil, abusive.Conn); ; {
 			x, err := f.ReadFrame()
 			if frame, ok := x.(*http2.GoAwayFrame); ok || err != nil {
@@ -277,28 +281,29 @@
 		q.Customer = "0000000000000001"
 		id, err := abusive.Send(q)
 		if err != nil || abusive.Framer.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
-			break // it was sent away
+			break // the gateway closed the connection
 		}
 		if i == 100 {
 			if a := r.roundTrip(wellBehaved, lookup("good")); a.Status != 200 {
-				t.Errorf("the good client got %+v", a)
+				t.Errorf("the well-behaved client got %+v", a)
 			}
 		}
 		if i > 100000 {
-			t.Fatal("resets go on without end")
+			t.Fatal("the resets are not stopped")
 		}
 	}
 	if a := <-goAway; a == nil || a.ErrCode != http2.ErrCodeEnhanceYourCalm {
-		t.Errorf("the rude client got %+v", a)
+		t.Errorf("the abusive client got %+v", a)
 	}
 	if a := r.roundTrip(wellBehaved, lookup("good-2")); a.Status != 200 {
-		t.Errorf("the good client got %+v", a)
+		t.Errorf("the well-behaved client got %+v", a)
 	}
 }
 
-var idle = flag.Int("idle", 1500, "silent connections of the test of their bound; 10000 in its long form")
+var idle = flag.Int("idle", 1500, "number of idle connections in TestIdleConnections; 10000 in its long form")
 
-// Far more silent connections than there are descriptors: the quiet ones make room, and a client that asks is served.
+// TestIdleConnections opens far more idle connections than the gateway has descriptors. The longest idle ones are closed, and a
+// client that sends requests is served.
 func TestIdleConnections(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) { cfg.Sockets = 256 })
 	active := r.dial(nil)
@@ -320,7 +325,7 @@
 				continue
 			}
 		}
-		active = r.dial(nil) // it had been quiet for longest, and was told
+		active = r.dial(nil) // it was idle for longest and got GOAWAY
 	}
 	if a := r.roundTrip(r.dial(nil), lookup("one")); a.Status != 200 {
 		t.Errorf("got %+v", a)
@@ -356,15 +361,15 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: raw}), private
 }
 
-// leaf is a certificate for a name.
+// leaf issues a certificate with the given common name.
 func (a *authority) leaf(name string, serial int64) (cert, key []byte) {
 	cert, key, _ = a.sign(&x509.Certificate{SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: name}, NotAfter: time.Now().Add(time.Hour),
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}})
 	return cert, key
 }
 
-// TLS by ALPN, clients with certificates of the right authority only, each for its own customer; and a certificate that is
-// replaced while the gateway runs, all or nothing.
+// TestTLS checks that TLS clients need a certificate of the configured authority and can send requests for their own customer
+// only, and that the gateway's certificate can be replaced while it runs, but only by a matching pair of certificate and key.
 func TestTLS(t *testing.T) {
 	a, dir := newAuthority(t), t.TempDir()
 	writeFile := func(name string, text []byte) string {
@@ -403,7 +408,7 @@
 	for name, tlsCfg := range map[string]*tls.Config{"none": {RootCAs: roots, ServerName: "127.0.0.1"}, "another authority's": clientTLS(newAuthority(t), customer)} {
 		c, err := testbed.DialH2(r.frontend.Addr().String(), tlsCfg)
 		if err != nil {
-			continue // turned away while it wrote
+			continue // refused while the client wrote
 		}
 		if a, err := c.Read(); err == nil {
 			t.Errorf("certificate %s: got %+v", name, a)
@@ -420,7 +425,7 @@
 	next, nextKey := a.leaf("gateway", 9)
 	writeFile("cert.pem", next) // without its key yet
 	if _, err := r.frontend.Reload(); err == nil || serial() != 2 {
-		t.Errorf("a certificate without its key is taken: %v", err)
+		t.Errorf("a certificate without its key was accepted: %v", err)
 	}
 	writeFile("key.pem", nextKey)
 	apply, err := r.frontend.Reload()
@@ -428,9 +433,9 @@
 		t.Fatal(err)
 	}
 	if apply(); serial() != 9 {
-		t.Error("the new certificate is not shown")
+		t.Error("the new certificate is not presented")
 	}
 	if got := r.roundTrip(c, lookup("four")); got.Status != 200 {
-		t.Errorf("the connection from before: got %+v", got)
+		t.Errorf("a connection from before the reload: got %+v", got)
 	}
 }
--- a/internal/h2/harness_test.go
+++ b/internal/h2/harness_test.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	testTimeout = 20 * time.Second // for what must come; no test waits for it to pass
+	testTimeout = 20 * time.Second // for events that must happen; no passing test waits this long
 	customer    = "00000000b4d65521"
 )
 
-// harness is a gateway in this process, with RESP2's listener and one of HTTP/2, and a site of nodes.
+// harness runs a gateway in this process, with a RESP2 and an HTTP/2 listener, and a site of nodes.
 type harness struct {
 	t           testing.TB
 	site        *testbed.Site
@@ -36,7 +36,8 @@
 	done        chan error
 }
 
-// testPlatform is the clinic's, with quotas that don't refill while a test runs, and patient clients.
+// testPlatform returns the small platform with quotas that practically don't refill during a test, without ceilings, and with
+// long client timeouts.
 func testPlatform() *testbed.Platform {
 	p := testbed.SmallPlatform()
 	for i := range p.Plans {
@@ -90,7 +91,7 @@
 	return r
 }
 
-// start starts the gateway and waits until it answers.
+// start starts the gateway and waits until it accepts connections.
 func (r *harness) start() {
 	r.t.Helper()
 	var err error
@@ -113,7 +114,7 @@
 	}
 }
 
-// shutdown stops it as SIGTERM would, and waits.
+// shutdown stops the gateway as SIGTERM would and waits until it has ended.
 func (r *harness) shutdown() {
 	r.stop()
 	select {
@@ -122,7 +123,7 @@
 			r.t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		r.t.Error("the gateway does not end")
+		r.t.Error("the gateway does not stop")
 	}
 }
 
@@ -166,12 +167,12 @@
 	id := r.send(c, req)
 	a := r.readResponse(c)
 	if a.Stream != id {
-		r.t.Fatalf("asked on %d, got %+v", id, a)
+		r.t.Fatalf("request sent on stream %d, got %+v", id, a)
 	}
 	return a
 }
 
-// holdResponses keeps nodes from answering until the test lets go.
+// holdResponses keeps the nodes from responding until release is called.
 func (r *harness) holdResponses() (release func()) {
 	released := make(chan struct{})
 	for _, n := range r.site.Nodes {
@@ -186,17 +187,17 @@
 	return func() { close(released) }
 }
 
-// waitArrivals waits until so many requests have come to the nodes.
+// waitArrivals waits until n requests have arrived at the nodes.
 func (r *harness) waitArrivals(n int) {
 	r.t.Helper()
 	for deadline := time.Now().Add(testTimeout); len(r.site.Recorder.Arrivals()) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.t.Fatalf("only %d requests came to the nodes", len(r.site.Recorder.Arrivals()))
+			r.t.Fatalf("only %d requests arrived at the nodes", len(r.site.Recorder.Arrivals()))
 		}
 	}
 }
 
-// waitProcessed waits until the gateway has waitProcessed what was sent on a connection on which no answer is due.
+// waitProcessed waits, by a PING, until the gateway has processed everything sent on a connection. No response may be due on it.
 func (r *harness) waitProcessed(c *testbed.H2Client) {
 	r.t.Helper()
 	if err := c.Framer.WritePing(false, [8]byte{1}); err != nil {
--- a/internal/h2/lookup_bench_test.go
+++ b/internal/h2/lookup_bench_test.go
@@ -15,15 +15,15 @@
 	"sloepick/internal/testbed"
 )
 
-// BenchmarkLookup tells what the whole gateway allocates for a small look-up, front to back and return, one at a time by each
-// protocol. Client and node allocate nothing themselves: they send bytes made beforehand.
+// BenchmarkLookup measures what the whole gateway allocates for a small lookup, from the client to the node and back, one at a
+// time, by each protocol. Client and node allocate nothing, as they send prepared bytes.
 func BenchmarkLookup(b *testing.B) {
 	for _, protocol := range []string{"resp", "h2"} {
 		b.Run(protocol, func(b *testing.B) {
 			node := startInstantNode(b)
 			r := newHarnessWithNodes(b, testPlatform(), 1, func(cfg *gateway.Config, _ *FrontendConfig) {
 				cfg.KnownServers.Servers[0].Addr = node
-				cfg.Tuning.Nodes.Rest = 0 // one connection carries all, so that none is made while it counts
+				cfg.Tuning.Nodes.Rest = 0 // one connection carries all requests, so that none is dialed during the measurement
 				d, err := testbed.NewDiscovery(cfg.KnownServers.Version, cfg.KnownServers)
 				if err != nil {
 					b.Fatal(err)
@@ -57,7 +57,7 @@
 	}
 }
 
-// startInstantNode is a node that answers each command at once; they come one at a time on a connection.
+// startInstantNode starts a node that answers each command at once. It expects one command at a time on a connection.
 func startInstantNode(b *testing.B) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +88,7 @@
 	return ln.Addr().String()
 }
 
-// respLookup prepares look-ups by RESP2.
+// respLookup prepares lookups by RESP2. The returned function sends the i-th one and reads its response.
 func respLookup(b *testing.B, nc net.Conn) func(i int) {
 	const list = "c=slot-lookup,t=network,d=20000,spread=1,first=0"
 	cmd := fmt.Appendf(nil, "*4\r\n$5\r\nQ.ASK\r\n$16\r\n%016x\r\n$10\r\n%010d\r\n$%d\r\n%s\r\n", 1, 0, len(list), list)
@@ -100,19 +100,20 @@
 			b.Fatal(err)
 		}
 		if _, err := io.ReadFull(nc, got); err != nil || !bytes.Equal(got, want) {
-			b.Fatalf("look-up %d: got %q, %v", i, got, err)
+			b.Fatalf("lookup %d: got %q, %v", i, got, err)
 		}
 	}
 }
 
-// h2Lookup prepares look-ups by HTTP/2, by fields that stand in no table (RFC 7541, 6.2.2).
+// h2Lookup prepares lookups by HTTP/2, with fields that are not indexed (RFC 7541, 6.2.2). The returned function sends the i-th
+// one and reads its response.
 func h2Lookup(b *testing.B, nc net.Conn) func(i int) {
 	var block []byte
 	for _, f := range [][2]string{{":method", "POST"}, {":scheme", "http"}, {":path", "/v1/ask/slot-lookup"}, {fieldCustomer, fmt.Sprintf("%016x", 1)},
 		{fieldPlan, "network"}, {fieldClientTimeout, "20000"}, {fieldID, "0000000000"}} {
 		block = append(append(append(append(block, 0, byte(len(f[0]))), f[0]...), byte(len(f[1]))), f[1]...)
 	}
-	const headerLen = 9 // of a frame (RFC 9113, 4.1)
+	const headerLen = 9 // frame header (RFC 9113, 4.1)
 	frame := append([]byte{0, 0, byte(len(block)), byte(http2.FrameHeaders), byte(http2.FlagHeadersEndHeaders | http2.FlagHeadersEndStream), 0, 0, 0, 0}, block...)
 	id := frame[len(frame)-10:]
 	preface := []byte(http2.ClientPreface)
@@ -148,7 +149,7 @@
 	}
 }
 
-// putDigits writes a count as ten digits.
+// putDigits writes n in decimal, with leading zeros.
 func putDigits(digits []byte, n int) {
 	for i := len(digits) - 1; i >= 0; i, n = i-1, n/10 {
 		digits[i] = byte('0' + n%10)
--- a/internal/h2/mapping_test.go
+++ b/internal/h2/mapping_test.go
@@ -11,42 +11,44 @@
 	"sloepick/internal/h2/wire"
 )
 
-// FuzzMapping reads whatever path and fields. What is taken has what a request needs, and what is not is told as a problem.
+// FuzzMapping parses requests with arbitrary paths and fields. An accepted request has all mandatory values; any other gets a
+// problem with a 4xx status.
 func FuzzMapping(f *testing.F) {
 	f.Add("POST", "/v1/ask/slot-lookup", "sloepick-customer: 00000000b4d65521\nsloepick-plan: plus\nsloepick-id: 1\nsloepick-patience: 480\nsloepick-units: 2")
 	f.Add("POST", "/v1/do/slot-book?x", "sloepick-customer: 1\nsloepick-plan: p\nsloepick-id: 1\nsloepick-patience: 1\nidempotency-key: \"k\"\nsloepick-set: 3;1\nsloepick-again: 1")
 	f.Add("GET", "/", "sloepick-units: 1e3\nidempotency-key: \"\nsloepick-set: ;")
 	f.Fuzz(func(t *testing.T, method, path, lines string) {
-		q := &wire.Request{Method: method, Path: path}
+		msg := &wire.Request{Method: method, Path: path}
 		seen := map[string]int{}
 		for _, line := range strings.Split(lines, "\n") {
 			name, value, _ := strings.Cut(line, ": ")
-			q.Fields = append(q.Fields, hpack.HeaderField{Name: name, Value: value})
+			msg.Fields = append(msg.Fields, hpack.HeaderField{Name: name, Value: value})
 			seen[name]++
 		}
-		v, p := parseRequest(q, time.Second)
-		if (v == nil) == (p == nil) {
-			t.Fatalf("values %+v and problem %+v", v, p)
+		req, prob := parseRequest(msg, time.Second)
+		if (req == nil) == (prob == nil) {
+			t.Fatalf("request %+v and problem %+v", req, prob)
 		}
-		if p != nil {
-			if r := p.response(); r.status < 400 || r.status > 499 || len(r.body) == 0 {
-				t.Fatalf("the problem is told as %+v", r)
+		if prob != nil {
+			if resp := prob.response(); resp.status < 400 || resp.status > 499 || len(resp.body) == 0 {
+				t.Fatalf("the problem gets the response %+v", resp)
 			}
 			return
 		}
-		if method != "POST" || v.Customer == "" || v.Plan == "" || v.ID == "" || v.ClientTimeout < 0 || v.Units < 0 || seen[fieldID] != 1 {
-			t.Fatalf("taken: %+v", v)
+		if method != "POST" || req.Customer == "" || req.Plan == "" || req.ID == "" || req.ClientTimeout < 0 || req.Units < 0 || seen[fieldID] != 1 {
+			t.Fatalf("accepted: %+v", req)
 		}
-		if v.Write != strings.HasPrefix(path, pathWrite) || strings.ContainsAny(v.Key, `"\`) {
-			t.Fatalf("taken: %+v", v)
+		if req.Write != strings.HasPrefix(path, pathWrite) || strings.ContainsAny(req.Key, `"\`) {
+			t.Fatalf("accepted: %+v", req)
 		}
 	})
 }
 
-// Every ending has its status, its promise and, where it is refused, when to come again.
-func TestEndings(t *testing.T) {
-	for _, c := range []struct {
-		e      gateway.Response
+// TestNewResponse checks for each kind of response the status, whether it says that the request ran and, if it was refused, when
+// to retry.
+func TestNewResponse(t *testing.T) {
+	for _, tc := range []struct {
+		res    gateway.Response
 		status int
 		ran    string
 		after  string
@@ -60,12 +62,12 @@
 		{gateway.Response{Kind: gateway.Rejected, Reason: "k is missing"}, 400, "never", ""},
 		{gateway.Response{Kind: gateway.Rejected, DuplicateID: true}, 409, "never", ""},
 	} {
-		r, got := newResponse(c.e), map[string]string{}
+		r, got := newResponse(tc.res), map[string]string{}
 		for _, f := range r.fields {
 			got[f.Name] = f.Value
 		}
-		if r.status != c.status || got[fieldRan] != c.ran || got[fieldRetryAfterMs] != c.after || (c.after != "") != (got["retry-after"] != "") {
-			t.Errorf("%+v: got %d %v", c.e, r.status, got)
+		if r.status != tc.status || got[fieldRan] != tc.ran || got[fieldRetryAfterMs] != tc.after || (tc.after != "") != (got["retry-after"] != "") {
+			t.Errorf("%+v: got %d %v", tc.res, r.status, got)
 		}
 	}
 }
--- a/internal/h2/mixed_load_test.go
+++ b/internal/h2/mixed_load_test.go
@@ -31,7 +31,7 @@
 	c.r.t.Cleanup(c.respClient.Close)
 }
 
-// respCommand are a request as RESP2 has it.
+// respCommand returns a request as a RESP2 command.
 func respCommand(q testbed.H2Request) []string {
 	name, class, list := "Q.ASK", strings.TrimPrefix(q.Path, "/v1/ask/"), ""
 	if q.Key != "" {
@@ -40,12 +40,12 @@
 	return []string{name, q.Customer, q.ID, fmt.Sprintf("c=%s,t=%s,d=%d,units=%s%s", class, q.Plan, q.Patience.Milliseconds(), q.Units, list)}
 }
 
-// send asks and tells the status of the answer, as HTTP has it.
+// send sends a request and returns the HTTP status of the response, or its equivalent for RESP2.
 func (c *caller) send(q testbed.H2Request, byH2 bool) int {
 	c.r.t.Helper()
 	if byH2 {
 		status := c.r.roundTrip(c.h2Client, q).Status
-		if status == 503 { // RESP2 has one word for both
+		if status == 503 { // RESP2 has one reply, -BUSY, for both
 			status = 429
 		}
 		return status
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// sendAndLeave asks on a connection of its own and goes away once the request has come to a node, or was answered.
+// sendAndLeave sends a request on a connection of its own and cancels it once it has arrived at a node or was answered.
 func (c *caller) sendAndLeave(q testbed.H2Request, byH2 bool) {
 	c.r.t.Helper()
 	answered := make(chan struct{})
@@ -76,7 +76,7 @@
 			close(answered)
 		}()
 		c.waitArrivedOrAnswered(q.ID, answered)
-		h2Client.Conn.SetReadDeadline(time.Unix(1, 0)) // its reader ends, and the writer is alone
+		h2Client.Conn.SetReadDeadline(time.Unix(1, 0)) // ends the reading goroutine before the next write
 		<-answered
 		if err := h2Client.Framer.WriteRSTStream(id, http2.ErrCodeCancel); err != nil {
 			c.r.t.Error(err)
@@ -98,7 +98,7 @@
 	respClient.Close()
 }
 
-// waitArrivedOrAnswered waits until a request has come to a node, or was answered.
+// waitArrivedOrAnswered waits until a request has arrived at a node or was answered.
 func (c *caller) waitArrivedOrAnswered(id string, answered <-chan struct{}) {
 	c.r.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
@@ -111,12 +111,12 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	c.r.t.Fatalf("%s did not come to a node", id)
+	c.r.t.Fatalf("%s did not arrive at a node", id)
 }
 
-// runMixedLoad sends the same drawn requests by one protocol, the other, or each by either. Some clients go away while theirs is at
-// a node; a node drains, and the gateway is restarted. It tells the units that were let in for each customer, and how each
-// request ended.
+// runMixedLoad sends random requests, which depend on the seed alone, each by the protocol that byH2 selects. Some clients cancel
+// their request while it is at a node, a node drains, and the gateway is restarted. It returns the units admitted for each
+// customer and the status of each request.
 func runMixedLoad(t *testing.T, seed uint64, h2Nodes int, byH2 func(i int) bool) (units map[string]float64, statuses []string) {
 	p := testPlatform()
 	p.H2Nodes = h2Nodes
@@ -169,7 +169,7 @@
 	units, seen := map[string]float64{}, map[string]bool{}
 	for _, a := range r.site.Recorder.Arrivals() {
 		if a.Units != sentUnits[a.ID] {
-			t.Errorf("%s came with %v units, not %v", a.ID, a.Units, sentUnits[a.ID])
+			t.Errorf("%s arrived with %v units, want %v", a.ID, a.Units, sentUnits[a.ID])
 		}
 		if !seen[a.ID] {
 			units[a.Customer] += a.Units
@@ -177,16 +177,16 @@
 		seen[a.ID] = true
 	}
 	for id, n := range r.site.Recorder.EffectCounts() {
-		if n != 1 && keyed[id] { // on a machine that is late a look-up may be tried twice
+		if n != 1 && keyed[id] { // without a key, a lookup may be attempted twice on a slow machine
 			t.Errorf("%s took effect %d times", id, n)
 		}
 	}
 	return units, statuses
 }
 
-// The same load by RESP2, by HTTP/2 and by both in turn: the same units let in for each customer, the same ending of each
-// request, and one answer each.
-func TestMixedProtocolsOneQuota(t *testing.T) {
+// TestProtocolsShareQuota runs the same load by RESP2, by HTTP/2 and by both in turn. The units admitted for each customer and
+// the status of each request are the same.
+func TestProtocolsShareQuota(t *testing.T) {
 	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) {
 		units, statuses := runMixedLoad(t, seed, 0, func(int) bool { return false })
 		for name, byH2 := range map[string]func(int) bool{"HTTP/2": func(int) bool { return true }, "both": func(i int) bool { return i%2 == 0 }} {
@@ -195,7 +195,7 @@
 				t.Errorf("%s: %v units, by RESP2 %v", name, gotUnits, units)
 			}
 			if !slices.Equal(gotStatuses, statuses) {
-				t.Errorf("%s: requests end in another way than by RESP2", name)
+				t.Errorf("%s: the statuses differ from those by RESP2", name)
 			}
 		}
 		served := 0
@@ -205,7 +205,7 @@
 			}
 		}
 		if served < 50 || served > 250 {
-			t.Errorf("%d of %d were served: too little for a test", served, len(statuses))
+			t.Errorf("%d of %d requests were served, want between 50 and 250", served, len(statuses))
 		}
 	})
 }
--- a/internal/h2/races_test.go
+++ b/internal/h2/races_test.go
@@ -14,9 +14,10 @@
 	"sloepick/internal/testbed"
 )
 
-// TestIdleCloseCrossesARequestByHTTP2: a client's next request crosses the end of its connection, which had been idle for too long. It
-// reads which requests were taken and a plain end; the other one reaches no node and can be sent again.
-func TestIdleCloseCrossesARequestByHTTP2(t *testing.T) {
+// TestRequestCrossesIdleClose sends a request while the gateway closes the connection because it was idle for too long. The client
+// reads a GOAWAY with the last accepted stream and a regular end of the connection, not a TCP reset. The request reaches no node,
+// so the client can send it again.
+func TestRequestCrossesIdleClose(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Clients.Idle, cfg.Tuning.Clients.Fault = 50*time.Millisecond, testTimeout
 	})
@@ -31,18 +32,18 @@
 	}
 	r.send(c, lookup("two")) // the gateway has closed its side, the client has not seen it
 	if a, err := c.Read(); !errors.Is(err, io.EOF) {
-		t.Errorf("got %+v, %v, want a plain end", a, err)
+		t.Errorf("got %+v, %v, want EOF", a, err)
 	}
 	if err := socketError(t, c); err != 0 {
 		t.Errorf("the connection was reset: %v", err)
 	}
 	c.Close()
 	if n := len(r.site.Recorder.Arrivals()); n != 1 {
-		t.Errorf("%d requests came to the nodes", n)
+		t.Errorf("%d requests arrived at the nodes", n)
 	}
 }
 
-// socketError is the error that the kernel has for a connection whose end was read.
+// socketError returns the kernel's pending error (SO_ERROR) of a connection after its end was read.
 func socketError(t *testing.T, c *testbed.H2Client) syscall.Errno {
 	t.Helper()
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -56,9 +57,9 @@
 	return syscall.Errno(code)
 }
 
-// TestNothingIsBegunForAStreamThatWasReset: a client resets its stream while an attempt is out, and the attempt breaks after that: there
-// is no further one.
-func TestNothingIsBegunForAStreamThatWasReset(t *testing.T) {
+// TestNoAttemptAfterStreamReset resets a stream while an attempt is open, and then closes the attempt's node. The request must
+// not be attempted again.
+func TestNoAttemptAfterStreamReset(t *testing.T) {
 	r := newHarness(t, testPlatform(), nil)
 	release := r.holdResponses()
 	c := r.dial(nil)
@@ -71,17 +72,17 @@
 	nodeID := r.site.Recorder.Arrivals()[0].Node
 	for _, n := range r.site.Nodes {
 		if n.ID() == nodeID {
-			go n.Close() // it waits for what it works on
+			go n.Close() // Close waits for the requests in progress
 		}
 	}
-	time.Sleep(20 * time.Millisecond) // in which its connections end; if they end later, the test shows less
+	time.Sleep(20 * time.Millisecond) // lets the node's connections close; if that takes longer, the test checks less
 	release()
 	if a := r.roundTrip(c, lookup("two")); a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
 	for _, a := range r.site.Recorder.Arrivals()[1:] {
 		if a.ID == "one" {
-			t.Errorf("it came to %s too", a.Node)
+			t.Errorf("it arrived at %s too", a.Node)
 		}
 	}
 }
