--- a/internal/h2/frontend_test.go
+++ b/internal/h2/frontend_test.go
@@ -277,7 +277,7 @@
 		}
 	}()
 	for i := 0; ; i++ {
-		q := lookup(fmt.Sprintf("rude-%d", i))
+		q := lookup(fmt.Sprintf("abusive-%d", i))
 		q.Customer = "0000000000000001"
 		id, err := abusive.Send(q)
 		if err != nil || abusive.Framer.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
--- a/internal/h2/wire/conn.go
+++ b/internal/h2/wire/conn.go
@@ -33,7 +33,7 @@
 const (
 	RequestReceived  EventKind = iota + 1 // a request is complete; the caller owes it one Respond or ResetStream
 	RequestTooLarge                       // a request exceeds the limits; the caller must Respond with Status
-	StreamAborted                         // the stream was reset by either end; nothing can be sent on it any more
+	StreamAborted                         // the peer reset the stream, or an error of the peer ended it; nothing can be sent on it
 	GoAwayReceived                        // the peer sent GOAWAY: it opens no new streams but still accepts pending responses
 	ConnFailed                            // the connection has ended; TakeOutput returns the last bytes to write
 	ResponseReceived                      // client only: a response is complete
@@ -49,7 +49,7 @@
 	Response *Response     // set for ResponseReceived
 	Code     http2.ErrCode // the error code sent or received, for all but requests and responses
 	Local    bool          // set for StreamAborted if this end detected an error of the peer
-	Reason   string        // set for ConnFailed, for the log
+	Reason   string        // set for ConnFailed, for the log; also sent as debug data of GOAWAY
 }
 
 // Response is a received response.
