--- /dev/null
+++ b/internal/gateway/frontend.go
@@ -0,0 +1,149 @@
+package gateway
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"time"
+
+	"sloepick/decide"
+	"sloepick/internal/tuning"
+)
+
+// Frontend accepts clients over one protocol. Listen is called first, during startup. Serve accepts
+// connections, in a goroutine of its own, until the backlog is drained or the frontend is closed. DrainBacklog
+// and Close may be called repeatedly and from any goroutine.
+type Frontend interface {
+	Listen(ctx context.Context) error
+	Serve(ctx context.Context, core *Core)
+	DrainBacklog(by time.Time) // accepts pending connections, until that time at most, and then closes the listener
+	Close() error
+}
+
+// ClientConn is a client's connection over any protocol. The core counts it towards the descriptor limit and
+// calls its methods on the event loop.
+type ClientConn interface {
+	Idle() bool              // no response is owed on it, so it may be drained to make room for another one
+	LastUsed() time.Duration // when it was last answered; if it never was, when it was accepted
+	Drain()                  // reads what has arrived, answers everything and closes
+	Close()                  // closes at once and abandons open requests
+}
+
+// Responder receives the response to a request. Respond is called once, on the event loop, possibly before
+// Submit returns.
+type Responder interface{ Respond(r Response) }
+
+// RequestHandle identifies an open request. The zero value identifies none: the request has been answered.
+type RequestHandle struct{ r *requestState }
+
+// Open reports whether the handle identifies a request.
+func (h RequestHandle) Open() bool { return h.r != nil }
+
+// Core is the interface of the gateway's core for frontends, backends and fleet members. Post, Closing, Log,
+// Now, Tuning, SetMembership, DeliverMessage and DeliverRecoverySnapshot may be called from any goroutine. All
+// other methods must be called on the event loop, which also runs the functions given to Post, Schedule and
+// Defer.
+type Core struct{ l *eventLoop }
+
+// Post runs a function on the event loop. It blocks while the inbox of the event loop is full.
+func (c *Core) Post(f func()) { c.l.inbox.post(f) }
+
+// postAccepted passes an accepted connection to the event loop. Only a limited number of connections is
+// accepted before the event loop has counted them: this bounds the number of descriptors, and a burst of
+// connections waits in the kernel. It reports false if the context has ended.
+func (c *Core) postAccepted(ctx context.Context, conn net.Conn, take func(net.Conn)) bool {
+	select {
+	case c.l.acceptSlots <- struct{}{}:
+		c.l.inbox.post(func() {
+			<-c.l.acceptSlots
+			take(conn)
+		})
+		return true
+	case <-ctx.Done():
+		conn.Close()
+		return false
+	}
+}
+
+// Closing returns a channel that is closed when the gateway accepts no new connections any more.
+func (c *Core) Closing() <-chan struct{} { return c.l.closingCh }
+
+// Log returns the gateway's logger.
+func (c *Core) Log() *slog.Logger { return c.l.log }
+
+// Now returns the current time of the gateway's clock.
+func (c *Core) Now() time.Duration { return c.l.clock.Now() }
+
+// Tuning returns the current tuning values.
+func (c *Core) Tuning() *tuning.Tuning { return c.l.tuning.Load() }
+
+// Schedule calls a function at a given time, unless it is cancelled before.
+func (c *Core) Schedule(t time.Duration, f func()) (cancel func()) {
+	a := c.l.schedule(t, f)
+	return func() { c.l.cancelTimer(a) }
+}
+
+// Defer calls a function at the end of the current turn of the event loop.
+func (c *Core) Defer(f func()) { c.l.deferred = append(c.l.deferred, f) }
+
+// AdmitConn counts a client's connection and reports false if there is no room for it. A connection that is
+// admitted during shutdown is drained soon after.
+func (c *Core) AdmitConn(conn ClientConn) bool {
+	if !c.l.admitConn(conn) {
+		return false
+	}
+	if c.l.closing {
+		c.l.schedule(c.Now()+c.l.tuning.Load().Stop.LastCall, conn.Drain)
+	}
+	return true
+}
+
+// RemoveConn removes a connection that was closed.
+func (c *Core) RemoveConn(conn ClientConn) { delete(c.l.clients, conn) }
+
+// Submit submits a request to the core.
+func (c *Core) Submit(responder Responder, v *Request) RequestHandle {
+	return RequestHandle{c.l.submit(responder, v)}
+}
+
+// ProcessPending passes pending events, such as requests submitted or abandoned in this turn, to the decision
+// module at once, instead of when the current function on the event loop returns. A frontend with several
+// requests at hand calls it after each, so that each one is checked against the quota left by the one before.
+func (c *Core) ProcessPending() { c.l.processPending() }
+
+// Abandon ends a request whose client has disconnected.
+func (c *Core) Abandon(h RequestHandle) { c.l.abandon(h.r) }
+
+// Allowance returns what is left of the customer's quota.
+func (c *Core) Allowance(customer, plan string) (decide.Allowance, bool) {
+	return c.l.decider.Allowance(c.Now(), customer, plan)
+}
+
+// admitConn counts a client's connection towards the descriptor limit. It reports false if there is no room.
+func (l *eventLoop) admitConn(c ClientConn) bool {
+	if len(l.clients) >= descriptorShare(l.cfg.Sockets, l.tuning.Load().Clients.Descriptors) {
+		l.evictClient()
+	}
+	if len(l.clients) >= l.cfg.Sockets-minSockets {
+		return false
+	}
+	l.connSeq++
+	l.clients[c] = l.connSeq
+	return true
+}
+
+// evictClient makes room for a new connection by draining the one that has been idle for longest. Connections
+// without a request so far are not preferred, because during a surge of new clients those are about to send
+// one. If answers are owed on all connections, nothing is closed, and the new connection uses the servers'
+// share of the descriptors.
+func (l *eventLoop) evictClient() {
+	var oldest ClientConn
+	for c, n := range l.clients {
+		if c.Idle() && (oldest == nil || c.LastUsed() < oldest.LastUsed() || c.LastUsed() == oldest.LastUsed() && n < l.clients[oldest]) {
+			oldest = c
+		}
+	}
+	if oldest != nil {
+		oldest.Drain()
+	}
+}
--- a/internal/gateway/inbox.go
+++ b/internal/gateway/inbox.go
@@ -2,30 +2,31 @@
 
 import "sync"
 
-// inbox holds what other goroutines have the loop do until the loop takes all of them in one wake-up. Whoever posts to a full one waits, so
-// that peers who send faster than the loop works wait in the kernel and not in memory. The loop never posts.
+// inbox queues functions that other goroutines post to the event loop, which takes all of them at each wake-up.
+// Posting to a full inbox blocks, so that input that arrives faster than the event loop runs waits in the
+// kernel instead of in memory. The event loop itself never posts.
 type inbox struct {
-	mu     sync.Mutex
-	room   sync.Cond
-	items  []func()
-	closed bool
-	ready  chan struct{}
+	mu      sync.Mutex
+	notFull sync.Cond
+	items   []func()
+	closed  bool
+	ready   chan struct{}
 }
 
-const inboxMost = 1024 // calls: far more than a turn of the loop brings, and some MB if all are large
+const maxPosted = 1024 // far more functions than arrive in one turn, and a few MB if all of them are large
 
 func newInbox() *inbox {
 	q := &inbox{ready: make(chan struct{}, 1)}
-	q.room.L = &q.mu
+	q.notFull.L = &q.mu
 	return q
 }
 
-func (q *inbox) post(do func()) {
+func (q *inbox) post(f func()) {
 	q.mu.Lock()
-	for len(q.items) >= inboxMost && !q.closed {
-		q.room.Wait()
+	for len(q.items) >= maxPosted && !q.closed {
+		q.notFull.Wait()
 	}
-	q.items = append(q.items, do)
+	q.items = append(q.items, f)
 	first := len(q.items) == 1
 	q.mu.Unlock()
 	if first {
@@ -36,20 +37,20 @@
 	}
 }
 
-// close lets those who wait go on: nothing is taken any more.
+// close unblocks waiting posters. The inbox is not read any more.
 func (q *inbox) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 }
 
-// take returns what has come in; spare is a former batch whose memory is used again.
+// take returns all posted functions. spare is a previous batch, whose memory is reused.
 func (q *inbox) take(spare []func()) []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	items := q.items
 	q.items = spare[:0]
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 	return items
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -11,97 +11,100 @@
 )
 
 const (
-	acceptRetry = 10 * time.Millisecond // after an accept that failed, as when descriptors are short
-	acceptLast  = 5 * time.Millisecond  // a listener that finishes closes when no connection has come for so long
+	acceptRetryDelay   = 10 * time.Millisecond // after a failed accept, for example when descriptors are exhausted
+	backlogIdleTimeout = 5 * time.Millisecond  // a draining listener closes when no connection arrives for this long
 )
 
-// Listener is a front's socket, for fronts to embed.
+// Listener is a TCP listener, for embedding in frontends.
 type Listener struct {
-	name  string // in errors
+	name  string // for error messages
 	addr  string
 	ln    net.Listener
-	ready chan struct{} // closed when ln is there
-	// finish is when it closes at the latest, in nanoseconds of Unix time; 0: it does not finish yet.
-	finish *atomic.Int64
+	ready chan struct{} // closed when ln is set
+	// Deadline for draining the backlog, in nanoseconds of Unix time; 0: not draining.
+	drainDeadline *atomic.Int64
 }
 
-// NewListener makes one that does not listen yet. The name stands in its errors.
+// NewListener creates a listener that is not open yet. The name is for error messages.
 func NewListener(name, addr string) Listener {
-	return Listener{name: name, addr: addr, ready: make(chan struct{}), finish: &atomic.Int64{}}
+	return Listener{name: name, addr: addr, ready: make(chan struct{}), drainDeadline: &atomic.Int64{}}
 }
 
-// UseSocket has it use a socket that listens already.
-func (s *Listener) UseSocket(ln net.Listener) { s.ln = ln }
+// UseSocket sets a socket that is already listening.
+func (l *Listener) UseSocket(ln net.Listener) { l.ln = ln }
 
-// Listen opens it, unless it was given.
-func (s *Listener) Listen(ctx context.Context) (err error) {
-	if s.ln != nil {
-		close(s.ready)
+// Listen opens the listener, unless UseSocket has set a socket.
+func (l *Listener) Listen(ctx context.Context) (err error) {
+	if l.ln != nil {
+		close(l.ready)
 		return nil
 	}
 	var lc net.ListenConfig
-	if s.ln, err = lc.Listen(ctx, "tcp", s.addr); err != nil {
-		return fmt.Errorf("%s: %w", s.name, err)
+	if l.ln, err = lc.Listen(ctx, "tcp", l.addr); err != nil {
+		return fmt.Errorf("%s: %w", l.name, err)
 	}
-	close(s.ready)
+	close(l.ready)
 	return nil
 }
 
-// Addr is where it listens. It waits until it does.
-func (s *Listener) Addr() net.Addr {
-	<-s.ready
-	return s.ln.Addr()
+// Addr returns the address of the listener. It blocks until Listen has been called.
+func (l *Listener) Addr() net.Addr {
+	<-l.ready
+	return l.ln.Addr()
 }
 
-// AcceptLoop takes connections until the listener is closed or has finished, or the context ends, and lets the loop call take for each.
-func (s *Listener) AcceptLoop(ctx context.Context, d *Core, take func(net.Conn)) {
+// AcceptLoop accepts connections until the listener is closed or drained, or the context ends, and calls take
+// with each of them on the event loop.
+func (l *Listener) AcceptLoop(ctx context.Context, core *Core, take func(net.Conn)) {
 	for {
-		finishing := s.finish.Load() != 0
-		if finishing && !s.allowOneMore() {
-			s.Close()
+		draining := l.drainDeadline.Load() != 0
+		if draining && !l.extendDeadline() {
+			l.Close()
 			return
 		}
-		conn, err := s.ln.Accept()
+		conn, err := l.ln.Accept()
 		switch {
 		case err == nil:
-			if !d.taken(ctx, conn, take) {
+			if !core.postAccepted(ctx, conn, take) {
 				return
 			}
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if finishing { // no connection waits
-				s.Close()
+			if draining { // the backlog is empty
+				l.Close()
 				return
 			}
 		default:
-			d.l.acceptFailures.warn("accepting a connection", err)
-			sleep(ctx, acceptRetry) // out of descriptors: some may be free then
+			core.l.acceptFailures.warn("accepting a connection failed", err)
+			sleep(ctx, acceptRetryDelay) // descriptors may have been exhausted; some may be free by then
 		}
 	}
 }
 
-// allowOneMore gives a listener that finishes the time for one more connection. It reports false if its time is over.
-func (s *Listener) allowOneMore() bool {
+// extendDeadline gives a draining listener the time to accept one more connection. It reports false if the time
+// for draining is over.
+func (l *Listener) extendDeadline() bool {
 	now := time.Now()
-	timed, ok := s.ln.(interface{ SetDeadline(time.Time) error })
-	return ok && now.UnixNano() < s.finish.Load() && timed.SetDeadline(now.Add(acceptLast)) == nil
+	timed, ok := l.ln.(interface{ SetDeadline(time.Time) error })
+	return ok && now.UnixNano() < l.drainDeadline.Load() && timed.SetDeadline(now.Add(backlogIdleTimeout)) == nil
 }
 
-// Finish has Accept take the connections that the kernel has accepted and that wait, until that time at most, and close the listener. Closing
-// it with some of them in its queue would reset them, and with them the requests that their clients have sent.
-func (s *Listener) Finish(by time.Time) {
-	s.finish.Store(by.UnixNano())
-	timed, ok := s.ln.(interface{ SetDeadline(time.Time) error })
-	if !ok || timed.SetDeadline(time.Unix(1, 0)) != nil { // wakes Accept
-		s.Close()
+// DrainBacklog makes AcceptLoop accept the connections that are waiting in the kernel's accept queue, until the
+// deadline at most, and then close the listener. Closing it with connections in the queue would reset these and
+// lose the requests that their clients have already sent.
+func (l *Listener) DrainBacklog(by time.Time) {
+	l.drainDeadline.Store(by.UnixNano())
+	timed, ok := l.ln.(interface{ SetDeadline(time.Time) error })
+	if !ok || timed.SetDeadline(time.Unix(1, 0)) != nil { // wakes AcceptLoop
+		l.Close()
 	}
 }
 
-// Close ends it. One that is closed already stays so.
-func (s *Listener) Close() error {
-	if err := s.ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("%s: %w", s.name, err)
+// Close closes the listener. It may be called repeatedly.
+func (l *Listener) Close() error {
+	if err := l.ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		return fmt.Errorf("%s: %w", l.name, err)
 	}
 	return nil
 }
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -12,17 +12,17 @@
 	"sloepick/internal/testbed/leaks"
 )
 
-// TestAcceptQueueAtTheEnd: connections that the kernel has accepted, and that wait in the listener's queue when it finishes, are
-// taken; then the listener closes.
-func TestAcceptQueueAtTheEnd(t *testing.T) {
+// TestBacklogIsDrained: connections waiting in the kernel's accept queue when the listener drains are accepted,
+// and then the listener closes.
+func TestBacklogIsDrained(t *testing.T) {
 	leaks.Check(t)
-	t.Run("before it accepts", func(t *testing.T) { acceptQueueAtTheEnd(t, false) })
-	t.Run("as it accepts", func(t *testing.T) { acceptQueueAtTheEnd(t, true) })
+	t.Run("before it accepts", func(t *testing.T) { testBacklogIsDrained(t, false) })
+	t.Run("as it accepts", func(t *testing.T) { testBacklogIsDrained(t, true) })
 }
 
-func acceptQueueAtTheEnd(t *testing.T, woken bool) {
-	const waiting = 100 // more than are taken ahead of the loop
-	l, _ := still(t, 0)
+func testBacklogIsDrained(t *testing.T, woken bool) {
+	const waiting = 100 // more than are accepted ahead of the event loop
+	l, _ := newTestLoop(t, 0)
 	s := NewListener("test", "127.0.0.1:0")
 	if err := s.Listen(t.Context()); err != nil {
 		t.Fatal(err)
@@ -35,50 +35,50 @@
 		}
 		defer c.Close()
 	}
-	if woken { // as by Finish, in the moment after Accept has looked whether to finish
+	if woken { // like DrainBacklog, just after AcceptLoop has checked whether it is draining
 		if err := s.ln.(*net.TCPListener).SetDeadline(time.Unix(1, 0)); err != nil {
 			t.Fatal(err)
 		}
 	} else {
-		s.Finish(time.Now().Add(time.Minute))
+		s.DrainBacklog(time.Now().Add(time.Minute))
 	}
-	taken, ended := 0, make(chan struct{})
+	accepted, ended := 0, make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.AcceptLoop(t.Context(), l.door, func(c net.Conn) {
-			taken++
+		s.AcceptLoop(t.Context(), l.core, func(c net.Conn) {
+			accepted++
 			c.Close()
 		})
 	}()
 	if woken {
 		select {
 		case <-ended:
-			t.Fatal("it ended with connections in its queue")
+			t.Fatal("AcceptLoop ended with connections in the backlog")
 		case <-time.After(20 * time.Millisecond):
 		}
-		s.Finish(time.Now().Add(time.Minute))
+		s.DrainBacklog(time.Now().Add(time.Minute))
 	}
 	for going := true; going; {
 		select {
-		case <-l.in.ready:
+		case <-l.inbox.ready:
 		case <-ended:
 			going = false
 		}
-		l.taken()
+		l.runPosted()
 	}
-	if taken != waiting {
-		t.Errorf("%d of %d connections were taken", taken, waiting)
+	if accepted != waiting {
+		t.Errorf("%d of %d connections accepted", accepted, waiting)
 	}
 	if c, err := net.Dial("tcp", s.Addr().String()); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("listener still open")
 	}
 }
 
-// TestFinishWakesAccept: a listener at which nobody waits closes at once.
-func TestFinishWakesAccept(t *testing.T) {
+// TestDrainBacklogWakesAccept: a listener with an empty accept queue closes at once.
+func TestDrainBacklogWakesAccept(t *testing.T) {
 	leaks.Check(t)
-	l, _ := still(t, 0)
+	l, _ := newTestLoop(t, 0)
 	s := NewListener("test", "127.0.0.1:0")
 	if err := s.Listen(t.Context()); err != nil {
 		t.Fatal(err)
@@ -86,67 +86,69 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.AcceptLoop(t.Context(), l.door, func(net.Conn) {})
+		s.AcceptLoop(t.Context(), l.core, func(net.Conn) {})
 	}()
-	time.Sleep(20 * time.Millisecond) // it waits by then; if it comes later, it has nothing to wake from
-	s.Finish(time.Now().Add(time.Minute))
+	time.Sleep(20 * time.Millisecond) // AcceptLoop is blocked by then; if it is slower, it needs no wake-up
+	s.DrainBacklog(time.Now().Add(time.Minute))
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it waits for a connection")
+		t.Fatal("AcceptLoop still waits for a connection")
 	}
 }
 
-// TestFinishHasAnEnd: connections that come without end don't keep a listener open past its time.
-func TestFinishHasAnEnd(t *testing.T) {
+// TestDrainBacklogHasDeadline: a steady stream of new connections does not keep a listener open past its
+// deadline.
+func TestDrainBacklogHasDeadline(t *testing.T) {
 	leaks.Check(t)
 	s := NewListener("test", "127.0.0.1:0")
 	if err := s.Listen(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.Finish(time.Now().Add(-time.Second))
-	if s.allowOneMore() {
-		t.Error("it goes on")
+	s.DrainBacklog(time.Now().Add(-time.Second))
+	if s.extendDeadline() {
+		t.Error("accepts connections past the deadline")
 	}
 }
 
-// lateFront is a front that takes its last connection once it is told to finish.
-type lateFront struct {
-	finish chan struct{}
-	conn   net.Conn
-	taken  atomic.Bool
+// slowFrontend is a frontend that accepts its last connection after it was told to drain.
+type slowFrontend struct {
+	draining chan struct{}
+	conn     net.Conn
+	accepted atomic.Bool
 }
 
-func (f *lateFront) Listen(context.Context) error { return nil }
-func (f *lateFront) Finish(time.Time)             { close(f.finish) }
-func (f *lateFront) Close() error                 { return nil }
-func (f *lateFront) Serve(ctx context.Context, d *Core) {
-	<-f.finish
-	time.Sleep(10 * time.Millisecond) // as long as the loop takes to see that no client is left
-	d.taken(ctx, f.conn, func(c net.Conn) {
-		f.taken.Store(true)
+func (f *slowFrontend) Listen(context.Context) error { return nil }
+func (f *slowFrontend) DrainBacklog(time.Time)       { close(f.draining) }
+func (f *slowFrontend) Close() error                 { return nil }
+func (f *slowFrontend) Serve(ctx context.Context, d *Core) {
+	<-f.draining
+	time.Sleep(10 * time.Millisecond) // enough for the event loop to see that no client is left
+	d.postAccepted(ctx, f.conn, func(c net.Conn) {
+		f.accepted.Store(true)
 		c.Close()
 	})
 }
 
-// TestStopWaitsForTheLastAccept: a gateway without clients does not end while a front still takes what waits at its listener.
+// TestStopWaitsForTheLastAccept: a gateway without clients does not end while a frontend is still accepting the
+// connections in its backlog.
 func TestStopWaitsForTheLastAccept(t *testing.T) {
 	leaks.Check(t)
-	near, far := connectedPair(t)
-	f := &lateFront{finish: make(chan struct{}), conn: near}
-	cfg := SmallConfig(t, long, nil)
-	cfg.Frontends, cfg.DefaultBackend = []Frontend{f}, &wire{}
+	server, client := connectedPair(t)
+	f := &slowFrontend{draining: make(chan struct{}), conn: server}
+	cfg := SmallConfig(t, longDeadline, nil)
+	cfg.Frontends, cfg.DefaultBackend = []Frontend{f}, &fakeBackend{}
 	cfg.Tuning.Stop.Accept = 0
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := Run(ctx, cfg, nil, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	if !f.taken.Load() {
-		t.Error("a connection that was accepted is lost")
+	if !f.accepted.Load() {
+		t.Error("accepted connection lost")
 	}
-	if _, err := io.ReadAll(far); err != nil {
+	if _, err := io.ReadAll(client); err != nil {
 		t.Errorf("the client got %v", err)
 	}
 }
--- a/internal/gateway/mailbox.go
+++ b/internal/gateway/mailbox.go
@@ -1,42 +1,44 @@
 package gateway
 
-// Mailbox is how a connection's reader waits for the loop: the loop hands a value on, the reader takes it. It holds one. Hand and
-// End are the loop's, in whatever order they come; Wait is the reader's.
+// Mailbox passes values from the event loop to the goroutine that reads a connection. It holds one value.
+// TrySend and Close are called on the event loop, in any order; Receive is called by the reader.
 //
-// A connection ends once, in the loop, by its own close: that alone closes its socket, ends its mailbox and gives its
-// descriptor back. Whoever still calls into it, the rest of a piece that it sent, an ending, an alarm, a writer that is done,
-// finds it closed, changes nothing and takes no request in.
+// A connection ends once, on the event loop, in its own close method, the only place that closes its socket,
+// closes its mailbox and releases its descriptor. Anything that calls into it afterwards, such as the rest of
+// the input, a response, a timer or a completed write, finds it closed, changes nothing and submits no request.
 type Mailbox[T any] struct {
-	c     chan T
-	ended bool
+	values chan T
+	closed bool
 }
 
-// NewMailbox makes one that holds nothing.
-func NewMailbox[T any]() Mailbox[T] { return Mailbox[T]{c: make(chan T, 1)} }
+// NewMailbox returns an empty mailbox.
+func NewMailbox[T any]() Mailbox[T] { return Mailbox[T]{values: make(chan T, 1)} }
 
-// TrySend gives the reader a value. It reports false if one that was handed before still waits, or the mailbox has ended.
-func (b *Mailbox[T]) TrySend(v T) bool {
-	if b.ended {
+// TrySend puts a value into the mailbox. It reports false if the mailbox still holds a value or is closed.
+func (m *Mailbox[T]) TrySend(v T) bool {
+	if m.closed {
 		return false
 	}
 	select {
-	case b.c <- v:
+	case m.values <- v:
 		return true
 	default:
 		return false
 	}
 }
 
-// Close has the reader stop once it has taken what was handed. Ending it again changes nothing.
-func (b *Mailbox[T]) Close() {
-	if !b.ended {
-		b.ended = true
-		close(b.c)
+// Close ends the reader's loop once it has received the value in the mailbox, if any. It may be called
+// repeatedly.
+func (m *Mailbox[T]) Close() {
+	if !m.closed {
+		m.closed = true
+		close(m.values)
 	}
 }
 
-// Receive takes the next value, in the reader's goroutine. It reports false once the mailbox has ended.
-func (b *Mailbox[T]) Receive() (v T, going bool) {
-	v, going = <-b.c
-	return v, going
+// Receive waits for the next value, in the reader's goroutine. It reports false once the mailbox is closed and
+// empty.
+func (m *Mailbox[T]) Receive() (v T, ok bool) {
+	v, ok = <-m.values
+	return v, ok
 }
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -21,14 +21,15 @@
 	everything = failures | decide.NewOutcomeSet(decide.TimedOut, decide.Cancelled)
 )
 
-// routed is a gateway whose requests go by one route, held to the platform as at a start.
-func routed(t *testing.T, rt route.Route, servers []gateway.ServerEntry) *rig {
+// newRoutedGateway returns a gateway whose requests all match one route, validated as at startup.
+func newRoutedGateway(t *testing.T, rt route.Route, servers []gateway.ServerEntry) *testGateway {
 	t.Helper()
-	return routedWithin(t, long, rt, servers)
+	return newRoutedGatewayWithDeadline(t, longDeadline, rt, servers)
 }
 
-// routedWithin is such a gateway whose classes have an aim, from which the module guesses how long an answer takes.
-func routedWithin(t *testing.T, aim time.Duration, rt route.Route, servers []gateway.ServerEntry) *rig {
+// newRoutedGatewayWithDeadline is newRoutedGateway with a latency aim for the classes, from which the decision
+// module estimates how long a response takes.
+func newRoutedGatewayWithDeadline(t *testing.T, aim time.Duration, rt route.Route, servers []gateway.ServerEntry) *testGateway {
 	t.Helper()
 	cfg := gateway.SmallConfig(t, aim, servers)
 	rt.Name = "r"
@@ -36,11 +37,11 @@
 	if diags := cfg.ValidateRoutes(cfg.Routes); len(diags) > 0 {
 		t.Fatal(diags)
 	}
-	return startRig(t, cfg)
+	return startTestGateway(t, cfg)
 }
 
-// asked takes the next command that comes to a server; ends of connections are passed over.
-func (b *backend) asked(t *testing.T) exchange {
+// nextCommand returns the next command received by the server and skips closed connections.
+func (b *fakeServer) nextCommand(t *testing.T) received {
 	t.Helper()
 	for {
 		if x := b.next(t); x.args != nil {
@@ -49,19 +50,19 @@
 	}
 }
 
-// noMore fails the test if a command has come that no test took. Ends of connections are passed over: when the end of an attempt
-// that was given up is read is the scheduler's.
-func (b *backend) noMore(t *testing.T) {
+// wantNoCommand fails the test if there is a command that no test has received. Closed connections are skipped:
+// it depends on the scheduler when the end of a cancelled attempt is read.
+func (b *fakeServer) wantNoCommand(t *testing.T) {
 	t.Helper()
-	for len(b.got) > 0 {
-		if x := <-b.got; x.args != nil {
-			t.Errorf("the server got more: %q", x.args)
+	for len(b.commands) > 0 {
+		if x := <-b.commands; x.args != nil {
+			t.Errorf("the server got another command: %q", x.args)
 		}
 	}
 }
 
-// told is the time that a server was told it has, in ms.
-func (x exchange) told(t *testing.T) int {
+// timeoutMS returns the time, in ms, that the server was given for the request.
+func (x received) timeoutMS(t *testing.T) int {
 	t.Helper()
 	_, rest, _ := strings.Cut(x.args[3], ",d=")
 	d, _, _ := strings.Cut(rest, ",")
@@ -72,149 +73,154 @@
 	return n
 }
 
-// Each attempt has its time and no more, there are as many as the route says, and then the client hears at once, with
-// the route's advice.
+// Each attempt gets at most the route's attempt timeout, there are at most as many attempts as the route
+// allows, and then the client is refused at once, with the route's retry advice.
 func TestRouteBoundsAttempts(t *testing.T) {
-	b := newBackend(t)
-	c := routedWithin(t, 10*time.Second, route.Route{Attempts: 3, Attempt: 400 * time.Millisecond, Whole: 10 * time.Second, Again: everything, BudgetFloor: 100,
+	b := newFakeServer(t)
+	c := newRoutedGatewayWithDeadline(t, 10*time.Second, route.Route{Attempts: 3, Attempt: 400 * time.Millisecond, Whole: 10 * time.Second, Again: everything, BudgetFloor: 100,
 		Advice: 70 * time.Millisecond}, entries("up", b)).dial(t)
-	c.look("id")
+	c.sendSafe("id")
 	for range 3 {
-		if d := b.asked(t).told(t); d > 400 {
-			t.Errorf("an attempt was told to have %d ms", d)
+		if d := b.nextCommand(t).timeoutMS(t); d > 400 {
+			t.Errorf("an attempt was given %d ms", d)
 		}
 	}
 	c.want("-BUSY 70")
-	b.noMore(t)
+	b.wantNoCommand(t)
 }
 
-// A wait stands between attempts; while it lasts nothing goes out, and the client's leaving ends it.
+// The route's wait passes between attempts. During it nothing is sent, and a disconnect of the client ends the
+// request.
 func TestRouteWaitsBetweenAttempts(t *testing.T) {
-	b := newBackend(t)
-	r := routed(t, route.Route{Attempts: 2, Whole: 20 * time.Second, Wait: 150 * time.Millisecond, Again: failures, BudgetFloor: 100}, entries("up", b))
+	b := newFakeServer(t)
+	r := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, Wait: 150 * time.Millisecond, Again: failures, BudgetFloor: 100}, entries("up", b))
 	c := r.dial(t)
-	c.look("id")
-	x := b.asked(t)
+	c.sendSafe("id")
+	x := b.nextCommand(t)
 	at := time.Now()
 	x.answer(t, "-ERR failed\r\n")
-	y := b.asked(t)
+	y := b.nextCommand(t)
 	if waited := time.Since(at); waited < 140*time.Millisecond {
 		t.Errorf("the second attempt came after %v", waited)
 	}
 	y.answer(t, served("v"))
 	c.want("$v")
-	c.look("id-2")
-	b.asked(t).answer(t, "-ERR failed\r\n")
+	c.sendSafe("id-2")
+	b.nextCommand(t).answer(t, "-ERR failed\r\n")
 	c.conn.Close()
 	d := r.dial(t)
-	d.look("id-3")
-	if z := b.asked(t); z.args[2] != "id-3" {
+	d.sendSafe("id-3")
+	if z := b.nextCommand(t); z.args[2] != "id-3" {
 		t.Errorf("the server got %q", z.args)
 	}
 }
 
-// A second copy goes out after its time, the first whole answer is the client's, and the other attempt is given up.
-func TestRouteSendsASecondCopy(t *testing.T) {
-	a, b := newBackend(t), newBackend(t)
-	c := routed(t, route.Route{Attempts: 2, Whole: 20 * time.Second, BudgetFloor: 100,
+// A hedged request is sent after the route's delay, the client gets the first complete response, and the other
+// attempt is cancelled.
+func TestRouteSendsHedge(t *testing.T) {
+	a, b := newFakeServer(t), newFakeServer(t)
+	c := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, BudgetFloor: 100,
 		Copy: route.CopyRule{Allowed: true, After: 60 * time.Millisecond}}, entries("up", a, b)).dial(t)
-	c.look("id")
+	c.sendSafe("id")
 	first, other := a, b
 	select {
-	case <-a.got:
-	case <-b.got:
+	case <-a.commands:
+	case <-b.commands:
 		first, other = b, a
 	}
-	other.asked(t).answer(t, served("copy"))
+	other.nextCommand(t).answer(t, served("copy"))
 	c.want("$copy")
 	if x := first.next(t); x.args != nil {
 		t.Errorf("the slow server got %q, want the connection's end", x.args)
 	}
 }
 
-// A second copy of a keyed request stays in the group of the first, though that has no other server.
-func TestSecondCopyStaysInItsGroup(t *testing.T) {
-	a, b := newBackend(t), newBackend(t)
-	c := routed(t, route.Route{Attempts: 2, Attempt: 400 * time.Millisecond, Whole: 20 * time.Second, BudgetFloor: 100,
+// The hedge of a keyed request stays in the cell of the first attempt, even if that has no other server.
+func TestKeyedHedgeStaysInItsCell(t *testing.T) {
+	a, b := newFakeServer(t), newFakeServer(t)
+	c := newRoutedGateway(t, route.Route{Attempts: 2, Attempt: 400 * time.Millisecond, Whole: 20 * time.Second, BudgetFloor: 100,
 		Copy: route.CopyRule{Allowed: true, After: 30 * time.Millisecond}}, entries("up", a, b)).dial(t)
-	c.book("id")
+	c.sendKeyed("id")
 	other := b
 	select {
-	case <-a.got:
-	case <-b.got:
+	case <-a.commands:
+	case <-b.commands:
 		other = a
 	}
-	c.want("-ERR failed") // it may have run, so it is not refused
-	other.noMore(t)
+	c.want("-ERR failed") // it may have been executed, so it is not refused
+	other.wantNoCommand(t)
 }
 
-// A patience shorter than one attempt cuts it: the answer leaves before the client stops waiting.
-func TestPatienceShorterThanAnAttempt(t *testing.T) {
-	b := newBackend(t)
-	c := routedWithin(t, 300*time.Millisecond, route.Route{Attempts: 1, Attempt: 10 * time.Second, Whole: 20 * time.Second}, entries("up", b)).dial(t)
+// A client timeout shorter than an attempt limits the attempt: the response is sent before the client stops
+// waiting.
+func TestClientTimeoutShorterThanAttempt(t *testing.T) {
+	b := newFakeServer(t)
+	c := newRoutedGatewayWithDeadline(t, 300*time.Millisecond, route.Route{Attempts: 1, Attempt: 10 * time.Second, Whole: 20 * time.Second}, entries("up", b)).dial(t)
 	at := time.Now()
 	c.send("Q.ASK", customer, "id", "c=look,t=p,d=150,units=1,spread=2,first=0")
-	if d := b.asked(t).told(t); d > 140 {
-		t.Errorf("the server was told to have %d ms", d)
+	if d := b.nextCommand(t).timeoutMS(t); d > 140 {
+		t.Errorf("the server was given %d ms", d)
 	}
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY") || time.Since(at) < 100*time.Millisecond {
 		t.Errorf("got %q after %v", got, time.Since(at))
 	}
 }
 
-// Over the route's bound of open requests a request is refused at once, and a place that is free is taken again.
+// A request beyond the route's limit of open requests is refused at once; a finished request makes room for
+// another one.
 func TestRouteBoundsOpenRequests(t *testing.T) {
-	b := newBackend(t)
-	r := routed(t, route.Route{Attempts: 1, Open: 1, Advice: 30 * time.Millisecond}, entries("up", b))
+	b := newFakeServer(t)
+	r := newRoutedGateway(t, route.Route{Attempts: 1, Open: 1, Advice: 30 * time.Millisecond}, entries("up", b))
 	c, d := r.dial(t), r.dial(t)
-	c.look("one")
-	x := b.asked(t)
-	d.look("two")
+	c.sendSafe("one")
+	x := b.nextCommand(t)
+	d.sendSafe("two")
 	d.want("-BUSY 30")
 	x.answer(t, served("1"))
 	c.want("$1")
-	d.look("three")
-	b.asked(t).answer(t, served("3"))
+	d.sendSafe("three")
+	b.nextCommand(t).answer(t, served("3"))
 	d.want("$3")
 }
 
-// A reload that tightens a route, or removes it, is for new requests; those that are open keep what they began with.
+// A reload that tightens or removes a route applies to new requests; open requests keep the route they started
+// with.
 func TestReloadOfRoutes(t *testing.T) {
 	for _, next := range map[string][]*route.Route{"tightened": {{Name: "r", Attempts: 1}}, "removed": nil} {
-		b := newBackend(t)
-		r := routed(t, route.Route{Attempts: 2, Again: failures, BudgetFloor: 100, Open: 1}, entries("up", b))
+		b := newFakeServer(t)
+		r := newRoutedGateway(t, route.Route{Attempts: 2, Again: failures, BudgetFloor: 100, Open: 1}, entries("up", b))
 		c := r.dial(t)
-		c.look("old")
-		x := b.asked(t)
-		taken, tune := make(chan struct{}), tuning.Default()
-		r.moves <- gateway.Reload{Discovery: r.reg.Addr(), Tuning: &tune, Routes: next, Applied: taken}
-		<-taken
+		c.sendSafe("old")
+		x := b.nextCommand(t)
+		applied, tune := make(chan struct{}), tuning.Default()
+		r.reloads <- gateway.Reload{Discovery: r.discovery.Addr(), Tuning: &tune, Routes: next, Applied: applied}
+		<-applied
 		x.answer(t, "-ERR failed\r\n")
-		b.asked(t).answer(t, served("again"))
+		b.nextCommand(t).answer(t, served("again"))
 		c.want("$again")
-		d := r.dial(t) // the old table's place was given back to the old table
-		d.look("new")
-		y := b.asked(t)
+		d := r.dial(t) // the old request was counted off the old table
+		d.sendSafe("new")
+		y := b.nextCommand(t)
 		y.answer(t, "-ERR failed\r\n")
 		if next != nil {
 			d.want("-BUSY 200")
 			continue
 		}
-		b.asked(t).answer(t, served("by the module's own bounds"))
+		b.nextCommand(t).answer(t, served("by the module's own bounds"))
 		d.want("$by the module's own bounds")
 	}
 }
 
-// With every node failing fast, each group gets its first attempts x (1 + budget) at most, by the nodes' own tallies,
-// and every client one answer.
-func TestBudgetHoldsOnTheWire(t *testing.T) {
+// If every node fails fast, each cell gets at most its first attempts x (1 + budget), as counted by the nodes,
+// and every client gets one response.
+func TestRetryBudgetAtServers(t *testing.T) {
 	var mu sync.Mutex
 	firsts, all := map[int]int{}, map[int]int{}
 	seen := map[string]bool{}
 	var servers []gateway.ServerEntry
 	for i := range 4 {
 		s, err := testbed.NewScriptedNode(func(conn net.Conn, args []string) {
-			if len(args) < 3 { // the connection's end, or a stranger: a program beside this one may look for who had the port before
+			if len(args) < 3 { // a closed connection, or an unrelated program that looks for the previous owner of the port
 				return
 			}
 			mu.Lock()
@@ -231,7 +237,7 @@
 		t.Cleanup(s.Close)
 		servers = append(servers, gateway.ServerEntry{ID: fmt.Sprintf("s-%d", i), Addr: s.Addr(), Zone: "a", Cell: i % 2, State: "up", Weight: 1})
 	}
-	r := routed(t, route.Route{Attempts: 5, Again: failures, Budget: 0.2}, servers)
+	r := newRoutedGateway(t, route.Route{Attempts: 5, Again: failures, Budget: 0.2}, servers)
 	var wg sync.WaitGroup
 	answered := 0
 	for n := range 8 {
@@ -243,7 +249,7 @@
 			}
 			defer c.Close()
 			for i := range 50 {
-				c.Conn.SetDeadline(time.Now().Add(patience))
+				c.Conn.SetDeadline(time.Now().Add(testTimeout))
 				c.Send("Q.ASK", fmt.Sprintf("%016x", n), fmt.Sprintf("id-%d-%d", n, i), "c=look,t=p,d=30000,units=1,spread=2,first=0")
 				got, err := c.Read()
 				if err != nil || !strings.HasPrefix(got, "-BUSY") {
@@ -257,12 +263,12 @@
 	}
 	wg.Wait()
 	if answered != 400 {
-		t.Errorf("%d answers", answered)
+		t.Errorf("got %d responses, want 400", answered)
 	}
 	for cell := range 2 {
 		if float64(all[cell]) > 1.2*float64(firsts[cell])+1e-9 || firsts[cell] == 0 {
-			// a request that went to one group first may be repeated at the other, by that group's budget
-			t.Errorf("group %d got %d attempts, %d of them first ones", cell, all[cell], firsts[cell])
+			// a request whose first attempt went to one cell may be retried at the other, on that cell's budget
+			t.Errorf("cell %d got %d attempts, %d of them first ones", cell, all[cell], firsts[cell])
 		}
 	}
 }
--- /dev/null
+++ b/internal/gateway/submit.go
@@ -0,0 +1,130 @@
+package gateway
+
+import (
+	"strconv"
+
+	"sloepick/decide"
+	"sloepick/internal/route"
+)
+
+// This file holds the life cycle of a request: from its submission to its single final response.
+
+// maxRequestBytes is the memory limit, in bytes, for the contents of all open requests together.
+func (l *eventLoop) maxRequestBytes() int {
+	return int(float64(l.cfg.MemoryMB<<20) * l.tuning.Load().Clients.Held)
+}
+
+// submit admits a request that a frontend has read completely. It returns nil if the request was answered at
+// once.
+func (l *eventLoop) submit(responder Responder, v *Request) *requestState {
+	if err := v.validate(&l.cfg); err != nil {
+		responder.Respond(Response{Kind: Rejected, Reason: err.Error()})
+		return nil
+	}
+	maxOpen := l.cfg.Settings.OpenCap
+	if !l.mayAcceptRequests() || l.requestBytes+v.size() > l.maxRequestBytes() || (maxOpen > 0 && len(l.requests) >= maxOpen) {
+		responder.Respond(Response{Kind: Refused, RetryAfter: l.cfg.Settings.Decide.Limits.MaxRetryAfter})
+		return nil
+	}
+	if l.recovery != nil {
+		if ok, after := l.recovery.admit(v); !ok {
+			responder.Respond(Response{Kind: Refused, RetryAfter: after})
+			return nil
+		}
+	}
+	if _, open := l.clientIDs[v.ID]; open { // two requests with the same id must never receive each other's response
+		responder.Respond(Response{Kind: Rejected, Reason: "a request with this id is open", DuplicateID: true})
+		return nil
+	}
+	l.nextID++
+	r := &requestState{id: strconv.FormatUint(l.nextID, 36), seq: l.nextID, responder: responder, values: v}
+	if !l.enterRoute(r) {
+		retryAfter := r.routes.Route(r.route).Advice
+		if retryAfter == 0 {
+			retryAfter = l.cfg.Settings.Decide.Limits.MaxRetryAfter
+		}
+		responder.Respond(Response{Kind: Refused, RetryAfter: retryAfter})
+		return nil
+	}
+	l.requests[r.id] = r
+	l.clientIDs[v.ID] = struct{}{}
+	l.requestBytes += v.size()
+	deadline := v.ReceivedAt + min(v.ClientTimeout, v.maxWait) - deadlineMargin
+	r.overdueTimer = l.schedule(deadline+overdueGrace, func() { l.failOverdue(r) })
+	ev := r.event()
+	ev.Deadline = deadline
+	if r.routes != nil {
+		ev.RetryPolicy = r.routes.Bounds(r.route, ev.Class, l.clock.Now())
+	}
+	l.enqueue(ev)
+	return r
+}
+
+// setRoutes replaces the route table. Open requests keep the route they started with.
+func (l *eventLoop) setRoutes(routes []*route.Route) {
+	l.routes = nil
+	if len(routes) > 0 {
+		l.routes = route.NewTable(routes, &l.cfg.Settings.Decide)
+	}
+}
+
+// enterRoute matches a request to a route and counts it there. It reports false if the route is at its limit of
+// open requests.
+func (l *eventLoop) enterRoute(r *requestState) bool {
+	if l.routes == nil {
+		return true
+	}
+	n := l.routes.Match(route.Ask{Class: r.values.Class, Plan: r.values.Plan, Customer: r.values.Customer, Patience: r.values.ClientTimeout})
+	if n < 0 {
+		return true
+	}
+	r.routes, r.route = l.routes, n
+	return l.routes.Begin(n)
+}
+
+// failOverdue fails a request that the decision module has not ended in time. The client must get its response
+// before it stops waiting, whatever state the module has the request in.
+func (l *eventLoop) failOverdue(r *requestState) {
+	if r.done {
+		return
+	}
+	l.log.Error("request still open past its deadline; failing it", "class", r.values.Class, "attempts", len(r.attempts))
+	l.respond(r, Response{Kind: Failed, Reason: "failed", TimedOut: true})
+	l.enqueue(decide.ClientDisconnected{ID: r.id})
+}
+
+// respond gives a request its final response, at most once.
+func (l *eventLoop) respond(r *requestState, resp Response) {
+	if r.done {
+		return
+	}
+	l.finish(r)
+	r.responder.Respond(resp)
+}
+
+// abandon ends a request whose client has disconnected.
+func (l *eventLoop) abandon(r *requestState) {
+	if r.done {
+		return
+	}
+	l.finish(r)
+	l.enqueue(decide.ClientDisconnected{ID: r.id})
+}
+
+func (l *eventLoop) finish(r *requestState) {
+	r.done = true
+	if r.routes != nil {
+		r.routes.End(r.route)
+	}
+	l.requestBytes -= r.values.size()
+	delete(l.clientIDs, r.values.ID)
+	l.cancelTimer(r.overdueTimer)
+	l.release(r)
+}
+
+// release removes a request from the table once it is answered and has no attempts in progress.
+func (l *eventLoop) release(r *requestState) {
+	if r.done && r.activeAttempts == 0 {
+		delete(l.requests, r.id)
+	}
+}
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// stallsMost bounds how long a peer that takes a little again and again may hold a connection.
-const stallsMost = 15
+// maxWriteSteps limits how long a peer that reads only a little at a time can hold a connection.
+const maxWriteSteps = 15
 
-// Writer writes to a connection without making the loop wait: the kernel takes what it can at once, and a goroutine with a time
-// limit writes what a slow peer leaves.
+// Writer writes to a connection without blocking the event loop. It writes at once what the kernel accepts; a
+// goroutine with a time limit writes the rest if the peer is slow.
 type Writer struct {
 	conn net.Conn
-	raw  syscall.RawConn // nil: the kernel does not take bytes as they are; all goes by Finish
+	raw  syscall.RawConn // nil: no direct access to the socket, so that all data goes through WriteAsync
 	busy bool            // a goroutine is writing
 }
 
-// NewWriter makes one. A connection that is not the kernel's own, such as a TLS one, only has Finish.
+// NewWriter creates a Writer. On a connection that is not a plain socket, such as TLS, only WriteAsync writes.
 func NewWriter(c net.Conn) *Writer {
-	o := &Writer{conn: c}
+	w := &Writer{conn: c}
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			o.raw = raw
+			w.raw = raw
 		}
 	}
-	return o
+	return w
 }
 
-// TryWrite writes what the kernel takes at once. Taking nothing is no error.
-func (o *Writer) TryWrite(b []byte) (n int, err error) {
-	if o.raw == nil {
+// TryWrite writes as much as the kernel accepts at once. Writing nothing is not an error.
+func (w *Writer) TryWrite(b []byte) (n int, err error) {
+	if w.raw == nil {
 		return 0, nil
 	}
-	opErr := o.raw.Write(func(fd uintptr) bool {
+	opErr := w.raw.Write(func(fd uintptr) bool {
 		for n < len(b) {
 			var m int
 			m, err = syscall.Write(int(fd), b[n:])
@@ -46,7 +46,7 @@
 				break
 			}
 		}
-		return true // never wait
+		return true // never block
 	})
 	if errors.Is(err, syscall.EAGAIN) {
 		err = nil
@@ -54,84 +54,87 @@
 	return n, errors.Join(opErr, err)
 }
 
-// ReceiveQueueEmpty reports whether the connection is open and nothing has come on it that was not read. Where that can't be seen, it
-// reports false.
-func (o *Writer) ReceiveQueueEmpty() bool {
-	if o.raw == nil {
+// ReceiveQueueEmpty reports that the connection is open and holds no unread data. It reports false if this
+// cannot be determined.
+func (w *Writer) ReceiveQueueEmpty() bool {
+	if w.raw == nil {
 		return false
 	}
 	var err error
-	opErr := o.raw.Control(func(fd uintptr) {
+	opErr := w.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return opErr == nil && errors.Is(err, syscall.EAGAIN)
 }
 
-// Busy reports that Finish has not ended.
-func (o *Writer) Busy() bool { return o.busy }
+// Busy reports that an asynchronous write is in progress.
+func (w *Writer) Busy() bool { return w.busy }
 
-// WriteAsync writes the rest from a goroutine of its own, within a time, and then lets the loop call done. The time limit ends with
-// the write: one left on the connection would have a later Try fail, which goes by the connection's deadlines too.
-func (o *Writer) WriteAsync(rest []byte, within time.Duration, d *Core, done func(error)) {
-	o.finish(rest, within, 1, d, done)
+// WriteAsync writes the rest in a goroutine, within a time limit, and then calls done on the event loop. It
+// clears the write deadline afterwards: TryWrite is subject to the connection's deadlines, and a leftover
+// deadline would make it fail later.
+func (w *Writer) WriteAsync(rest []byte, within time.Duration, core *Core, done func(error)) {
+	w.writeAsync(rest, within, 1, core, done)
 }
 
-// WriteAsyncUntilStall is Finish for a peer that may be slow: it is given up when it has taken nothing for stall, or has not taken all in
-// stallsMost times that.
-func (o *Writer) WriteAsyncUntilStall(rest []byte, stall time.Duration, d *Core, done func(error)) {
-	o.finish(rest, stall, stallsMost, d, done)
+// WriteAsyncUntilStall is WriteAsync for a peer that may be slow. It fails if the peer accepts no data for the
+// duration stall, or has not accepted all data after maxWriteSteps times stall.
+func (w *Writer) WriteAsyncUntilStall(rest []byte, stall time.Duration, core *Core, done func(error)) {
+	w.writeAsync(rest, stall, maxWriteSteps, core, done)
 }
 
-// finish writes in so many steps at most. Each has its time, and each but the last has to bring something forward.
-func (o *Writer) finish(rest []byte, within time.Duration, steps int, d *Core, done func(error)) {
-	o.busy = true
+// writeAsync writes in at most that many steps, each with its own time limit. Every step but the last must make
+// progress.
+func (w *Writer) writeAsync(rest []byte, within time.Duration, steps int, core *Core, done func(error)) {
+	w.busy = true
 	go func() {
 		var err error
 		for ; steps > 0 && len(rest) > 0; steps-- {
-			if err = o.conn.SetWriteDeadline(time.Now().Add(within)); err != nil {
+			if err = w.conn.SetWriteDeadline(time.Now().Add(within)); err != nil {
 				break
 			}
 			n := 0
-			n, err = o.conn.Write(rest)
+			n, err = w.conn.Write(rest)
 			if rest = rest[n:]; err != nil && (n == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
 				break
 			}
 		}
 		if err == nil {
-			err = o.conn.SetWriteDeadline(time.Time{})
+			err = w.conn.SetWriteDeadline(time.Time{})
 		}
-		d.Post(func() {
-			o.busy = false
+		core.Post(func() {
+			w.busy = false
 			done(err)
 		})
 	}()
 }
 
-// Shutdown tells the peer that nothing more is written, and lets the loop call done once the peer has closed its side too, or
-// has had so long to. Until then the connection takes what the peer still sends, so that no reset overtakes what was written; it is
-// not read.
-func (o *Writer) Shutdown(within time.Duration, d *Core, done func()) {
-	closer, ok := o.conn.(interface{ CloseWrite() error })
-	if !ok || o.raw == nil {
+// Shutdown closes the connection for writing and calls done on the event loop once the peer has closed its
+// side, or after a time limit. Until then the connection stays open for incoming data, which is not read, so
+// that a reset does not overtake the data already written.
+func (w *Writer) Shutdown(within time.Duration, core *Core, done func()) {
+	closer, ok := w.conn.(interface{ CloseWrite() error })
+	if !ok || w.raw == nil {
 		done()
 		return
 	}
 	go func() {
 		err := closer.CloseWrite()
 		if err == nil {
-			err = o.conn.SetReadDeadline(time.Now().Add(within))
+			err = w.conn.SetReadDeadline(time.Now().Add(within))
 		}
 		if err == nil {
-			o.awaitEnd()
+			w.awaitPeerClose()
 		}
-		d.Post(done)
+		core.Post(done)
 	}()
 }
 
-// awaitEnd waits until the peer has closed its side with nothing left unread, the connection has failed, or its read deadline passes.
-func (o *Writer) awaitEnd() {
-	_ = o.raw.Read(func(fd uintptr) (ended bool) { // that time is up is no fault here
+// awaitPeerClose waits until the peer has closed its side with no unread data left, the connection has failed,
+// or the read deadline passes.
+func (w *Writer) awaitPeerClose() {
+	_ = w.raw.Read(func(fd uintptr) (ended bool) { // a timeout is not an error here
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		waits := errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	listLen   = 1 << 10 // bytes of a request's list of names and values
-	frameRoom = 64      // bytes that a command's headers take
+	maxListSize      = 1 << 10 // bytes; maximum size of a request's list of names and values
+	encodingOverhead = 64      // bytes; estimated size of a command's headers, to allocate its buffer
 )
 
-// command is a request as RESP2 has it.
+// command is a request in its RESP2 form.
 type command struct {
 	gateway.Request
-	args         [][]byte // unchanged; the list at listArg is sent on with another d
-	before, tail []byte   // of the list, round the figure of d
+	args                   [][]byte // as received; the list at listArg is forwarded with a new value of d
+	listPrefix, listSuffix []byte   // the parts of the list before and after the value of d
 }
 
-// The commands' names, and the places of their arguments; a body may stand behind the list.
+// Names of the commands and indexes of their arguments. The body is optional.
 const (
 	askName     = "Q.ASK"
 	doName      = "Q.DO"
@@ -34,9 +34,9 @@
 	bodyArg     = 4
 )
 
-// frame is the command for a server that has so long to answer.
-func (c *command) frame(left time.Duration) []byte {
-	n := frameRoom
+// encode returns the encoded command for a server. d, the time that the server has to answer, is set to remaining.
+func (c *command) encode(remaining time.Duration) []byte {
+	n := encodingOverhead
 	for _, a := range c.args {
 		n += len(a)
 	}
@@ -48,51 +48,52 @@
 			continue
 		}
 		var digits [20]byte
-		d := strconv.AppendInt(digits[:0], int64(max(left/time.Millisecond, 1)), 10)
+		timeout := strconv.AppendInt(digits[:0], int64(max(remaining/time.Millisecond, 1)), 10)
 		b = append(b, '$')
-		b = strconv.AppendInt(b, int64(len(c.before)+len(d)+len(c.tail)), 10)
+		b = strconv.AppendInt(b, int64(len(c.listPrefix)+len(timeout)+len(c.listSuffix)), 10)
 		b = append(b, '\r', '\n')
-		b = append(append(append(b, c.before...), d...), c.tail...)
+		b = append(append(append(b, c.listPrefix...), timeout...), c.listSuffix...)
 		b = append(b, '\r', '\n')
 	}
 	return b
 }
 
-// commandOf is a request as nodes take it: as its client sent it, where that was by RESP2.
-func commandOf(v *gateway.Request) *command {
-	if c, ok := v.Native.(*command); ok {
+// commandFor returns the command for a request. A request that arrived by RESP2 keeps the arguments that its client
+// sent.
+func commandFor(req *gateway.Request) *command {
+	if c, ok := req.Native.(*command); ok {
 		return c
 	}
 	name := askName
-	if v.Write {
+	if req.Write {
 		name = doName
 	}
-	c := &command{before: append(append(append(append([]byte("c="), v.Class...), ",t="...), v.Plan...), ",d="...)}
-	if v.Key != "" {
-		c.tail = append(append(c.tail, ",k="...), v.Key...)
+	c := &command{listPrefix: append(append(append(append([]byte("c="), req.Class...), ",t="...), req.Plan...), ",d="...)}
+	if req.Key != "" {
+		c.listSuffix = append(append(c.listSuffix, ",k="...), req.Key...)
 	}
-	if v.ClientRetry {
-		c.tail = append(c.tail, ",r=1"...)
+	if req.ClientRetry {
+		c.listSuffix = append(c.listSuffix, ",r=1"...)
 	}
-	c.tail = strconv.AppendFloat(append(c.tail, ",units="...), v.Units, 'f', -1, 64)
-	if v.GatewayCount > 0 {
-		c.tail = strconv.AppendInt(append(c.tail, ",spread="...), int64(v.GatewayCount), 10)
-		c.tail = strconv.AppendInt(append(c.tail, ",first="...), int64(v.FirstGateway), 10)
+	c.listSuffix = strconv.AppendFloat(append(c.listSuffix, ",units="...), req.Units, 'f', -1, 64)
+	if req.GatewayCount > 0 {
+		c.listSuffix = strconv.AppendInt(append(c.listSuffix, ",spread="...), int64(req.GatewayCount), 10)
+		c.listSuffix = strconv.AppendInt(append(c.listSuffix, ",first="...), int64(req.FirstGateway), 10)
 	}
-	c.args = [][]byte{[]byte(name), []byte(v.Customer), []byte(v.ID), nil}
-	if len(v.Body) > 0 {
-		c.args = append(c.args, v.Body)
+	c.args = [][]byte{[]byte(name), []byte(req.Customer), []byte(req.ID), nil}
+	if len(req.Body) > 0 {
+		c.args = append(c.args, req.Body)
 	}
 	return c
 }
 
-// parseRequest reads a request that came at the time now. It copies what it keeps. Whether its values fit the site's settings is
-// for the core to say.
+// parseRequest parses a request that was received at time now. It copies the data that it keeps. The core validates
+// the values against the settings.
 func parseRequest(name string, args [][]byte, now time.Duration) (*command, error) {
 	if len(args) <= listArg || len(args) > bodyArg+1 {
 		return nil, errors.New("wrong number of arguments")
 	}
-	if len(args[idArg]) == 0 || len(args[listArg]) > listLen {
+	if len(args[idArg]) == 0 || len(args[listArg]) > maxListSize {
 		return nil, errors.New("the id or the list is missing or too long")
 	}
 	c := &command{args: cloneArgs(args)}
@@ -114,23 +115,23 @@
 	}
 	mem, out := make([]byte, 0, n), make([][]byte, len(args))
 	for i, a := range args {
-		from := len(mem)
+		start := len(mem)
 		mem = append(mem, a...)
-		out[i] = mem[from:len(mem):len(mem)]
+		out[i] = mem[start:len(mem):len(mem)]
 	}
 	return out
 }
 
-// parseList reads names and values. Unknown names go on unread.
+// parseList parses the list of names and values. Unknown names are ignored here and forwarded.
 func (c *command) parseList() error {
 	list := c.args[listArg]
 	seen := make(map[string]bool)
-	for at := 0; at < len(list); {
+	for pos := 0; pos < len(list); {
 		end := len(list)
-		if i := bytes.IndexByte(list[at:], ','); i >= 0 {
-			end = at + i
+		if i := bytes.IndexByte(list[pos:], ','); i >= 0 {
+			end = pos + i
 		}
-		name, value, ok := bytes.Cut(list[at:end], []byte("="))
+		name, value, ok := bytes.Cut(list[pos:end], []byte("="))
 		if !ok {
 			return errors.New("the list holds no name and value")
 		}
@@ -139,21 +140,21 @@
 		}
 		seen[string(name)] = true
 		if string(name) == "d" {
-			c.before, c.tail = list[:end-len(value)], list[end:]
+			c.listPrefix, c.listSuffix = list[:end-len(value)], list[end:]
 		}
-		if !c.set(string(name), string(value)) {
+		if !c.setParam(string(name), string(value)) {
 			return fmt.Errorf("the value of %s can't be used", name)
 		}
-		at = end + 1
+		pos = end + 1
 	}
-	if c.before == nil {
+	if c.listPrefix == nil {
 		return errors.New("d is missing")
 	}
 	return nil
 }
 
-// set takes a value. It reports false for one that can't be used.
-func (c *command) set(name, value string) bool {
+// setParam sets the field for a name of the list. It reports false if the value is invalid.
+func (c *command) setParam(name, value string) bool {
 	var err error
 	switch name {
 	case "c":
@@ -172,15 +173,15 @@
 	case "units":
 		c.Units, err = gateway.ParseNumber(value)
 	case "spread":
-		c.GatewayCount, err = whole(value)
+		c.GatewayCount, err = parseCount(value)
 		return err == nil && c.GatewayCount > 0
 	case "first":
-		c.FirstGateway, err = whole(value)
+		c.FirstGateway, err = parseCount(value)
 	}
 	return err == nil
 }
 
-func whole(s string) (int, error) {
+func parseCount(s string) (int, error) {
 	v, err := strconv.ParseUint(s, 10, 20)
 	return int(v), err
 }
