--- a/internal/h2/floods_test.go
+++ b/internal/h2/floods_test.go
@@ -12,15 +12,16 @@
 	"sloepick/internal/testbed"
 )
 
-// Each flood on sockets: its client is sent away with the right code, and the usual one is served before and after.
+// TestFloods runs each denial-of-service flood over sockets. Its client gets GOAWAY with the right error code, and another client
+// is served before and after.
 func TestFloods(t *testing.T) {
-	const many = 5000
+	const frames = 5000
 	block := func(f *http2.Framer, id uint32, ends bool) {
-		q := look(fmt.Sprint("flood-", id))
+		q := lookup(fmt.Sprint("flood-", id))
 		q.Customer = "0000000000000009"
 		f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, EndStream: ends, EndHeaders: true, BlockFragment: testbed.NewH2Encoder().HeaderBlock(q)})
 	}
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		flood func(f *http2.Framer, i int)
 		begin func(f *http2.Framer)
 		code  http2.ErrCode
@@ -44,79 +45,81 @@
 			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: []byte{0x82}})
 		}},
 		"WINDOW_UPDATE by one (CVE-2019-9517)": {flood: func(f *http2.Framer, _ int) { f.WriteWindowUpdate(0, 1) }},
-		"HPACK: a table size beyond the bound": {flood: func(f *http2.Framer, i int) {
+		"HPACK: a table size above the limit": {flood: func(f *http2.Framer, i int) {
 			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: []byte{0x3f, 0xe2, 0x1f, 0x82}})
 		}, code: http2.ErrCodeCompression},
-		"HPACK growth: a large field, referred": {flood: func(f *http2.Framer, i int) {
-			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: growth(i)})
+		"HPACK amplification: a large field, referenced": {flood: func(f *http2.Framer, i int) {
+			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(1 + 2*i), EndStream: true, EndHeaders: true, BlockFragment: hpackGrowthBlock(i)})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, platform(), nil)
-			good, rude := r.dial(nil), r.dial(nil)
-			if a := r.call(good, look("before")); a.Status != 200 {
+			r := newHarness(t, testPlatform(), nil)
+			wellBehaved, abusive := r.dial(nil), r.dial(nil)
+			if a := r.roundTrip(wellBehaved, lookup("before")); a.Status != 200 {
 				t.Fatalf("got %+v", a)
 			}
-			ended := make(chan *http2.GoAwayFrame, 1)
-			go func() { // reads beside the writer, and answers nothing
-				for f := http2.NewFramer(nil, rude.Conn); ; {
+			goAway := make(chan *http2.GoAwayFrame, 1)
+			go func() { // reads concurrently with the writer below
+				for f := http2.NewFramer(nil, abusive.Conn); ; {
 					x, err := f.ReadFrame()
-					if away, ok := x.(*http2.GoAwayFrame); ok || err != nil {
-						ended <- away
+					if frame, ok := x.(*http2.GoAwayFrame); ok || err != nil {
+						goAway <- frame
 						return
 					}
 				}
 			}()
-			f := http2.NewFramer(rude.Conn, nil)
+			f := http2.NewFramer(abusive.Conn, nil)
 			f.AllowIllegalWrites = true
-			if x.begin != nil {
-				x.begin(f)
+			if tc.begin != nil {
+				tc.begin(f)
 			}
-			for i := range many {
-				x.flood(f, i) // errors show that it was sent away
+			for i := range frames {
+				tc.flood(f, i) // write errors are expected once the gateway has closed the connection
 			}
-			if x.code == 0 {
-				x.code = http2.ErrCodeEnhanceYourCalm
+			if tc.code == 0 {
+				tc.code = http2.ErrCodeEnhanceYourCalm
 			}
 			select {
-			case a := <-ended:
-				if a == nil || a.ErrCode != x.code {
-					t.Errorf("the rude client got %v", a)
+			case a := <-goAway:
+				if a == nil || a.ErrCode != tc.code {
+					t.Errorf("the abusive client got %v", a)
 				}
-			case <-time.After(patience):
-				t.Error("the flood goes on")
+			case <-time.After(testTimeout):
+				t.Error("the flood is not stopped")
 			}
-			if a := r.call(good, look("after")); a.Status != 200 {
-				t.Errorf("the usual client got %+v", a)
+			if a := r.roundTrip(wellBehaved, lookup("after")); a.Status != 200 {
+				t.Errorf("the well-behaved client got %+v", a)
 			}
 		})
 	}
 }
 
-// growth is a block whose first piece puts a large field into the table, and that then names it over and over.
-func growth(i int) []byte {
+// hpackGrowthBlock returns a header block that references a large field of the dynamic table 1000 times. The first block adds
+// the field to the table.
+func hpackGrowthBlock(i int) []byte {
 	var b []byte
 	if i == 0 {
 		b = append(b, 0x40, 1, 'a', 0x7f, 0xa1, 0x1e) // a value of 4,000 bytes: 127 + 0x21 + 0x1e x 128
 		b = append(b, bytes.Repeat([]byte("x"), 127+0x21+0x1e*128)...)
 	}
-	return append(b, bytes.Repeat([]byte{0xbe}, 1000)...) // the table's newest
+	return append(b, bytes.Repeat([]byte{0xbe}, 1000)...) // index 62: the newest entry of the dynamic table
 }
 
-// A client that opens no window is given up after the stated time, on its stream alone.
-func TestNoWindow(t *testing.T) {
-	r := newRig(t, platform(), func(cfg *gateway.Config, _ *FrontendConfig) {
+// TestStalledResponseIsReset checks that if a client opens no window for a response, its stream alone is reset after
+// Clients.Write.
+func TestStalledResponseIsReset(t *testing.T) {
+	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
 		cfg.Tuning.Clients.Write = 100 * time.Millisecond
 	})
 	c := r.dial(nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
-	stuck := r.ask(c, look("stuck"))
-	if a := r.read(c); a.Stream != stuck || !a.Reset || a.Code != http2.ErrCodeCancel {
+	stuck := r.send(c, lookup("stuck"))
+	if a := r.readResponse(c); a.Stream != stuck || !a.Reset || a.Code != http2.ErrCodeCancel {
 		t.Fatalf("got %+v", a)
 	}
 	if err := c.Framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1000}); err != nil {
 		t.Fatal(err)
 	}
-	if a := r.call(c, look("next")); a.Status != 200 {
+	if a := r.roundTrip(c, lookup("next")); a.Status != 200 {
 		t.Errorf("got %+v", a)
 	}
 }
--- /dev/null
+++ b/internal/h2/frontend.go
@@ -0,0 +1,399 @@
+// Package h2 is the gateway's HTTP/2 frontend and backend. Clients connect over plain TCP with prior knowledge or over TLS
+// with ALPN; nodes are reached over plain TCP with prior knowledge. Both are served by the same core as RESP2. Package wire
+// implements the protocol as a state machine; this package connects it to sockets and to the core. Each connection has one
+// goroutine that reads; everything else runs in the core's loop.
+package h2
+
+import (
+	"context"
+	"crypto/tls"
+	"fmt"
+	"maps"
+	"net"
+	"slices"
+	"time"
+
+	"golang.org/x/net/http2"
+
+	"sloepick/internal/gateway"
+	"sloepick/internal/h2/wire"
+)
+
+// FrontendConfig configures one listener of the operators' file.
+type FrontendConfig struct {
+	Name             string
+	Address          string // host:port
+	MaxStreams       int    // concurrent requests per connection
+	HandshakeTimeout time.Duration
+	TLS              *TLSFiles // nil: plain TCP with prior knowledge
+}
+
+// Frontend serves HTTP/2 clients on one listener.
+type Frontend struct {
+	gateway.Listener
+	cfg FrontendConfig
+	tls *identity // nil: plain TCP
+}
+
+// NewFrontend returns a frontend that does not listen yet. It reads the TLS files.
+func NewFrontend(cfg FrontendConfig) (f *Frontend, err error) {
+	f = &Frontend{Listener: gateway.NewListener("listener "+cfg.Name, cfg.Address), cfg: cfg}
+	if cfg.TLS != nil {
+		if f.tls, err = newIdentity(*cfg.TLS); err != nil {
+			return nil, fmt.Errorf("listener %s: %w", cfg.Name, err)
+		}
+	}
+	return f, nil
+}
+
+// Reload reads the TLS files again. New connections use them once apply is called. If the files are not valid, Reload
+// returns an error and nothing changes.
+func (f *Frontend) Reload() (apply func(), err error) {
+	if f.tls == nil {
+		return func() {}, nil
+	}
+	next, err := f.tls.files.load()
+	if err != nil {
+		return nil, fmt.Errorf("listener %s: %w", f.cfg.Name, err)
+	}
+	return func() { f.tls.current.Store(next) }, nil
+}
+
+// Serve implements gateway.Frontend.
+func (f *Frontend) Serve(ctx context.Context, core *gateway.Core) {
+	f.AcceptLoop(ctx, core, func(nc net.Conn) { f.accept(core, nc) })
+}
+
+// accept sets up a new connection. It runs in the core's loop.
+func (f *Frontend) accept(core *gateway.Core, nc net.Conn) {
+	now := core.Now()
+	c := &clientConn{frontend: f, core: core, nc: nc, raw: nc, lastUsed: now, acceptedAt: now, requests: map[uint32]*openRequest{},
+		resumeRead: gateway.NewMailbox[struct{}]()}
+	if !core.AdmitConn(c) {
+		nc.Close() // no request was read from it
+		return
+	}
+	c.writer = gateway.NewWriter(nc)
+	c.rawWriter = c.writer
+	if f.tls != nil {
+		c.nc = tls.Server(nc, f.tls.config())
+		c.writer = gateway.NewWriter(c.nc)
+	}
+	limits := wire.DefaultLimits()
+	limits.MaxStreams = f.cfg.MaxStreams
+	c.proto = wire.NewServer(limits, now)
+	c.checkTimeouts()
+	if f.tls == nil {
+		c.scheduleFlush()
+	}
+	go c.readLoop()
+}
+
+// clientConn is a client's connection. Apart from readLoop and handshake, everything runs in the core's loop.
+type clientConn struct {
+	frontend        *Frontend
+	core            *gateway.Core
+	nc              net.Conn // raw, or TLS on top of it, whose Close could wait for the peer
+	raw             net.Conn
+	writer          *gateway.Writer
+	rawWriter       *gateway.Writer // of raw
+	proto           *wire.Conn
+	requests        map[uint32]*openRequest // by stream
+	boundToCustomer bool                    // it may send requests for certCustomer only
+	certCustomer    string                  // the customer named by the client's certificate
+	acceptedAt      time.Duration
+	lastUsed        time.Duration
+	resumeRead      gateway.Mailbox[struct{}] // lets readLoop continue
+	pending         []byte                    // to be written after what writer is writing
+	flushScheduled  bool                      // flush runs at the end of this loop turn
+	writeClosed     bool                      // nothing more is written
+	closeAfterFlush bool                      // to be closed once everything is written
+	draining        bool
+	closed          bool
+	cancelTimer     func()
+}
+
+// openRequest is a request that was submitted to the core and not answered yet.
+type openRequest struct {
+	conn   *clientConn
+	stream uint32
+	req    *gateway.Request
+	handle gateway.RequestHandle
+	done   bool
+}
+
+const readBufferBytes = 4 << 10 // the memory that a connection's reader costs while it is idle
+
+// readLoop passes received bytes to the core's loop. It reads the next chunk only after the loop has processed the last one, so
+// that the data of a client that sends faster than it is served waits in the kernel.
+func (c *clientConn) readLoop() {
+	if t, ok := c.nc.(*tls.Conn); ok && !c.handshake(t) {
+		c.core.Post(c.Close)
+		return
+	}
+	buf := make([]byte, readBufferBytes)
+	for {
+		n, err := c.nc.Read(buf)
+		if n > 0 {
+			c.core.Post(func() { c.receive(buf[:n]) })
+			if _, open := c.resumeRead.Receive(); !open {
+				return
+			}
+		}
+		if err != nil {
+			c.core.Post(c.Close)
+			return
+		}
+	}
+}
+
+// handshake does the TLS handshake within HandshakeTimeout and reads the customer from the client's certificate.
+func (c *clientConn) handshake(t *tls.Conn) bool {
+	if err := c.raw.SetDeadline(time.Now().Add(c.frontend.cfg.HandshakeTimeout)); err != nil {
+		return false
+	}
+	if err := t.Handshake(); err != nil {
+		c.core.Log().Debug("TLS handshake failed", "listener", c.frontend.cfg.Name, "err", err)
+		return false
+	}
+	state := t.ConnectionState()
+	customer := ""
+	if len(state.PeerCertificates) > 0 {
+		customer = customerFromCert(state.PeerCertificates[0])
+	}
+	c.core.Post(func() {
+		c.boundToCustomer, c.certCustomer = c.frontend.cfg.TLS.BindCustomer, customer
+		c.scheduleFlush()
+	})
+	return state.NegotiatedProtocol == http2.NextProtoTLS && c.raw.SetDeadline(time.Time{}) == nil
+}
+
+// receive processes a chunk of received bytes.
+func (c *clientConn) receive(b []byte) {
+	if c.closed {
+		return
+	}
+	for _, e := range c.proto.Feed(c.core.Now(), b) {
+		c.handleEvent(e)
+	}
+	c.scheduleFlush()
+	if !c.proto.Failed() {
+		c.resumeRead.TrySend(struct{}{}) // readLoop waits for this after each chunk
+	}
+}
+
+func (c *clientConn) handleEvent(e wire.Event) {
+	switch e.Kind {
+	case wire.RequestReceived:
+		c.submit(e.Stream, e.Request)
+	case wire.RequestTooLarge:
+		c.sendResponse(e.Stream, (&problem{e.Status, "too-large", "the request is larger than this gateway takes"}).response())
+	case wire.StreamAborted:
+		if r := c.requests[e.Stream]; r != nil {
+			c.abandonRequest(r)
+		}
+	case wire.ConnFailed:
+		c.core.Log().Debug("HTTP/2 connection failed", "listener", c.frontend.cfg.Name, "code", e.Code.String(), "why", e.Reason)
+		c.startClose()
+	}
+}
+
+// abandonRequest abandons a request whose stream has ended: the core starts no further attempts for it.
+func (c *clientConn) abandonRequest(r *openRequest) {
+	delete(c.requests, r.stream)
+	r.done = true
+	if r.handle.Open() {
+		c.core.Abandon(r.handle)
+	}
+}
+
+// submit passes a request to the core, unless an earlier request of the same chunk has ended the connection, as the response
+// could not be sent.
+func (c *clientConn) submit(stream uint32, msg *wire.Request) {
+	if c.closeAfterFlush || c.closed {
+		return
+	}
+	req, prob := parseRequest(msg, c.core.Now())
+	if prob == nil && c.boundToCustomer && req.Customer != c.certCustomer {
+		prob = &problem{statusForbidden, "foreign-customer", "the certificate is another customer's"}
+	}
+	if prob != nil {
+		c.sendResponse(stream, prob.response())
+		return
+	}
+	r := &openRequest{conn: c, stream: stream, req: req}
+	c.requests[stream] = r
+	r.handle = c.core.Submit(r, req)
+}
+
+// Respond sends the core's response to the client.
+func (r *openRequest) Respond(res gateway.Response) {
+	if r.done {
+		return
+	}
+	r.done = true
+	delete(r.conn.requests, r.stream)
+	out := newResponse(res)
+	if allowance, ok := r.conn.core.Allowance(r.req.Customer, r.req.Plan); ok && res.Kind != gateway.Rejected {
+		out.addQuotaFields(r.req.Plan, r.req.Units, allowance)
+	}
+	r.conn.sendResponse(r.stream, out)
+}
+
+func (c *clientConn) sendResponse(stream uint32, resp *response) {
+	c.proto.Respond(stream, resp.status, resp.fields, resp.body)
+	c.lastUsed = c.core.Now()
+	if c.proto.Failed() {
+		c.startClose()
+	}
+	c.scheduleFlush()
+}
+
+// scheduleFlush schedules one flush at the end of the loop turn, so that all output of the turn is written at once.
+func (c *clientConn) scheduleFlush() {
+	if !c.flushScheduled && !c.closed {
+		c.flushScheduled = true
+		c.core.Defer(c.flush)
+	}
+}
+
+func (c *clientConn) flush() {
+	c.flushScheduled = false
+	if c.closed {
+		return
+	}
+	c.pending = append(c.pending, c.proto.TakeOutput()...)
+	if len(c.pending) > c.core.Tuning().Clients.Unread {
+		c.Close()
+		return
+	}
+	if c.writer.Busy() {
+		return
+	}
+	n, err := 0, error(nil)
+	if len(c.pending) > 0 {
+		n, err = c.writer.TryWrite(c.pending)
+	}
+	if err != nil {
+		c.Close()
+		return
+	}
+	if n < len(c.pending) {
+		rest := c.pending[n:]
+		c.pending = nil
+		c.writer.WriteAsyncUntilStall(rest, c.core.Tuning().Clients.Write, c.core, func(err error) {
+			if err != nil {
+				c.Close()
+				return
+			}
+			c.flush()
+		})
+		return
+	}
+	c.pending = c.pending[:0]
+	if c.closeAfterFlush || c.draining && c.proto.Drained() {
+		c.lingerClose()
+	}
+}
+
+// startClose abandons the open requests and closes the connection once the pending output is written.
+func (c *clientConn) startClose() {
+	c.closeAfterFlush = true
+	c.abandonAll()
+}
+
+// abandonAll abandons all open requests, in the order of their streams.
+func (c *clientConn) abandonAll() {
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		c.abandonRequest(c.requests[id])
+	}
+}
+
+// lingerClose closes the write side first and the connection later, so that the client can read the last frames. If it still
+// sent data to a closed socket, the resulting TCP reset would make its kernel discard what it has not read yet.
+func (c *clientConn) lingerClose() {
+	if c.writeClosed {
+		return
+	}
+	c.writeClosed = true
+	// Nothing is in flight in either direction: no received bytes are unread, and no response was sent recently, if at all.
+	nothingInFlight := c.rawWriter.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > c.core.Tuning().Clients.Fault)
+	writeCloser, ok := c.nc.(interface{ CloseWrite() error })
+	if nothingInFlight || !ok {
+		c.Close()
+		return
+	}
+	go writeCloser.CloseWrite() // for TLS it waits for space in the socket buffer; after an error, Close does the rest
+	c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.Fault, c.Close)
+}
+
+// checkTimeouts drains a connection that is idle for too long, and resets streams whose request is not completed, or whose
+// response is not accepted, in time. It schedules itself again.
+func (c *clientConn) checkTimeouts() {
+	t, now := &c.core.Tuning().Clients, c.core.Now()
+	if c.closed || c.proto.Failed() {
+		return
+	}
+	if c.proto.ResetStalled(now-t.Write) > 0 {
+		c.scheduleFlush()
+	}
+	next := now + t.Write
+	if since, ok := c.proto.WaitingSince(); ok {
+		next = min(next, since+t.Write+time.Millisecond)
+	} else if c.proto.OpenStreams() == 0 {
+		idleUntil := c.lastUsed + t.Idle
+		if c.lastUsed == c.acceptedAt { // no response was sent yet
+			idleUntil = c.acceptedAt + t.FirstCommand
+		}
+		if idleUntil <= now {
+			c.Drain()
+		} else {
+			next = idleUntil
+		}
+	}
+	c.cancelTimer = c.core.Schedule(next, c.checkTimeouts)
+}
+
+// Idle implements gateway.ClientConn: no stream is open, and the connection is not closing.
+func (c *clientConn) Idle() bool {
+	return c.proto.OpenStreams() == 0 && !c.draining && !c.closeAfterFlush
+}
+
+// LastUsed implements gateway.ClientConn: when a response was last sent, or when the connection was accepted.
+func (c *clientConn) LastUsed() time.Duration { return c.lastUsed }
+
+// Drain implements gateway.ClientConn. While the gateway stops, it shuts down in the two steps of RFC 9113, 6.8: requests that
+// cross the first GOAWAY are still accepted. Otherwise the connection is needed for another client at once: there is a single
+// GOAWAY, and it tells a client whose request crosses it that the request did not run.
+func (c *clientConn) Drain() {
+	if c.draining || c.closed {
+		return
+	}
+	c.draining = true
+	select {
+	case <-c.core.Closing():
+		c.proto.Shutdown()
+		c.core.Schedule(c.core.Now()+c.core.Tuning().Stop.LastCall, func() {
+			c.proto.RefuseNewStreams()
+			c.scheduleFlush()
+		})
+	default:
+		c.proto.RefuseNewStreams()
+	}
+	c.scheduleFlush()
+}
+
+// Close implements gateway.ClientConn: it closes the connection at once and abandons its requests.
+func (c *clientConn) Close() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	if c.cancelTimer != nil {
+		c.cancelTimer()
+	}
+	c.raw.Close()
+	c.resumeRead.Close()
+	c.abandonAll()
+	c.core.RemoveConn(c)
+}
--- a/internal/h2/wire/conn.go
+++ b/internal/h2/wire/conn.go
@@ -1,11 +1,10 @@
-// Package wire is one end of an HTTP/2 connection, the server's or the client's (RFC 9113, with HPACK of RFC 7541), as a
-// state machine: bytes
-// go in, events come out, and the frames to be written are collected. It is pure: no I/O, no clock, no goroutine; time
-// comes in as a value. Framing and header compression are golang.org/x/net/http2's; streams, windows, limits and what
-// counts as an error are here.
+// Package wire implements one end of an HTTP/2 connection, server or client (RFC 9113, with HPACK of RFC 7541), as a
+// state machine: it is fed the received bytes, returns events, and collects the frames to write. It does no I/O, reads no
+// clock and starts no goroutine; the current time is passed in. Framing and header compression come from
+// golang.org/x/net/http2; streams, flow control, limits and error handling are implemented here.
 //
-// Every error of the peer's ends as the RFC says: a stream's by RST_STREAM, a connection's by GOAWAY. What a peer can
-// make this end keep is bounded by Limits before anything is kept.
+// Protocol errors of the peer are handled as the RFC requires: a stream error by RST_STREAM, a connection error by
+// GOAWAY. Everything that a peer can make this end store is checked against Limits before it is stored.
 package wire
 
 import (
@@ -17,160 +16,161 @@
 )
 
 const (
-	frameMost    = 16384 // bytes of a frame's payload, either way: the least that SETTINGS_MAX_FRAME_SIZE may be
-	frameHeader  = 9
-	windowFirst  = 65535 // of a connection and, without SETTINGS, of a stream (RFC 9113, 6.9.2)
-	windowMost   = 1<<31 - 1
-	tableSize    = 4096 // bytes of HPACK's dynamic table, either way
-	piecesMost   = 8    // frames of one header block: Block bytes need two
-	pastKept     = 128  // closed streams whose end is remembered
-	shortData    = 256  // bytes: DATA that is shorter and neither a stream's first nor its last is paid for
-	creditByData = 2    // given back for each DATA frame sent: the peer may answer it by two WINDOW_UPDATEs
+	maxFrameBytes         = 16384 // frame payload in both directions: the lowest allowed SETTINGS_MAX_FRAME_SIZE
+	frameHeaderBytes      = 9
+	initialWindow         = 65535 // bytes, of a connection and, before SETTINGS, of a stream (RFC 9113, 6.9.2)
+	maxWindow             = 1<<31 - 1
+	hpackTableBytes       = 4096 // HPACK dynamic table, in both directions
+	maxBlockFrames        = 8    // a header block of DefaultLimits().MaxHeaderBlockBytes needs one or two
+	closedStreamsKept     = 128  // how many recently closed streams are remembered
+	shortDataBytes        = 256  // shorter DATA frames are charged as overhead, except a stream's first and last
+	overheadCreditPerData = 2    // tokens returned per DATA frame sent: the peer may answer it with two WINDOW_UPDATEs
 )
 
-// EventKind tells events apart.
+// EventKind is the type of an Event.
 type EventKind int
 
 const (
-	RequestReceived  EventKind = iota + 1 // a request is whole; it is owed one Respond, or Reset
-	RequestTooLarge                       // a request is larger than the limits: Status is owed by Respond
-	StreamAborted                         // nobody waits for the stream any more: nothing can be sent on it
-	GoAwayReceived                        // the peer sent GOAWAY: it begins nothing new and takes what is owed
-	ConnFailed                            // the connection is at its end: what Out holds is the last
-	ResponseReceived                      // at a client: an answer is whole
-	RequestRefused                        // at a client: the request never ran (RFC 9113, 8.7)
+	RequestReceived  EventKind = iota + 1 // a request is complete; the caller owes it one Respond or ResetStream
+	RequestTooLarge                       // a request exceeds the limits; the caller must Respond with Status
+	StreamAborted                         // the peer reset the stream, or an error of the peer ended it; nothing can be sent on it
+	GoAwayReceived                        // the peer sent GOAWAY: it opens no new streams but still accepts pending responses
+	ConnFailed                            // the connection has ended; TakeOutput returns the last bytes to write
+	ResponseReceived                      // client only: a response is complete
+	RequestRefused                        // client only: the server did not process the request (RFC 9113, 8.7)
 )
 
-// Event is something that the peer did.
+// Event reports something that the peer did, or the result of it.
 type Event struct {
 	Kind     EventKind
 	Stream   uint32
-	Request  *Request      // of Asked
-	Status   int           // of TooBig: 413 or 431
-	Response *Response     // of Answered
-	Code     http2.ErrCode // of Left and Ended: what was told
-	Local    bool          // of Left: for an error of the peer's that was found here
-	Reason   string        // of Ended, for the log
+	Request  *Request      // set for RequestReceived
+	Status   int           // set for RequestTooLarge: 413 or 431
+	Response *Response     // set for ResponseReceived
+	Code     http2.ErrCode // the error code sent or received, for all but requests and responses
+	Local    bool          // set for StreamAborted if this end detected an error of the peer
+	Reason   string        // set for ConnFailed, for the log; also sent as debug data of GOAWAY
 }
 
-// Response is an answer as it came.
+// Response is a received response.
 type Response struct {
 	Status int
 	Fields []hpack.HeaderField
 	Body   []byte
 }
 
-// Request is a request as it came. Field names are in lower case, and pseudo-header fields are not among Fields.
+// Request is a received request. Field names are in lower case; Fields holds no pseudo-header fields.
 type Request struct {
 	Method, Scheme, Authority, Path string
 	Fields                          []hpack.HeaderField
 	Body                            []byte
 }
 
-// stream is one that is open or half closed. Streams that are closed have no memory but a place in past.
+// stream is an open or half-closed stream. Of a closed one, only an entry in Conn.closedStreams is kept.
 type stream struct {
-	id       uint32
-	req      *Request
-	length   int64 // that content-length tells; -1: none
-	got      int64 // bytes of the body
-	room     int64 // the window for what comes
-	window   int64 // the peer's, for what goes out
-	unsent   []byte
-	since    time.Duration // when it was begun or, later, answered
-	whole    bool          // the peer has ended it
-	refused  bool          // it is larger than the limits: what still comes of it is let go
-	answered bool          // its HEADERS are out
-	told     bool          // its request is out as an event; at a client: it is owed an event
-	status   int           // at a client: of its answer, once the HEADERS came
+	id            uint32
+	req           *Request
+	contentLength int64 // value of the content-length field; -1: none
+	bodyBytes     int64 // received bytes of the body, without those discarded
+	recvWindow    int64 // flow-control window for received DATA
+	sendWindow    int64 // the peer's window, for DATA to send; may be negative
+	unsent        []byte
+	waitingSince  time.Duration // when it was opened or, later, responded to
+	peerEnded     bool          // the peer sent END_STREAM
+	tooLarge      bool          // the request exceeds the limits: the rest of it is discarded
+	responded     bool          // the response HEADERS were sent
+	delivered     bool          // server: the request was returned as an event; client: an event is still owed
+	status        int           // client only: status of the response, 0 before its HEADERS
 }
 
-// closed is how a stream ended that is no more.
-type closed struct {
-	id   uint32
-	mine bool // by RST_STREAM from here: frames may still be on their way
+// closedStream records how a closed stream ended.
+type closedStream struct {
+	id           uint32
+	resetLocally bool // by an RST_STREAM from this end: frames of the peer may still be in flight
 }
 
-// Conn is a connection. It is not safe for concurrent use.
+// Conn is the state of a connection. It is not safe for concurrent use.
 type Conn struct {
-	limits  Limits
-	now     time.Duration
-	source  source
-	framer  *http2.Framer
-	header  *http2.FrameHeader // read, with its payload yet to come
-	left    []byte             // bytes of a frame that is not whole
-	out     bytes.Buffer
-	events  []Event
-	preface int  // bytes of it that came
-	greeted bool // the peer's first SETTINGS came
-	failed  bool
-
-	decoder *hpack.Decoder
-	block   block
-	encoder *hpack.Encoder
-	encoded bytes.Buffer
-
-	streams map[uint32]*stream
-	last    uint32 // the highest stream that the peer began
-	past    [pastKept]closed
-	waiting []uint32 // streams with something unsent, the next first
-	unsent  int      // bytes, of all streams
-
-	room     int64 // the connection's window for what comes
-	owed     int64 // bytes of it to be given back
-	window   int64 // the peer's
-	firstOut int64 // the peer's SETTINGS_INITIAL_WINDOW_SIZE
-	calm     float64
-	calmed   time.Duration
-
-	refuseFrom uint32 // after the last GOAWAY: streams over it are let alone; 0: none was sent
-	away       bool
-
-	client bool
-	most   uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
+	limits           Limits
+	now              time.Duration
+	source           source
+	framer           *http2.Framer
+	frameHeader      *http2.FrameHeader // already read, payload still missing
+	partial          []byte             // received bytes of an incomplete frame
+	output           bytes.Buffer
+	events           []Event
+	prefaceBytes     int  // received bytes of the client preface
+	settingsReceived bool // the peer's first SETTINGS were received
+	failed           bool
+
+	decoder   *hpack.Decoder
+	block     headerBlock
+	encoder   *hpack.Encoder
+	encodeBuf bytes.Buffer
+
+	streams       map[uint32]*stream
+	lastStream    uint32 // server: highest stream opened by the peer; client: last stream opened here
+	closedStreams [closedStreamsKept]closedStream
+	sendQueue     []uint32 // streams with unsent body bytes, the next one first
+	unsentBytes   int      // of all streams
+
+	recvWindow         int64 // the connection's window for received DATA
+	windowCredit       int64 // consumed bytes to return to the peer by WINDOW_UPDATE
+	sendWindow         int64 // the peer's window for the connection
+	peerInitialWindow  int64 // the peer's SETTINGS_INITIAL_WINDOW_SIZE
+	overheadTokens     float64
+	overheadRefilledAt time.Duration
+
+	refuseAbove    uint32 // last stream named in the final GOAWAY: higher ones are ignored; 0: none was sent
+	goAwayReceived bool
+
+	isClient       bool
+	peerMaxStreams uint32 // the peer's SETTINGS_MAX_CONCURRENT_STREAMS
 }
 
-// NewServer begins a connection. Its SETTINGS are in Out at once.
-func NewServer(l Limits, now time.Duration) *Conn {
-	c := begin(l, now)
-	c.written(c.framer.WriteSettings(
-		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(l.MaxStreams)},
-		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamRoom())},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(l.MaxHeaderListBytes)}))
-	c.widen()
+// NewServer returns the server end of a new connection. TakeOutput returns its SETTINGS at once.
+func NewServer(limits Limits, now time.Duration) *Conn {
+	c := newConn(limits, now)
+	c.mustWrite(c.framer.WriteSettings(
+		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(limits.MaxStreams)},
+		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamWindow())},
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(limits.MaxHeaderListBytes)}))
+	c.growConnWindow()
 	return c
 }
 
-func begin(l Limits, now time.Duration) *Conn {
-	c := &Conn{limits: l, now: now, streams: map[uint32]*stream{}, room: windowFirst, window: windowFirst, firstOut: windowFirst,
-		calm: l.Overhead.Burst, calmed: now}
-	c.framer = http2.NewFramer(&c.out, &c.source)
+func newConn(limits Limits, now time.Duration) *Conn {
+	c := &Conn{limits: limits, now: now, streams: map[uint32]*stream{}, recvWindow: initialWindow, sendWindow: initialWindow,
+		peerInitialWindow: initialWindow, overheadTokens: limits.Overhead.Burst, overheadRefilledAt: now}
+	c.framer = http2.NewFramer(&c.output, &c.source)
 	c.framer.SetReuseFrames()
-	c.framer.SetMaxReadFrameSize(frameMost)
-	c.decoder = hpack.NewDecoder(tableSize, c.field)
-	c.decoder.SetMaxStringLength(l.MaxHeaderListBytes)
-	c.encoder = hpack.NewEncoder(&c.encoded)
+	c.framer.SetMaxReadFrameSize(maxFrameBytes)
+	c.decoder = hpack.NewDecoder(hpackTableBytes, c.handleField)
+	c.decoder.SetMaxStringLength(limits.MaxHeaderListBytes)
+	c.encoder = hpack.NewEncoder(&c.encodeBuf)
 	return c
 }
 
-// widen opens the connection's window as far as the limits go.
-func (c *Conn) widen() {
-	if more := int64(c.limits.ConnWindow) - c.room; more > 0 {
-		c.written(c.framer.WriteWindowUpdate(0, uint32(more)))
-		c.room += more
+// growConnWindow raises the connection's receive window to Limits.ConnWindow.
+func (c *Conn) growConnWindow() {
+	if increment := int64(c.limits.ConnWindow) - c.recvWindow; increment > 0 {
+		c.mustWrite(c.framer.WriteWindowUpdate(0, uint32(increment)))
+		c.recvWindow += increment
 	}
 }
 
-// streamRoom is a stream's window: one byte more than a body may have, so that a longer one shows and is refused.
-func (c *Conn) streamRoom() int64 { return max(windowFirst, int64(c.limits.MaxBodyBytes)+1) }
+// streamWindow is a stream's initial receive window: at least one byte more than the largest allowed body, so that a
+// longer body is detected and refused instead of stalling.
+func (c *Conn) streamWindow() int64 { return max(initialWindow, int64(c.limits.MaxBodyBytes)+1) }
 
-// written takes the error of a frame that the framer would not write: a slip of this package, as the buffer takes all.
-func (c *Conn) written(err error) {
+// mustWrite panics if the framer refused to write a frame. Writes to the buffer can't fail, so that is a bug here.
+func (c *Conn) mustWrite(err error) {
 	if err != nil {
 		panic("http/2: " + err.Error())
 	}
 }
 
-// source hands the framer what Feed has made sure of.
+// source is the reader of the framer. It holds exactly the bytes of the frame header or payload to read.
 type source struct{ b []byte }
 
 func (s *source) Read(p []byte) (int, error) {
@@ -179,170 +179,172 @@
 	return n, nil
 }
 
-// TakeOutput is what is to be written, and empties it. It is valid until the connection is used again.
+// TakeOutput returns the bytes to write to the peer and empties the output buffer. The result is valid until the
+// connection is used again.
 func (c *Conn) TakeOutput() []byte {
-	b := c.out.Bytes()
-	c.out.Reset()
+	b := c.output.Bytes()
+	c.output.Reset()
 	return b
 }
 
-// OpenStreams is how many streams are owed something or still send.
+// OpenStreams returns how many streams are open or half closed.
 func (c *Conn) OpenStreams() int { return len(c.streams) }
 
-// Failed reports that the connection is at its end.
+// Failed reports whether the connection has ended with an error.
 func (c *Conn) Failed() bool { return c.failed }
 
-// Feed takes bytes of the peer's and tells what they came to. The events are valid until the next call.
+// Feed processes received bytes and returns the resulting events, which are valid until the next call.
 func (c *Conn) Feed(now time.Duration, p []byte) []Event {
 	c.now, c.events = max(c.now, now), c.events[:0]
-	if !c.client && c.preface < len(http2.ClientPreface) {
-		n := min(len(http2.ClientPreface)-c.preface, len(p))
-		if string(p[:n]) != http2.ClientPreface[c.preface:c.preface+n] {
+	if !c.isClient && c.prefaceBytes < len(http2.ClientPreface) {
+		n := min(len(http2.ClientPreface)-c.prefaceBytes, len(p))
+		if string(p[:n]) != http2.ClientPreface[c.prefaceBytes:c.prefaceBytes+n] {
 			c.fail(http2.ErrCodeProtocol, "no HTTP/2 preface")
 			return c.events
 		}
-		c.preface, p = c.preface+n, p[n:]
+		c.prefaceBytes, p = c.prefaceBytes+n, p[n:]
 	}
-	if len(c.left) > 0 {
-		c.left = append(c.left, p...)
-		p = c.left
+	if len(c.partial) > 0 {
+		c.partial = append(c.partial, p...)
+		p = c.partial
 	}
 	for !c.failed {
-		n := c.step(p)
+		n := c.readNext(p)
 		if n == 0 {
 			break
 		}
 		p = p[n:]
 	}
-	c.left = append(c.left[:0], p...)
+	c.partial = append(c.partial[:0], p...)
 	if c.failed {
-		c.left = nil
+		c.partial = nil
 	} else {
-		c.giveBack()
+		c.returnWindow()
 	}
 	return c.events
 }
 
-// step takes a frame's header or its payload, and returns how many bytes that was; 0: more must come, or the connection
-// has failed.
-func (c *Conn) step(p []byte) int {
-	if c.header == nil {
-		if len(p) < frameHeader {
+// readNext reads a frame's header or its payload and returns how many bytes that took. 0 means that more bytes are needed or
+// that the connection has failed.
+func (c *Conn) readNext(p []byte) int {
+	if c.frameHeader == nil {
+		if len(p) < frameHeaderBytes {
 			return 0
 		}
-		c.source.b = p[:frameHeader]
+		c.source.b = p[:frameHeaderBytes]
 		h, err := c.framer.ReadFrameHeader()
 		if err != nil {
-			c.framing(err)
+			c.handleFramerError(err)
 			return 0
 		}
-		c.header = &h
-		return frameHeader
+		c.frameHeader = &h
+		return frameHeaderBytes
 	}
-	n := int(c.header.Length)
+	n := int(c.frameHeader.Length)
 	if len(p) < n {
 		return 0
 	}
 	c.source.b = p[:n]
-	h := *c.header
-	c.header = nil
+	h := *c.frameHeader
+	c.frameHeader = nil
 	f, err := c.framer.ReadFrameForHeader(h)
 	switch {
-	case err != nil && (h.Type == http2.FrameHeaders || h.Type == http2.FrameContinuation): // its block is lost to HPACK
+	case err != nil && (h.Type == http2.FrameHeaders || h.Type == http2.FrameContinuation): // the HPACK state is lost with the block
 		c.fail(http2.ErrCodeProtocol, "the frame can't be taken: "+err.Error())
 	case err != nil && h.Type == http2.FramePriority && h.StreamID != 0: // the framer is stricter than RFC 9113, 6.3
-		c.reset(h.StreamID, http2.ErrCodeFrameSize)
+		c.resetForError(h.StreamID, http2.ErrCodeFrameSize)
 	case err != nil:
-		c.framing(err)
+		c.handleFramerError(err)
 	default:
-		c.frame(f)
+		c.handleFrame(f)
 	}
 	if n == 0 && !c.failed {
-		return c.step(p) // a frame without payload: go on with the next
+		return c.readNext(p) // a frame without payload: continue with the next one, as 0 would mean that bytes are missing
 	}
 	return n
 }
 
-// framing takes an error that the framer found.
-func (c *Conn) framing(err error) {
+// handleFramerError handles an error returned by the framer.
+func (c *Conn) handleFramerError(err error) {
 	switch e := err.(type) {
 	case http2.StreamError:
-		c.reset(e.StreamID, e.Code)
+		c.resetForError(e.StreamID, e.Code)
 	case http2.ConnectionError:
 		c.fail(http2.ErrCode(e), "the frame can't be taken: "+err.Error())
-	default: // too large: the framer has read no more than the header
+	default: // frame too large: the framer has read only the header
 		c.fail(http2.ErrCodeFrameSize, "the frame can't be taken: "+err.Error())
 	}
 }
 
-// frame takes a whole frame.
-func (c *Conn) frame(f http2.Frame) {
-	if _, ok := f.(*http2.SettingsFrame); !ok && !c.greeted {
+// handleFrame processes a complete frame.
+func (c *Conn) handleFrame(f http2.Frame) {
+	if _, ok := f.(*http2.SettingsFrame); !ok && !c.settingsReceived {
 		c.fail(http2.ErrCodeProtocol, "the first frame is not SETTINGS")
 		return
 	}
 	switch f := f.(type) {
 	case *http2.HeadersFrame:
-		c.headers(f)
+		c.handleHeaders(f)
 	case *http2.ContinuationFrame:
-		c.continued(f)
+		c.handleContinuation(f)
 	case *http2.DataFrame:
-		c.data(f)
+		c.handleData(f)
 	case *http2.RSTStreamFrame:
-		c.resetByPeer(f)
+		c.handleRSTStream(f)
 	case *http2.SettingsFrame:
-		c.settings(f)
+		c.handleSettings(f)
 	case *http2.PingFrame:
-		if c.charge(1) && !f.IsAck() {
-			c.written(c.framer.WritePing(true, f.Data))
+		if c.chargeOverhead(1) && !f.IsAck() {
+			c.mustWrite(c.framer.WritePing(true, f.Data))
 		}
 	case *http2.GoAwayFrame:
-		if c.charge(1) {
-			c.goneAway(f)
+		if c.chargeOverhead(1) {
+			c.handleGoAway(f)
 		}
 	case *http2.WindowUpdateFrame:
-		c.windowUpdate(f)
-	case *http2.PriorityFrame: // deprecated (RFC 9113, 5.3.2), but for its one error
-		if c.charge(1) && f.StreamDep == f.StreamID {
+		c.handleWindowUpdate(f)
+	case *http2.PriorityFrame: // deprecated (RFC 9113, 5.3.2) and ignored, except for the self-dependency error
+		if c.chargeOverhead(1) && f.StreamDep == f.StreamID {
 			c.fail(http2.ErrCodeProtocol, "a stream depends on itself")
 		}
 	case *http2.PushPromiseFrame:
 		c.fail(http2.ErrCodeProtocol, "PUSH_PROMISE, which was not allowed")
 	default:
-		c.charge(1) // of a type that is not known (RFC 9113, 5.5)
+		c.chargeOverhead(1) // unknown frame types are ignored (RFC 9113, 5.5)
 	}
 }
 
-// charge takes from the store of calm. It reports false, and ends the connection, if there is not enough.
-func (c *Conn) charge(n float64) bool {
-	if c.now > c.calmed {
-		c.calm = min(c.limits.Overhead.Burst, c.calm+c.limits.Overhead.PerSecond*(c.now-c.calmed).Seconds())
-		c.calmed = c.now
+// chargeOverhead takes n tokens from the overhead budget. If there are too few, it ends the connection and returns false.
+func (c *Conn) chargeOverhead(n float64) bool {
+	if c.now > c.overheadRefilledAt {
+		c.overheadTokens = min(c.limits.Overhead.Burst, c.overheadTokens+c.limits.Overhead.PerSecond*(c.now-c.overheadRefilledAt).Seconds())
+		c.overheadRefilledAt = c.now
 	}
-	if c.calm -= n; c.calm < 0 {
+	if c.overheadTokens -= n; c.overheadTokens < 0 {
 		c.fail(http2.ErrCodeEnhanceYourCalm, "too much that asks for nothing")
 		return false
 	}
 	return true
 }
 
-// fail ends the connection: GOAWAY is the last that goes out. What was open on it is left, in the order of streams.
-func (c *Conn) fail(code http2.ErrCode, why string) {
+// fail ends the connection with a GOAWAY as its last frame, whose debug data is reason. Streams with a delivered request
+// are aborted, in the order of their ids.
+func (c *Conn) fail(code http2.ErrCode, reason string) {
 	if c.failed {
 		return
 	}
 	c.failed = true
-	last := c.last
-	if c.client { // the last of the server's streams, which has none
-		last = 0
+	lastStream := c.lastStream
+	if c.isClient { // GOAWAY names the peer's last stream, and the server opens none
+		lastStream = 0
 	}
-	c.written(c.framer.WriteGoAway(last, code, []byte(why)))
-	for _, id := range c.ids() {
-		if c.streams[id].told {
+	c.mustWrite(c.framer.WriteGoAway(lastStream, code, []byte(reason)))
+	for _, id := range c.sortedStreamIDs() {
+		if c.streams[id].delivered {
 			c.events = append(c.events, Event{Kind: StreamAborted, Stream: id, Code: code, Local: true})
 		}
 	}
 	clear(c.streams)
-	c.waiting, c.unsent = nil, 0
-	c.events = append(c.events, Event{Kind: ConnFailed, Code: code, Reason: why})
+	c.sendQueue, c.unsentBytes = nil, 0
+	c.events = append(c.events, Event{Kind: ConnFailed, Code: code, Reason: reason})
 }
--- a/internal/h2/wire/script_test.go
+++ b/internal/h2/wire/script_test.go
@@ -15,9 +15,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Scripts are in testdata: "== name" begins one. A line with ">" is what the client sends, one with "!" what this end
-// does or that time passes; the lines under it, with "<" for frames that come back and "=" for events, are all that
-// must come of it. A script begins with a greeted connection, unless its name ends with "(raw)"; with "(client)" this end is the client.
+// TestScripts runs the scripts in testdata. "== name" begins a script. A line with ">" is what the peer sends, one with "!" is
+// a call on the tested Conn or the passing of time. The lines below it, "<" for frames that the Conn writes and "=" for events,
+// are the complete expected result. The Conn is a server, or a client if the name ends with "(client)". Preface and SETTINGS
+// are already exchanged, unless the name ends with "(raw)".
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -30,58 +31,59 @@
 		}
 		for _, part := range strings.Split("\n"+string(text), "\n== ")[1:] {
 			name, lines, _ := strings.Cut(part, "\n")
-			t.Run(filepath.Base(file)+"/"+name, func(t *testing.T) { play(t, name, lines) })
+			t.Run(filepath.Base(file)+"/"+name, func(t *testing.T) { runScript(t, name, lines) })
 		}
 	}
 }
 
-func small() Limits {
-	return Limits{MaxStreams: 3, MaxBodyBytes: 100, ConnWindow: windowFirst, MaxHeaderListBytes: 1000, MaxHeaderBlockBytes: 2000, MaxUnsentBytes: 300000, Overhead: OverheadBudget{PerSecond: 1, Burst: 20}}
+func testLimits() Limits {
+	return Limits{MaxStreams: 3, MaxBodyBytes: 100, ConnWindow: initialWindow, MaxHeaderListBytes: 1000, MaxHeaderBlockBytes: 2000,
+		MaxUnsentBytes: 300000, Overhead: OverheadBudget{PerSecond: 1, Burst: 20}}
 }
 
-// player is a client that sends what its script says, broken or not.
-type player struct {
-	t       *testing.T
-	c       *Conn
-	now     time.Duration
-	bytes   bytes.Buffer
-	framer  *http2.Framer
-	encoder *hpack.Encoder
-	encoded bytes.Buffer
-	decoder *hpack.Decoder
-	back    source
-	reader  *http2.Framer
+// scriptRunner is the peer of the tested Conn. It sends what its script says, valid or not.
+type scriptRunner struct {
+	t           *testing.T
+	c           *Conn
+	now         time.Duration
+	bytes       bytes.Buffer
+	framer      *http2.Framer
+	encoder     *hpack.Encoder
+	encoded     bytes.Buffer
+	decoder     *hpack.Decoder
+	replies     source
+	replyFramer *http2.Framer
 }
 
-func newPlayer(t *testing.T, l Limits) *player {
-	p := &player{t: t, c: NewServer(l, time.Hour), now: time.Hour, decoder: hpack.NewDecoder(4096, nil)}
+func newScriptRunner(t *testing.T, limits Limits) *scriptRunner {
+	p := &scriptRunner{t: t, c: NewServer(limits, time.Hour), now: time.Hour, decoder: hpack.NewDecoder(4096, nil)}
 	p.framer = http2.NewFramer(&p.bytes, nil)
 	p.framer.AllowIllegalWrites = true
 	p.encoder = hpack.NewEncoder(&p.encoded)
-	p.reader = http2.NewFramer(nil, &p.back)
+	p.replyFramer = http2.NewFramer(nil, &p.replies)
 	return p
 }
 
-func play(t *testing.T, name, lines string) {
-	p := newPlayer(t, small())
+func runScript(t *testing.T, name, lines string) {
+	p := newScriptRunner(t, testLimits())
 	switch {
 	case strings.HasSuffix(name, "(client)"):
-		p.c = NewClient(small(), p.now)
+		p.c = NewClient(testLimits(), p.now)
 		if out := p.c.TakeOutput(); !bytes.HasPrefix(out, []byte(http2.ClientPreface)) {
 			t.Fatalf("the connection begins with %q", out)
 		}
 		p.send([]string{"settings"})
 		p.c.Feed(p.now, p.bytes.Bytes())
 		p.bytes.Reset()
-		p.told(nil)
+		p.output(nil)
 	case !strings.HasSuffix(name, "(raw)"):
-		p.greet()
+		p.handshake()
 	}
-	var did string
+	var step string
 	var got, want []string
 	check := func() {
 		if strings.Join(got, "\n") != strings.Join(want, "\n") {
-			t.Fatalf("%s\ngot\n  %s\nwant\n  %s", did, strings.Join(got, "\n  "), strings.Join(want, "\n  "))
+			t.Fatalf("%s\ngot\n  %s\nwant\n  %s", step, strings.Join(got, "\n  "), strings.Join(want, "\n  "))
 		}
 		want = nil
 	}
@@ -91,17 +93,17 @@
 		case line == "" || line[0] == '#':
 		case line[0] == '>' || line[0] == '!':
 			check()
-			did = line
-			holds(t, p.c)
+			step = line
+			checkInvariants(t, p.c)
 			var events []Event
 			if line[0] == '>' {
 				p.send(strings.Fields(line[1:]))
 				events = p.c.Feed(p.now, p.bytes.Bytes())
 				p.bytes.Reset()
 			} else {
-				p.do(strings.Fields(line[1:]))
+				p.act(strings.Fields(line[1:]))
 			}
-			got = p.told(events)
+			got = p.output(events)
 		default:
 			want = append(want, line)
 		}
@@ -109,15 +111,15 @@
 	check()
 }
 
-func (p *player) greet() {
+func (p *scriptRunner) handshake() {
 	p.send([]string{"preface"})
 	p.send([]string{"settings"})
 	p.c.Feed(p.now, p.bytes.Bytes())
 	p.bytes.Reset()
-	p.told(nil)
+	p.output(nil)
 }
 
-func number(s string) uint32 {
+func parseUint32(s string) uint32 {
 	n, err := strconv.ParseUint(s, 0, 32)
 	if err != nil {
 		panic(err)
@@ -125,8 +127,8 @@
 	return uint32(n)
 }
 
-// code reads an error code by its name in the RFC.
-func code(s string) http2.ErrCode {
+// errCode returns the error code with the given name in RFC 9113.
+func errCode(s string) http2.ErrCode {
 	for c := http2.ErrCode(0); c < 0xe; c++ {
 		if c.String() == s {
 			return c
@@ -135,34 +137,35 @@
 	panic(s)
 }
 
-// fields encodes name=value words; "get" and "post" stand for the usual pseudo-header fields.
-func (p *player) fields(words []string) []byte {
+// fields encodes name=value words; "get" and "post" stand for the usual pseudo-header fields. In values, "_" is a space, "~" a
+// line break, and "x*9" stands for nine times x.
+func (p *scriptRunner) fields(words []string) []byte {
 	p.encoded.Reset()
 	for _, w := range words {
 		switch w {
 		case "get", "post":
-			p.fields2(":method", strings.ToUpper(w))
-			p.fields2(":scheme", "http")
-			p.fields2(":path", "/x")
+			p.encodeField(":method", strings.ToUpper(w))
+			p.encodeField(":scheme", "http")
+			p.encodeField(":path", "/x")
 			continue
 		}
 		at := strings.Index(w[1:], "=") + 1
-		p.fields2(w[:at], strings.ReplaceAll(strings.ReplaceAll(w[at+1:], "_", " "), "~", "\n"))
+		p.encodeField(w[:at], strings.ReplaceAll(strings.ReplaceAll(w[at+1:], "_", " "), "~", "\n"))
 	}
 	return bytes.Clone(p.encoded.Bytes())
 }
 
-func (p *player) fields2(name, value string) {
-	if n, times, ok := strings.Cut(value, "*"); ok {
-		value = strings.Repeat(n, int(number(times)))
+func (p *scriptRunner) encodeField(name, value string) {
+	if unit, times, ok := strings.Cut(value, "*"); ok {
+		value = strings.Repeat(unit, int(parseUint32(times)))
 	}
 	if err := p.encoder.WriteField(hpack.HeaderField{Name: name, Value: value}); err != nil {
 		panic(err)
 	}
 }
 
-// cut takes a word out of a list, if it is there.
-func cut(words []string, word string) ([]string, bool) {
+// removeWord removes the first occurrence of a word from a list and reports whether there was one.
+func removeWord(words []string, word string) ([]string, bool) {
 	for i, w := range words {
 		if w == word {
 			return append(append([]string{}, words[:i]...), words[i+1:]...), true
@@ -171,11 +174,11 @@
 	return words, false
 }
 
-func (p *player) send(w []string) {
+func (p *scriptRunner) send(w []string) {
 	f := p.framer
 	rest := w[1:]
-	rest, end := cut(rest, "end")
-	rest, open := cut(rest, "open") // the block goes on
+	rest, end := removeWord(rest, "end")
+	rest, unfinished := removeWord(rest, "open") // the header block continues
 	switch w[0] {
 	case "preface":
 		p.bytes.WriteString(http2.ClientPreface)
@@ -186,43 +189,43 @@
 		if err != nil {
 			panic(err)
 		}
-		f.WriteRawFrame(http2.FrameType(number(rest[0])), http2.Flags(number(rest[1])), number(rest[2]), payload)
-	case "long": // a frame of a type with a payload of so many bytes
-		f.WriteRawFrame(http2.FrameType(number(rest[0])), 0, number(rest[1]), make([]byte, number(rest[2])))
+		f.WriteRawFrame(http2.FrameType(parseUint32(rest[0])), http2.Flags(parseUint32(rest[1])), parseUint32(rest[2]), payload)
+	case "long": // type stream bytes: a payload of zeros
+		f.WriteRawFrame(http2.FrameType(parseUint32(rest[0])), 0, parseUint32(rest[1]), make([]byte, parseUint32(rest[2])))
 	case "settings":
-		var all []http2.Setting
+		var settings []http2.Setting
 		for _, kv := range rest {
 			k, v, _ := strings.Cut(kv, "=")
-			all = append(all, http2.Setting{ID: http2.SettingID(number(k)), Val: number(v)})
+			settings = append(settings, http2.Setting{ID: http2.SettingID(parseUint32(k)), Val: parseUint32(v)})
 		}
-		f.WriteSettings(all...)
+		f.WriteSettings(settings...)
 	case "settings-ack":
 		f.WriteSettingsAck()
 	case "headers":
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: number(rest[0]), EndStream: end, EndHeaders: !open, BlockFragment: p.fields(rest[1:])})
-	case "depends": // headers of a stream that depends on another
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: number(rest[0]), EndStream: end, EndHeaders: true, BlockFragment: p.fields(rest[2:]),
-			Priority: http2.PriorityParam{StreamDep: number(rest[1]), Weight: 1}})
+		f.WriteHeaders(http2.HeadersFrameParam{StreamID: parseUint32(rest[0]), EndStream: end, EndHeaders: !unfinished, BlockFragment: p.fields(rest[1:])})
+	case "depends": // stream dependency fields: HEADERS with a priority
+		f.WriteHeaders(http2.HeadersFrameParam{StreamID: parseUint32(rest[0]), EndStream: end, EndHeaders: true, BlockFragment: p.fields(rest[2:]),
+			Priority: http2.PriorityParam{StreamDep: parseUint32(rest[1]), Weight: 1}})
 	case "continuation":
-		f.WriteContinuation(number(rest[0]), !open, p.fields(rest[1:]))
+		f.WriteContinuation(parseUint32(rest[0]), !unfinished, p.fields(rest[1:]))
 	case "data":
-		f.WriteData(number(rest[0]), end, bytes.Repeat([]byte("x"), int(number(rest[1]))))
+		f.WriteData(parseUint32(rest[0]), end, bytes.Repeat([]byte("x"), int(parseUint32(rest[1]))))
 	case "padded":
-		f.WriteDataPadded(number(rest[0]), end, bytes.Repeat([]byte("x"), int(number(rest[1]))), make([]byte, number(rest[2])))
+		f.WriteDataPadded(parseUint32(rest[0]), end, bytes.Repeat([]byte("x"), int(parseUint32(rest[1]))), make([]byte, parseUint32(rest[2])))
 	case "rst":
-		f.WriteRSTStream(number(rest[0]), code(rest[1]))
+		f.WriteRSTStream(parseUint32(rest[0]), errCode(rest[1]))
 	case "ping":
 		f.WritePing(false, [8]byte{1})
 	case "pong":
 		f.WritePing(true, [8]byte{1})
 	case "goaway":
-		f.WriteGoAway(number(rest[0]), code(rest[1]), nil)
+		f.WriteGoAway(parseUint32(rest[0]), errCode(rest[1]), nil)
 	case "window":
-		f.WriteWindowUpdate(number(rest[0]), number(rest[1]))
+		f.WriteWindowUpdate(parseUint32(rest[0]), parseUint32(rest[1]))
 	case "priority":
-		f.WritePriority(number(rest[0]), http2.PriorityParam{StreamDep: number(rest[1])})
-	case "times": // the same so often
-		for range number(w[1]) {
+		f.WritePriority(parseUint32(rest[0]), http2.PriorityParam{StreamDep: parseUint32(rest[1])})
+	case "repeat": // count command
+		for range parseUint32(w[1]) {
 			p.send(w[2:])
 		}
 	default:
@@ -230,57 +233,57 @@
 	}
 }
 
-func (p *player) do(w []string) {
+func (p *scriptRunner) act(w []string) {
 	switch w[0] {
-	case "respond": // stream status bytes
-		body := bytes.Repeat([]byte("y"), int(number(w[3])))
-		p.c.Respond(number(w[1]), int(number(w[2])), []hpack.HeaderField{{Name: "a", Value: "b"}}, body)
-	case "ask": // bytes of body
-		if _, ok := p.c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, bytes.Repeat([]byte("y"), int(number(w[1])))); !ok {
-			p.t.Fatal("there is no room")
+	case "respond": // stream status body-bytes
+		body := bytes.Repeat([]byte("y"), int(parseUint32(w[3])))
+		p.c.Respond(parseUint32(w[1]), int(parseUint32(w[2])), []hpack.HeaderField{{Name: "a", Value: "b"}}, body)
+	case "send-request": // body bytes
+		if _, ok := p.c.SendRequest([]hpack.HeaderField{{Name: ":method", Value: "POST"}}, bytes.Repeat([]byte("y"), int(parseUint32(w[1])))); !ok {
+			p.t.Fatal("the request was not accepted")
 		}
-	case "room": // that there is
-		if got := p.c.AvailableStreams(); got != int(number(w[1])) {
-			p.t.Fatalf("there is room for %d, want %s", got, w[1])
+	case "available": // streams
+		if got := p.c.AvailableStreams(); got != int(parseUint32(w[1])) {
+			p.t.Fatalf("%d streams are available, want %s", got, w[1])
 		}
 	case "unsent": // stream bytes
-		if got := p.c.UnsentBytes(number(w[1])); got != int(number(w[2])) {
+		if got := p.c.UnsentBytes(parseUint32(w[1])); got != int(parseUint32(w[2])) {
 			p.t.Fatalf("%d bytes are unsent, want %s", got, w[2])
 		}
 	case "ping":
 		p.c.Ping()
 	case "reset":
-		p.c.ResetStream(number(w[1]), code(w[2]))
-	case "pass": // seconds
-		p.now += time.Duration(number(w[1])) * time.Second
-	case "stalled": // for so many seconds
-		p.c.ResetStalled(p.now - time.Duration(number(w[1]))*time.Second)
+		p.c.ResetStream(parseUint32(w[1]), errCode(w[2]))
+	case "advance": // seconds
+		p.now += time.Duration(parseUint32(w[1])) * time.Second
+	case "reset-stalled": // seconds
+		p.c.ResetStalled(p.now - time.Duration(parseUint32(w[1]))*time.Second)
 	case "shutdown":
 		p.c.Shutdown()
-	case "refuse":
+	case "refuse-new":
 		p.c.RefuseNewStreams()
 	default:
 		p.t.Fatalf("unknown word %q", w[0])
 	}
 }
 
-// told writes what came of a step: frames first, then events.
-func (p *player) told(events []Event) (all []string) {
-	p.back.b = bytes.Clone(p.c.TakeOutput())
-	for len(p.back.b) > 0 {
-		f, err := p.reader.ReadFrame()
+// output describes the result of a step: first the frames that the Conn wrote, then the events.
+func (p *scriptRunner) output(events []Event) (lines []string) {
+	p.replies.b = bytes.Clone(p.c.TakeOutput())
+	for len(p.replies.b) > 0 {
+		f, err := p.replyFramer.ReadFrame()
 		if err != nil {
-			p.t.Fatalf("what came back can't be read: %v", err)
+			p.t.Fatalf("the output can't be parsed: %v", err)
 		}
-		all = append(all, "< "+p.describe(f))
+		lines = append(lines, "< "+p.describe(f))
 	}
 	for _, e := range events {
-		all = append(all, "= "+describe(e))
+		lines = append(lines, "= "+describe(e))
 	}
-	return all
+	return lines
 }
 
-func (p *player) describe(f http2.Frame) string {
+func (p *scriptRunner) describe(f http2.Frame) string {
 	end := map[bool]string{true: " end"}
 	switch f := f.(type) {
 	case *http2.HeadersFrame:
@@ -317,15 +320,15 @@
 func describe(e Event) string {
 	switch e.Kind {
 	case RequestReceived:
-		s := fmt.Sprintf("asked %d %s %s", e.Stream, e.Request.Method, e.Request.Path)
+		s := fmt.Sprintf("request %d %s %s", e.Stream, e.Request.Method, e.Request.Path)
 		for _, f := range e.Request.Fields {
 			s += " " + f.Name + "=" + f.Value
 		}
 		return fmt.Sprintf("%s body=%d", s, len(e.Request.Body))
 	case RequestTooLarge:
-		return fmt.Sprintf("toobig %d %d", e.Stream, e.Status)
+		return fmt.Sprintf("too-large %d %d", e.Stream, e.Status)
 	case ResponseReceived:
-		s := fmt.Sprintf("answered %d %d", e.Stream, e.Response.Status)
+		s := fmt.Sprintf("response %d %d", e.Stream, e.Response.Status)
 		for _, f := range e.Response.Fields {
 			s += " " + f.Name + "=" + f.Value
 		}
@@ -334,11 +337,11 @@
 		return fmt.Sprintf("refused %d %s", e.Stream, e.Code)
 	case StreamAborted:
 		if e.Local {
-			return fmt.Sprintf("left %d %s mine", e.Stream, e.Code)
+			return fmt.Sprintf("aborted %d %s local", e.Stream, e.Code)
 		}
-		return fmt.Sprintf("left %d %s", e.Stream, e.Code)
+		return fmt.Sprintf("aborted %d %s", e.Stream, e.Code)
 	case GoAwayReceived:
-		return fmt.Sprintf("away %s", e.Code)
+		return fmt.Sprintf("goaway-received %s", e.Code)
 	}
-	return fmt.Sprintf("ended %s", e.Code)
+	return fmt.Sprintf("failed %s", e.Code)
 }
