--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -276,7 +276,7 @@
 	FleetServedRate float64 // units a second that all members served; 0: unknown
 	OwnServedRate   float64 // this member's part of FleetServedRate, from its disk
 	DiskCustomers   int     // buckets taken from the disk
-	PeerCustomers   int     // buckets taken from peers, because they are fuller there or the disk lacks them
+	PeerCustomers   int     // buckets taken from peers; one that several peers report ever fuller counts each time
 	PeerCount       int     // peers that sent a snapshot
 }
 
