--- a/cmd/sloectl/route.go
+++ b/cmd/sloectl/route.go
@@ -17,11 +17,11 @@
 	}
 	fs := newFlags("route explain")
 	platform := fs.String("platform", "", "the platform's file; required")
-	var a route.Ask
+	var a route.Request
 	fs.StringVar(&a.Class, "class", "", "the request's class; left out: the platform's first")
 	fs.StringVar(&a.Plan, "plan", "", "its customer's plan; left out: the platform's first")
 	fs.StringVar(&a.Customer, "customer", "0000000000000000", "its customer, 16 hex digits")
-	fs.DurationVar(&a.Patience, "patience", 0, "how long its client waits; left out: the class's whole time")
+	fs.DurationVar(&a.ClientTimeout, "patience", 0, "how long its client waits; left out: the class's whole time")
 	if !flags(fs, args[1:], errs, 1, 1) {
 		return exitTrouble
 	}
@@ -51,19 +51,19 @@
 		}
 		if k.Name == a.Class {
 			known = true
-			if a.Patience == 0 {
-				a.Patience = k.Deadline
+			if a.ClientTimeout == 0 {
+				a.ClientTimeout = k.Deadline
 			}
 		}
 	}
 	if a.Plan == "" && len(set.Plans) > 0 {
 		a.Plan = set.Plans[0].Name
 	}
-	if !known || a.Patience < 0 {
+	if !known || a.ClientTimeout < 0 {
 		fmt.Fprintf(errs, "sloectl route explain: the platform has no class %q\n", a.Class)
 		return exitTrouble
 	}
-	fmt.Fprintf(out, "class %s, plan %s, customer %s, patience %v\n", a.Class, a.Plan, a.Customer, a.Patience.Round(time.Millisecond))
-	io.WriteString(out, route.NewTable(route.From(c), set).Explain(a))
+	fmt.Fprintf(out, "class %s, plan %s, customer %s, patience %v\n", a.Class, a.Plan, a.Customer, a.ClientTimeout.Round(time.Millisecond))
+	io.WriteString(out, route.NewTable(route.FromConfig(c), set).Explain(a))
 	return exitOK
 }
--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -40,7 +40,7 @@
 func (h *host) batch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
-		return nil, fmt.Errorf("batch %q: %w", b.Batch, settings.FieldOf(err))
+		return nil, fmt.Errorf("batch %q: %w", b.Batch, settings.DescribeDecodeError(err))
 	}
 	if b.Batch == "" {
 		return nil, fmt.Errorf("batch %q: field \"batch\" is missing", b.Batch)
@@ -68,7 +68,7 @@
 		M string `json:"m"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
-		return nil, fmt.Errorf("field \"happened\": %w", settings.FieldOf(err))
+		return nil, fmt.Errorf("field \"happened\": %w", settings.DescribeDecodeError(err))
 	}
 	switch head.M {
 	case "NewInstance":
@@ -79,7 +79,7 @@
 	}
 	ev, err := parseEvent(head.M, raw)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", head.M, settings.FieldOf(err))
+		return nil, fmt.Errorf("%s: %w", head.M, settings.DescribeDecodeError(err))
 	}
 	g := h.gateways[i]
 	if ev == nil || g == nil || g.gw == nil {
@@ -115,7 +115,7 @@
 		ProfileData json.RawMessage
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return nil, fmt.Errorf("NewInstance: %w", settings.FieldOf(err))
+		return nil, fmt.Errorf("NewInstance: %w", settings.DescribeDecodeError(err))
 	}
 	h.gateways[i] = &instance{}
 	set, err := settings.Parse(e.ProfileData)
--- a/internal/blocks/blocks.go
+++ b/internal/blocks/blocks.go
@@ -26,7 +26,7 @@
 	if c == nil || platform == nil {
 		return c, diags, err
 	}
-	if more := platform.ValidateRoutes(route.From(c)); len(more) > 0 {
+	if more := platform.ValidateRoutes(route.FromConfig(c)); len(more) > 0 {
 		diags = append(diags, more...)
 		diags.Sort(c.Sources)
 		return nil, diags, nil
--- a/internal/blocks/blocks_test.go
+++ b/internal/blocks/blocks_test.go
@@ -23,7 +23,7 @@
 	if err != nil || len(diags) > 0 {
 		t.Fatal(err, diags)
 	}
-	tuning.From(c)
+	tuning.FromConfig(c)
 	if len(c.Sources) < 2 {
 		t.Error("the example includes nothing")
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -77,7 +77,7 @@
 			return err
 		}
 		r.warn(warnings)
-		cfg.Tuning, cfg.Routes = tuning.From(r.now), route.From(r.now)
+		cfg.Tuning, cfg.Routes = tuning.FromConfig(r.now), route.FromConfig(r.now)
 		level.Set(blocks.Level(r.now))
 		cfg.BackendsByKind = blocks.Backs(r.now)
 		for _, l := range blocks.Listeners(r.now) {
@@ -284,8 +284,8 @@
 	if err != nil {
 		return gateway.Reload{}, nil, err
 	}
-	t := tuning.From(c)
-	next.Tuning, next.Routes = &t, route.From(c)
+	t := tuning.FromConfig(c)
+	next.Tuning, next.Routes = &t, route.FromConfig(c)
 	var takes []func()
 	for _, f := range r.fronts {
 		take, err := f.Reload()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -55,7 +55,7 @@
 func (l *eventLoop) completeAttempt(a *attemptState, value, usageText []byte) {
 	if r := a.req; r.routes != nil {
 		now := l.clock.Now()
-		r.routes.Answered(r.route, r.values.Class, now-a.startedAt, now)
+		r.routes.RecordLatency(r.route, r.values.Class, now-a.startedAt, now)
 	}
 	if l.recovery != nil {
 		l.recovery.countAnswer(a.req.values.Units)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -70,7 +70,7 @@
 	}
 	var f fileConfig
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Config{}, fmt.Errorf("%s: %w", path, settings.FieldOf(err))
+		return Config{}, fmt.Errorf("%s: %w", path, settings.DescribeDecodeError(err))
 	}
 	for name, field := range map[string]*string{"GW_NAME": &f.Name, "GW_LISTEN": &f.Listen, "GW_DISCOVERY": &f.Discovery} {
 		if v := getenv(name); v != "" {
@@ -121,7 +121,7 @@
 	if c.Settings, err = settings.Parse(f.Settings); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	if err := c.Settings.CheckServing(); err != nil {
+	if err := c.Settings.ValidateServing(); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
 	if err := c.Settings.Decide.Validate(); err != nil {
@@ -161,7 +161,7 @@
 	if len(routes) == 0 {
 		return nil
 	}
-	return route.Prove(routes, &c.Settings.Decide, route.Margins{Answer: deadlineMargin, Window: deadlineMargin})
+	return route.Validate(routes, &c.Settings.Decide, route.Margins{Response: deadlineMargin, Dedup: deadlineMargin})
 }
 
 // class returns the class of that name, or nil.
--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.OpenCap = maxOpen
+	set.MaxOpen = maxOpen
 	r := &scenario{t: t, plan: plan, ended: map[string]bool{}, clientGone: map[string]bool{}}
 	r.clock.now.Store(int64(time.Hour))
 	if backend == nil {
--- a/internal/gateway/core_test.go
+++ b/internal/gateway/core_test.go
@@ -153,7 +153,7 @@
 // A request beyond the limit of open requests, or of the memory for them, is refused at once.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	for name, fill := range map[string]func(l *eventLoop){
-		"open": func(l *eventLoop) { l.cfg.Settings.OpenCap = 1 },
+		"open": func(l *eventLoop) { l.cfg.Settings.MaxOpen = 1 },
 		"held": func(l *eventLoop) { l.requestBytes = l.maxRequestBytes() },
 	} {
 		l, _ := newTestLoop(t, 1)
@@ -407,8 +407,8 @@
 	_, handle := submitRequest(l, "id")
 	a := handle.r.attempts[0]
 	next := tuning.Default()
-	next.Nodes.Connections, next.Nodes.IdlePart, next.Nodes.Descriptors = 1, 6, 0.25
-	next.Clients.Held = 0.01
+	next.Nodes.MaxConns, next.Nodes.IdleDivisor, next.Nodes.DescriptorShare = 1, 6, 0.25
+	next.Clients.MemoryShare = 0.01
 	before, idleFor, held := l.pool.maxConns, l.pool.idleTimeout, l.maxRequestBytes()
 	applied := make(chan struct{})
 	l.reload(Reload{Tuning: &next, Applied: applied})
@@ -435,7 +435,7 @@
 	c := &fakeClient{}
 	l.core.AdmitConn(c)
 	short := tuning.Default()
-	short.Stop.Longest, short.Stop.Accept, short.Stop.LastCall = time.Second, 0, 0
+	short.Shutdown.DrainTimeout, short.Shutdown.AcceptPeriod, short.Shutdown.LateConnTimeout = time.Second, 0, 0
 	l.tuning.Store(&short)
 	l.stop()
 	if l.advance(29 * time.Second); c.drained != 1 || c.closed != 0 { // the deadline of the classes is 30 s
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -93,7 +93,7 @@
 		return false
 	}
 	if c.l.closing {
-		c.l.schedule(c.Now()+c.l.tuning.Load().Stop.LastCall, conn.Drain)
+		c.l.schedule(c.Now()+c.l.tuning.Load().Shutdown.LateConnTimeout, conn.Drain)
 	}
 	return true
 }
@@ -121,7 +121,7 @@
 
 // admitConn counts a client's connection towards the descriptor limit. It reports false if there is no room.
 func (l *eventLoop) admitConn(c ClientConn) bool {
-	if len(l.clients) >= descriptorShare(l.cfg.Sockets, l.tuning.Load().Clients.Descriptors) {
+	if len(l.clients) >= descriptorShare(l.cfg.Sockets, l.tuning.Load().Clients.DescriptorShare) {
 		l.evictClient()
 	}
 	if len(l.clients) >= l.cfg.Sockets-minSockets {
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -139,7 +139,7 @@
 	f := &slowFrontend{draining: make(chan struct{}), conn: server}
 	cfg := SmallConfig(t, longDeadline, nil)
 	cfg.Frontends, cfg.DefaultBackend = []Frontend{f}, &fakeBackend{}
-	cfg.Tuning.Stop.Accept = 0
+	cfg.Tuning.Shutdown.AcceptPeriod = 0
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := Run(ctx, cfg, nil, slog.New(slog.DiscardHandler)); err != nil {
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -45,9 +45,9 @@
 // idle.
 func (p *pool) applyTuning() {
 	t := &p.l.tuning.Load().Nodes
-	p.maxConns = descriptorShare(p.l.cfg.Sockets, t.Descriptors)
-	p.idleTimeout = p.l.cfg.Settings.ConnIdle / time.Duration(t.IdlePart)
-	p.maxConnsPerServer = t.Connections
+	p.maxConns = descriptorShare(p.l.cfg.Sockets, t.DescriptorShare)
+	p.idleTimeout = p.l.cfg.Settings.ServerIdleTimeout / time.Duration(t.IdleDivisor)
+	p.maxConnsPerServer = t.MaxConns
 }
 
 // update applies an entry of the server list. The id identifies the server; its address and its process may
--- a/internal/gateway/route_test.go
+++ b/internal/gateway/route_test.go
@@ -77,8 +77,8 @@
 // allows, and then the client is refused at once, with the route's retry advice.
 func TestRouteBoundsAttempts(t *testing.T) {
 	b := newFakeServer(t)
-	c := newRoutedGatewayWithDeadline(t, 10*time.Second, route.Route{Attempts: 3, Attempt: 400 * time.Millisecond, Whole: 10 * time.Second, Again: everything, BudgetFloor: 100,
-		Advice: 70 * time.Millisecond}, entries("up", b)).dial(t)
+	c := newRoutedGatewayWithDeadline(t, 10*time.Second, route.Route{MaxAttempts: 3, AttemptTimeout: 400 * time.Millisecond, TotalTimeout: 10 * time.Second, RetryOn: everything, MinRetriesPerSecond: 100,
+		RetryAfter: 70 * time.Millisecond}, entries("up", b)).dial(t)
 	c.sendSafe("id")
 	for range 3 {
 		if d := b.nextCommand(t).timeoutMS(t); d > 400 {
@@ -93,7 +93,7 @@
 // request.
 func TestRouteWaitsBetweenAttempts(t *testing.T) {
 	b := newFakeServer(t)
-	r := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, Wait: 150 * time.Millisecond, Again: failures, BudgetFloor: 100}, entries("up", b))
+	r := newRoutedGateway(t, route.Route{MaxAttempts: 2, TotalTimeout: 20 * time.Second, InitialBackoff: 150 * time.Millisecond, RetryOn: failures, MinRetriesPerSecond: 100}, entries("up", b))
 	c := r.dial(t)
 	c.sendSafe("id")
 	x := b.nextCommand(t)
@@ -119,8 +119,8 @@
 // attempt is cancelled.
 func TestRouteSendsHedge(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
-	c := newRoutedGateway(t, route.Route{Attempts: 2, Whole: 20 * time.Second, BudgetFloor: 100,
-		Copy: route.CopyRule{Allowed: true, After: 60 * time.Millisecond}}, entries("up", a, b)).dial(t)
+	c := newRoutedGateway(t, route.Route{MaxAttempts: 2, TotalTimeout: 20 * time.Second, MinRetriesPerSecond: 100,
+		Hedge: route.HedgePolicy{Enabled: true, Delay: 60 * time.Millisecond}}, entries("up", a, b)).dial(t)
 	c.sendSafe("id")
 	first, other := a, b
 	select {
@@ -138,8 +138,8 @@
 // The hedge of a keyed request stays in the cell of the first attempt, even if that has no other server.
 func TestKeyedHedgeStaysInItsCell(t *testing.T) {
 	a, b := newFakeServer(t), newFakeServer(t)
-	c := newRoutedGateway(t, route.Route{Attempts: 2, Attempt: 400 * time.Millisecond, Whole: 20 * time.Second, BudgetFloor: 100,
-		Copy: route.CopyRule{Allowed: true, After: 30 * time.Millisecond}}, entries("up", a, b)).dial(t)
+	c := newRoutedGateway(t, route.Route{MaxAttempts: 2, AttemptTimeout: 400 * time.Millisecond, TotalTimeout: 20 * time.Second, MinRetriesPerSecond: 100,
+		Hedge: route.HedgePolicy{Enabled: true, Delay: 30 * time.Millisecond}}, entries("up", a, b)).dial(t)
 	c.sendKeyed("id")
 	other := b
 	select {
@@ -155,7 +155,7 @@
 // waiting.
 func TestClientTimeoutShorterThanAttempt(t *testing.T) {
 	b := newFakeServer(t)
-	c := newRoutedGatewayWithDeadline(t, 300*time.Millisecond, route.Route{Attempts: 1, Attempt: 10 * time.Second, Whole: 20 * time.Second}, entries("up", b)).dial(t)
+	c := newRoutedGatewayWithDeadline(t, 300*time.Millisecond, route.Route{MaxAttempts: 1, AttemptTimeout: 10 * time.Second, TotalTimeout: 20 * time.Second}, entries("up", b)).dial(t)
 	at := time.Now()
 	c.send("Q.ASK", customer, "id", "c=look,t=p,d=150,units=1,spread=2,first=0")
 	if d := b.nextCommand(t).timeoutMS(t); d > 140 {
@@ -170,7 +170,7 @@
 // another one.
 func TestRouteBoundsOpenRequests(t *testing.T) {
 	b := newFakeServer(t)
-	r := newRoutedGateway(t, route.Route{Attempts: 1, Open: 1, Advice: 30 * time.Millisecond}, entries("up", b))
+	r := newRoutedGateway(t, route.Route{MaxAttempts: 1, MaxOpen: 1, RetryAfter: 30 * time.Millisecond}, entries("up", b))
 	c, d := r.dial(t), r.dial(t)
 	c.sendSafe("one")
 	x := b.nextCommand(t)
@@ -186,9 +186,9 @@
 // A reload that tightens or removes a route applies to new requests; open requests keep the route they started
 // with.
 func TestReloadOfRoutes(t *testing.T) {
-	for _, next := range map[string][]*route.Route{"tightened": {{Name: "r", Attempts: 1}}, "removed": nil} {
+	for _, next := range map[string][]*route.Route{"tightened": {{Name: "r", MaxAttempts: 1}}, "removed": nil} {
 		b := newFakeServer(t)
-		r := newRoutedGateway(t, route.Route{Attempts: 2, Again: failures, BudgetFloor: 100, Open: 1}, entries("up", b))
+		r := newRoutedGateway(t, route.Route{MaxAttempts: 2, RetryOn: failures, MinRetriesPerSecond: 100, MaxOpen: 1}, entries("up", b))
 		c := r.dial(t)
 		c.sendSafe("old")
 		x := b.nextCommand(t)
@@ -237,7 +237,7 @@
 		t.Cleanup(s.Close)
 		servers = append(servers, gateway.ServerEntry{ID: fmt.Sprintf("s-%d", i), Addr: s.Addr(), Zone: "a", Cell: i % 2, State: "up", Weight: 1})
 	}
-	r := newRoutedGateway(t, route.Route{Attempts: 5, Again: failures, Budget: 0.2}, servers)
+	r := newRoutedGateway(t, route.Route{MaxAttempts: 5, RetryOn: failures, RetryRatio: 0.2}, servers)
 	var wg sync.WaitGroup
 	answered := 0
 	for n := range 8 {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -147,10 +147,10 @@
 func (l *eventLoop) stop() {
 	now := l.clock.Now()
 	l.log.Info("stopping", "open", len(l.requests))
-	t := l.tuning.Load().Stop
-	l.schedule(now+t.Accept, func() {
+	t := l.tuning.Load().Shutdown
+	l.schedule(now+t.AcceptPeriod, func() {
 		for _, f := range l.cfg.Frontends {
-			f.DrainBacklog(time.Now().Add(t.LastCall))
+			f.DrainBacklog(time.Now().Add(t.LateConnTimeout))
 		}
 		l.closing = true
 		close(l.closingCh)
@@ -158,7 +158,7 @@
 			c.Drain()
 		}
 	})
-	l.schedule(now+max(t.Longest, l.maxWait()+t.Accept+t.LastCall), func() {
+	l.schedule(now+max(t.DrainTimeout, l.maxWait()+t.AcceptPeriod+t.LateConnTimeout), func() {
 		for _, c := range l.clientConns() {
 			c.Close()
 		}
--- a/internal/gateway/submit.go
+++ b/internal/gateway/submit.go
@@ -11,7 +11,7 @@
 
 // maxRequestBytes is the memory limit, in bytes, for the contents of all open requests together.
 func (l *eventLoop) maxRequestBytes() int {
-	return int(float64(l.cfg.MemoryMB<<20) * l.tuning.Load().Clients.Held)
+	return int(float64(l.cfg.MemoryMB<<20) * l.tuning.Load().Clients.MemoryShare)
 }
 
 // submit admits a request that a frontend has read completely. It returns nil if the request was answered at
@@ -21,7 +21,7 @@
 		responder.Respond(Response{Kind: Rejected, Reason: err.Error()})
 		return nil
 	}
-	maxOpen := l.cfg.Settings.OpenCap
+	maxOpen := l.cfg.Settings.MaxOpen
 	if !l.mayAcceptRequests() || l.requestBytes+v.size() > l.maxRequestBytes() || (maxOpen > 0 && len(l.requests) >= maxOpen) {
 		responder.Respond(Response{Kind: Refused, RetryAfter: l.cfg.Settings.Decide.Limits.MaxRetryAfter})
 		return nil
@@ -39,7 +39,7 @@
 	l.nextID++
 	r := &requestState{id: strconv.FormatUint(l.nextID, 36), seq: l.nextID, responder: responder, values: v}
 	if !l.enterRoute(r) {
-		retryAfter := r.routes.Route(r.route).Advice
+		retryAfter := r.routes.Route(r.route).RetryAfter
 		if retryAfter == 0 {
 			retryAfter = l.cfg.Settings.Decide.Limits.MaxRetryAfter
 		}
@@ -54,7 +54,7 @@
 	ev := r.event()
 	ev.Deadline = deadline
 	if r.routes != nil {
-		ev.RetryPolicy = r.routes.Bounds(r.route, ev.Class, l.clock.Now())
+		ev.RetryPolicy = r.routes.RetryPolicy(r.route, ev.Class, l.clock.Now())
 	}
 	l.enqueue(ev)
 	return r
@@ -74,12 +74,12 @@
 	if l.routes == nil {
 		return true
 	}
-	n := l.routes.Match(route.Ask{Class: r.values.Class, Plan: r.values.Plan, Customer: r.values.Customer, Patience: r.values.ClientTimeout})
+	n := l.routes.Match(route.Request{Class: r.values.Class, Plan: r.values.Plan, Customer: r.values.Customer, ClientTimeout: r.values.ClientTimeout})
 	if n < 0 {
 		return true
 	}
 	r.routes, r.route = l.routes, n
-	return l.routes.Begin(n)
+	return l.routes.Acquire(n)
 }
 
 // failOverdue fails a request that the decision module has not ended in time. The client must get its response
@@ -114,7 +114,7 @@
 func (l *eventLoop) finish(r *requestState) {
 	r.done = true
 	if r.routes != nil {
-		r.routes.End(r.route)
+		r.routes.Release(r.route)
 	}
 	l.requestBytes -= r.values.size()
 	delete(l.clientIDs, r.values.ID)
--- a/internal/h2/backend.go
+++ b/internal/h2/backend.go
@@ -249,7 +249,7 @@
 	}
 	rest := c.pending[n:]
 	c.pending = nil
-	c.writer.WriteAsync(rest, c.transport.core.Tuning().Clients.Write, c.transport.core, func(err error) {
+	c.writer.WriteAsync(rest, c.transport.core.Tuning().Clients.WriteTimeout, c.transport.core, func(err error) {
 		if err != nil {
 			c.close()
 			return
--- a/internal/h2/floods_test.go
+++ b/internal/h2/floods_test.go
@@ -109,7 +109,7 @@
 // Clients.Write.
 func TestStalledResponseIsReset(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
-		cfg.Tuning.Clients.Write = 100 * time.Millisecond
+		cfg.Tuning.Clients.WriteTimeout = 100 * time.Millisecond
 	})
 	c := r.dial(nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 	stuck := r.send(c, lookup("stuck"))
--- a/internal/h2/frontend.go
+++ b/internal/h2/frontend.go
@@ -263,7 +263,7 @@
 		return
 	}
 	c.pending = append(c.pending, c.proto.TakeOutput()...)
-	if len(c.pending) > c.core.Tuning().Clients.Unread {
+	if len(c.pending) > c.core.Tuning().Clients.MaxUnreadBytes {
 		c.Close()
 		return
 	}
@@ -281,7 +281,7 @@
 	if n < len(c.pending) {
 		rest := c.pending[n:]
 		c.pending = nil
-		c.writer.WriteAsyncUntilStall(rest, c.core.Tuning().Clients.Write, c.core, func(err error) {
+		c.writer.WriteAsyncUntilStall(rest, c.core.Tuning().Clients.WriteTimeout, c.core, func(err error) {
 			if err != nil {
 				c.Close()
 				return
@@ -317,14 +317,14 @@
 	}
 	c.writeClosed = true
 	// Nothing is in flight in either direction: no received bytes are unread, and no response was sent recently, if at all.
-	nothingInFlight := c.rawWriter.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > c.core.Tuning().Clients.Fault)
+	nothingInFlight := c.rawWriter.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > c.core.Tuning().Clients.ProtocolErrorTimeout)
 	writeCloser, ok := c.nc.(interface{ CloseWrite() error })
 	if nothingInFlight || !ok {
 		c.Close()
 		return
 	}
 	go writeCloser.CloseWrite() // for TLS it waits for space in the socket buffer; after an error, Close does the rest
-	c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.Fault, c.Close)
+	c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.ProtocolErrorTimeout, c.Close)
 }
 
 // checkTimeouts drains a connection that is idle for too long, and resets streams whose request is not completed, or whose
@@ -334,16 +334,16 @@
 	if c.closed || c.proto.Failed() {
 		return
 	}
-	if c.proto.ResetStalled(now-t.Write) > 0 {
+	if c.proto.ResetStalled(now-t.WriteTimeout) > 0 {
 		c.scheduleFlush()
 	}
-	next := now + t.Write
+	next := now + t.WriteTimeout
 	if since, ok := c.proto.WaitingSince(); ok {
-		next = min(next, since+t.Write+time.Millisecond)
+		next = min(next, since+t.WriteTimeout+time.Millisecond)
 	} else if c.proto.OpenStreams() == 0 {
-		idleUntil := c.lastUsed + t.Idle
+		idleUntil := c.lastUsed + t.IdleTimeout
 		if c.lastUsed == c.acceptedAt { // no response was sent yet
-			idleUntil = c.acceptedAt + t.FirstCommand
+			idleUntil = c.acceptedAt + t.ReadTimeout
 		}
 		if idleUntil <= now {
 			c.Drain()
@@ -373,7 +373,7 @@
 	select {
 	case <-c.core.Closing():
 		c.proto.Shutdown()
-		c.core.Schedule(c.core.Now()+c.core.Tuning().Stop.LastCall, func() {
+		c.core.Schedule(c.core.Now()+c.core.Tuning().Shutdown.LateConnTimeout, func() {
 			c.proto.RefuseNewStreams()
 			c.scheduleFlush()
 		})
--- a/internal/h2/frontend_test.go
+++ b/internal/h2/frontend_test.go
@@ -214,7 +214,7 @@
 // GOAWAY, and closes the connection.
 func TestGracefulShutdown(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
-		cfg.Tuning.Stop.LastCall = 2 * time.Second // the test must send the crossing request within this time
+		cfg.Tuning.Shutdown.LateConnTimeout = 2 * time.Second // the test must send the crossing request within this time
 	})
 	release := r.holdResponses()
 	c := r.dial(nil)
--- a/internal/h2/harness_test.go
+++ b/internal/h2/harness_test.go
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	cfg.Tuning = tuning.Default()
-	cfg.Tuning.Stop.Accept, cfg.Tuning.Stop.LastCall, cfg.Tuning.Clients.Fault = 50*time.Millisecond, 50*time.Millisecond, 100*time.Millisecond
+	cfg.Tuning.Shutdown.AcceptPeriod, cfg.Tuning.Shutdown.LateConnTimeout, cfg.Tuning.Clients.ProtocolErrorTimeout = 50*time.Millisecond, 50*time.Millisecond, 100*time.Millisecond
 	frontendCfg := FrontendConfig{Name: "test", Address: "127.0.0.1:0", MaxStreams: 100, HandshakeTimeout: 5 * time.Second}
 	if change != nil {
 		change(&cfg, &frontendCfg)
--- a/internal/h2/lookup_bench_test.go
+++ b/internal/h2/lookup_bench_test.go
@@ -23,7 +23,7 @@
 			node := startInstantNode(b)
 			r := newHarnessWithNodes(b, testPlatform(), 1, func(cfg *gateway.Config, _ *FrontendConfig) {
 				cfg.KnownServers.Servers[0].Addr = node
-				cfg.Tuning.Nodes.Rest = 0 // one connection carries all requests, so that none is dialed during the measurement
+				cfg.Tuning.Nodes.ReuseDelay = 0 // one connection carries all requests, so that none is dialed during the measurement
 				d, err := testbed.NewDiscovery(cfg.KnownServers.Version, cfg.KnownServers)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/h2/races_test.go
+++ b/internal/h2/races_test.go
@@ -19,7 +19,7 @@
 // so the client can send it again.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	r := newHarness(t, testPlatform(), func(cfg *gateway.Config, _ *FrontendConfig) {
-		cfg.Tuning.Clients.Idle, cfg.Tuning.Clients.Fault = 50*time.Millisecond, testTimeout
+		cfg.Tuning.Clients.IdleTimeout, cfg.Tuning.Clients.ProtocolErrorTimeout = 50*time.Millisecond, testTimeout
 	})
 	c := r.dial(nil)
 	first := r.send(c, lookup("one"))
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -236,6 +236,6 @@
 		if c := check([]byte(a.Show())); c == nil || len(operator.Diff(a, c)) > 0 {
 			t.Fatalf("%q and %q differ", text, a.Show())
 		}
-		tuning.From(a) // the daemon starts with it
+		tuning.FromConfig(a) // the daemon starts with it
 	})
 }
--- a/internal/resp/backend.go
+++ b/internal/resp/backend.go
@@ -66,7 +66,7 @@
 // with an empty receive queue is in sync. If it were reused sooner, the next request could receive another request's
 // reply.
 func (p *connPool) takeIdle() *conn {
-	cutoff := p.core.Now() - p.core.Tuning().Nodes.Rest
+	cutoff := p.core.Now() - p.core.Tuning().Nodes.ReuseDelay
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		if c := p.idle[i]; c.lastUsed <= cutoff {
 			p.idle = slices.Delete(p.idle, i, i+1)
@@ -169,7 +169,7 @@
 	c.attempt, c.fullySent, c.lastUsed = t, false, c.pool.core.Now()
 	t.TransportData = c
 	t.MarkConnected()
-	c.replyTimeout.TrySend(c.pool.core.Tuning().Nodes.Answer) // never full: the reader has received the previous value
+	c.replyTimeout.TrySend(c.pool.core.Tuning().Nodes.ResponseReadTimeout) // never full: the reader has received the previous value
 	if n == len(b) {
 		c.fullySent = true
 		t.MarkFullySent()
@@ -203,7 +203,7 @@
 // reply is invalid.
 func (c *conn) holdEarlyReply(reply nodeReply) {
 	c.earlyReply = &reply
-	c.pool.core.Schedule(c.pool.core.Now()+c.pool.core.Tuning().Nodes.Answer, func() {
+	c.pool.core.Schedule(c.pool.core.Now()+c.pool.core.Tuning().Nodes.ResponseReadTimeout, func() {
 		if c.earlyReply == &reply {
 			c.earlyReply = nil
 			c.handleFailure(false)
--- a/internal/resp/backend_test.go
+++ b/internal/resp/backend_test.go
@@ -79,7 +79,7 @@
 	second, _, _ := h.openRequest("two")
 	server := h.completeDial(first)
 	h.completeDial(second)
-	h.updateTuning(func(t *tuning.Tuning) { t.Nodes.Connections = 1 })
+	h.updateTuning(func(t *tuning.Tuning) { t.Nodes.MaxConns = 1 })
 	mustWrite(t, server, testbed.FormatReply("v"))
 	h.firstOutcome()
 	readAll(t, server)
@@ -123,7 +123,7 @@
 			t.Fatal("the duplicate was read, or did not arrive")
 		}
 	}
-	h.advance(h.tuning.Nodes.Rest)
+	h.advance(h.tuning.Nodes.ReuseDelay)
 	h.openRequest("second") // must not use the pooled connection
 	if !conn.closed {
 		t.Error("a connection that is out of sync is not closed")
@@ -141,7 +141,7 @@
 	mustWrite(t, h.completeDial(attempt), testbed.FormatReply("v"))
 	h.firstOutcome()
 	c := h.pool().idle[0]
-	if h.advance(h.tuning.Nodes.Rest - 1); h.pool().takeIdle() != nil {
+	if h.advance(h.tuning.Nodes.ReuseDelay - 1); h.pool().takeIdle() != nil {
 		t.Error("a connection is reused too soon")
 	}
 	if h.advance(1); h.pool().takeIdle() != c {
@@ -156,7 +156,7 @@
 	for _, invalid := range []string{"+x\r\n", ":1\r\n", "noise", "*3\r\n$3000000000\r\nv", "*3\r\n$-1\r\n", "*1\r\n$1\r\nv\r\n", "*3\r\n$1\r\nvv",
 		"-ERR " + strings.Repeat("x", maxFieldSize), "*3\r\n$10\r\ntrickle"} {
 		h := newHarness(t, longAim)
-		h.updateTuning(func(t *tuning.Tuning) { t.Nodes.Answer = 30 * time.Millisecond })
+		h.updateTuning(func(t *tuning.Tuning) { t.Nodes.ResponseReadTimeout = 30 * time.Millisecond })
 		attempt, _, _ := h.openRequest("id")
 		server := h.completeDial(attempt)
 		mustWrite(t, server, invalid)
@@ -218,7 +218,7 @@
 	h, conn, server := startLargeRequest(t)
 	mustWrite(t, server, testbed.FormatReply("early"))
 	h.waitFor("the early reply", func() bool { return conn.earlyReply != nil })
-	if h.advance(h.tuning.Nodes.Answer - 1); len(h.outcomes) > 0 {
+	if h.advance(h.tuning.Nodes.ResponseReadTimeout - 1); len(h.outcomes) > 0 {
 		t.Fatalf("ended as %v before the time limit", h.outcomes[0])
 	}
 	h.clock.now.Add(1)
--- a/internal/resp/frontend.go
+++ b/internal/resp/frontend.go
@@ -144,7 +144,7 @@
 		c.closeIfDone()
 	}
 	if batch.protocolError && !c.closed {
-		c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.Fault, c.Close)
+		c.core.Schedule(c.core.Now()+c.core.Tuning().Clients.ProtocolErrorTimeout, c.Close)
 	}
 }
 
@@ -203,7 +203,7 @@
 		c.backlog = nil
 		return
 	}
-	if len(c.backlog) > c.core.Tuning().Clients.Unread {
+	if len(c.backlog) > c.core.Tuning().Clients.MaxUnreadBytes {
 		c.Close()
 		return
 	}
@@ -221,7 +221,7 @@
 	}
 	remaining := c.backlog[n:]
 	c.backlog = nil
-	c.writer.WriteAsyncUntilStall(remaining, c.core.Tuning().Clients.Write, c.core, func(err error) {
+	c.writer.WriteAsyncUntilStall(remaining, c.core.Tuning().Clients.WriteTimeout, c.core, func(err error) {
 		if err != nil {
 			c.Close()
 			return
@@ -240,7 +240,7 @@
 	if !c.readDone || c.closed || c.writeClosed || len(c.pending) > 0 || c.writer.Busy() || len(c.backlog) > 0 {
 		return
 	}
-	timeout := c.core.Tuning().Clients.Fault
+	timeout := c.core.Tuning().Clients.ProtocolErrorTimeout
 	if c.writer.ReceiveQueueEmpty() && (c.lastUsed == c.acceptedAt || c.core.Now()-c.lastUsed > timeout) {
 		c.Close()
 		return
--- a/internal/resp/frontend_test.go
+++ b/internal/resp/frontend_test.go
@@ -14,7 +14,7 @@
 
 // shortTimeouts sets timeouts that a test can wait for.
 func shortTimeouts(t *tuning.Tuning) {
-	t.Clients.FirstCommand, t.Clients.Idle = 30*time.Millisecond, 30*time.Millisecond
+	t.Clients.ReadTimeout, t.Clients.IdleTimeout = 30*time.Millisecond, 30*time.Millisecond
 }
 
 // A connection on which nothing, a partial command, or nothing more arrives must be closed after a timeout. Without a
@@ -57,7 +57,7 @@
 	h := newHarness(t, longAim)
 	h.updateTuning(shortTimeouts)
 	_, c, _ := h.openRequest("id")
-	time.Sleep(4 * h.tuning.Clients.Idle) // several times the idle timeout
+	time.Sleep(4 * h.tuning.Clients.IdleTimeout) // several times the idle timeout
 	if h.Step(); c.closing || c.closed {
 		t.Error("the waiting client was dropped")
 	}
@@ -105,7 +105,7 @@
 	if c.closed || h.Stats().Requests != 1 {
 		t.Fatal("the open request was dropped at once")
 	}
-	h.advance(h.tuning.Clients.Fault)
+	h.advance(h.tuning.Clients.ProtocolErrorTimeout)
 	h.pool().Cancel(h.backend.attempts[0])
 	readAll(t, peer)
 	if !c.closed || h.Stats().RequestBytes != 0 {
@@ -135,7 +135,7 @@
 func TestDeepPipeline(t *testing.T) {
 	h := newHarness(t, longAim)
 	c, peer := h.connect("")
-	n := 5 * h.tuning.Clients.Pipeline
+	n := 5 * h.tuning.Clients.MaxPipeline
 	go io.WriteString(peer, strings.Repeat("*1\r\n$4\r\nPING\r\n", n))
 	done := make(chan string, 1)
 	go func() {
--- a/internal/resp/ordering_test.go
+++ b/internal/resp/ordering_test.go
@@ -79,7 +79,7 @@
 // reader posts nothing more: the commands that wait must not reach the core, and the open request must be abandoned.
 func TestClientClosesWithFullPipeline(t *testing.T) {
 	h := newHarness(t, longAim)
-	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Pipeline = 1 })
+	h.updateTuning(func(t *tuning.Tuning) { t.Clients.MaxPipeline = 1 })
 	requests := 0
 	h.Observe(func(e decide.Event, _ []decide.Action) {
 		if _, ok := e.(decide.Request); ok {
@@ -101,7 +101,7 @@
 // kernel.
 func TestReadAheadIsBounded(t *testing.T) {
 	h := newHarness(t, longAim)
-	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Pipeline = 1 })
+	h.updateTuning(func(t *tuning.Tuning) { t.Clients.MaxPipeline = 1 })
 	gatewayEnd, peer := connPair(t)
 	c := newClient(h.Core(), gatewayEnd)
 	h.Core().AdmitConn(c)
@@ -131,7 +131,7 @@
 	for name, queued := range map[string]int{"reads ahead": 3, "waits": 2 * maxReadAhead / len(ping)} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, longAim)
-			h.updateTuning(func(t *tuning.Tuning) { t.Clients.Pipeline, t.Clients.FirstCommand = 1, time.Minute })
+			h.updateTuning(func(t *tuning.Tuning) { t.Clients.MaxPipeline, t.Clients.ReadTimeout = 1, time.Minute })
 			c, peer := h.connect(askCommand("one"))
 			h.waitFor("the first attempt", func() bool { return len(h.backend.attempts) == 1 })
 			mustWrite(t, peer, strings.Repeat(ping, queued))
@@ -191,7 +191,7 @@
 // than Clients.Fault.
 func TestClientThatDoesNotClose(t *testing.T) {
 	h := newHarness(t, longAim)
-	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Fault = 30 * time.Millisecond })
+	h.updateTuning(func(t *tuning.Tuning) { t.Clients.ProtocolErrorTimeout = 30 * time.Millisecond })
 	c, peer := h.connect("*0\r\n")
 	h.waitFor("a reply", func() bool {
 		return c.lastUsed > 0 && len(c.pending) == 0 && c.unanswered.Load() == 0 && c.maxUnanswered.Load() > 0
@@ -210,7 +210,7 @@
 // Once the client has closed its side, the connection must be closed at once, not after the timeout.
 func TestClientClosesAfterReply(t *testing.T) {
 	h := newHarness(t, longAim)
-	h.updateTuning(func(t *tuning.Tuning) { t.Clients.Fault = time.Minute })
+	h.updateTuning(func(t *tuning.Tuning) { t.Clients.ProtocolErrorTimeout = time.Minute })
 	attempt, c, peer := h.openRequest("one")
 	c.Drain()
 	h.waitFor("the reader's end", func() bool { return c.readDone })
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -92,9 +92,9 @@
 func (r *reader) deadline() time.Time {
 	limits := &r.client.core.Tuning().Clients
 	if r.gotCommand && len(r.buf) == 0 {
-		return r.timerStart.Add(limits.Idle)
+		return r.timerStart.Add(limits.IdleTimeout)
 	}
-	return r.timerStart.Add(limits.FirstCommand)
+	return r.timerStart.Add(limits.ReadTimeout)
 }
 
 // pipelineFull reports whether the number of unanswered commands has reached its limit.
@@ -125,7 +125,7 @@
 // dispatch posts the complete commands in the buffer if the pipeline has room.
 func (r *reader) dispatch() error {
 	// Stored before unanswered grows, so that the loop wakes the reader at the same limit.
-	r.client.maxUnanswered.Store(int32(r.client.core.Tuning().Clients.Pipeline))
+	r.client.maxUnanswered.Store(int32(r.client.core.Tuning().Clients.MaxPipeline))
 	r.blocked = len(r.buf) > 0 && r.pipelineFull()
 	if r.blocked || len(r.buf) == 0 {
 		return nil
--- a/internal/route/block.go
+++ b/internal/route/block.go
@@ -67,18 +67,18 @@
 // read is a route as the block has it.
 func read(s *operator.Section) (r *Route, bad []operator.Problem) {
 	r = &Route{Name: s.Label, Pos: s.Pos(""), place: s.Pos, Classes: s.Words("classes"), Plans: s.Words("plans"),
-		PatienceFrom: s.Duration("patience-from"), Attempts: s.Count("attempts"), AgainWords: s.Words("again"), Wait: s.Duration("wait"),
-		WaitGrowth: s.Share("wait-growth"), Jitter: s.Share("jitter"), Budget: s.Share("budget"), BudgetFloor: s.Rate("budget-floor")}
-	for key, to := range map[string]*time.Duration{"patience-to": &r.PatienceTo, "attempt": &r.Attempt, "whole": &r.Whole, "wait-most": &r.WaitMost, "advise": &r.Advice} {
+		MinClientTimeout: s.Duration("patience-from"), MaxAttempts: s.Count("attempts"), RetryOnNames: s.Words("again"), InitialBackoff: s.Duration("wait"),
+		BackoffFactor: s.Share("wait-growth"), Jitter: s.Share("jitter"), RetryRatio: s.Share("budget"), MinRetriesPerSecond: s.Rate("budget-floor")}
+	for key, to := range map[string]*time.Duration{"patience-to": &r.MaxClientTimeout, "attempt": &r.AttemptTimeout, "whole": &r.TotalTimeout, "wait-most": &r.MaxBackoff, "advise": &r.RetryAfter} {
 		if s.Has(key) {
 			*to = s.Duration(key)
 		}
 	}
 	if s.Has("open") {
-		r.Open = s.Count("open")
+		r.MaxOpen = s.Count("open")
 	}
-	for _, w := range r.AgainWords {
-		r.Again |= outcomes[w]
+	for _, w := range r.RetryOnNames {
+		r.RetryOn |= outcomes[w]
 	}
 	for _, text := range s.Words("customers") {
 		c, ok := number(text)
@@ -88,28 +88,28 @@
 		r.Customers = append(r.Customers, c)
 	}
 	if s.Has("customer-prefix") {
-		r.Prefix = s.Word("customer-prefix")
-		if _, ok := number(r.Prefix + strings.Repeat("0", max(0, customerDigits-len(r.Prefix)))); !ok || r.Prefix == "" {
-			bad = append(bad, operator.Problem{Key: "customer-prefix", Msg: fmt.Sprintf("%q is not 1 to 16 hex digits", r.Prefix)})
+		r.CustomerPrefix = s.Word("customer-prefix")
+		if _, ok := number(r.CustomerPrefix + strings.Repeat("0", max(0, customerDigits-len(r.CustomerPrefix)))); !ok || r.CustomerPrefix == "" {
+			bad = append(bad, operator.Problem{Key: "customer-prefix", Msg: fmt.Sprintf("%q is not 1 to 16 hex digits", r.CustomerPrefix)})
 		}
 		if len(r.Customers) > 0 {
 			bad = append(bad, operator.Problem{Key: "customer-prefix", Msg: "a route names customers or a prefix, not both"})
 		}
 	}
 	if c := s.One("copy"); c.Present() {
-		r.Copy = CopyRule{Allowed: true, Least: c.Duration("least")}
+		r.Hedge = HedgePolicy{Enabled: true, MinTimeLeft: c.Duration("least")}
 		if c.Has("after") {
-			r.Copy.After = c.Duration("after")
+			r.Hedge.Delay = c.Duration("after")
 		}
 		if c.Has("quantile") {
-			r.Copy.Quantile = c.Share("quantile")
+			r.Hedge.Quantile = c.Share("quantile")
 		}
 	}
 	return r, bad
 }
 
-// From reads the routes of a checked configuration.
-func From(c *operator.Config) (all []*Route) {
+// FromConfig reads the routes of a checked configuration.
+func FromConfig(c *operator.Config) (all []*Route) {
 	for _, s := range c.All("route") {
 		r, _ := read(s)
 		all = append(all, r)
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -113,18 +113,18 @@
 
 // ask lets a request come now, and its client leave at the deadline.
 func (w *world) ask(class, plan string, patience time.Duration) *asked {
-	n := w.table.Match(Ask{Class: class, Plan: plan, Customer: "0000000000000001", Patience: patience})
+	n := w.table.Match(Request{Class: class, Plan: plan, Customer: "0000000000000001", ClientTimeout: patience})
 	if n < 0 {
 		return nil
 	}
-	a := &asked{id: fmt.Sprintf("r%d", len(w.all)), route: w.table.Route(n), came: w.now, deadline: w.now + patience - margins.Answer}
+	a := &asked{id: fmt.Sprintf("r%d", len(w.all)), route: w.table.Route(n), came: w.now, deadline: w.now + patience - margins.Response}
 	for i := range w.cfg.Classes {
 		if w.cfg.Classes[i].Name == class {
 			a.class = &w.cfg.Classes[i]
 		}
 	}
-	w.table.Begin(n)
-	a.bounds = w.table.Bounds(n, class, w.now)
+	w.table.Acquire(n)
+	a.bounds = w.table.RetryPolicy(n, class, w.now)
 	w.open[a.id] = a
 	w.all = append(w.all, a)
 	w.feed(decide.Request{ID: a.id, Class: class, Plan: plan, Customer: "0000000000000001", Units: 1, Deadline: a.deadline, RetryPolicy: a.bounds})
@@ -268,20 +268,20 @@
 		return d
 	}
 	scale := []int{300, 1500, 6000, 20000}[r.IntN(4)]
-	t := &Route{Name: name, Attempt: maybe(ms(scale)), Whole: maybe(ms(scale * 2)), Attempts: 1 + r.IntN(5), Wait: maybe(ms(scale / 2)),
-		WaitGrowth: 1 + 2*r.Float64(), Jitter: r.Float64(), Budget: r.Float64() * 3, BudgetFloor: r.Float64() * 20}
+	t := &Route{Name: name, AttemptTimeout: maybe(ms(scale)), TotalTimeout: maybe(ms(scale * 2)), MaxAttempts: 1 + r.IntN(5), InitialBackoff: maybe(ms(scale / 2)),
+		BackoffFactor: 1 + 2*r.Float64(), Jitter: r.Float64(), RetryRatio: r.Float64() * 3, MinRetriesPerSecond: r.Float64() * 20}
 	if r.IntN(2) == 0 {
-		t.WaitMost = ms(scale)
+		t.MaxBackoff = ms(scale)
 	}
 	for _, word := range outcomeWords {
 		if r.IntN(2) == 0 {
-			t.Again |= outcomes[word]
+			t.RetryOn |= outcomes[word]
 		}
 	}
 	if r.IntN(2) == 0 {
-		t.Copy = CopyRule{Allowed: true, After: maybe(ms(scale)), Least: ms(100)}
+		t.Hedge = HedgePolicy{Enabled: true, Delay: maybe(ms(scale)), MinTimeLeft: ms(100)}
 		if r.IntN(2) == 0 {
-			t.Copy.Quantile = 0.5 + r.Float64()/2
+			t.Hedge.Quantile = 0.5 + r.Float64()/2
 		}
 	}
 	for _, k := range cfg.Classes {
@@ -302,7 +302,7 @@
 	for round := 0; taken < rounds; round++ {
 		cfg := platform()
 		rt := drawRoute(r, fmt.Sprintf("r%d", round), cfg)
-		if len(Prove([]*Route{rt}, cfg, margins)) > 0 {
+		if len(Validate([]*Route{rt}, cfg, margins)) > 0 {
 			continue
 		}
 		taken++
@@ -336,7 +336,7 @@
 		}
 		for cell, n := range w.further {
 			span := (w.now - time.Hour).Seconds() + burstSeconds
-			if most := float64(w.firsts[cell])*rt.Budget + rt.BudgetFloor*span; float64(n) > most+1e-6 {
+			if most := float64(w.firsts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > most+1e-6 {
 				w.broken = append(w.broken, fmt.Sprintf("cell %d got %d further attempts, %.1f at most", cell, n, most))
 			}
 		}
@@ -353,44 +353,44 @@
 // naive runs a request by the letter of its route and nothing else, with every attempt ending in the worst way for it.
 // It tells which rule breaks. This is what the proof is there to refuse.
 func naive(r *Route, k *decide.Class, o decide.Outcome, slow bool) (broken []string) {
-	whole := r.Whole
+	whole := r.TotalTimeout
 	if whole == 0 {
-		whole = k.Deadline - margins.Answer
+		whole = k.Deadline - margins.Response
 	}
 	attempt := whole
-	if r.Attempt > 0 {
-		attempt = r.Attempt
+	if r.AttemptTimeout > 0 {
+		attempt = r.AttemptTimeout
 	}
-	now, wait := time.Duration(0), r.Wait
-	for n := 0; n < r.Attempts; n++ {
+	now, wait := time.Duration(0), r.InitialBackoff
+	for n := 0; n < r.MaxAttempts; n++ {
 		if n > 0 {
 			if k.Effect == decide.Unsafe && o != decide.NoConnection {
 				broken = append(broken, "effect twice")
 			}
-			if k.Effect == decide.Keyed && o != decide.NoConnection && now+attempt > k.DedupWindow-margins.Window && now < whole {
+			if k.Effect == decide.Keyed && o != decide.NoConnection && now+attempt > k.DedupWindow-margins.Dedup && now < whole {
 				broken = append(broken, "outside the window")
 			}
 		}
-		if r.Copy.Allowed && n == 0 && k.Effect == decide.Unsafe {
+		if r.Hedge.Enabled && n == 0 && k.Effect == decide.Unsafe {
 			broken = append(broken, "effect twice")
 		}
-		if r.Copy.Allowed && n == 0 && k.Effect == decide.Keyed && whole > k.DedupWindow-margins.Window {
+		if r.Hedge.Enabled && n == 0 && k.Effect == decide.Keyed && whole > k.DedupWindow-margins.Dedup {
 			broken = append(broken, "outside the window")
 		}
 		if slow {
 			now += attempt
 		}
-		if !r.Again.Has(o) {
+		if !r.RetryOn.Has(o) {
 			break
 		}
-		if n < r.Attempts-1 {
+		if n < r.MaxAttempts-1 {
 			now += time.Duration(float64(wait) * (1 + r.Jitter))
-			if wait = time.Duration(float64(wait) * max(1, r.WaitGrowth)); r.WaitMost > 0 {
-				wait = min(wait, r.WaitMost)
+			if wait = time.Duration(float64(wait) * max(1, r.BackoffFactor)); r.MaxBackoff > 0 {
+				wait = min(wait, r.MaxBackoff)
 			}
 		}
 	}
-	if max(now, whole) > k.Deadline-margins.Answer {
+	if max(now, whole) > k.Deadline-margins.Response {
 		broken = append(broken, "answered too late")
 	}
 	if now > whole {
--- a/internal/route/prove.go
+++ b/internal/route/prove.go
@@ -14,8 +14,8 @@
 
 // Margins are what a gateway keeps of the time that clients and nodes give it.
 type Margins struct {
-	Answer time.Duration // an answer leaves so long before its client stops waiting
-	Window time.Duration // a repeat comes so long before nodes forget its key
+	Response time.Duration // an answer leaves so long before its client stops waiting
+	Dedup    time.Duration // a repeat comes so long before nodes forget its key
 }
 
 // prover collects what is wrong with routes. Each finding names the rule, the figures and the smallest change.
@@ -25,12 +25,12 @@
 	diags   sloe.Diags
 }
 
-// Prove holds every route against every class that it can match, by the figures of a platform's settings. Without a
+// Validate holds every route against every class that it can match, by the figures of a platform's settings. Without a
 // finding no order of outcomes makes a request on these routes break a rule: the sums below are of the worst case.
-func Prove(routes []*Route, cfg *decide.Config, m Margins) sloe.Diags {
+func Validate(routes []*Route, cfg *decide.Config, m Margins) sloe.Diags {
 	p := &prover{cfg: cfg, margins: m}
-	if len(routes) > RoutesMost {
-		p.errorf(routes[RoutesMost].Pos, "more than %d routes", RoutesMost)
+	if len(routes) > MaxRoutes {
+		p.errorf(routes[MaxRoutes].Pos, "more than %d routes", MaxRoutes)
 		return p.diags
 	}
 	for _, r := range routes {
@@ -62,37 +62,37 @@
 			p.errorf(r.at("plans"), "route %s: the platform has no plan %q%s", r.Name, n, operator.Near(n, plans))
 		}
 	}
-	if most := p.cfg.Limits.MaxAttempts; r.Attempts > most {
-		p.errorf(r.at("attempts"), "route %s: %d attempts, and the platform allows %d; attempts at most %d", r.Name, r.Attempts, most, most)
+	if most := p.cfg.Limits.MaxAttempts; r.MaxAttempts > most {
+		p.errorf(r.at("attempts"), "route %s: %d attempts, and the platform allows %d; attempts at most %d", r.Name, r.MaxAttempts, most, most)
 	}
-	if l := p.cfg.Limits; r.Advice > 0 && !l.RetryAfter {
+	if l := p.cfg.Limits; r.RetryAfter > 0 && !l.RetryAfter {
 		p.errorf(r.at("advise"), "route %s: the platform's clients take no advice; leave advise out", r.Name)
-	} else if r.Advice > l.MaxRetryAfter {
-		p.errorf(r.at("advise"), "route %s: clients follow advice up to %v; advise at most that, not %v", r.Name, l.MaxRetryAfter, r.Advice)
+	} else if r.RetryAfter > l.MaxRetryAfter {
+		p.errorf(r.at("advise"), "route %s: clients follow advice up to %v; advise at most that, not %v", r.Name, l.MaxRetryAfter, r.RetryAfter)
 	}
-	if r.PatienceTo > 0 && r.PatienceFrom >= r.PatienceTo {
-		p.errorf(r.at("patience-to"), "route %s: no patience is from %v and below %v; patience-to more than %v", r.Name, r.PatienceFrom,
-			r.PatienceTo, r.PatienceFrom)
+	if r.MaxClientTimeout > 0 && r.MinClientTimeout >= r.MaxClientTimeout {
+		p.errorf(r.at("patience-to"), "route %s: no patience is from %v and below %v; patience-to more than %v", r.Name, r.MinClientTimeout,
+			r.MaxClientTimeout, r.MinClientTimeout)
 	}
 }
 
 // class proves a route for one class. A finding of which another follows is told alone.
 func (p *prover) class(r *Route, k *decide.Class) {
-	most := k.Deadline - p.margins.Answer
+	most := k.Deadline - p.margins.Response
 	if k.Deadline <= 0 {
 		most = math.MaxInt64
 	}
-	if k.Deadline > 0 && r.PatienceFrom > k.Deadline {
+	if k.Deadline > 0 && r.MinClientTimeout > k.Deadline {
 		p.errorf(r.at("patience-from"), "route %s, class %s: no client declares %v or more, as all give up after %v; patience-from at most that",
-			r.Name, k.Name, r.PatienceFrom, k.Deadline)
+			r.Name, k.Name, r.MinClientTimeout, k.Deadline)
 		return
 	}
-	if r.Whole > most {
+	if r.TotalTimeout > most {
 		p.errorf(r.at("whole"), "route %s, class %s: whole is %v, and clients wait %v, of which %v are for the way; whole at most %v",
-			r.Name, k.Name, r.Whole, k.Deadline, p.margins.Answer, most)
+			r.Name, k.Name, r.TotalTimeout, k.Deadline, p.margins.Response, most)
 		return
 	}
-	whole := r.Whole
+	whole := r.TotalTimeout
 	if whole == 0 {
 		whole = most
 	}
@@ -107,7 +107,7 @@
 const mayRunWords = "error, timed-out or reset"
 
 func (r *Route) repeatsWhatMayHaveRun() bool {
-	return r.Attempts > 1 && r.Again&^neverRan != 0
+	return r.MaxAttempts > 1 && r.RetryOn&^neverRan != 0
 }
 
 func (p *prover) effects(r *Route, k *decide.Class) bool {
@@ -119,7 +119,7 @@
 			r.Name, k.Name, mayRunWords)
 		return false
 	}
-	if r.Copy.Allowed {
+	if r.Hedge.Enabled {
 		p.errorf(r.at("copy"), "route %s, class %s: it must never run twice, so it takes no second copy; leave copy out", r.Name, k.Name)
 		return false
 	}
@@ -128,52 +128,52 @@
 
 // waits are the waits between attempts that one after the other take together, at their longest.
 func (r *Route) waits(attempts int) (sum time.Duration) {
-	w := float64(r.Wait)
+	w := float64(r.InitialBackoff)
 	for range attempts - 1 {
 		one := w
-		if r.WaitMost > 0 {
-			one = min(one, float64(r.WaitMost))
+		if r.MaxBackoff > 0 {
+			one = min(one, float64(r.MaxBackoff))
 		}
 		sum += time.Duration(math.Ceil(one * (1 + r.Jitter)))
-		w *= max(1, r.WaitGrowth)
+		w *= max(1, r.BackoffFactor)
 	}
 	return sum
 }
 
 // spans is the longest that so many attempts take with their waits.
 func (r *Route) spans(attempts int) time.Duration {
-	return time.Duration(attempts)*r.Attempt + r.waits(attempts)
+	return time.Duration(attempts)*r.AttemptTimeout + r.waits(attempts)
 }
 
 func (p *prover) times(r *Route, k *decide.Class, whole time.Duration) bool {
-	if r.Attempt > whole {
-		p.errorf(r.at("attempt"), "route %s, class %s: one attempt has %v and the whole %v; attempt at most %v", r.Name, k.Name, r.Attempt,
+	if r.AttemptTimeout > whole {
+		p.errorf(r.at("attempt"), "route %s, class %s: one attempt has %v and the whole %v; attempt at most %v", r.Name, k.Name, r.AttemptTimeout,
 			whole, whole)
 		return false
 	}
-	if r.Attempts < 2 {
+	if r.MaxAttempts < 2 {
 		return true
 	}
-	if r.Attempt == 0 && r.Again.Has(decide.TimedOut) {
+	if r.AttemptTimeout == 0 && r.RetryOn.Has(decide.TimedOut) {
 		p.errorf(r.at("attempts"), "route %s, class %s: %d attempts, again after timed-out, and no time for one: the first would take the whole; attempt at most %v",
-			r.Name, k.Name, r.Attempts, p.each(r, r.Attempts, whole))
+			r.Name, k.Name, r.MaxAttempts, p.each(r, r.MaxAttempts, whole))
 		return false
 	}
-	if need := r.spans(r.Attempts); need > whole {
-		fit := r.Attempts
+	if need := r.spans(r.MaxAttempts); need > whole {
+		fit := r.MaxAttempts
 		for fit > 1 && r.spans(fit) > whole {
 			fit--
 		}
 		mend := fmt.Sprintf("attempts at most %d", fit)
-		if each := p.each(r, r.Attempts, whole); each > 0 {
+		if each := p.each(r, r.MaxAttempts, whole); each > 0 {
 			mend += fmt.Sprintf(", or attempt at most %v", each)
 		}
 		each := ""
-		if r.Attempt > 0 {
-			each = fmt.Sprintf(" of %v", r.Attempt)
+		if r.AttemptTimeout > 0 {
+			each = fmt.Sprintf(" of %v", r.AttemptTimeout)
 		}
 		p.errorf(r.at("attempts"), "route %s, class %s: %d attempts%s with waits of %v come to %v, and the whole is %v; %s", r.Name, k.Name,
-			r.Attempts, each, r.waits(r.Attempts), need, whole, mend)
+			r.MaxAttempts, each, r.waits(r.MaxAttempts), need, whole, mend)
 		return false
 	}
 	return true
@@ -188,42 +188,42 @@
 }
 
 func (p *prover) copies(r *Route, k *decide.Class, whole time.Duration) {
-	c := r.Copy
-	if !c.Allowed {
+	c := r.Hedge
+	if !c.Enabled {
 		return
 	}
 	switch {
 	case !p.cfg.Limits.ParallelAttempts:
 		p.errorf(r.at("copy"), "route %s: the platform allows one attempt at a time, so no second copy; leave copy out", r.Name)
-	case r.Attempts < 2:
-		p.errorf(r.at("attempts"), "route %s: a second copy is an attempt, and attempts is %d; attempts at least 2", r.Name, r.Attempts)
-	case c.After == 0 && c.Quantile == 0:
+	case r.MaxAttempts < 2:
+		p.errorf(r.at("attempts"), "route %s: a second copy is an attempt, and attempts is %d; attempts at least 2", r.Name, r.MaxAttempts)
+	case c.Delay == 0 && c.Quantile == 0:
 		p.errorf(r.at("copy"), "route %s: copy says neither after nor quantile; after = 100ms, or quantile = 95%%", r.Name)
-	case r.Attempt > 0 && c.After >= r.Attempt:
+	case r.AttemptTimeout > 0 && c.Delay >= r.AttemptTimeout:
 		p.errorf(r.at("copy.after"), "route %s, class %s: a second copy after %v never goes out, as an attempt ends after %v; after below %v",
-			r.Name, k.Name, c.After, r.Attempt, r.Attempt)
-	case c.Least > whole:
+			r.Name, k.Name, c.Delay, r.AttemptTimeout, r.AttemptTimeout)
+	case c.MinTimeLeft > whole:
 		p.errorf(r.at("copy.least"), "route %s, class %s: a second copy needs %v to win, and the whole is %v; least at most %v", r.Name, k.Name,
-			c.Least, whole, max(0, whole-c.After))
-	case c.After+c.Least > whole:
+			c.MinTimeLeft, whole, max(0, whole-c.Delay))
+	case c.Delay+c.MinTimeLeft > whole:
 		p.errorf(r.at("copy.after"), "route %s, class %s: a second copy after %v has %v to win, and least is %v; after at most %v", r.Name, k.Name,
-			c.After, whole-c.After, c.Least, max(0, whole-c.Least))
+			c.Delay, whole-c.Delay, c.MinTimeLeft, max(0, whole-c.MinTimeLeft))
 	}
 }
 
 // window holds repeats of a keyed class to the time for which nodes drop them, from the first attempt's send through
 // the last one's latest moment.
 func (p *prover) window(r *Route, k *decide.Class, whole time.Duration) {
-	if k.Effect != decide.Keyed || !r.repeatsWhatMayHaveRun() && !r.Copy.Allowed {
+	if k.Effect != decide.Keyed || !r.repeatsWhatMayHaveRun() && !r.Hedge.Enabled {
 		return
 	}
 	span := whole
-	if r.Attempt > 0 {
-		span = min(whole, r.spans(r.Attempts))
+	if r.AttemptTimeout > 0 {
+		span = min(whole, r.spans(r.MaxAttempts))
 	}
-	if most := k.DedupWindow - p.margins.Window; span > most {
+	if most := k.DedupWindow - p.margins.Dedup; span > most {
 		p.errorf(r.at("whole"), "route %s, class %s: from the first attempt to the end of the last are %v, and nodes drop a repeat for %v, less %v; whole at most %v",
-			r.Name, k.Name, span, k.DedupWindow, p.margins.Window, max(0, most))
+			r.Name, k.Name, span, k.DedupWindow, p.margins.Dedup, max(0, most))
 	}
 }
 
@@ -276,7 +276,7 @@
 func (r *Route) meets(o *Route, cfg *decide.Config) bool {
 	classes, plans := namesOf(cfg)
 	return common(named(r.Classes, classes), named(o.Classes, classes)) && common(named(r.Plans, plans), named(o.Plans, plans)) &&
-		before(r.PatienceFrom, o.PatienceTo) && before(o.PatienceFrom, r.PatienceTo) && r.meetsCustomers(o)
+		before(r.MinClientTimeout, o.MaxClientTimeout) && before(o.MinClientTimeout, r.MaxClientTimeout) && r.meetsCustomers(o)
 }
 
 // before reports whether a start lies before an end, of which 0 is none.
@@ -286,14 +286,14 @@
 	if len(r.Customers) > 0 {
 		return slices.ContainsFunc(r.Customers, func(c uint64) bool { return slices.Contains(o.Customers, c) })
 	}
-	return strings.EqualFold(r.Prefix, o.Prefix) // the same rank: as long
+	return strings.EqualFold(r.CustomerPrefix, o.CustomerPrefix) // the same rank: as long
 }
 
 // covers reports whether every request that fits a route of lower rank fits this one too.
 func (o *Route) covers(r *Route, cfg *decide.Config) bool {
 	classes, plans := namesOf(cfg)
 	return subset(named(r.Classes, classes), named(o.Classes, classes)) && subset(named(r.Plans, plans), named(o.Plans, plans)) &&
-		o.PatienceFrom <= r.PatienceFrom && (o.PatienceTo == 0 || r.PatienceTo > 0 && r.PatienceTo <= o.PatienceTo) && o.coversCustomers(r)
+		o.MinClientTimeout <= r.MinClientTimeout && (o.MaxClientTimeout == 0 || r.MaxClientTimeout > 0 && r.MaxClientTimeout <= o.MaxClientTimeout) && o.coversCustomers(r)
 }
 
 func (o *Route) coversCustomers(r *Route) bool {
@@ -301,16 +301,16 @@
 		if len(o.Customers) > 0 {
 			return slices.Contains(o.Customers, c)
 		}
-		return strings.HasPrefix(fmt.Sprintf("%016x", c), strings.ToLower(o.Prefix))
+		return strings.HasPrefix(fmt.Sprintf("%016x", c), strings.ToLower(o.CustomerPrefix))
 	}
 	switch {
 	case len(r.Customers) > 0:
 		return !slices.ContainsFunc(r.Customers, func(c uint64) bool { return !fits(c) })
-	case len(r.Prefix) == customerDigits:
-		c, _ := number(r.Prefix)
+	case len(r.CustomerPrefix) == customerDigits:
+		c, _ := number(r.CustomerPrefix)
 		return fits(c)
 	case len(o.Customers) > 0:
 		return false
 	}
-	return strings.HasPrefix(strings.ToLower(r.Prefix), strings.ToLower(o.Prefix))
+	return strings.HasPrefix(strings.ToLower(r.CustomerPrefix), strings.ToLower(o.CustomerPrefix))
 }
--- a/internal/route/prove_test.go
+++ b/internal/route/prove_test.go
@@ -27,7 +27,7 @@
 		Limits: decide.Limits{MaxAttempts: 5, ParallelAttempts: true, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second}}
 }
 
-var margins = Margins{Answer: 10 * time.Millisecond, Window: 10 * time.Millisecond}
+var margins = Margins{Response: 10 * time.Millisecond, Dedup: 10 * time.Millisecond}
 
 func schema(t testing.TB) *operator.Schema {
 	t.Helper()
@@ -56,8 +56,8 @@
 	if c == nil {
 		return nil, cfg, diags
 	}
-	routes := From(c)
-	diags = append(diags, Prove(routes, cfg, margins)...)
+	routes := FromConfig(c)
+	diags = append(diags, Validate(routes, cfg, margins)...)
 	diags.Sort(c.Sources)
 	return routes, cfg, diags
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -21,32 +21,32 @@
 	Name string
 	Pos  sloe.Pos // of the block
 
-	Classes, Plans []string // none: all
-	Customers      []uint64 // none: all
-	Prefix         string   // of a customer's 16 hex digits; "": all
-	PatienceFrom   time.Duration
-	PatienceTo     time.Duration // declared patience within [from, to); 0: no upper end
+	Classes, Plans   []string // none: all
+	Customers        []uint64 // none: all
+	CustomerPrefix   string   // of a customer's 16 hex digits; "": all
+	MinClientTimeout time.Duration
+	MaxClientTimeout time.Duration // declared patience within [from, to); 0: no upper end
 
-	Attempt, Whole     time.Duration
-	Attempts           int
-	Again              decide.OutcomeSet
-	AgainWords         []string // Again, as the file spells it
-	Wait, WaitMost     time.Duration
-	WaitGrowth, Jitter float64
-	Copy               CopyRule
-	Budget             float64 // further attempts a first attempt ...
-	BudgetFloor        float64 // ... and so many a second besides, for each node group
-	Open               int     // requests open at once; 0: no bound
-	Advice             time.Duration
-	place              func(key string) sloe.Pos
+	AttemptTimeout, TotalTimeout time.Duration
+	MaxAttempts                  int
+	RetryOn                      decide.OutcomeSet
+	RetryOnNames                 []string // Again, as the file spells it
+	InitialBackoff, MaxBackoff   time.Duration
+	BackoffFactor, Jitter        float64
+	Hedge                        HedgePolicy
+	RetryRatio                   float64 // further attempts a first attempt ...
+	MinRetriesPerSecond          float64 // ... and so many a second besides, for each node group
+	MaxOpen                      int     // requests open at once; 0: no bound
+	RetryAfter                   time.Duration
+	place                        func(key string) sloe.Pos
 }
 
-// CopyRule tells when a second copy may go out.
-type CopyRule struct {
-	Allowed  bool
-	After    time.Duration // with a Quantile: until enough answers were seen
-	Quantile float64       // of the answer times of route and class; 0: After alone
-	Least    time.Duration // time that must be left to it
+// HedgePolicy tells when a second copy may go out.
+type HedgePolicy struct {
+	Enabled     bool
+	Delay       time.Duration // with a Quantile: until enough answers were seen
+	Quantile    float64       // of the answer times of route and class; 0: After alone
+	MinTimeLeft time.Duration // time that must be left to it
 }
 
 // at is where a key was set, or the route.
@@ -66,10 +66,10 @@
 	switch {
 	case len(r.Customers) > 0:
 		n = customerDigits + 1
-	case r.Prefix != "":
-		n = len(r.Prefix)
+	case r.CustomerPrefix != "":
+		n = len(r.CustomerPrefix)
 	}
-	n = n*8 + 4*b2i(len(r.Classes) > 0) + 2*b2i(len(r.Plans) > 0) + b2i(r.PatienceFrom > 0 || r.PatienceTo > 0)
+	n = n*8 + 4*b2i(len(r.Classes) > 0) + 2*b2i(len(r.Plans) > 0) + b2i(r.MinClientTimeout > 0 || r.MaxClientTimeout > 0)
 	return n
 }
 
@@ -84,7 +84,7 @@
 
 // hasPatience reports whether a declared patience is in the route's span.
 func (r *Route) hasPatience(d time.Duration) bool {
-	return d >= r.PatienceFrom && (r.PatienceTo == 0 || d < r.PatienceTo)
+	return d >= r.MinClientTimeout && (r.MaxClientTimeout == 0 || d < r.MaxClientTimeout)
 }
 
 // Table finds the route of a request. Make it with NewTable. It is not changed after that but for what its routes have
@@ -108,8 +108,8 @@
 	by    map[uint64]group
 }
 
-// RoutesMost is how many routes a table takes.
-const RoutesMost = 4096
+// MaxRoutes is how many routes a table takes.
+const MaxRoutes = 4096
 
 // NewTable makes a table for a platform's settings. The routes were checked by Prove.
 func NewTable(routes []*Route, cfg *decide.Config) *Table {
@@ -140,12 +140,12 @@
 			}
 			t.put(t.exact[c], no, r)
 		}
-	case r.Prefix != "":
-		v, err := strconv.ParseUint(r.Prefix, 16, 64)
+	case r.CustomerPrefix != "":
+		v, err := strconv.ParseUint(r.CustomerPrefix, 16, 64)
 		if err != nil {
 			panic(err) // its shape was checked when it was read
 		}
-		shift := uint(4 * (customerDigits - len(r.Prefix)))
+		shift := uint(4 * (customerDigits - len(r.CustomerPrefix)))
 		i := slices.IndexFunc(t.prefixes, func(p prefixes) bool { return p.shift == shift })
 		if i < 0 {
 			i = len(t.prefixes)
@@ -175,15 +175,15 @@
 	}
 }
 
-// Ask is what of a request its route goes by.
-type Ask struct {
-	Class, Plan string
-	Customer    string // 16 hex digits
-	Patience    time.Duration
+// Request is what of a request its route goes by.
+type Request struct {
+	Class, Plan   string
+	Customer      string // 16 hex digits
+	ClientTimeout time.Duration
 }
 
 // Match is the place of the request's route in the table, or -1 where none matches.
-func (t *Table) Match(a Ask) int {
+func (t *Table) Match(a Request) int {
 	class, ok := t.classes[a.Class]
 	plan, ok2 := t.plans[a.Plan]
 	if !ok || !ok2 {
@@ -192,18 +192,18 @@
 	cell := class*len(t.plans) + plan
 	if len(t.exact)+len(t.prefixes) > 0 {
 		if c, ok := number(a.Customer); ok {
-			if n := t.in(t.exact[c], cell, a.Patience); n >= 0 {
+			if n := t.in(t.exact[c], cell, a.ClientTimeout); n >= 0 {
 				return n
 			}
 			for i := range t.prefixes {
 				p := &t.prefixes[i]
-				if n := t.in(p.by[c>>p.shift], cell, a.Patience); n >= 0 {
+				if n := t.in(p.by[c>>p.shift], cell, a.ClientTimeout); n >= 0 {
 					return n
 				}
 			}
 		}
 	}
-	return t.in(t.all, cell, a.Patience)
+	return t.in(t.all, cell, a.ClientTimeout)
 }
 
 func (t *Table) in(g group, cell int, patience time.Duration) int {
@@ -243,7 +243,7 @@
 func (t *Table) Route(n int) *Route { return t.routes[n] }
 
 // Explain tells in words which route a request gets and why no other.
-func (t *Table) Explain(a Ask) string {
+func (t *Table) Explain(a Request) string {
 	var b strings.Builder
 	won := t.Match(a)
 	if won < 0 {
@@ -267,61 +267,61 @@
 }
 
 // whyNot is the first thing in which a request does not fit a route, or "".
-func (r *Route) whyNot(a Ask) string {
+func (r *Route) whyNot(a Request) string {
 	c, ok := number(a.Customer)
 	switch {
 	case len(r.Customers) > 0 && (!ok || !slices.Contains(r.Customers, c)):
 		return "customer " + a.Customer + " is not in its list"
-	case r.Prefix != "" && !strings.HasPrefix(strings.ToLower(a.Customer), strings.ToLower(r.Prefix)):
-		return "customer " + a.Customer + " does not begin with " + r.Prefix
+	case r.CustomerPrefix != "" && !strings.HasPrefix(strings.ToLower(a.Customer), strings.ToLower(r.CustomerPrefix)):
+		return "customer " + a.Customer + " does not begin with " + r.CustomerPrefix
 	case len(r.Classes) > 0 && !slices.Contains(r.Classes, a.Class):
 		return "class " + a.Class + " is not in its list"
 	case len(r.Plans) > 0 && !slices.Contains(r.Plans, a.Plan):
 		return "plan " + a.Plan + " is not in its list"
-	case !r.hasPatience(a.Patience):
-		return fmt.Sprintf("patience %v is not in its span", a.Patience)
+	case !r.hasPatience(a.ClientTimeout):
+		return fmt.Sprintf("patience %v is not in its span", a.ClientTimeout)
 	}
 	return ""
 }
 
 // explainBounds writes what holds for a request, with what its own patience narrows.
-func (t *Table) explainBounds(b *strings.Builder, r *Route, a Ask) {
+func (t *Table) explainBounds(b *strings.Builder, r *Route, a Request) {
 	clamp := func(name string, v time.Duration) {
 		switch {
 		case v == 0:
-			fmt.Fprintf(b, "  %s: to the end of the request's patience (%v)\n", name, a.Patience)
-		case a.Patience > 0 && a.Patience < v:
-			fmt.Fprintf(b, "  %s: %v, cut to the request's patience of %v\n", name, v, a.Patience)
+			fmt.Fprintf(b, "  %s: to the end of the request's patience (%v)\n", name, a.ClientTimeout)
+		case a.ClientTimeout > 0 && a.ClientTimeout < v:
+			fmt.Fprintf(b, "  %s: %v, cut to the request's patience of %v\n", name, v, a.ClientTimeout)
 		default:
 			fmt.Fprintf(b, "  %s: %v\n", name, v)
 		}
 	}
-	clamp("whole", r.Whole)
-	clamp("attempt", r.Attempt)
-	fmt.Fprintf(b, "  attempts: %d, again after %s\n", r.Attempts, strings.Join(r.AgainWords, ", "))
-	if r.Wait > 0 {
-		fmt.Fprintf(b, "  wait: %v, times %g each, %v at most, give or take %.0f%%\n", r.Wait, r.WaitGrowth, r.longestWait(), 100*r.Jitter)
+	clamp("whole", r.TotalTimeout)
+	clamp("attempt", r.AttemptTimeout)
+	fmt.Fprintf(b, "  attempts: %d, again after %s\n", r.MaxAttempts, strings.Join(r.RetryOnNames, ", "))
+	if r.InitialBackoff > 0 {
+		fmt.Fprintf(b, "  wait: %v, times %g each, %v at most, give or take %.0f%%\n", r.InitialBackoff, r.BackoffFactor, r.longestWait(), 100*r.Jitter)
 	}
 	switch {
-	case !r.Copy.Allowed:
+	case !r.Hedge.Enabled:
 		b.WriteString("  second copy: none\n")
-	case r.Copy.Quantile > 0:
+	case r.Hedge.Quantile > 0:
 		fmt.Fprintf(b, "  second copy: after the %.4g%% quantile of answer times (%v until %d answers were seen), with %v left\n",
-			100*r.Copy.Quantile, r.Copy.After, quantileLeast, r.Copy.Least)
+			100*r.Hedge.Quantile, r.Hedge.Delay, quantileLeast, r.Hedge.MinTimeLeft)
 	default:
-		fmt.Fprintf(b, "  second copy: after %v, with %v left\n", r.Copy.After, r.Copy.Least)
+		fmt.Fprintf(b, "  second copy: after %v, with %v left\n", r.Hedge.Delay, r.Hedge.MinTimeLeft)
 	}
-	fmt.Fprintf(b, "  budget: %.4g%% of first attempts, and %.4g a second, in each node group\n", 100*r.Budget, r.BudgetFloor)
+	fmt.Fprintf(b, "  budget: %.4g%% of first attempts, and %.4g a second, in each node group\n", 100*r.RetryRatio, r.MinRetriesPerSecond)
 }
 
 // longestWait is the longest wait before jitter.
 func (r *Route) longestWait() time.Duration {
-	if r.WaitMost > 0 {
-		return r.WaitMost
+	if r.MaxBackoff > 0 {
+		return r.MaxBackoff
 	}
-	w := r.Wait
-	for range max(0, r.Attempts-2) {
-		w = time.Duration(float64(w) * max(1, r.WaitGrowth))
+	w := r.InitialBackoff
+	for range max(0, r.MaxAttempts-2) {
+		w = time.Duration(float64(w) * max(1, r.BackoffFactor))
 	}
 	return w
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,7 +13,7 @@
 )
 
 // slow finds a request's route by trying all, the most specific first.
-func slow(t *Table, a Ask) int {
+func slow(t *Table, a Request) int {
 	for i, r := range t.routes {
 		if r.whyNot(a) == "" {
 			return i
@@ -43,11 +43,11 @@
 				t.Customers = append(t.Customers, r.Uint64N(64)<<56)
 			}
 		case 1:
-			t.Prefix = fmt.Sprintf("%016x", r.Uint64N(64)<<56)[:1+r.IntN(4)]
+			t.CustomerPrefix = fmt.Sprintf("%016x", r.Uint64N(64)<<56)[:1+r.IntN(4)]
 		}
 		if r.IntN(3) == 0 {
-			t.PatienceFrom = time.Duration(r.IntN(1000)) * time.Millisecond
-			t.PatienceTo = t.PatienceFrom + time.Duration(1+r.IntN(1000))*time.Millisecond
+			t.MinClientTimeout = time.Duration(r.IntN(1000)) * time.Millisecond
+			t.MaxClientTimeout = t.MinClientTimeout + time.Duration(1+r.IntN(1000))*time.Millisecond
 		}
 		all = append(all, t)
 	}
@@ -65,8 +65,8 @@
 	for range 50 {
 		table := NewTable(drawMatching(r, 60, cfg), cfg)
 		for range 200 {
-			a := Ask{Class: cfg.Classes[r.IntN(len(cfg.Classes))].Name, Plan: cfg.Plans[r.IntN(len(cfg.Plans))].Name,
-				Customer: fmt.Sprintf("%016x", r.Uint64N(64)<<56), Patience: time.Duration(r.IntN(2000)) * time.Millisecond}
+			a := Request{Class: cfg.Classes[r.IntN(len(cfg.Classes))].Name, Plan: cfg.Plans[r.IntN(len(cfg.Plans))].Name,
+				Customer: fmt.Sprintf("%016x", r.Uint64N(64)<<56), ClientTimeout: time.Duration(r.IntN(2000)) * time.Millisecond}
 			got, want := table.Match(a), slow(table, a)
 			if got != want {
 				t.Fatalf("%+v: got %d, want %d", a, got, want)
@@ -80,7 +80,7 @@
 		t.Errorf("only %d matches", hit)
 	}
 	table := NewTable([]*Route{{Name: "r", Classes: []string{"slot-book"}}}, cfg)
-	for _, a := range []Ask{{Class: "none", Plan: "plus"}, {Class: "slot-book", Plan: "none"}, {Class: "slot-lookup", Plan: "plus"}} {
+	for _, a := range []Request{{Class: "none", Plan: "plus"}, {Class: "slot-book", Plan: "none"}, {Class: "slot-lookup", Plan: "plus"}} {
 		if n := table.Match(a); n != -1 {
 			t.Errorf("%+v matches %d", a, n)
 		}
@@ -91,14 +91,14 @@
 func TestOrder(t *testing.T) {
 	cfg, r := platform(), seeds.Rand(1)
 	byRank := []*Route{
-		{Name: "customer", Customers: []uint64{0xab << 56}}, {Name: "prefix2", Prefix: "ab"}, {Name: "prefix1", Prefix: "a"},
+		{Name: "customer", Customers: []uint64{0xab << 56}}, {Name: "prefix2", CustomerPrefix: "ab"}, {Name: "prefix1", CustomerPrefix: "a"},
 		{Name: "class-plan", Classes: []string{"slot-book"}, Plans: []string{"plus"}}, {Name: "class", Classes: []string{"slot-book"}},
-		{Name: "plan", Plans: []string{"plus"}}, {Name: "patience", PatienceFrom: time.Second}, {Name: "all"}}
+		{Name: "plan", Plans: []string{"plus"}}, {Name: "patience", MinClientTimeout: time.Second}, {Name: "all"}}
 	for i := range byRank {
 		left := slices.Clone(byRank[i:])
 		r.Shuffle(len(left), func(a, b int) { left[a], left[b] = left[b], left[a] })
 		table := NewTable(left, cfg)
-		n := table.Match(Ask{Class: "slot-book", Plan: "plus", Customer: "ab00000000000000", Patience: 2 * time.Second})
+		n := table.Match(Request{Class: "slot-book", Plan: "plus", Customer: "ab00000000000000", ClientTimeout: 2 * time.Second})
 		if got := table.Route(n).Name; got != byRank[i].Name {
 			t.Errorf("got %s, want %s", got, byRank[i].Name)
 		}
@@ -107,15 +107,15 @@
 
 // A request's own patience cuts what a route gives, and Explain shows it.
 func TestExplainShowsTheClamp(t *testing.T) {
-	table := NewTable([]*Route{{Name: "book", Classes: []string{"slot-book"}, Whole: 5 * time.Second, Attempt: 2 * time.Second, Attempts: 2,
-		AgainWords: []string{"never-ran"}, Copy: CopyRule{Allowed: true, After: time.Second, Quantile: 0.95, Least: time.Millisecond}}}, platform())
-	got := table.Explain(Ask{Class: "slot-book", Plan: "plus", Patience: 1500 * time.Millisecond})
+	table := NewTable([]*Route{{Name: "book", Classes: []string{"slot-book"}, TotalTimeout: 5 * time.Second, AttemptTimeout: 2 * time.Second, MaxAttempts: 2,
+		RetryOnNames: []string{"never-ran"}, Hedge: HedgePolicy{Enabled: true, Delay: time.Second, Quantile: 0.95, MinTimeLeft: time.Millisecond}}}, platform())
+	got := table.Explain(Request{Class: "slot-book", Plan: "plus", ClientTimeout: 1500 * time.Millisecond})
 	for _, want := range []string{"whole: 5s, cut to the request's patience of 1.5s\n", "attempt: 2s, cut to", "after the 95% quantile of answer times (1s until 50 answers"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("no %q in\n%s", want, got)
 		}
 	}
-	if got := table.Explain(Ask{Class: "slot-lookup", Plan: "plus"}); !strings.Contains(got, "no route matches") || !strings.Contains(got, "class slot-lookup is not in its list") {
+	if got := table.Explain(Request{Class: "slot-lookup", Plan: "plus"}); !strings.Contains(got, "no route matches") || !strings.Contains(got, "class slot-lookup is not in its list") {
 		t.Errorf("got\n%s", got)
 	}
 }
@@ -123,22 +123,22 @@
 // The delay of second copies follows the answers; requests that are open keep theirs.
 func TestBoundsFollowTheQuantile(t *testing.T) {
 	cfg := platform()
-	table := NewTable([]*Route{{Name: "r", Attempts: 2, Copy: CopyRule{Allowed: true, Quantile: 0.9}}}, cfg)
-	first := table.Bounds(0, "slot-lookup", time.Second)
+	table := NewTable([]*Route{{Name: "r", MaxAttempts: 2, Hedge: HedgePolicy{Enabled: true, Quantile: 0.9}}}, cfg)
+	first := table.RetryPolicy(0, "slot-lookup", time.Second)
 	if first.Hedge {
 		t.Error("second copies before any answer was seen")
 	}
 	for range 100 {
-		table.Answered(0, "slot-lookup", 50*time.Millisecond, time.Second)
+		table.RecordLatency(0, "slot-lookup", 50*time.Millisecond, time.Second)
 	}
-	second := table.Bounds(0, "slot-lookup", time.Second)
+	second := table.RetryPolicy(0, "slot-lookup", time.Second)
 	if first.Hedge || !second.Hedge || second.HedgeDelay < 50*time.Millisecond || second.HedgeDelay > 53*time.Millisecond {
 		t.Errorf("first %+v, then %+v", first, second)
 	}
-	if other := table.Bounds(0, "slot-book", time.Second); other.Hedge {
+	if other := table.RetryPolicy(0, "slot-book", time.Second); other.Hedge {
 		t.Error("the other class has seen no answer")
 	}
-	if again := table.Bounds(0, "slot-lookup", time.Second); again != second {
+	if again := table.RetryPolicy(0, "slot-lookup", time.Second); again != second {
 		t.Error("bounds that did not change were made anew")
 	}
 }
@@ -147,7 +147,7 @@
 func TestBudgetHoldsAtTotalFailure(t *testing.T) {
 	for _, o := range []decide.Outcome{decide.Error, decide.Rejected, decide.Reset} {
 		cfg := platform()
-		rt := &Route{Name: "r", Attempts: 5, Again: outcomes["error"] | outcomes["never-ran"] | outcomes["reset"], Budget: 0.2}
+		rt := &Route{Name: "r", MaxAttempts: 5, RetryOn: outcomes["error"] | outcomes["never-ran"] | outcomes["reset"], RetryRatio: 0.2}
 		w := newWorld(t, cfg, []*Route{rt})
 		w.fate = func(*world, *asked, *sent) (decide.Outcome, time.Duration) { return o, time.Millisecond }
 		for range 2000 {
@@ -173,7 +173,7 @@
 // What nodes get when all fail, with a budget and without one worth the name.
 func TestLoadAtTotalFailure(t *testing.T) {
 	load := func(budget, floor float64) float64 {
-		w := newWorld(t, platform(), []*Route{{Name: "r", Attempts: 5, Again: outcomes["error"], Budget: budget, BudgetFloor: floor}})
+		w := newWorld(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomes["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
 		w.fate = func(*world, *asked, *sent) (decide.Outcome, time.Duration) { return decide.Error, time.Millisecond }
 		sends := 0
 		for range 2000 {
@@ -196,7 +196,7 @@
 // Second copies stop where servers are full, before anything else does.
 func TestCopiesStopWhenTheFleetIsFull(t *testing.T) {
 	cfg := platform()
-	rt := &Route{Name: "r", Attempts: 2, Budget: 10, BudgetFloor: 1000, Copy: CopyRule{Allowed: true, After: 50 * time.Millisecond}}
+	rt := &Route{Name: "r", MaxAttempts: 2, RetryRatio: 10, MinRetriesPerSecond: 1000, Hedge: HedgePolicy{Enabled: true, Delay: 50 * time.Millisecond}}
 	copies := func(every time.Duration) (n int) {
 		w := newWorld(t, cfg, []*Route{rt})
 		w.fate = func(w *world, a *asked, s *sent) (decide.Outcome, time.Duration) {
@@ -219,7 +219,7 @@
 
 // Budgets take constant memory, whatever cells servers name.
 func TestGroupsAreBounded(t *testing.T) {
-	s := newState(&Route{Budget: 1}, 1)
+	s := newState(&Route{RetryRatio: 1}, 1)
 	for cell := range 10 * groupsMost {
 		s.RecordFirstAttempt(time.Second, &decide.Server{Cell: cell})
 	}
@@ -232,13 +232,13 @@
 }
 
 func TestOpenIsBounded(t *testing.T) {
-	table := NewTable([]*Route{{Name: "r", Open: 2}}, platform())
+	table := NewTable([]*Route{{Name: "r", MaxOpen: 2}}, platform())
 	for n, want := range []bool{true, true, false} {
-		if table.Begin(0) != want {
+		if table.Acquire(0) != want {
 			t.Errorf("request %d: taken is not %v", n+1, want)
 		}
 	}
-	if table.End(0); !table.Begin(0) {
+	if table.Release(0); !table.Acquire(0) {
 		t.Error("a place that was given back is not taken")
 	}
 }
@@ -252,16 +252,16 @@
 		case 0:
 			r.Customers = []uint64{uint64(i)}
 		case 1:
-			r.Prefix = fmt.Sprintf("%016x", uint64(i)<<40)[:4+i%4]
+			r.CustomerPrefix = fmt.Sprintf("%016x", uint64(i)<<40)[:4+i%4]
 		default:
-			r.PatienceFrom = time.Duration(i) * time.Microsecond
-			r.PatienceTo = r.PatienceFrom + time.Microsecond
+			r.MinClientTimeout = time.Duration(i) * time.Microsecond
+			r.MaxClientTimeout = r.MinClientTimeout + time.Microsecond
 		}
 		routes = append(routes, r)
 	}
 	routes = append(routes, &Route{Name: "all"})
 	table := NewTable(routes, cfg)
-	asks := []Ask{{"slot-lookup", "plus", "00000000000003c0", 500 * time.Microsecond}, {"slot-book", "plus", "0003010000000000", 250 * time.Microsecond},
+	asks := []Request{{"slot-lookup", "plus", "00000000000003c0", 500 * time.Microsecond}, {"slot-book", "plus", "0003010000000000", 250 * time.Microsecond},
 		{"slot-lookup", "basic", "00000000b4d65521", 480 * time.Millisecond}}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -11,8 +11,8 @@
 type state struct {
 	route   *Route
 	open    int
-	budgets map[int]*tokens // by node group
-	times   []*Times        // by class; nil where no quantile is asked for
+	budgets map[int]*tokens    // by node group
+	times   []*LatencyQuantile // by class; nil where no quantile is asked for
 	bounds  []*decide.RetryPolicy
 }
 
@@ -25,9 +25,9 @@
 func newState(r *Route, classes int) *state {
 	s := &state{route: r, budgets: map[int]*tokens{}}
 	for range classes {
-		var t *Times
-		if r.Copy.Allowed && r.Copy.Quantile > 0 {
-			t = NewTimes(r.Copy.Quantile)
+		var t *LatencyQuantile
+		if r.Hedge.Enabled && r.Hedge.Quantile > 0 {
+			t = NewLatencyQuantile(r.Hedge.Quantile)
 		}
 		s.times = append(s.times, t)
 		s.bounds = append(s.bounds, s.make(0))
@@ -38,12 +38,12 @@
 // make is the route in the module's words, with a delay of second copies.
 func (s *state) make(after time.Duration) *decide.RetryPolicy {
 	r := s.route
-	b := &decide.RetryPolicy{MaxAttempts: r.Attempts, AttemptTimeout: r.Attempt, TotalTimeout: r.Whole, RetryOn: r.Again, InitialBackoff: r.Wait, MaxBackoff: r.WaitMost,
-		BackoffFactor: r.WaitGrowth, Jitter: r.Jitter, HedgeMinTimeLeft: r.Copy.Least, RetryAfter: r.Advice, Budget: s}
-	if b.HedgeDelay = r.Copy.After; after > 0 {
+	b := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
+		BackoffFactor: r.BackoffFactor, Jitter: r.Jitter, HedgeMinTimeLeft: r.Hedge.MinTimeLeft, RetryAfter: r.RetryAfter, Budget: s}
+	if b.HedgeDelay = r.Hedge.Delay; after > 0 {
 		b.HedgeDelay = after
 	}
-	b.Hedge = r.Copy.Allowed && b.HedgeDelay > 0
+	b.Hedge = r.Hedge.Enabled && b.HedgeDelay > 0
 	return b
 }
 
@@ -89,9 +89,9 @@
 // RecordFirstAttempt counts a first attempt at a server's group.
 func (s *state) RecordFirstAttempt(now time.Duration, to *decide.Server) {
 	k := s.group(to.Cell)
-	k.fill(now, s.route.BudgetFloor)
-	if most := max(keptMost, s.route.BudgetFloor*burstSeconds); k.v < most {
-		k.v = min(most, k.v+s.route.Budget)
+	k.fill(now, s.route.MinRetriesPerSecond)
+	if most := max(keptMost, s.route.MinRetriesPerSecond*burstSeconds); k.v < most {
+		k.v = min(most, k.v+s.route.RetryRatio)
 	}
 }
 
@@ -99,7 +99,7 @@
 // seconds a group gets at most F x Budget + (t + burstSeconds) x BudgetFloor further ones.
 func (s *state) TakeRetry(now time.Duration, to *decide.Server) bool {
 	k := s.group(to.Cell)
-	k.fill(now, s.route.BudgetFloor)
+	k.fill(now, s.route.MinRetriesPerSecond)
 	if k.v < 1 {
 		return false
 	}
@@ -107,22 +107,22 @@
 	return true
 }
 
-// Begin takes a request into its route, or reports that the route has no room for it. Every request that it takes
+// Acquire takes a request into its route, or reports that the route has no room for it. Every request that it takes
 // must be given back by End.
-func (t *Table) Begin(n int) bool {
+func (t *Table) Acquire(n int) bool {
 	s := t.state[n]
-	if s.route.Open > 0 && s.open >= s.route.Open {
+	if s.route.MaxOpen > 0 && s.open >= s.route.MaxOpen {
 		return false
 	}
 	s.open++
 	return true
 }
 
-// End gives a request back.
-func (t *Table) End(n int) { t.state[n].open-- }
+// Release gives a request back.
+func (t *Table) Release(n int) { t.state[n].open-- }
 
-// Bounds is what holds for a request of a class on a route now. It is shared and must not be changed.
-func (t *Table) Bounds(n int, class string, now time.Duration) *decide.RetryPolicy {
+// RetryPolicy is what holds for a request of a class on a route now. It is shared and must not be changed.
+func (t *Table) RetryPolicy(n int, class string, now time.Duration) *decide.RetryPolicy {
 	s, i := t.state[n], t.classes[class]
 	times := s.times[i]
 	if times == nil {
@@ -136,8 +136,8 @@
 	return s.bounds[i]
 }
 
-// Answered notes how long an answer took.
-func (t *Table) Answered(n int, class string, took, now time.Duration) {
+// RecordLatency notes how long an answer took.
+func (t *Table) RecordLatency(n int, class string, took, now time.Duration) {
 	if times := t.state[n].times[t.classes[class]]; times != nil {
 		times.Add(took, now)
 	}
--- a/internal/route/times.go
+++ b/internal/route/times.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Times keep one quantile of answer times in constant memory: counts in buckets whose bounds grow by a twentieth, as in
+// LatencyQuantile keep one quantile of answer times in constant memory: counts in buckets whose bounds grow by a twentieth, as in
 // a DDSketch (Masson, Rim and Lee, VLDB 2019), halved with age.
 //
 // An answer weighs 1 and half as much after each halveAfter; one halved more than weightBits times weighs nothing. The
@@ -16,7 +16,7 @@
 // second copies after the bulk of answers that are on time, and the budget would be spent when a slow one comes.
 //
 // All arithmetic on weights is on whole numbers, so a rank is exact however many answers there were.
-type Times struct {
+type LatencyQuantile struct {
 	perBillion uint64 // the quantile
 	weights    [buckets]uint64
 	sum        uint64
@@ -84,11 +84,13 @@
 	return i
 }
 
-// NewTimes keeps a quantile, from 0 to less than 1, to nine digits.
-func NewTimes(q float64) *Times { return &Times{perBillion: uint64(math.Round(q * billion))} }
+// NewLatencyQuantile keeps a quantile, from 0 to less than 1, to nine digits.
+func NewLatencyQuantile(q float64) *LatencyQuantile {
+	return &LatencyQuantile{perBillion: uint64(math.Round(q * billion))}
+}
 
 // Add counts an answer.
-func (t *Times) Add(took, now time.Duration) {
+func (t *LatencyQuantile) Add(took, now time.Duration) {
 	t.age(now)
 	i := bucketOf(took)
 	t.weights[i] += one
@@ -99,7 +101,7 @@
 }
 
 // age halves all weights for each halveAfter that has passed.
-func (t *Times) age(now time.Duration) {
+func (t *LatencyQuantile) age(now time.Duration) {
 	if t.aged == 0 {
 		t.aged = now
 	}
@@ -117,7 +119,7 @@
 
 // Quantile is the quantile of the answers so far, or 0 while they weigh less than quantileLeast. An answer after the
 // last look moves it by few buckets, so that a look costs little.
-func (t *Times) Quantile(now time.Duration) time.Duration {
+func (t *LatencyQuantile) Quantile(now time.Duration) time.Duration {
 	t.age(now)
 	if t.sum < quantileLeast*one {
 		return 0
--- a/internal/route/times_test.go
+++ b/internal/route/times_test.go
@@ -43,7 +43,7 @@
 	}
 	sorted := slices.Sorted(slices.Values(all))
 	for _, q := range []float64{0.5, 0.9, 0.95, 0.99, 0.999} {
-		times := NewTimes(q)
+		times := NewLatencyQuantile(q)
 		for _, d := range all {
 			times.Add(d, time.Second)
 		}
@@ -63,9 +63,9 @@
 // Every count from 50 to 2,000, every quantile that the schema allows in tenths of a percent, told after each answer.
 func TestTimesAtEveryCount(t *testing.T) {
 	qs, answers := perMille(), spaced(2000)
-	var times []*Times
+	var times []*LatencyQuantile
 	for _, q := range qs {
-		times = append(times, NewTimes(float64(q)/1000))
+		times = append(times, NewLatencyQuantile(float64(q)/1000))
 	}
 	var sorted []time.Duration
 	for i, d := range answers {
@@ -113,7 +113,7 @@
 
 // The same after halving, once to thrice, and with new answers among the halved.
 func TestTimesAtEveryCountAfterHalving(t *testing.T) {
-	answers, before := spaced(2100), NewTimes(0.75)
+	answers, before := spaced(2100), NewLatencyQuantile(0.75)
 	for n := 1; n <= 2000; n++ {
 		before.Add(answers[n-1], time.Second)
 		before.Quantile(time.Second) // so that a place is kept over the halving
@@ -166,7 +166,7 @@
 
 // What is old counts for less, then for nothing; a clock that stands or leaps harms nothing; no memory is taken.
 func TestTimesAge(t *testing.T) {
-	times := NewTimes(0.5)
+	times := NewLatencyQuantile(0.5)
 	if times.Quantile(0) != 0 {
 		t.Error("a quantile of nothing")
 	}
@@ -197,7 +197,7 @@
 	}
 	for _, q := range []float64{0.5, 0.95, 0.999} {
 		b.Run(fmt.Sprint(q), func(b *testing.B) {
-			times := NewTimes(q)
+			times := NewLatencyQuantile(q)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				times.Add(answers[i%len(answers)], time.Second)
@@ -209,10 +209,10 @@
 
 // BenchmarkAnswered is the same through a route's table.
 func BenchmarkAnswered(b *testing.B) {
-	table := NewTable([]*Route{{Name: "r", Copy: CopyRule{Allowed: true, Quantile: 0.95}}}, platform())
+	table := NewTable([]*Route{{Name: "r", Hedge: HedgePolicy{Enabled: true, Quantile: 0.95}}}, platform())
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		table.Answered(0, "slot-lookup", time.Duration(20+i%64)*time.Millisecond, time.Second)
-		table.Bounds(0, "slot-lookup", time.Second)
+		table.RecordLatency(0, "slot-lookup", time.Duration(20+i%64)*time.Millisecond, time.Second)
+		table.RetryPolicy(0, "slot-lookup", time.Second)
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// CheckServing reports the first setting that a gateway on sockets can't serve by. The simulator makes connections itself and
+// ValidateServing reports the first setting that a gateway on sockets can't serve by. The simulator makes connections itself and
 // may leave these out.
-func (s *Settings) CheckServing() error {
+func (s *Settings) ValidateServing() error {
 	d := &s.Decide
 	if len(d.Classes) == 0 {
 		return errors.New("no classes: Classes is empty, want one or more")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -51,13 +51,13 @@
 
 // Settings is what a host of the decision module needs to know.
 type Settings struct {
-	Decide   decide.Config
-	ConnIdle time.Duration // a server closes a connection that has stood idle for so long
-	OpenCap  int           // requests open at once; 0: no limit
+	Decide            decide.Config
+	ServerIdleTimeout time.Duration // a server closes a connection that has stood idle for so long
+	MaxOpen           int           // requests open at once; 0: no limit
 }
 
-// FieldOf names the field at which decoding stopped.
-func FieldOf(err error) error {
+// DescribeDecodeError names the field at which decoding stopped.
+func DescribeDecodeError(err error) error {
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
 		return fmt.Errorf("field %q: can't take a %s", t.Field, t.Value)
@@ -69,13 +69,13 @@
 func Parse(raw json.RawMessage) (Settings, error) {
 	var s wire
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Settings{}, FieldOf(err)
+		return Settings{}, DescribeDecodeError(err)
 	}
 	if err := s.check(); err != nil {
 		return Settings{}, err
 	}
 	c, err := s.config()
-	return Settings{Decide: c, ConnIdle: time.Duration(s.Limits.ConnIdleNs), OpenCap: s.Limits.OpenCap}, err
+	return Settings{Decide: c, ServerIdleTimeout: time.Duration(s.Limits.ConnIdleNs), MaxOpen: s.Limits.OpenCap}, err
 }
 
 func (s *wire) config() (decide.Config, error) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,8 @@
 // TestSettingsThatCantBeServed: each is refused with the field's own name and its value.
 func TestSettingsThatCantBeServed(t *testing.T) {
 	good := string(testbed.MinimalSettings(time.Second))
-	if s, err := Parse([]byte(good)); err != nil || s.CheckServing() != nil {
-		t.Fatalf("the settings as they are: %v, %v", err, s.CheckServing())
+	if s, err := Parse([]byte(good)); err != nil || s.ValidateServing() != nil {
+		t.Fatalf("the settings as they are: %v, %v", err, s.ValidateServing())
 	}
 	for edit, want := range map[string]string{
 		`"AimNs":1000000000|"AimNs":-5`:                      "Classes[0].AimNs is -5",
@@ -38,7 +38,7 @@
 		}
 		s, err := Parse([]byte(strings.Replace(good, from, to, 1)))
 		if err == nil {
-			err = s.CheckServing()
+			err = s.ValidateServing()
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want %q", to, err, want)
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -116,7 +116,7 @@
 			}
 			set, err := Parse(raw)
 			if err == nil {
-				err = set.CheckServing()
+				err = set.ValidateServing()
 			}
 			if err != nil {
 				t.Fatal(err)
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -11,38 +11,38 @@
 
 // Tuning is one set of values. It is never changed after it was made.
 type Tuning struct {
-	Clients Clients
-	Nodes   Nodes
-	Stop    Stop
+	Clients  Clients
+	Nodes    Nodes
+	Shutdown Shutdown
 }
 
 // Clients are the values of clients' connections.
 type Clients struct {
-	FirstCommand time.Duration // to a connection's first command, and to the end of one that has begun
-	Idle         time.Duration // between commands, with nothing open
-	Write        time.Duration // a client that takes nothing for so long is given up
-	Fault        time.Duration // a connection that can't be read any more ends after this, whatever is open on it
-	Pipeline     int           // answers owed on one connection; further commands wait to be read
-	Unread       int           // bytes of answers that a client leaves unread, before it is given up
-	Descriptors  float64       // share of the descriptors
-	Held         float64       // share of the memory limit that open commands may take
-	AcceptAhead  int           // connections that may be taken before the loop has counted them
+	ReadTimeout          time.Duration // to a connection's first command, and to the end of one that has begun
+	IdleTimeout          time.Duration // between commands, with nothing open
+	WriteTimeout         time.Duration // a client that takes nothing for so long is given up
+	ProtocolErrorTimeout time.Duration // a connection that can't be read any more ends after this, whatever is open on it
+	MaxPipeline          int           // answers owed on one connection; further commands wait to be read
+	MaxUnreadBytes       int           // bytes of answers that a client leaves unread, before it is given up
+	DescriptorShare      float64       // share of the descriptors
+	MemoryShare          float64       // share of the memory limit that open commands may take
+	AcceptAhead          int           // connections that may be taken before the loop has counted them
 }
 
 // Nodes are the values of connections to nodes.
 type Nodes struct {
-	Connections int           // to one node, open or being made
-	Rest        time.Duration // a connection is used again only after it has stood for so long in step
-	IdlePart    int           // an idle connection is retired after one part in so many of the nodes' idle limit
-	Answer      time.Duration // an answer that has begun has so long to its end
-	Descriptors float64       // share of the descriptors
+	MaxConns            int           // to one node, open or being made
+	ReuseDelay          time.Duration // a connection is used again only after it has stood for so long in step
+	IdleDivisor         int           // an idle connection is retired after one part in so many of the nodes' idle limit
+	ResponseReadTimeout time.Duration // an answer that has begun has so long to its end
+	DescriptorShare     float64       // share of the descriptors
 }
 
-// Stop are the values of the gateway's end.
-type Stop struct {
-	Accept   time.Duration // new connections are taken for so long after SIGTERM
-	LastCall time.Duration // for a connection that came in as the listener closed
-	Longest  time.Duration // after that, what is still owed is failed; never less than clients wait
+// Shutdown are the values of the gateway's end.
+type Shutdown struct {
+	AcceptPeriod    time.Duration // new connections are taken for so long after SIGTERM
+	LateConnTimeout time.Duration // for a connection that came in as the listener closed
+	DrainTimeout    time.Duration // after that, what is still owed is failed; never less than clients wait
 }
 
 // Block declares the block gateway. The defaults are the values that hold without an operator file.
@@ -130,18 +130,18 @@
 	return out
 }
 
-// From reads a checked configuration.
-func From(c *operator.Config) Tuning {
+// FromConfig reads a checked configuration.
+func FromConfig(c *operator.Config) Tuning {
 	g := c.One("gateway")
 	clients, nodes, stop := g.One("clients"), g.One("nodes"), g.One("stop")
 	return Tuning{
-		Clients: Clients{FirstCommand: clients.Duration("first-command"), Idle: clients.Duration("idle"),
-			Write: clients.Duration("write"), Fault: clients.Duration("fault"), Pipeline: clients.Count("pipeline"),
-			Unread: int(clients.Size("unread")), Descriptors: clients.Share("descriptors"), Held: clients.Share("held"),
+		Clients: Clients{ReadTimeout: clients.Duration("first-command"), IdleTimeout: clients.Duration("idle"),
+			WriteTimeout: clients.Duration("write"), ProtocolErrorTimeout: clients.Duration("fault"), MaxPipeline: clients.Count("pipeline"),
+			MaxUnreadBytes: int(clients.Size("unread")), DescriptorShare: clients.Share("descriptors"), MemoryShare: clients.Share("held"),
 			AcceptAhead: clients.Count("accept-ahead")},
-		Nodes: Nodes{Connections: nodes.Count("connections"), Rest: nodes.Duration("rest"), IdlePart: nodes.Count("idle-part"),
-			Answer: nodes.Duration("answer"), Descriptors: nodes.Share("descriptors")},
-		Stop: Stop{Accept: stop.Duration("accept"), LastCall: stop.Duration("last-call"), Longest: stop.Duration("longest")},
+		Nodes: Nodes{MaxConns: nodes.Count("connections"), ReuseDelay: nodes.Duration("rest"), IdleDivisor: nodes.Count("idle-part"),
+			ResponseReadTimeout: nodes.Duration("answer"), DescriptorShare: nodes.Share("descriptors")},
+		Shutdown: Shutdown{AcceptPeriod: stop.Duration("accept"), LateConnTimeout: stop.Duration("last-call"), DrainTimeout: stop.Duration("longest")},
 	}
 }
 
@@ -151,5 +151,5 @@
 	if err != nil {
 		panic(err) // a slip in this file, which its test finds
 	}
-	return From(s.Defaults())
+	return FromConfig(s.Defaults())
 }
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -8,10 +8,10 @@
 // Without an operator file the gateway does what it did before there was one: these are the constants of then.
 func TestDefaultsAreWhatTheyWere(t *testing.T) {
 	want := Tuning{
-		Clients: Clients{FirstCommand: 2 * time.Second, Idle: 5 * time.Second, Write: 2 * time.Second, Fault: time.Second, Pipeline: 64,
-			Unread: 1 << 20, Descriptors: 0.5, Held: 0.25, AcceptAhead: 16},
-		Nodes: Nodes{Connections: 64, Rest: 10 * time.Millisecond, IdlePart: 3, Answer: 250 * time.Millisecond, Descriptors: 0.5},
-		Stop:  Stop{Accept: 500 * time.Millisecond, LastCall: 200 * time.Millisecond, Longest: 10 * time.Second},
+		Clients: Clients{ReadTimeout: 2 * time.Second, IdleTimeout: 5 * time.Second, WriteTimeout: 2 * time.Second, ProtocolErrorTimeout: time.Second, MaxPipeline: 64,
+			MaxUnreadBytes: 1 << 20, DescriptorShare: 0.5, MemoryShare: 0.25, AcceptAhead: 16},
+		Nodes:    Nodes{MaxConns: 64, ReuseDelay: 10 * time.Millisecond, IdleDivisor: 3, ResponseReadTimeout: 250 * time.Millisecond, DescriptorShare: 0.5},
+		Shutdown: Shutdown{AcceptPeriod: 500 * time.Millisecond, LateConnTimeout: 200 * time.Millisecond, DrainTimeout: 10 * time.Second},
 	}
 	if got := Default(); got != want {
 		t.Errorf("got  %+v\nwant %+v", got, want)
