--- a/internal/world/commons_test.go
+++ b/internal/world/commons_test.go
@@ -24,9 +24,9 @@
 	const loss, slow, cut = 0.05, 40 * time.Millisecond, 4 * time.Second
 	k := NewKernel(seed, start)
 	net := NewNetwork(k, time.Millisecond, slow)
-	net.Loss, net.Dup = loss, 0.01
+	net.LossRate, net.DuplicateRate = loss, 0.01
 	conf := peerinfo.DefaultConfig()
-	c, err := NewCommons(k, net, conf, n)
+	c, err := NewPeerInfoFleet(k, net, conf, n)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,10 +34,10 @@
 	look := func(what string, took time.Duration, most time.Duration) {
 		t.Helper()
 		var ages []time.Duration
-		sent, bytes := c.Sent, c.Bytes
+		sent, bytes := c.MessagesSent, c.BytesSent
 		const looks = 20
 		for range looks {
-			k.Run(k.Now() + took/looks)
+			k.RunUntil(k.Now() + took/looks)
 			for i, m := range c.Members {
 				for j := 1; j <= min(n-1, 40); j++ {
 					of := c.Members[(i+j*max(1, n/40))%n]
@@ -59,13 +59,13 @@
 		rate := float64(n) * took.Seconds()
 		t.Logf("%d members, %s: news %v old in the middle, %v at the 99th of 100, %v at most, bound %v; %.1f messages and %.1f KB a member and second", n, what,
 			ages[len(ages)/2].Round(time.Millisecond), ages[len(ages)*99/100].Round(time.Millisecond), ages[len(ages)-1].Round(time.Millisecond), most.Round(time.Millisecond),
-			float64(c.Sent-sent)/rate, float64(c.Bytes-bytes)/rate/1000)
+			float64(c.MessagesSent-sent)/rate, float64(c.BytesSent-bytes)/rate/1000)
 	}
-	k.Run(k.Now() + bound)
+	k.RunUntil(k.Now() + bound)
 	look("in peace", cut, bound)
-	net.Cut = func(a, b int) bool { return (a < n/2) != (b < n/2) }
+	net.Partitioned = func(a, b int) bool { return (a < n/2) != (b < n/2) }
 	look("cut in two", cut, bound+cut)
-	net.Cut = nil
+	net.Partitioned = nil
 	look("after it", cut, bound+cut)
 	for _, m := range c.Members[:n/3] {
 		c.Kill(m)
@@ -73,6 +73,6 @@
 			t.Fatal(err)
 		}
 	}
-	k.Run(k.Now() + bound)
+	k.RunUntil(k.Now() + bound)
 	look("after the restart of a third", cut, bound)
 }
--- a/internal/world/fleet_test.go
+++ b/internal/world/fleet_test.go
@@ -42,15 +42,15 @@
 	conf := fleet.DefaultConfig()
 	conf.Slots, conf.ExpectedMembers = n, n
 	x := &trial{t: t, f: NewFleet(k, net, conf), using: map[int][]*Member{}, both: map[int]time.Duration{}}
-	x.f.Watch = x.watch
+	x.f.OnAssignment = x.watch
 	for range n {
-		x.f.Add()
+		x.f.AddMember()
 	}
 	return x
 }
 
 func (x *trial) watch(m *Member, s fleet.Assignment) {
-	now := x.f.K.Now()
+	now := x.f.Kernel.Now()
 	for p, by := range x.using {
 		if i := slices.Index(by, m); i >= 0 {
 			if x.using[p] = slices.Delete(by, i, i+1); len(by) == 2 {
@@ -68,9 +68,9 @@
 
 // joinAll starts all members within a second, by one seed.
 func (x *trial) joinAll() {
-	rnd := x.f.K.Stream("joins")
+	rnd := x.f.Kernel.RandomStream("joins")
 	for i, m := range x.f.Members {
-		x.f.K.After(time.Duration(rnd.Int64N(int64(time.Second))), func() {
+		x.f.Kernel.After(time.Duration(rnd.Int64N(int64(time.Second))), func() {
 			if i == 0 {
 				m.Start()
 			} else {
@@ -83,15 +83,15 @@
 // until runs until something holds, and tells how long that took.
 func (x *trial) until(what string, within time.Duration, holds func() bool) time.Duration {
 	x.t.Helper()
-	from := x.f.K.Now()
+	from := x.f.Kernel.Now()
 	for !holds() {
-		if x.f.K.Now()-from > within {
+		if x.f.Kernel.Now()-from > within {
 			x.report()
 			x.t.Fatalf("%s: not within %v", what, within)
 		}
-		x.f.K.Run(x.f.K.Now() + 50*time.Millisecond)
+		x.f.Kernel.RunUntil(x.f.Kernel.Now() + 50*time.Millisecond)
 	}
-	return x.f.K.Now() - from
+	return x.f.Kernel.Now() - from
 }
 
 func (x *trial) report() {
@@ -154,10 +154,10 @@
 	x.joinAll()
 	t.Logf("all placed and agreed %v after the first start", x.until("joining", 5*time.Minute, x.agreed))
 
-	x.f.K.Run(x.f.K.Now() + 30*time.Second)
-	before := x.f.Packets
-	x.f.K.Run(x.f.K.Now() + 20*time.Second)
-	t.Logf("%.1f packets a member and second at rest", float64(x.f.Packets-before)/20/float64(n))
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + 30*time.Second)
+	before := x.f.PacketsSent
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + 20*time.Second)
+	t.Logf("%.1f packets a member and second at rest", float64(x.f.PacketsSent-before)/20/float64(n))
 
 	victim := x.f.Members[n/2]
 	rest := slices.DeleteFunc(x.up(), func(m *Member) bool { return m == victim })
@@ -166,45 +166,45 @@
 		return slices.ContainsFunc(rest, func(m *Member) bool { return lost([]*Member{m}, victim.name) })
 	})
 	t.Logf("a death noticed after %v, known to all %v later", first, x.until("all to know", 30*time.Second, func() bool { return lost(rest, victim.name) }))
-	place := victim.Last.Slot
+	place := victim.LastClaim.Slot
 	victim.Start(0)
 	t.Logf("back in its place after %v", x.until("coming back", 30*time.Second, x.agreed))
-	if victim.Last.Slot != place {
-		t.Errorf("it held place %d and came back to %d", place, victim.Last.Slot)
+	if victim.LastClaim.Slot != place {
+		t.Errorf("it held place %d and came back to %d", place, victim.LastClaim.Slot)
 	}
 
 	half := map[*Member]int{}
 	for _, m := range x.f.Members[n/2:] {
-		half[m] = m.Last.Slot
+		half[m] = m.LastClaim.Slot
 		m.Kill()
 	}
 	for m := range half {
-		x.f.K.After(500*time.Millisecond, func() { m.Start(0, 1) })
+		x.f.Kernel.After(500*time.Millisecond, func() { m.Start(0, 1) })
 	}
 	t.Logf("half restarted at once, all in their places after %v", x.until("half restarting", time.Minute, func() bool { return len(x.up()) == n && x.agreed() }))
 	for m, place := range half {
-		if m.Last.Slot != place {
-			t.Errorf("%s held place %d and came back to %d", m.name, place, m.Last.Slot)
+		if m.LastClaim.Slot != place {
+			t.Errorf("%s held place %d and came back to %d", m.name, place, m.LastClaim.Slot)
 		}
 	}
 
-	x.f.K.Run(x.f.K.Now() + 10*time.Second) // until the engines too know all new processes
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + 10*time.Second) // until the engines too know all new processes
 	x.powerLoss()
-	x.f.K.Run(x.f.K.Now() + 10*time.Second)
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + 10*time.Second)
 	x.part(n / 2)
 	x.part(n - 1)
 
 	sleeper := x.f.Members[n/3]
-	sleeper.Stop()
-	x.f.K.Run(x.f.K.Now() + 10*time.Second)
+	sleeper.Pause()
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + 10*time.Second)
 	var woke []int
-	x.f.Watch = func(m *Member, s fleet.Assignment) {
+	x.f.OnAssignment = func(m *Member, s fleet.Assignment) {
 		if x.watch(m, s); m == sleeper {
 			woke = append(woke, s.Slot)
 		}
 	}
-	sleeper.Continue()
-	x.f.K.Run(x.f.K.Now() + tickEvery)
+	sleeper.Resume()
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + tickEvery)
 	if len(woke) == 0 || woke[0] >= 0 {
 		t.Errorf("it went on as if it had not stood still: %v", woke)
 	}
@@ -216,9 +216,9 @@
 	leaver.Start(0)
 	x.until("coming back from a goodbye", 30*time.Second, x.agreed)
 
-	x.f.Net.Loss, x.f.Net.Dup = 0.1, 0.05
-	x.f.K.Run(x.f.K.Now() + time.Minute)
-	x.f.Net.Loss, x.f.Net.Dup = 0, 0
+	x.f.Net.LossRate, x.f.Net.DuplicateRate = 0.1, 0.05
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + time.Minute)
+	x.f.Net.LossRate, x.f.Net.DuplicateRate = 0, 0
 	t.Logf("after a minute of 10%% loss and 5%% doubling all agree after %v", x.until("after loss", 30*time.Second, x.agreed))
 	if x.worst > 0 {
 		t.Errorf("a place was used by two for %v", x.worst)
@@ -232,20 +232,20 @@
 	n := len(x.f.Members)
 	held := map[*Member]int{}
 	for i, m := range x.f.Members {
-		held[m] = m.Last.Slot
+		held[m] = m.LastClaim.Slot
 		if m.Kill(); i%10 == 5 {
-			m.Last, held[m] = fleet.NoClaim, -1
+			m.LastClaim, held[m] = fleet.NoClaim, -1
 		}
 	}
-	packets, rnd := x.f.Packets, x.f.K.Stream("power")
+	packets, rnd := x.f.PacketsSent, x.f.Kernel.RandomStream("power")
 	for _, m := range x.f.Members {
-		x.f.K.After(time.Duration(rnd.Int64N(int64(time.Second))), func() { m.Start(0, 1) })
+		x.f.Kernel.After(time.Duration(rnd.Int64N(int64(time.Second))), func() { m.Start(0, 1) })
 	}
 	took := x.until("coming back from a loss of power", time.Minute, func() bool { return len(x.up()) == n && x.agreed() })
-	x.t.Logf("power lost everywhere: all agree after %v, by %.0f packets a member and second", took, float64(x.f.Packets-packets)/took.Seconds()/float64(n))
+	x.t.Logf("power lost everywhere: all agree after %v, by %.0f packets a member and second", took, float64(x.f.PacketsSent-packets)/took.Seconds()/float64(n))
 	for m, place := range held {
-		if place >= 0 && m.Last.Slot != place {
-			x.t.Errorf("%s held place %d and came back to %d", m.name, place, m.Last.Slot)
+		if place >= 0 && m.LastClaim.Slot != place {
+			x.t.Errorf("%s held place %d and came back to %d", m.name, place, m.LastClaim.Slot)
 		}
 	}
 }
@@ -262,7 +262,7 @@
 func (x *trial) part(at int) {
 	x.t.Helper()
 	n := len(x.f.Members)
-	x.f.Net.Cut = func(from, to int) bool { return (from < at) != (to < at) }
+	x.f.Net.Partitioned = func(from, to int) bool { return (from < at) != (to < at) }
 	small := x.f.Members[at:]
 	if 2*at == n {
 		small = x.f.Members
@@ -270,12 +270,12 @@
 	took := x.until("knowing of the cut", 5*time.Minute, func() bool {
 		return !slices.ContainsFunc(small, func(m *Member) bool { return !m.Table.Assignment().Isolated })
 	})
-	x.f.K.Run(x.f.K.Now() + 20*time.Second)
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + 20*time.Second)
 	for _, m := range x.f.Members {
 		if s := m.Table.Assignment(); s.Slot < 0 {
 			x.t.Errorf("%s gave its place up within its lease", m.name)
 		}
 	}
-	x.f.Net.Cut = nil
+	x.f.Net.Partitioned = nil
 	x.t.Logf("cut %d to %d: known after %v, healed after %v", at, n-at, took, x.until("healing", 2*time.Minute, x.agreed))
 }
--- a/internal/world/kernel.go
+++ b/internal/world/kernel.go
@@ -33,12 +33,12 @@
 // Now implements gateway.Clock.
 func (k *Kernel) Now() time.Duration { return k.now }
 
-// Events is how many have happened.
-func (k *Kernel) Events() uint64 { return k.ran }
+// EventCount is how many have happened.
+func (k *Kernel) EventCount() uint64 { return k.ran }
 
-// Stream is a source of random numbers for the component of that name. Each has its own: one that is added, or draws more, shifts
+// RandomStream is a source of random numbers for the component of that name. Each has its own: one that is added, or draws more, shifts
 // no other.
-func (k *Kernel) Stream(name string) *rand.Rand {
+func (k *Kernel) RandomStream(name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(k.seed, h.Sum64()))
@@ -71,8 +71,8 @@
 	}
 }
 
-// Run plays all that happens up to a time, which then it is.
-func (k *Kernel) Run(until time.Duration) {
+// RunUntil plays all that happens up to a time, which then it is.
+func (k *Kernel) RunUntil(until time.Duration) {
 	for len(k.queue) > 0 && k.queue[0].at <= until {
 		t := heap.Pop(&k.queue).(*Timer)
 		k.now = t.at
--- a/internal/world/members.go
+++ b/internal/world/members.go
@@ -31,47 +31,47 @@
 
 // Fleet is members of a fleet, each with the program's own table on a model of the engine.
 type Fleet struct {
-	K       *Kernel
+	Kernel  *Kernel
 	Net     *Network
-	Conf    fleet.Config // of all, but for Self
+	Config  fleet.Config // of all, but for Self
 	Members []*Member
-	// Watch is told how a member stands, whenever that changes, and that it is gone (Place below 0).
-	Watch func(m *Member, s fleet.Assignment)
-	// Notes is told what members log; nil: nothing.
-	Notes func(m *Member, text string)
+	// OnAssignment is told how a member stands, whenever that changes, and that it is gone (Place below 0).
+	OnAssignment func(m *Member, s fleet.Assignment)
+	// OnLog is told what members log; nil: nothing.
+	OnLog func(m *Member, text string)
 
-	Packets int // sent by all
-	lives   uint64
+	PacketsSent int // sent by all
+	lives       uint64
 }
 
 // NewFleet is a fleet without members.
 func NewFleet(k *Kernel, net *Network, conf fleet.Config) *Fleet {
-	return &Fleet{K: k, Net: net, Conf: conf, Watch: func(*Member, fleet.Assignment) {}}
+	return &Fleet{Kernel: k, Net: net, Config: conf, OnAssignment: func(*Member, fleet.Assignment) {}}
 }
 
 // Member is one member's process.
 type Member struct {
-	No      int
-	Table   *fleet.Table
-	Up      bool
-	Stopped bool // it stands still
-	Yielded bool
-
-	f       *Fleet
-	name    string
-	life    uint64
-	rnd     *rand.Rand
-	gen     int // counts its processes: what was set for a former one is void
-	inc     uint32
-	self    fleet.Member
-	view    []peerView
-	alive   int // of the view
-	news    []news
-	ring    []int
-	backlog []func() // what came while it stood still
-	heardAt time.Duration
-	seeds   []int
-	Last    fleet.Claim // on its disk
+	Index      int
+	Table      *fleet.Table
+	Up         bool
+	Paused     bool // it stands still
+	Superseded bool
+
+	f         *Fleet
+	name      string
+	life      uint64
+	rnd       *rand.Rand
+	gen       int // counts its processes: what was set for a former one is void
+	inc       uint32
+	self      fleet.Member
+	view      []peerView
+	alive     int // of the view
+	news      []news
+	ring      []int
+	backlog   []func() // what came while it stood still
+	heardAt   time.Duration
+	seeds     []int
+	LastClaim fleet.Claim // on its disk
 }
 
 // peerView is what a member's engine knows of another.
@@ -107,9 +107,9 @@
 	hasLeft
 )
 
-// Add makes a member that is not up.
-func (f *Fleet) Add() *Member {
-	m := &Member{No: len(f.Members), f: f, Last: fleet.NoClaim, name: fmt.Sprintf("n%04d", len(f.Members))}
+// AddMember makes a member that is not up.
+func (f *Fleet) AddMember() *Member {
+	m := &Member{Index: len(f.Members), f: f, LastClaim: fleet.NoClaim, name: fmt.Sprintf("n%04d", len(f.Members))}
 	f.Members = append(f.Members, m)
 	return m
 }
@@ -119,11 +119,11 @@
 	f := m.f
 	f.lives++
 	m.gen++
-	m.Up, m.Stopped, m.Yielded, m.life, m.inc = true, false, false, f.lives, 1
+	m.Up, m.Paused, m.Superseded, m.life, m.inc = true, false, false, f.lives, 1
 	m.view, m.alive, m.news, m.ring, m.backlog = make([]peerView, len(f.Members)), 0, nil, nil, nil
-	m.rnd = f.K.Stream(fmt.Sprintf("member %d life %d", m.No, m.gen))
-	cfg := f.Conf
-	cfg.LastClaim = m.Last
+	m.rnd = f.Kernel.RandomStream(fmt.Sprintf("member %d life %d", m.Index, m.gen))
+	cfg := f.Config
+	cfg.LastClaim = m.LastClaim
 	cfg.Self = fleet.Member{Name: m.name, Incarnation: m.life, Claim: fleet.NoClaim}
 	m.self, m.seeds = cfg.Self, seeds
 	t, err := fleet.New(cfg)
@@ -135,10 +135,10 @@
 	alive := func() bool { return m.Up && m.gen == gen }
 	late := func(d time.Duration) time.Duration { return time.Duration(m.rnd.Int64N(int64(d))) }
 	m.tell(fleet.Tick{})
-	f.K.Every(late(tickEvery), tickEvery, func() bool { return m.run(alive, func() { m.tell(fleet.Tick{}) }) })
-	f.K.Every(late(gossipEvery), gossipEvery, func() bool { return m.run(alive, m.gossip) })
-	f.K.Every(late(probeEvery), probeEvery, func() bool { return m.run(alive, m.probe) })
-	f.K.Every(late(m.syncPace()), m.syncPace(), func() bool {
+	f.Kernel.Every(late(tickEvery), tickEvery, func() bool { return m.run(alive, func() { m.tell(fleet.Tick{}) }) })
+	f.Kernel.Every(late(gossipEvery), gossipEvery, func() bool { return m.run(alive, m.gossip) })
+	f.Kernel.Every(late(probeEvery), probeEvery, func() bool { return m.run(alive, m.probe) })
+	f.Kernel.Every(late(m.syncPace()), m.syncPace(), func() bool {
 		return m.run(alive, func() {
 			if to, ok := m.pick(nil); ok {
 				m.exchange(to, func(bool) {})
@@ -149,7 +149,7 @@
 
 // run does something of a process, unless that has ended; while it stands still nothing is done, as its timers run out unseen.
 func (m *Member) run(alive func() bool, do func()) bool {
-	if alive() && !m.Stopped {
+	if alive() && !m.Paused {
 		do()
 	}
 	return alive()
@@ -167,25 +167,25 @@
 // Kill ends a member's process without a word.
 func (m *Member) Kill() {
 	m.Up = false
-	m.f.Watch(m, fleet.Assignment{Slot: -1})
+	m.f.OnAssignment(m, fleet.Assignment{Slot: -1})
 }
 
 // Leave ends it with a goodbye.
 func (m *Member) Leave() {
 	m.tell(fleet.Leave{})
-	m.spread(news{about: m.No, kind: hasLeft, life: m.life, inc: m.inc, from: m.No})
+	m.spread(news{about: m.Index, kind: hasLeft, life: m.life, inc: m.inc, from: m.Index})
 	for range 3 { // memberlist waits for its goodbye to be passed on
 		m.gossip()
 	}
 	m.Kill()
 }
 
-// Stop has the process stand still.
-func (m *Member) Stop() { m.Stopped = true }
+// Pause has the process stand still.
+func (m *Member) Pause() { m.Paused = true }
 
-// Continue has it go on, with all that has come meanwhile.
-func (m *Member) Continue() {
-	m.Stopped = false
+// Resume has it go on, with all that has come meanwhile.
+func (m *Member) Resume() {
+	m.Paused = false
 	backlog := m.backlog
 	m.backlog = nil
 	for _, do := range backlog {
@@ -195,25 +195,25 @@
 
 // tell hands an event to the table and does what it wants.
 func (m *Member) tell(e fleet.Event) {
-	for _, a := range m.Table.Handle(m.f.K.Now(), e) {
+	for _, a := range m.Table.Handle(m.f.Kernel.Now(), e) {
 		switch a := a.(type) {
 		case fleet.Announce:
 			m.self = a.Self
 			m.inc++
-			m.spread(news{about: m.No, kind: isAlive, life: m.life, inc: m.inc, from: m.No, member: a.Self})
+			m.spread(news{about: m.Index, kind: isAlive, life: m.life, inc: m.inc, from: m.Index, member: a.Self})
 		case fleet.Sync:
 			m.sync(a.SkipSeeds)
 		case fleet.AssignmentChange:
 			if a.Slot >= 0 {
-				m.Last = fleet.Claim{Slot: a.Slot, Term: a.Term}
+				m.LastClaim = fleet.Claim{Slot: a.Slot, Term: a.Term}
 			}
-			m.f.Watch(m, a.Assignment)
+			m.f.OnAssignment(m, a.Assignment)
 		case fleet.Superseded:
-			m.Yielded = true
+			m.Superseded = true
 			m.Kill()
 		case fleet.LogMessage:
-			if m.f.Notes != nil {
-				m.f.Notes(m, a.Text)
+			if m.f.OnLog != nil {
+				m.f.OnLog(m, a.Text)
 			}
 		}
 	}
@@ -235,10 +235,10 @@
 		}
 		to = append(to, p)
 	}
-	to = slices.DeleteFunc(to, func(i int) bool { return i == m.No })
+	to = slices.DeleteFunc(to, func(i int) bool { return i == m.Index })
 	left, ok, gen := len(to), false, m.gen
 	if left == 0 {
-		m.f.K.After(0, func() { m.process(gen, func() { m.tell(fleet.SyncDone{}) }) })
+		m.f.Kernel.After(0, func() { m.process(gen, func() { m.tell(fleet.SyncDone{}) }) })
 		return
 	}
 	for _, i := range to {
@@ -256,7 +256,7 @@
 func (m *Member) process(gen int, do func()) {
 	switch {
 	case !m.Up || m.gen != gen:
-	case m.Stopped:
+	case m.Paused:
 		m.backlog = append(m.backlog, do)
 	default:
 		do()
@@ -270,7 +270,7 @@
 }
 
 func (m *Member) state() state {
-	s := state{news: []news{{about: m.No, kind: isAlive, life: m.life, inc: m.inc, member: m.self}}, past: m.Table.SharedState()}
+	s := state{news: []news{{about: m.Index, kind: isAlive, life: m.life, inc: m.inc, member: m.self}}, past: m.Table.SharedState()}
 	for i := range m.view {
 		v := &m.view[i]
 		switch {
@@ -278,7 +278,7 @@
 		case v.state == fleet.Alive && !v.suspect:
 			s.news = append(s.news, news{about: i, kind: isAlive, life: v.member.Incarnation, inc: v.inc, member: v.member})
 		case v.state != fleet.Left: // memberlist merges the dead as suspects, so that they can answer
-			s.news = append(s.news, news{about: i, kind: isSuspect, life: v.member.Incarnation, inc: v.inc, from: m.No})
+			s.news = append(s.news, news{about: i, kind: isSuspect, life: v.member.Incarnation, inc: v.inc, from: m.Index})
 		}
 	}
 	return s
@@ -294,8 +294,8 @@
 // exchange swaps whole states with another.
 func (m *Member) exchange(to int, done func(ok bool)) {
 	gen, mine, other := m.gen, m.state(), m.f.Members[to]
-	m.f.Net.Call(m.No, to, syncWithin, func() func() {
-		if !other.Up || other.Stopped { // one that stands still accepts and does not answer
+	m.f.Net.Call(m.Index, to, syncWithin, func() func() {
+		if !other.Up || other.Paused { // one that stands still accepts and does not answer
 			return nil
 		}
 		theirs := other.state()
@@ -308,7 +308,7 @@
 func (m *Member) pick(but []int) (int, bool) {
 	for range 3 * len(m.view) {
 		i := m.rnd.IntN(len(m.view))
-		if v := &m.view[i]; i != m.No && v.known && v.state == fleet.Alive && !slices.Contains(but, i) {
+		if v := &m.view[i]; i != m.Index && v.known && v.state == fleet.Alive && !slices.Contains(but, i) {
 			return i, true
 		}
 	}
@@ -339,10 +339,10 @@
 		}
 	}
 	m.news = slices.Insert(m.news[:len(m.news)-n], 0, again...)
-	m.f.Packets++
+	m.f.PacketsSent++
 	other := m.f.Members[to]
 	gen := other.gen
-	m.f.Net.Packet(m.No, to, func() {
+	m.f.Net.SendPacket(m.Index, to, func() {
 		other.process(gen, func() {
 			other.hear()
 			for _, n := range with {
@@ -358,7 +358,7 @@
 
 // hear tells the table that another member was heard, now and then.
 func (m *Member) hear() {
-	if now := m.f.K.Now(); now-m.heardAt >= tickEvery/2 {
+	if now := m.f.Kernel.Now(); now-m.heardAt >= tickEvery/2 {
 		m.heardAt = now
 		m.tell(fleet.MemberContact{})
 	}
@@ -368,11 +368,11 @@
 	if len(m.news) == 0 {
 		return
 	}
-	now := m.f.K.Now()
+	now := m.f.Kernel.Now()
 	for n := 0; n < gossipTo; n++ {
 		for range 3 * len(m.view) {
 			i := m.rnd.IntN(len(m.view))
-			if v := &m.view[i]; i != m.No && v.known && (v.state == fleet.Alive || v.state == fleet.Lost && now-v.at < deadGossip) {
+			if v := &m.view[i]; i != m.Index && v.known && (v.state == fleet.Alive || v.state == fleet.Lost && now-v.at < deadGossip) {
 				m.packet(i, nil)
 				break
 			}
@@ -384,7 +384,7 @@
 func (m *Member) probe() {
 	if len(m.ring) == 0 {
 		for i := range m.view {
-			if i != m.No && m.view[i].known && m.view[i].state == fleet.Alive {
+			if i != m.Index && m.view[i].known && m.view[i].state == fleet.Alive {
 				m.ring = append(m.ring, i)
 			}
 		}
@@ -402,17 +402,17 @@
 	ack := func(*Member) { acked = true }
 	pinged := func(o, by *Member) {
 		if o.life == life { // a later process of its name does not answer for it
-			o.packet(by.No, func(by *Member) {
+			o.packet(by.Index, func(by *Member) {
 				if by == m {
 					acked = true
 				} else {
-					by.packet(m.No, ack)
+					by.packet(m.Index, ack)
 				}
 			})
 		}
 	}
 	m.packet(i, func(o *Member) { pinged(o, m) })
-	m.f.K.After(probeWithin, func() {
+	m.f.Kernel.After(probeWithin, func() {
 		m.process(gen, func() {
 			if acked {
 				return
@@ -424,10 +424,10 @@
 			}
 		})
 	})
-	m.f.K.After(probeEvery, func() {
+	m.f.Kernel.After(probeEvery, func() {
 		m.process(gen, func() {
 			if v := &m.view[i]; !acked && v.state == fleet.Alive {
-				m.learn(news{about: i, kind: isSuspect, life: v.member.Incarnation, inc: v.inc, from: m.No})
+				m.learn(news{about: i, kind: isSuspect, life: v.member.Incarnation, inc: v.inc, from: m.Index})
 			}
 		})
 	})
@@ -435,7 +435,7 @@
 
 // learn takes a piece of news, and passes on what is new.
 func (m *Member) learn(n news) {
-	if n.about == m.No {
+	if n.about == m.Index {
 		m.aboutSelf(n)
 		return
 	}
@@ -444,12 +444,12 @@
 		if v.known && (n.life < v.member.Incarnation || n.life == v.member.Incarnation && n.inc <= v.inc) {
 			return
 		}
-		m.f.K.Stop(v.timer)
+		m.f.Kernel.Stop(v.timer)
 		changed := !v.known || v.state != fleet.Alive || v.member != n.member
 		if !v.known || v.state != fleet.Alive {
 			m.alive++
 		}
-		*v = peerView{known: true, inc: n.inc, at: m.f.K.Now(), member: n.member}
+		*v = peerView{known: true, inc: n.inc, at: m.f.Kernel.Now(), member: n.member}
 		m.spread(n)
 		if changed {
 			m.tell(fleet.MemberAlive{Member: n.member})
@@ -464,14 +464,14 @@
 			m.confirm(n.about, n.from)
 			return
 		}
-		v.suspect, v.inc, v.began, v.agree = true, n.inc, m.f.K.Now(), []int{n.from}
+		v.suspect, v.inc, v.began, v.agree = true, n.inc, m.f.Kernel.Now(), []int{n.from}
 		m.suspect(n.about)
 		m.spread(n)
 		return
 	}
-	m.f.K.Stop(v.timer)
+	m.f.Kernel.Stop(v.timer)
 	m.alive--
-	v.state, v.suspect, v.inc, v.at = fleet.Lost, false, n.inc, m.f.K.Now()
+	v.state, v.suspect, v.inc, v.at = fleet.Lost, false, n.inc, m.f.Kernel.Now()
 	if n.kind == hasLeft {
 		v.state = fleet.Left
 	}
@@ -486,7 +486,7 @@
 		m.tell(fleet.MemberAlive{Member: n.member})
 	case n.kind != isAlive && n.life == m.life && n.inc >= m.inc:
 		m.inc = n.inc + 1
-		m.spread(news{about: m.No, kind: isAlive, life: m.life, inc: m.inc, from: m.No, member: m.self})
+		m.spread(news{about: m.Index, kind: isAlive, life: m.life, inc: m.inc, from: m.Index, member: m.self})
 	}
 }
 
@@ -497,12 +497,12 @@
 	most := suspicionMost * least
 	part := math.Log(float64(len(v.agree))) / math.Log(confirms+1)
 	at := v.began + max(least, most-time.Duration(part*float64(most-least)))
-	m.f.K.Stop(v.timer)
+	m.f.Kernel.Stop(v.timer)
 	gen, inc := m.gen, v.inc
-	v.timer = m.f.K.At(at, func() {
+	v.timer = m.f.Kernel.At(at, func() {
 		m.process(gen, func() {
 			if v := &m.view[i]; v.suspect && v.inc == inc {
-				m.learn(news{about: i, kind: isDead, life: v.member.Incarnation, inc: v.inc, from: m.No})
+				m.learn(news{about: i, kind: isDead, life: v.member.Incarnation, inc: v.inc, from: m.Index})
 			}
 		})
 	})
--- a/internal/world/network.go
+++ b/internal/world/network.go
@@ -7,32 +7,32 @@
 
 // Network carries messages between numbered places: late, and as the faults that are set have it.
 type Network struct {
-	k    *Kernel
-	rnd  *rand.Rand
-	Fast time.Duration // the least time that a message takes
-	Slow time.Duration // the most
-	Loss float64       // share of the messages that are lost
-	Dup  float64       // share of them that come twice
-	// Cut reports that nothing passes from one place to another; nil: all does.
-	Cut func(from, to int) bool
+	k             *Kernel
+	rnd           *rand.Rand
+	MinDelay      time.Duration // the least time that a message takes
+	MaxDelay      time.Duration // the most
+	LossRate      float64       // share of the messages that are lost
+	DuplicateRate float64       // share of them that come twice
+	// Partitioned reports that nothing passes from one place to another; nil: all does.
+	Partitioned func(from, to int) bool
 
 	Sent, Lost int
 }
 
 // NewNetwork makes one without faults.
 func NewNetwork(k *Kernel, fast, slow time.Duration) *Network {
-	return &Network{k: k, rnd: k.Stream("network"), Fast: fast, Slow: slow}
+	return &Network{k: k, rnd: k.RandomStream("network"), MinDelay: fast, MaxDelay: slow}
 }
 
-// Packet carries one message, once, twice or never.
-func (n *Network) Packet(from, to int, take func()) {
+// SendPacket carries one message, once, twice or never.
+func (n *Network) SendPacket(from, to int, take func()) {
 	n.Sent++
-	if n.cut(from, to) || n.rnd.Float64() < n.Loss {
+	if n.cut(from, to) || n.rnd.Float64() < n.LossRate {
 		n.Lost++
 		return
 	}
 	n.k.After(n.delay(), take)
-	if n.rnd.Float64() < n.Dup {
+	if n.rnd.Float64() < n.DuplicateRate {
 		n.k.After(n.delay(), take)
 	}
 }
@@ -56,8 +56,8 @@
 	})
 }
 
-func (n *Network) cut(from, to int) bool { return n.Cut != nil && n.Cut(from, to) }
+func (n *Network) cut(from, to int) bool { return n.Partitioned != nil && n.Partitioned(from, to) }
 
 func (n *Network) delay() time.Duration {
-	return n.Fast + time.Duration(n.rnd.Int64N(int64(n.Slow-n.Fast)+1))
+	return n.MinDelay + time.Duration(n.rnd.Int64N(int64(n.MaxDelay-n.MinDelay)+1))
 }
--- a/internal/world/owners.go
+++ b/internal/world/owners.go
@@ -9,27 +9,27 @@
 
 const ownersTick = 200 * time.Millisecond // as internal/gossip has it
 
-// Owners is members that do work on behalf of their fleet, each with the program's own table of owners. Who is alive is told to all a while
+// ElectionFleet is members that do work on behalf of their fleet, each with the program's own table of owners. Who is alive is told to all a while
 // after it changed, as the fleet's membership tells it.
-type Owners struct {
-	K       *Kernel
+type ElectionFleet struct {
+	Kernel  *Kernel
 	Net     *Network
-	Members []*OwnerMember
-	// Noticed is how long it takes until all know that a member is gone or back.
-	Noticed time.Duration
-	// Hold is for how long a place is kept for who is gone.
-	Hold time.Duration
-	// Changed is told who owns a duty from now on, and that it does no more.
-	Changed func(m *OwnerMember, duty string, owns bool)
+	Members []*ElectionMember
+	// DetectionDelay is how long it takes until all know that a member is gone or back.
+	DetectionDelay time.Duration
+	// ReservationPeriod is for how long a place is kept for who is gone.
+	ReservationPeriod time.Duration
+	// OnOwnerChange is told who owns a duty from now on, and that it does no more.
+	OnOwnerChange func(m *ElectionMember, duty string, owns bool)
 
-	Sent  int // messages
-	conf  election.Config
-	lives uint64
+	MessagesSent int // messages
+	conf         election.Config
+	lives        uint64
 }
 
-// OwnerMember is one member.
-type OwnerMember struct {
-	No    int
+// ElectionMember is one member.
+type ElectionMember struct {
+	Index int
 	Table *election.Table
 	Up    bool
 
@@ -38,11 +38,11 @@
 	voters election.Electorate // on its disk
 }
 
-// NewOwners makes members in the places of their numbers, all up.
-func NewOwners(k *Kernel, net *Network, conf election.Config, n int) (*Owners, error) {
-	o := &Owners{K: k, Net: net, Noticed: 8 * time.Second, Hold: 3 * time.Minute, Changed: func(*OwnerMember, string, bool) {}, conf: conf}
+// NewElectionFleet makes members in the places of their numbers, all up.
+func NewElectionFleet(k *Kernel, net *Network, conf election.Config, n int) (*ElectionFleet, error) {
+	o := &ElectionFleet{Kernel: k, Net: net, DetectionDelay: 8 * time.Second, ReservationPeriod: 3 * time.Minute, OnOwnerChange: func(*ElectionMember, string, bool) {}, conf: conf}
 	for i := range n {
-		o.Members = append(o.Members, &OwnerMember{No: i})
+		o.Members = append(o.Members, &ElectionMember{Index: i})
 	}
 	for _, m := range o.Members {
 		m.Up = true
@@ -58,11 +58,11 @@
 func ownerName(i int) string { return fmt.Sprintf("n%04d", i) }
 
 // Start starts a member's process, which remembers nothing.
-func (o *Owners) Start(m *OwnerMember) error {
+func (o *ElectionFleet) Start(m *ElectionMember) error {
 	o.lives++
 	conf := o.conf
-	conf.Self, conf.Incarnation = ownerName(m.No), o.lives
-	t, err := election.New(conf, o.K.Now(), nil, m.voters)
+	conf.Self, conf.Incarnation = ownerName(m.Index), o.lives
+	t, err := election.New(conf, o.Kernel.Now(), nil, m.voters)
 	if err != nil {
 		return err
 	}
@@ -70,24 +70,24 @@
 	m.gen++
 	gen := m.gen
 	o.tell(m, o.stand(m))
-	o.K.Every(ownersTick, ownersTick, func() bool {
+	o.Kernel.Every(ownersTick, ownersTick, func() bool {
 		if m.gen == gen && m.Up {
-			o.tell(m, election.Tick{WallMillis: uint64(o.K.Now() / time.Millisecond)})
+			o.tell(m, election.Tick{WallMillis: uint64(o.Kernel.Now() / time.Millisecond)})
 		}
 		return m.gen == gen && m.Up
 	})
-	o.K.After(o.Noticed, o.standAll)
+	o.Kernel.After(o.DetectionDelay, o.standAll)
 	return nil
 }
 
 // Kill ends a member's process.
-func (o *Owners) Kill(m *OwnerMember) {
-	m.Up, m.died = false, o.K.Now()
-	o.K.After(o.Noticed, o.standAll)
-	o.K.After(o.Hold+o.Noticed, o.standAll)
+func (o *ElectionFleet) Kill(m *ElectionMember) {
+	m.Up, m.died = false, o.Kernel.Now()
+	o.Kernel.After(o.DetectionDelay, o.standAll)
+	o.Kernel.After(o.ReservationPeriod+o.DetectionDelay, o.standAll)
 }
 
-func (o *Owners) standAll() {
+func (o *ElectionFleet) standAll() {
 	for _, m := range o.Members {
 		if m.Up {
 			o.tell(m, o.stand(m))
@@ -96,11 +96,11 @@
 }
 
 // stand is how a member stands now. Who is gone keeps its place until Hold is over.
-func (o *Owners) stand(m *OwnerMember) election.FleetUpdate {
-	s := election.FleetUpdate{Slot: m.No, ExpectedMembers: len(o.Members)}
+func (o *ElectionFleet) stand(m *ElectionMember) election.FleetUpdate {
+	s := election.FleetUpdate{Slot: m.Index, ExpectedMembers: len(o.Members)}
 	for _, x := range o.Members {
-		h := election.Holder{Name: ownerName(x.No), Alive: x.Up}
-		if !x.Up && o.K.Now()-x.died >= o.Hold {
+		h := election.Holder{Name: ownerName(x.Index), Alive: x.Up}
+		if !x.Up && o.Kernel.Now()-x.died >= o.ReservationPeriod {
 			h.Name = ""
 		}
 		s.Holders = append(s.Holders, h)
@@ -108,20 +108,20 @@
 	return s
 }
 
-func (o *Owners) tell(m *OwnerMember, e election.Event) {
-	for _, a := range m.Table.Handle(o.K.Now(), e) {
+func (o *ElectionFleet) tell(m *ElectionMember, e election.Event) {
+	for _, a := range m.Table.Handle(o.Kernel.Now(), e) {
 		switch a := a.(type) {
 		case election.Send:
-			o.Sent++
-			o.Net.Packet(m.No, a.To, func() {
+			o.MessagesSent++
+			o.Net.SendPacket(m.Index, a.To, func() {
 				if to := o.Members[a.To]; to.Up {
-					o.tell(to, election.Received{From: m.No, Message: a.Message})
+					o.tell(to, election.Received{From: m.Index, Message: a.Message})
 				}
 			})
 		case election.Acquired:
-			o.Changed(m, a.Duty, true)
+			o.OnOwnerChange(m, a.Duty, true)
 		case election.Lost:
-			o.Changed(m, a.Duty, false)
+			o.OnOwnerChange(m, a.Duty, false)
 		case election.ElectorateChange:
 			m.voters = a.Electorate
 		}
--- a/internal/world/owners_test.go
+++ b/internal/world/owners_test.go
@@ -24,17 +24,17 @@
 	const duties, deaths = 10, 50
 	k := NewKernel(seed, start)
 	net := NewNetwork(k, 200*time.Microsecond, 2*time.Millisecond)
-	net.Loss = 0.05
+	net.LossRate = 0.05
 	conf := election.DefaultConfig()
 	for d := range duties {
 		conf.Duties = append(conf.Duties, fmt.Sprint("duty", d))
 	}
-	o, err := NewOwners(k, net, conf, n)
+	o, err := NewElectionFleet(k, net, conf, n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	who, numbers := map[string]*OwnerMember{}, map[string]uint64{}
-	o.Changed = func(m *OwnerMember, duty string, owns bool) {
+	who, numbers := map[string]*ElectionMember{}, map[string]uint64{}
+	o.OnOwnerChange = func(m *ElectionMember, duty string, owns bool) {
 		if !owns {
 			if who[duty] == m {
 				delete(who, duty)
@@ -52,17 +52,17 @@
 		}
 		who[duty], numbers[duty] = m, number
 	}
-	k.Run(start + 30*time.Second)
+	k.RunUntil(start + 30*time.Second)
 	if len(who) != duties {
 		t.Fatalf("%d of %d duties are owned", len(who), duties)
 	}
-	sent := o.Sent
-	k.Run(k.Now() + time.Minute)
-	owners := map[*OwnerMember]bool{}
+	sent := o.MessagesSent
+	k.RunUntil(k.Now() + time.Minute)
+	owners := map[*ElectionMember]bool{}
 	for _, m := range who {
 		owners[m] = true
 	}
-	t.Logf("%d members, %d duties by %d owners: %.1f messages a second of the whole fleet at rest", n, duties, len(owners), float64(o.Sent-sent)/60)
+	t.Logf("%d members, %d duties by %d owners: %.1f messages a second of the whole fleet at rest", n, duties, len(owners), float64(o.MessagesSent-sent)/60)
 
 	var without []time.Duration
 	for i := range deaths {
@@ -74,13 +74,13 @@
 		died, number := k.Now(), numbers[duty]
 		o.Kill(victim)
 		for numbers[duty] == number && k.Now()-died < time.Minute {
-			k.Run(k.Now() + 50*time.Millisecond)
+			k.RunUntil(k.Now() + 50*time.Millisecond)
 		}
 		without = append(without, k.Now()-died)
 		if err := o.Start(victim); err != nil {
 			t.Fatal(err)
 		}
-		k.Run(k.Now() + 20*time.Second)
+		k.RunUntil(k.Now() + 20*time.Second)
 	}
 	renew(t, o, duties, numbers)
 	slices.Sort(without)
@@ -95,15 +95,15 @@
 
 // renew kills three voters one after the other, each when all knew that the one before was replaced, and then a majority of them at once:
 // the duties are owned on or again, after the places were given up at the latest.
-func renew(t *testing.T, o *Owners, duties int, numbers map[string]uint64) {
+func renew(t *testing.T, o *ElectionFleet, duties int, numbers map[string]uint64) {
 	t.Helper()
 	watcher := o.Members[len(o.Members)-1]
-	votes := func(m *OwnerMember) bool { return slices.Contains(watcher.Table.Electorate().Voters, m.No) }
+	votes := func(m *ElectionMember) bool { return slices.Contains(watcher.Table.Electorate().Voters, m.Index) }
 	owned := func() bool {
 		n := 0
 		for _, m := range o.Members {
 			for d := range duties {
-				if _, ok := m.Table.MayAct(o.K.Now(), fmt.Sprint("duty", d)); ok && m.Up {
+				if _, ok := m.Table.MayAct(o.Kernel.Now(), fmt.Sprint("duty", d)); ok && m.Up {
 					n++
 				}
 			}
@@ -112,11 +112,11 @@
 	}
 	wait := func(what string, most time.Duration, done func() bool) time.Duration {
 		t.Helper()
-		for from := o.K.Now(); ; o.K.Run(o.K.Now() + 50*time.Millisecond) {
+		for from := o.Kernel.Now(); ; o.Kernel.RunUntil(o.Kernel.Now() + 50*time.Millisecond) {
 			if done() {
-				return o.K.Now() - from
+				return o.Kernel.Now() - from
 			}
-			if o.K.Now()-from > most {
+			if o.Kernel.Now()-from > most {
 				t.Fatalf("not within %v: %s", most, what)
 			}
 		}
@@ -124,11 +124,11 @@
 	var took []time.Duration
 	for range 3 {
 		victim := o.Members[watcher.Table.Electorate().Voters[1]]
-		sent := o.Sent
+		sent := o.MessagesSent
 		o.Kill(victim)
 		took = append(took, wait("a voter is replaced", 2*time.Minute, func() bool { return !votes(victim) }))
-		t.Logf("a voter died and was replaced %v later; %d messages of all members meanwhile", took[len(took)-1], o.Sent-sent)
-		o.K.Run(o.K.Now() + 10*time.Second) // the new one abstains
+		t.Logf("a voter died and was replaced %v later; %d messages of all members meanwhile", took[len(took)-1], o.MessagesSent-sent)
+		o.Kernel.RunUntil(o.Kernel.Now() + 10*time.Second) // the new one abstains
 	}
 	wait("all is owned", time.Minute, owned)
 	dead := o.Members[:0:0]
@@ -136,7 +136,7 @@
 		dead = append(dead, o.Members[p])
 		o.Kill(o.Members[p])
 	}
-	took = append(took, wait("others vote and all is owned", o.Hold+2*time.Minute, func() bool {
+	took = append(took, wait("others vote and all is owned", o.ReservationPeriod+2*time.Minute, func() bool {
 		return owned() && !slices.ContainsFunc(dead, votes)
 	}))
 	t.Logf("three of five voters died at once: all is owned again %v later", took[len(took)-1])
--- a/internal/world/quotas.go
+++ b/internal/world/quotas.go
@@ -17,33 +17,33 @@
 	keptMost    = 1 << 16 // customers at once
 )
 
-// Responder is a customer that asks for so many units a second, in requests of so many, at gateways of its set drawn anew for each.
-type Responder struct {
-	ID, Plan      string
-	Rate, Units   float64
-	First, Spread int
+// Customer is a customer that asks for so many units a second, in requests of so many, at gateways of its set drawn anew for each.
+type Customer struct {
+	ID, Plan                   string
+	Rate, UnitsPerRequest      float64
+	FirstGateway, GatewayCount int
 }
 
-// Shared is what all gateways together let in of a customer, held to the bucket that one gateway would keep which saw all.
-type Shared struct {
-	Asked, Sent float64 // units
-	Over        float64 // of those sent: beyond the quota as it stood
-	WithRoom    float64 // of those refused: half of the burst or more was unused
+// CustomerTotals is what all gateways together let in of a customer, held to the bucket that one gateway would keep which saw all.
+type CustomerTotals struct {
+	Requested, Admitted float64 // units
+	AdmittedOverQuota   float64 // of those sent: beyond the quota as it stood
+	RefusedWithRoom     float64 // of those refused: half of the burst or more was unused
 
 	level float64 // unused
 	at    time.Duration
 }
 
-// Quotas is many gateways' decision modules, the messages between them, and customers. Servers answer at once and lose nothing.
-type Quotas struct {
-	K   *Kernel
-	Net *Network
-	By  map[string]*Shared // by customer
+// QuotaFleet is many gateways' decision modules, the messages between them, and customers. Servers answer at once and lose nothing.
+type QuotaFleet struct {
+	Kernel *Kernel
+	Net    *Network
+	Totals map[string]*CustomerTotals // by customer
 
-	Full   int           // messages that came to a gateway faster than it takes them in
-	Told   int           // messages sent
-	Waited time.Duration // of all requests, for homes' words
-	Asked  int           // requests
+	IntakeDrops  int           // messages that came to a gateway faster than it takes them in
+	MessagesSent int           // messages sent
+	TotalWait    time.Duration // of all requests, for homes' words
+	Requests     int           // requests
 
 	conf     decide.Config
 	plans    map[string]*decide.Plan
@@ -58,7 +58,7 @@
 }
 
 type openAsk struct {
-	who *Responder
+	who *Customer
 	at  time.Duration
 }
 
@@ -78,11 +78,11 @@
 	return true
 }
 
-// NewQuotas makes so many gateways of a configuration, whose number and rank it sets.
-func NewQuotas(k *Kernel, net *Network, conf decide.Config, n int) (*Quotas, error) {
+// NewQuotaFleet makes so many gateways of a configuration, whose number and rank it sets.
+func NewQuotaFleet(k *Kernel, net *Network, conf decide.Config, n int) (*QuotaFleet, error) {
 	conf.Gateways = n
-	q := &Quotas{K: k, Net: net, By: map[string]*Shared{}, conf: conf, plans: map[string]*decide.Plan{}, intake: make([]rateBucket, n),
-		open: map[string]*openAsk{}, rnd: k.Stream("askers"), seeds: k.Stream("modules"), lives: make([]int, n), gateways: make([]*decide.Gateway, n)}
+	q := &QuotaFleet{Kernel: k, Net: net, Totals: map[string]*CustomerTotals{}, conf: conf, plans: map[string]*decide.Plan{}, intake: make([]rateBucket, n),
+		open: map[string]*openAsk{}, rnd: k.RandomStream("askers"), seeds: k.RandomStream("modules"), lives: make([]int, n), gateways: make([]*decide.Gateway, n)}
 	for i := range conf.Plans {
 		q.plans[conf.Plans[i].Name] = &conf.Plans[i]
 	}
@@ -98,7 +98,7 @@
 }
 
 // start begins a gateway's process.
-func (q *Quotas) start(i int) error {
+func (q *QuotaFleet) start(i int) error {
 	conf := q.conf
 	conf.Rank = i
 	g, err := decide.New(conf, q.seeds.Int64())
@@ -111,12 +111,12 @@
 	return nil
 }
 
-// Keep has every gateway keep what changed, so often.
-func (q *Quotas) Keep(every time.Duration) {
+// PersistBuckets has every gateway keep what changed, so often.
+func (q *QuotaFleet) PersistBuckets(every time.Duration) {
 	q.disks = make([]map[uint64]decide.BucketSnapshot, len(q.gateways))
 	for i := range q.gateways {
 		q.disks[i] = map[uint64]decide.BucketSnapshot{}
-		q.K.Every(every, every, func() bool {
+		q.Kernel.Every(every, every, func() bool {
 			for _, m := range q.gateways[i].AppendChanged(nil, keptMost) {
 				q.disks[i][m.Key] = m
 			}
@@ -127,7 +127,7 @@
 
 // PowerLoss ends all gateways at once and starts them again at once, with what their disks hold if they have any: nothing has leaked
 // meanwhile, as time stands still.
-func (q *Quotas) PowerLoss() error {
+func (q *QuotaFleet) PowerLoss() error {
 	for i := range q.gateways {
 		if err := q.start(i); err != nil {
 			return err
@@ -143,55 +143,55 @@
 	return nil
 }
 
-// Add has a customer ask from now on.
-func (q *Quotas) Add(a Responder) {
+// AddCustomer has a customer ask from now on.
+func (q *QuotaFleet) AddCustomer(a Customer) {
 	p := q.plans[a.Plan]
-	q.By[a.ID] = &Shared{level: p.Burst, at: q.K.Now()}
+	q.Totals[a.ID] = &CustomerTotals{level: p.Burst, at: q.Kernel.Now()}
 	q.next(&a)
 }
 
-func (q *Quotas) next(a *Responder) {
-	gap := time.Duration(q.rnd.ExpFloat64() * a.Units / a.Rate * float64(time.Second))
-	q.K.After(gap, func() {
+func (q *QuotaFleet) next(a *Customer) {
+	gap := time.Duration(q.rnd.ExpFloat64() * a.UnitsPerRequest / a.Rate * float64(time.Second))
+	q.Kernel.After(gap, func() {
 		q.ask(a)
 		q.next(a)
 	})
 }
 
-func (q *Quotas) ask(a *Responder) {
-	q.Asked++
-	id := fmt.Sprint("r", q.Asked)
-	now := q.K.Now()
+func (q *QuotaFleet) ask(a *Customer) {
+	q.Requests++
+	id := fmt.Sprint("r", q.Requests)
+	now := q.Kernel.Now()
 	q.open[id] = &openAsk{who: a, at: now}
-	q.By[a.ID].Asked += a.Units
-	at := (a.First + q.rnd.IntN(a.Spread)) % len(q.gateways)
-	q.handle(at, decide.Request{ID: id, Class: q.conf.Classes[0].Name, Plan: a.Plan, Customer: a.ID, Units: a.Units, Deadline: now + askPatience,
-		FirstGateway: a.First, GatewayCount: a.Spread})
+	q.Totals[a.ID].Requested += a.UnitsPerRequest
+	at := (a.FirstGateway + q.rnd.IntN(a.GatewayCount)) % len(q.gateways)
+	q.handle(at, decide.Request{ID: id, Class: q.conf.Classes[0].Name, Plan: a.Plan, Customer: a.ID, Units: a.UnitsPerRequest, Deadline: now + askPatience,
+		FirstGateway: a.FirstGateway, GatewayCount: a.GatewayCount})
 }
 
 // handle hands a module an event and does what it wants.
-func (q *Quotas) handle(i int, ev decide.Event) {
+func (q *QuotaFleet) handle(i int, ev decide.Event) {
 	life := q.lives[i]
-	for _, act := range q.gateways[i].Handle(q.K.Now(), ev) {
+	for _, act := range q.gateways[i].Handle(q.Kernel.Now(), ev) {
 		switch act := act.(type) {
 		case decide.SetTimer:
-			q.K.At(act.At, func() {
+			q.Kernel.At(act.At, func() {
 				if life == q.lives[i] {
 					q.handle(i, decide.TimerFired{Token: act.Token})
 				}
 			})
 		case decide.SendToPeer:
-			q.Told++
-			q.Net.Packet(i, act.To, func() {
-				if !q.intake[act.To].take(q.K.Now(), q.conf.PeerIntake) {
-					q.Full++
+			q.MessagesSent++
+			q.Net.SendPacket(i, act.To, func() {
+				if !q.intake[act.To].take(q.Kernel.Now(), q.conf.PeerIntake) {
+					q.IntakeDrops++
 					return
 				}
 				q.handle(act.To, decide.PeerMessage{From: i, Text: act.Text})
 			})
 		case decide.SendAttempt:
 			q.ended(act.ID, true)
-			q.K.After(servedIn, func() {
+			q.Kernel.After(servedIn, func() {
 				if life != q.lives[i] {
 					return
 				}
@@ -204,25 +204,25 @@
 }
 
 // ended holds what became of a request to the customer's true bucket.
-func (q *Quotas) ended(id string, sent bool) {
+func (q *QuotaFleet) ended(id string, sent bool) {
 	o := q.open[id]
 	if o == nil {
 		return
 	}
 	delete(q.open, id)
-	now := q.K.Now()
-	q.Waited += now - o.at
-	p, s := q.plans[o.who.Plan], q.By[o.who.ID]
+	now := q.Kernel.Now()
+	q.TotalWait += now - o.at
+	p, s := q.plans[o.who.Plan], q.Totals[o.who.ID]
 	s.level = min(p.Burst, s.level+p.Rate*(now-s.at).Seconds())
 	s.at = now
-	switch units := o.who.Units; {
+	switch units := o.who.UnitsPerRequest; {
 	case !sent && s.level >= p.Burst/2:
-		s.WithRoom += units
+		s.RefusedWithRoom += units
 	case sent && s.level < units:
-		s.Over += units
-		s.Sent += units
+		s.AdmittedOverQuota += units
+		s.Admitted += units
 	case sent:
 		s.level -= units
-		s.Sent += units
+		s.Admitted += units
 	}
 }
--- a/internal/world/quotas_test.go
+++ b/internal/world/quotas_test.go
@@ -20,26 +20,26 @@
 
 // quotaTrial is a fleet of so many gateways, of whose customers one in ten asks for three times its rate and the others for a third
 // of it. On average a gateway sees four units a second.
-func quotaTrial(t *testing.T, seed uint64, n int) (*Quotas, map[string]Responder) {
+func quotaTrial(t *testing.T, seed uint64, n int) (*QuotaFleet, map[string]Customer) {
 	t.Helper()
 	k := NewKernel(seed, start)
 	net := NewNetwork(k, 3*time.Millisecond, 30*time.Millisecond)
-	net.Loss = 0.05
-	q, err := NewQuotas(k, net, quotaConfig(), n)
+	net.LossRate = 0.05
+	q, err := NewQuotaFleet(k, net, quotaConfig(), n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := map[string]Responder{}
+	all := map[string]Customer{}
 	asked := 0.0
 	for i := 0; asked < 4*float64(n); i++ {
 		p := q.plans[[]string{"basic", "basic", "basic", "standard", "network"}[i%5]]
-		a := Responder{ID: fmt.Sprintf("c%05d", i), Plan: p.Name, Units: 2, Rate: p.Rate / 3, First: i % n, Spread: n - n/3}
+		a := Customer{ID: fmt.Sprintf("c%05d", i), Plan: p.Name, UnitsPerRequest: 2, Rate: p.Rate / 3, FirstGateway: i % n, GatewayCount: n - n/3}
 		if i%10 == 3 || i%50 == 4 { // of standard, and of network a tenth
 			a.Rate = 3 * p.Rate
 		}
 		asked += a.Rate
 		all[a.ID] = a
-		q.Add(a)
+		q.AddCustomer(a)
 	}
 	return q, all
 }
@@ -47,15 +47,15 @@
 // quotaSum is what those who flood and those who do not got.
 type quotaSum struct{ calmAsked, calmSent, floodOver, floodQuota float64 }
 
-func (q *Quotas) sum(all map[string]Responder, took time.Duration) (s quotaSum) {
+func (q *QuotaFleet) sum(all map[string]Customer, took time.Duration) (s quotaSum) {
 	for id, a := range all {
-		x, p := q.By[id], q.plans[a.Plan]
+		x, p := q.Totals[id], q.plans[a.Plan]
 		if a.Rate > p.Rate {
-			s.floodOver += x.Over
+			s.floodOver += x.AdmittedOverQuota
 			s.floodQuota += p.Rate * took.Seconds()
 		} else {
-			s.calmAsked += x.Asked
-			s.calmSent += x.Sent
+			s.calmAsked += x.Requested
+			s.calmSent += x.Admitted
 		}
 	}
 	return s
@@ -74,14 +74,14 @@
 func quotasOverMany(t *testing.T, seed uint64, n int) {
 	q, all := quotaTrial(t, seed, n)
 	stretch := func(name string, took time.Duration, mostOver, leastSent float64) {
-		before, asked, told, full, waited := q.sum(all, 0), q.Asked, q.Told, q.Full, q.Waited
-		q.K.Run(q.K.Now() + took)
+		before, asked, told, full, waited := q.sum(all, 0), q.Requests, q.MessagesSent, q.IntakeDrops, q.TotalWait
+		q.Kernel.RunUntil(q.Kernel.Now() + took)
 		s := q.sum(all, took)
 		over := (s.floodOver - before.floodOver) / s.floodQuota
 		sent := (s.calmSent - before.calmSent) / (s.calmAsked - before.calmAsked)
-		each := float64(q.Told-told) / took.Seconds() / float64(n)
+		each := float64(q.MessagesSent-told) / took.Seconds() / float64(n)
 		t.Logf("%d gateways, %s: floods %.3f of their quotas beyond them, %.3f of the others' let in, %.1f messages a second and gateway, %.3f of them too many, %v waited a request",
-			n, name, over, sent, each, float64(q.Full-full)/float64(max(1, q.Told-told)), (q.Waited-waited)/time.Duration(q.Asked-asked))
+			n, name, over, sent, each, float64(q.IntakeDrops-full)/float64(max(1, q.MessagesSent-told)), (q.TotalWait-waited)/time.Duration(q.Requests-asked))
 		if over > mostOver || sent < leastSent {
 			t.Errorf("%s: %.3f beyond quotas, %.3f let in of others'; want %v at most and %v at least", name, over, sent, mostOver, leastSent)
 		}
@@ -91,13 +91,13 @@
 	}
 	stretch("after the start", 6*time.Second, 0.3, 0.8)
 	stretch("in peace", 6*time.Second, 0.05, 0.95)
-	q.Net.Cut = func(from, to int) bool { return true }
+	q.Net.Partitioned = func(from, to int) bool { return true }
 	unheard := 0.5
 	if n > 300 {
 		unheard = 1.5 // floods are not told to that many in the time before
 	}
 	stretch("nobody hears another", 6*time.Second, unheard, 0.9)
-	q.Net.Cut = nil
+	q.Net.Partitioned = nil
 	stretch("words come again", 6*time.Second, 0.4, 0.9)
 }
 
@@ -127,9 +127,9 @@
 	const losses, apart = 3, 2 * time.Second
 	q, all := quotaTrial(t, seed, n)
 	if kept {
-		q.Keep(250 * time.Millisecond)
+		q.PersistBuckets(250 * time.Millisecond)
 	}
-	q.K.Run(q.K.Now() + 10*time.Second)
+	q.Kernel.RunUntil(q.Kernel.Now() + 10*time.Second)
 	burst := 0.0
 	for _, a := range all {
 		if p := q.plans[a.Plan]; a.Rate > p.Rate {
@@ -137,13 +137,13 @@
 		}
 	}
 	peace := q.sum(all, 0)
-	q.K.Run(q.K.Now() + losses*apart)
+	q.Kernel.RunUntil(q.Kernel.Now() + losses*apart)
 	before := q.sum(all, 0)
 	for range losses {
 		if err := q.PowerLoss(); err != nil {
 			t.Fatal(err)
 		}
-		q.K.Run(q.K.Now() + apart)
+		q.Kernel.RunUntil(q.Kernel.Now() + apart)
 	}
 	s := q.sum(all, 0)
 	more := (s.floodOver - before.floodOver) - (before.floodOver - peace.floodOver)
