--- a/internal/world/kernel.go
+++ b/internal/simulation/kernel.go
@@ -1,6 +1,6 @@
 // Package world is the emulator: a fleet and what it meets, in virtual time. The kernel plays events in the order of their times;
 // models of networks and members are built on it, round the program's own code. From the same seed everything comes the same.
-package world
+package simulation
 
 import (
 	"container/heap"
--- a/internal/world/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"fmt"
