--- a/internal/route/block.go
+++ b/internal/route/block.go
@@ -11,11 +11,11 @@
 
 // The words for outcomes after which another attempt may be made. A cancelled attempt is one that timed out while the
 // gateway itself came late.
-var outcomeWords = []string{"never-ran", "error", "timed-out", "reset"}
+var retryOutcomeNames = []string{"never-ran", "error", "timed-out", "reset"}
 
 var (
-	neverRan = decide.NewOutcomeSet(decide.Rejected, decide.NoConnection, decide.NotSent)
-	outcomes = map[string]decide.OutcomeSet{
+	notExecuted    = decide.NewOutcomeSet(decide.Rejected, decide.NoConnection, decide.NotSent)
+	outcomesByName = map[string]decide.OutcomeSet{
 		"never-ran": decide.NewOutcomeSet(decide.Rejected, decide.NoConnection),
 		"error":     decide.NewOutcomeSet(decide.Error),
 		"timed-out": decide.NewOutcomeSet(decide.TimedOut, decide.Cancelled),
@@ -26,7 +26,7 @@
 // Block declares the block route.
 func Block() *operator.Block {
 	return &operator.Block{
-		Name: "route", Labels: true, Check: checkBlock,
+		Name: "route", Labels: true, Check: validateBlock,
 		Doc: "Bounds within which requests are tried. A request gets the most specific route that matches it: one that names its customer, then the longest prefix, then one that names its class, its plan, its patience. Without one the module's own bounds hold.",
 		Keys: []operator.Key{
 			{Name: "classes", Kind: operator.Text, List: true, Optional: true, Doc: "The classes it matches; left out: all."},
@@ -38,7 +38,7 @@
 			{Name: "attempt", Kind: operator.Duration, Optional: true, Least: "1ms", Most: "1h", Sense: operator.MoreIsLooser, Doc: "Time for one attempt; left out: to the request's end."},
 			{Name: "whole", Kind: operator.Duration, Optional: true, Least: "1ms", Most: "1h", Sense: operator.MoreIsLooser, Doc: "Time for all attempts from the request on; left out: to the client's patience."},
 			{Name: "attempts", Kind: operator.Count, Default: "2", Least: "1", Most: "100", Sense: operator.MoreIsLooser, Doc: "Attempts in all, second copies among them."},
-			{Name: "again", Kind: operator.Word, Words: outcomeWords, List: true, Default: "[never-ran]", Doc: "What an attempt may have ended with to be followed by another."},
+			{Name: "again", Kind: operator.Word, Words: retryOutcomeNames, List: true, Default: "[never-ran]", Doc: "What an attempt may have ended with to be followed by another."},
 			{Name: "wait", Kind: operator.Duration, Default: "0s", Most: "1m", Sense: operator.LessIsLooser, Doc: "Wait before the first further attempt."},
 			{Name: "wait-growth", Kind: operator.Share, Default: "200%", Least: "100%", Most: "1000%", Doc: "Each further wait as a share of the one before."},
 			{Name: "wait-most", Kind: operator.Duration, Optional: true, Least: "1ms", Most: "1m", Doc: "The longest wait, before jitter."},
@@ -59,14 +59,14 @@
 	}
 }
 
-func checkBlock(s *operator.Section) (out []operator.Problem) {
-	_, bad := read(s)
+func validateBlock(s *operator.Section) (out []operator.Problem) {
+	_, bad := parseRoute(s)
 	return bad
 }
 
-// read is a route as the block has it.
-func read(s *operator.Section) (r *Route, bad []operator.Problem) {
-	r = &Route{Name: s.Label, Pos: s.Pos(""), place: s.Pos, Classes: s.Words("classes"), Plans: s.Words("plans"),
+// parseRoute is a route as the block has it.
+func parseRoute(s *operator.Section) (r *Route, bad []operator.Problem) {
+	r = &Route{Name: s.Label, Pos: s.Pos(""), keyPos: s.Pos, Classes: s.Words("classes"), Plans: s.Words("plans"),
 		MinClientTimeout: s.Duration("patience-from"), MaxAttempts: s.Count("attempts"), RetryOnNames: s.Words("again"), InitialBackoff: s.Duration("wait"),
 		BackoffFactor: s.Share("wait-growth"), Jitter: s.Share("jitter"), RetryRatio: s.Share("budget"), MinRetriesPerSecond: s.Rate("budget-floor")}
 	for key, to := range map[string]*time.Duration{"patience-to": &r.MaxClientTimeout, "attempt": &r.AttemptTimeout, "whole": &r.TotalTimeout, "wait-most": &r.MaxBackoff, "advise": &r.RetryAfter} {
@@ -78,10 +78,10 @@
 		r.MaxOpen = s.Count("open")
 	}
 	for _, w := range r.RetryOnNames {
-		r.RetryOn |= outcomes[w]
+		r.RetryOn |= outcomesByName[w]
 	}
 	for _, text := range s.Words("customers") {
-		c, ok := number(text)
+		c, ok := parseCustomer(text)
 		if !ok {
 			bad = append(bad, operator.Problem{Key: "customers", Msg: fmt.Sprintf("customer %q is not 16 hex digits", text)})
 		}
@@ -89,7 +89,7 @@
 	}
 	if s.Has("customer-prefix") {
 		r.CustomerPrefix = s.Word("customer-prefix")
-		if _, ok := number(r.CustomerPrefix + strings.Repeat("0", max(0, customerDigits-len(r.CustomerPrefix)))); !ok || r.CustomerPrefix == "" {
+		if _, ok := parseCustomer(r.CustomerPrefix + strings.Repeat("0", max(0, customerDigits-len(r.CustomerPrefix)))); !ok || r.CustomerPrefix == "" {
 			bad = append(bad, operator.Problem{Key: "customer-prefix", Msg: fmt.Sprintf("%q is not 1 to 16 hex digits", r.CustomerPrefix)})
 		}
 		if len(r.Customers) > 0 {
@@ -111,7 +111,7 @@
 // FromConfig reads the routes of a checked configuration.
 func FromConfig(c *operator.Config) (all []*Route) {
 	for _, s := range c.All("route") {
-		r, _ := read(s)
+		r, _ := parseRoute(s)
 		all = append(all, r)
 	}
 	return all
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -15,251 +15,251 @@
 
 // event is something that happens in the world at a time.
 type event struct {
-	at time.Duration
-	n  int // in the order of making, so that a seed repeats a run
-	do func()
+	at  time.Duration
+	seq int // in the order of making, so that a seed repeats a run
+	run func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// sent is an attempt as the world sees it.
-type sent struct {
-	server  string
-	cell    int
-	at, end time.Duration
-	over    bool
-	outcome decide.Outcome
-	ran     bool // it had, or may have had, an effect
+// simAttempt is an attempt as the world sees it.
+type simAttempt struct {
+	server            string
+	cell              int
+	startedAt, endsAt time.Duration
+	finished          bool
+	outcome           decide.Outcome
+	mayHaveRun        bool // it had, or may have had, an effect
 }
 
-// asked is a request in the world.
-type asked struct {
-	id       string
-	class    *decide.Class
-	route    *Route
-	bounds   *decide.RetryPolicy
-	came     time.Duration
-	deadline time.Duration
-	sent     []*sent
-	answered time.Duration // 0: not yet
-	refused  bool
+// simRequest is a request in the world.
+type simRequest struct {
+	id         string
+	class      *decide.Class
+	route      *Route
+	policy     *decide.RetryPolicy
+	startedAt  time.Duration
+	deadline   time.Duration
+	attempts   []*simAttempt
+	answeredAt time.Duration // 0: not yet
+	refused    bool
 }
 
-// world drives a decision module in virtual time and holds every action to the rules and to the request's bounds.
-type world struct {
-	t       *testing.T
-	g       *decide.Gateway
-	cfg     *decide.Config
-	table   *Table
-	now     time.Duration
-	queue   events
-	made    int
-	open    map[string]*asked
-	all     []*asked
-	cells   map[string]int
-	fate    func(w *world, a *asked, s *sent) (decide.Outcome, time.Duration) // how an attempt ends, and after what
-	firsts  map[int]int
-	further map[int]int // by cell
-	broken  []string
+// simulation drives a decision module in virtual time and holds every action to the rules and to the request's bounds.
+type simulation struct {
+	t             *testing.T
+	gateway       *decide.Gateway
+	cfg           *decide.Config
+	table         *Table
+	now           time.Duration
+	queue         eventQueue
+	eventCount    int
+	open          map[string]*simRequest
+	requests      []*simRequest
+	cells         map[string]int
+	outcome       func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) // how an attempt ends, and after what
+	firstAttempts map[int]int
+	retries       map[int]int // by cell
+	violations    []string
 }
 
-const servers = 6
+const serverCount = 6
 
-func newWorld(t *testing.T, cfg *decide.Config, routes []*Route) *world {
+func newSimulation(t *testing.T, cfg *decide.Config, routes []*Route) *simulation {
 	t.Helper()
 	g, err := decide.New(*cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, g: g, cfg: cfg, table: NewTable(routes, cfg), now: time.Hour, open: map[string]*asked{}, cells: map[string]int{},
-		firsts: map[int]int{}, further: map[int]int{}}
+	w := &simulation{t: t, gateway: g, cfg: cfg, table: NewTable(routes, cfg), now: time.Hour, open: map[string]*simRequest{}, cells: map[string]int{},
+		firstAttempts: map[int]int{}, retries: map[int]int{}}
 	u := decide.ServerListUpdate{Kind: decide.ListFull, Version: 1}
-	for i := range servers {
+	for i := range serverCount {
 		s := decide.Server{ID: fmt.Sprintf("s%d", i), Zone: "z", Cell: i % 2, Weight: 1}
 		w.cells[s.ID] = s.Cell
 		u.Servers = append(u.Servers, s)
 	}
-	w.feed(u)
+	w.handle(u)
 	return w
 }
 
-func (w *world) breach(a *asked, format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%s (%s, route %s): ", a.id, a.class.Name, a.route.Name)+fmt.Sprintf(format, args...))
+func (w *simulation) addViolation(a *simRequest, format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%s (%s, route %s): ", a.id, a.class.Name, a.route.Name)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) at(t time.Duration, do func()) {
-	w.made++
-	heap.Push(&w.queue, event{t, w.made, do})
+func (w *simulation) schedule(t time.Duration, do func()) {
+	w.eventCount++
+	heap.Push(&w.queue, event{t, w.eventCount, do})
 }
 
-func (w *world) feed(ev decide.Event) {
-	for _, a := range w.g.Handle(w.now, ev) {
-		w.perform(a)
+func (w *simulation) handle(ev decide.Event) {
+	for _, a := range w.gateway.Handle(w.now, ev) {
+		w.apply(a)
 	}
 }
 
-// ask lets a request come now, and its client leave at the deadline.
-func (w *world) ask(class, plan string, patience time.Duration) *asked {
+// submit lets a request come now, and its client leave at the deadline.
+func (w *simulation) submit(class, plan string, patience time.Duration) *simRequest {
 	n := w.table.Match(Request{Class: class, Plan: plan, Customer: "0000000000000001", ClientTimeout: patience})
 	if n < 0 {
 		return nil
 	}
-	a := &asked{id: fmt.Sprintf("r%d", len(w.all)), route: w.table.Route(n), came: w.now, deadline: w.now + patience - margins.Response}
+	a := &simRequest{id: fmt.Sprintf("r%d", len(w.requests)), route: w.table.Route(n), startedAt: w.now, deadline: w.now + patience - margins.Response}
 	for i := range w.cfg.Classes {
 		if w.cfg.Classes[i].Name == class {
 			a.class = &w.cfg.Classes[i]
 		}
 	}
 	w.table.Acquire(n)
-	a.bounds = w.table.RetryPolicy(n, class, w.now)
+	a.policy = w.table.RetryPolicy(n, class, w.now)
 	w.open[a.id] = a
-	w.all = append(w.all, a)
-	w.feed(decide.Request{ID: a.id, Class: class, Plan: plan, Customer: "0000000000000001", Units: 1, Deadline: a.deadline, RetryPolicy: a.bounds})
+	w.requests = append(w.requests, a)
+	w.handle(decide.Request{ID: a.id, Class: class, Plan: plan, Customer: "0000000000000001", Units: 1, Deadline: a.deadline, RetryPolicy: a.policy})
 	return a
 }
 
-func (w *world) perform(act decide.Action) {
+func (w *simulation) apply(act decide.Action) {
 	switch act := act.(type) {
 	case decide.SendAttempt:
-		w.send(w.open[act.ID], act)
+		w.startAttempt(w.open[act.ID], act)
 	case decide.CancelAttempt:
 		if a := w.open[act.ID]; a != nil {
-			w.end(a, act.Attempt, decide.Cancelled)
+			w.endAttempt(a, act.Attempt, decide.Cancelled)
 		}
 	case decide.Refuse:
 		a := w.open[act.ID]
-		w.answer(a)
+		w.respond(a)
 		a.refused = true
-		if a.class.Effect != decide.Safe && slices.ContainsFunc(a.sent, func(s *sent) bool { return s.ran || !s.over }) {
-			w.breach(a, "refused though it may have run")
+		if a.class.Effect != decide.Safe && slices.ContainsFunc(a.attempts, func(s *simAttempt) bool { return s.mayHaveRun || !s.finished }) {
+			w.addViolation(a, "refused though it may have run")
 		}
 	case decide.Fail:
-		w.answer(w.open[act.ID])
+		w.respond(w.open[act.ID])
 	case decide.SetTimer:
-		w.at(act.At, func() { w.feed(decide.TimerFired{Token: act.Token}) })
+		w.schedule(act.At, func() { w.handle(decide.TimerFired{Token: act.Token}) })
 	}
 }
 
-func (w *world) answer(a *asked) {
-	if a.answered > 0 {
-		w.breach(a, "a second answer")
+func (w *simulation) respond(a *simRequest) {
+	if a.answeredAt > 0 {
+		w.addViolation(a, "a second answer")
 	}
-	a.answered = w.now
+	a.answeredAt = w.now
 	if w.now > a.deadline+time.Millisecond {
-		w.breach(a, "answered %v past its time", w.now-a.deadline)
+		w.addViolation(a, "answered %v past its time", w.now-a.deadline)
 	}
 }
 
-// send holds an attempt to the rules and to the bounds, and draws its fate.
-func (w *world) send(a *asked, act decide.SendAttempt) {
-	s := &sent{server: act.Server, cell: w.cells[act.Server], at: w.now, end: w.now + act.Timeout}
-	b, out := a.bounds, 0
-	for _, o := range a.sent {
-		if !o.over {
+// startAttempt holds an attempt to the rules and to the bounds, and draws its fate.
+func (w *simulation) startAttempt(a *simRequest, act decide.SendAttempt) {
+	s := &simAttempt{server: act.Server, cell: w.cells[act.Server], startedAt: w.now, endsAt: w.now + act.Timeout}
+	b, out := a.policy, 0
+	for _, o := range a.attempts {
+		if !o.finished {
 			out++
 		}
-		if o.over && !o.ran || a.class.Effect == decide.Safe {
+		if o.finished && !o.mayHaveRun || a.class.Effect == decide.Safe {
 			continue
 		}
 		switch {
 		case a.class.Effect == decide.Unsafe:
-			w.breach(a, "an unsafe request that may have run is sent again")
+			w.addViolation(a, "an unsafe request that may have run is sent again")
 		case o.cell != s.cell:
-			w.breach(a, "a keyed request that may have run is sent to another group")
-		case w.now-o.at >= a.class.DedupWindow:
-			w.breach(a, "a keyed repeat %v after an attempt that may have run", w.now-o.at)
+			w.addViolation(a, "a keyed request that may have run is sent to another group")
+		case w.now-o.startedAt >= a.class.DedupWindow:
+			w.addViolation(a, "a keyed repeat %v after an attempt that may have run", w.now-o.startedAt)
 		}
 	}
-	last, worth := time.Duration(0), len(a.sent) == 0 || out > 0
-	for _, o := range a.sent {
-		last = max(last, o.end)
+	last, worth := time.Duration(0), len(a.attempts) == 0 || out > 0
+	for _, o := range a.attempts {
+		last = max(last, o.endsAt)
 	}
-	for _, o := range a.sent { // what ended last decides; where two copies end at once, either may
-		worth = worth || o.end == last && b.RetryOn.Has(o.outcome)
+	for _, o := range a.attempts { // what ended last decides; where two copies end at once, either may
+		worth = worth || o.endsAt == last && b.RetryOn.Has(o.outcome)
 	}
 	if !worth {
-		w.breach(a, "another attempt after an outcome that is not worth one")
+		w.addViolation(a, "another attempt after an outcome that is not worth one")
 	}
-	if out == 0 && len(a.sent) > 0 && float64(w.now-last) < float64(leastWait(b))*(1-b.Jitter)-1 {
-		w.breach(a, "another attempt after a wait of %v", w.now-last)
+	if out == 0 && len(a.attempts) > 0 && float64(w.now-last) < float64(minBackoff(b))*(1-b.Jitter)-1 {
+		w.addViolation(a, "another attempt after a wait of %v", w.now-last)
 	}
 	switch {
-	case a.answered > 0:
-		w.breach(a, "sent after its answer")
-	case len(a.sent) >= b.MaxAttempts:
-		w.breach(a, "attempt %d", len(a.sent)+1)
+	case a.answeredAt > 0:
+		w.addViolation(a, "sent after its answer")
+	case len(a.attempts) >= b.MaxAttempts:
+		w.addViolation(a, "attempt %d", len(a.attempts)+1)
 	case out > 1 || out == 1 && !b.Hedge:
-		w.breach(a, "a second copy")
-	case out == 1 && b.HedgeDelay > 0 && w.now-a.sent[0].at < b.HedgeDelay && len(a.sent) == 1:
-		w.breach(a, "a second copy after %v", w.now-a.sent[0].at)
+		w.addViolation(a, "a second copy")
+	case out == 1 && b.HedgeDelay > 0 && w.now-a.attempts[0].startedAt < b.HedgeDelay && len(a.attempts) == 1:
+		w.addViolation(a, "a second copy after %v", w.now-a.attempts[0].startedAt)
 	case b.AttemptTimeout > 0 && act.Timeout > b.AttemptTimeout:
-		w.breach(a, "an attempt has %v", act.Timeout)
-	case s.end > a.deadline+time.Millisecond || b.TotalTimeout > 0 && s.end > a.came+b.TotalTimeout+time.Millisecond:
-		w.breach(a, "an attempt lasts past the request's end")
+		w.addViolation(a, "an attempt has %v", act.Timeout)
+	case s.endsAt > a.deadline+time.Millisecond || b.TotalTimeout > 0 && s.endsAt > a.startedAt+b.TotalTimeout+time.Millisecond:
+		w.addViolation(a, "an attempt lasts past the request's end")
 	}
-	if len(a.sent) == 0 {
-		w.firsts[s.cell]++
+	if len(a.attempts) == 0 {
+		w.firstAttempts[s.cell]++
 	} else {
-		w.further[s.cell]++
+		w.retries[s.cell]++
 	}
-	a.sent = append(a.sent, s)
-	n := len(a.sent) - 1
-	o, after := w.fate(w, a, s)
+	a.attempts = append(a.attempts, s)
+	n := len(a.attempts) - 1
+	o, after := w.outcome(w, a, s)
 	if after >= act.Timeout {
 		o, after = decide.TimedOut, act.Timeout
 	}
-	w.at(w.now+after, func() { w.end(a, n, o) })
+	w.schedule(w.now+after, func() { w.endAttempt(a, n, o) })
 }
 
-// leastWait is the shortest wait between two attempts, before jitter.
-func leastWait(b *decide.RetryPolicy) time.Duration {
+// minBackoff is the shortest wait between two attempts, before jitter.
+func minBackoff(b *decide.RetryPolicy) time.Duration {
 	if b.MaxBackoff > 0 {
 		return min(b.InitialBackoff, b.MaxBackoff)
 	}
 	return b.InitialBackoff
 }
 
-// end tells the module how an attempt ended, once.
-func (w *world) end(a *asked, n int, o decide.Outcome) {
-	s := a.sent[n]
-	if s.over {
+// endAttempt tells the module how an attempt ended, once.
+func (w *simulation) endAttempt(a *simRequest, n int, o decide.Outcome) {
+	s := a.attempts[n]
+	if s.finished {
 		return
 	}
-	s.over, s.end, s.outcome = true, w.now, o
-	s.ran = o != decide.Rejected && o != decide.NoConnection && o != decide.NotSent
-	if o == decide.OK && a.answered == 0 {
-		w.answer(a)
+	s.finished, s.endsAt, s.outcome = true, w.now, o
+	s.mayHaveRun = o != decide.Rejected && o != decide.NoConnection && o != decide.NotSent
+	if o == decide.OK && a.answeredAt == 0 {
+		w.respond(a)
 	}
-	w.at(w.now, func() { // as the gateway does: after the actions at hand
-		w.feed(decide.AttemptEnded{ID: a.id, Server: s.server, Attempt: n, Outcome: o, Latency: s.end - s.at, RequestDone: a.answered > 0})
+	w.schedule(w.now, func() { // as the gateway does: after the actions at hand
+		w.handle(decide.AttemptEnded{ID: a.id, Server: s.server, Attempt: n, Outcome: o, Latency: s.endsAt - s.startedAt, RequestDone: a.answeredAt > 0})
 	})
 }
 
-// run lets the world go on until a time.
-func (w *world) run(until time.Duration) {
+// runUntil lets the world go on until a time.
+func (w *simulation) runUntil(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = max(w.now, e.at)
-		e.do()
+		e.run()
 	}
 	w.now = until
 }
 
-// drawRoute makes a random route, safe or not.
-func drawRoute(r *rand.Rand, name string, cfg *decide.Config) *Route {
+// randomRoute makes a random route, safe or not.
+func randomRoute(r *rand.Rand, name string, cfg *decide.Config) *Route {
 	ms := func(most int) time.Duration { return time.Duration(1+r.IntN(most)) * time.Millisecond }
 	maybe := func(d time.Duration) time.Duration {
 		if r.IntN(3) == 0 {
@@ -273,9 +273,9 @@
 	if r.IntN(2) == 0 {
 		t.MaxBackoff = ms(scale)
 	}
-	for _, word := range outcomeWords {
+	for _, word := range retryOutcomeNames {
 		if r.IntN(2) == 0 {
-			t.RetryOn |= outcomes[word]
+			t.RetryOn |= outcomesByName[word]
 		}
 	}
 	if r.IntN(2) == 0 {
@@ -293,22 +293,22 @@
 }
 
 // Whatever routes the proof accepts, in no schedule of outcomes is a rule broken or a bound passed.
-func TestWhatIsProvenKeepsTheRules(t *testing.T) {
-	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) { provenKeepsTheRules(t, seeds.Rand(seed), seeds.Rounds(150)) })
+func TestValidatedRoutesKeepTheRules(t *testing.T) {
+	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) { validatedRoutesKeepTheRules(t, seeds.Rand(seed), seeds.Rounds(150)) })
 }
 
-func provenKeepsTheRules(t *testing.T, r *rand.Rand, rounds int) {
+func validatedRoutesKeepTheRules(t *testing.T, r *rand.Rand, rounds int) {
 	taken, sends := 0, 0
 	for round := 0; taken < rounds; round++ {
 		cfg := platform()
-		rt := drawRoute(r, fmt.Sprintf("r%d", round), cfg)
+		rt := randomRoute(r, fmt.Sprintf("r%d", round), cfg)
 		if len(Validate([]*Route{rt}, cfg, margins)) > 0 {
 			continue
 		}
 		taken++
-		w := newWorld(t, cfg, []*Route{rt})
+		w := newSimulation(t, cfg, []*Route{rt})
 		mood := r.IntN(4) // of the fleet: mixed, failing fast, silent, one class slow
-		w.fate = func(w *world, a *asked, s *sent) (decide.Outcome, time.Duration) {
+		w.outcome = func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
 			switch mood {
 			case 1:
 				return []decide.Outcome{decide.Error, decide.Rejected, decide.Reset, decide.NoConnection}[r.IntN(4)], time.Millisecond
@@ -324,24 +324,24 @@
 		}
 		for range 30 {
 			k := cfg.Classes[r.IntN(len(cfg.Classes))]
-			w.ask(k.Name, "plus", max(20*time.Millisecond, time.Duration(float64(k.Deadline)*r.Float64())))
-			w.run(w.now + time.Duration(r.ExpFloat64()*float64(300*time.Millisecond)))
+			w.submit(k.Name, "plus", max(20*time.Millisecond, time.Duration(float64(k.Deadline)*r.Float64())))
+			w.runUntil(w.now + time.Duration(r.ExpFloat64()*float64(300*time.Millisecond)))
 		}
-		w.run(w.now + time.Minute)
-		for _, a := range w.all {
-			sends += len(a.sent)
-			if a.answered == 0 {
-				w.breach(a, "no answer")
+		w.runUntil(w.now + time.Minute)
+		for _, a := range w.requests {
+			sends += len(a.attempts)
+			if a.answeredAt == 0 {
+				w.addViolation(a, "no answer")
 			}
 		}
-		for cell, n := range w.further {
+		for cell, n := range w.retries {
 			span := (w.now - time.Hour).Seconds() + burstSeconds
-			if most := float64(w.firsts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > most+1e-6 {
-				w.broken = append(w.broken, fmt.Sprintf("cell %d got %d further attempts, %.1f at most", cell, n, most))
+			if most := float64(w.firstAttempts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > most+1e-6 {
+				w.violations = append(w.violations, fmt.Sprintf("cell %d got %d further attempts, %.1f at most", cell, n, most))
 			}
 		}
-		if len(w.broken) > 0 {
-			t.Fatalf("round %d, mood %d, route %+v:\n%s", round, mood, *rt, strings.Join(w.broken, "\n"))
+		if len(w.violations) > 0 {
+			t.Fatalf("round %d, mood %d, route %+v:\n%s", round, mood, *rt, strings.Join(w.violations, "\n"))
 		}
 	}
 	t.Logf("%d routes, %d attempts", taken, sends)
@@ -350,9 +350,9 @@
 	}
 }
 
-// naive runs a request by the letter of its route and nothing else, with every attempt ending in the worst way for it.
+// runUnchecked runs a request by the letter of its route and nothing else, with every attempt ending in the worst way for it.
 // It tells which rule breaks. This is what the proof is there to refuse.
-func naive(r *Route, k *decide.Class, o decide.Outcome, slow bool) (broken []string) {
+func runUnchecked(r *Route, k *decide.Class, o decide.Outcome, slow bool) (broken []string) {
 	whole := r.TotalTimeout
 	if whole == 0 {
 		whole = k.Deadline - margins.Response
@@ -400,7 +400,7 @@
 }
 
 // For each named kind of what the proof rejects there is a schedule that breaks the rule, were the route followed.
-func TestWhatIsRejectedWouldBreak(t *testing.T) {
+func TestRejectedRoutesWouldBreakRules(t *testing.T) {
 	s := schema(t)
 	for file, want := range map[string]string{
 		"whole-longer-than-clients-wait": "answered too late", "whole-to-the-last-moment": "answered too late", "whole-longer-for-all-classes": "answered too late",
@@ -412,7 +412,7 @@
 		"keyed-window": "outside the window", "keyed-window-by-wait": "outside the window", "keyed-window-by-copy": "outside the window",
 		"keyed-window-without-a-time": "outside the window", "keyed-window-to-the-last-moment": "outside the window",
 	} {
-		routes, cfg, diags := judge(t, s, "testdata/unsafe/"+file+".sloe")
+		routes, cfg, diags := loadAndValidate(t, s, "testdata/unsafe/"+file+".sloe")
 		if !diags.Failed() {
 			t.Errorf("%s is accepted", file)
 		}
@@ -421,8 +421,8 @@
 			for i := range cfg.Classes {
 				if k := &cfg.Classes[i]; len(r.Classes) == 0 || slices.Contains(r.Classes, k.Name) {
 					for _, o := range []decide.Outcome{decide.TimedOut, decide.Error, decide.Reset, decide.NoConnection} {
-						broken = append(broken, naive(r, k, o, false)...)
-						broken = append(broken, naive(r, k, o, true)...) // at the attempt's last moment
+						broken = append(broken, runUnchecked(r, k, o, false)...)
+						broken = append(broken, runUnchecked(r, k, o, true)...) // at the attempt's last moment
 					}
 				}
 			}
--- a/internal/route/prove_test.go
+++ b/internal/route/prove_test.go
@@ -38,8 +38,8 @@
 	return s
 }
 
-// judge loads a file and proves its routes. A first line "# platform: single" takes one without second copies.
-func judge(t testing.TB, s *operator.Schema, file string) ([]*Route, *decide.Config, sloe.Diags) {
+// loadAndValidate loads a file and proves its routes. A first line "# platform: single" takes one without second copies.
+func loadAndValidate(t testing.TB, s *operator.Schema, file string) ([]*Route, *decide.Config, sloe.Diags) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	s := schema(t)
 	for _, file := range files {
-		_, _, diags := judge(t, s, file)
+		_, _, diags := loadAndValidate(t, s, file)
 		got := diags.Error()
 		beside := strings.TrimSuffix(file, ".sloe") + ".want"
 		if *update {
@@ -93,7 +93,7 @@
 	}
 	s := schema(t)
 	for _, file := range files {
-		if routes, _, diags := judge(t, s, file); len(diags) > 0 || len(routes) == 0 {
+		if routes, _, diags := loadAndValidate(t, s, file); len(diags) > 0 || len(routes) == 0 {
 			t.Errorf("%s: %d routes\n%v", file, len(routes), diags)
 		}
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -38,7 +38,7 @@
 	MinRetriesPerSecond          float64 // ... and so many a second besides, for each node group
 	MaxOpen                      int     // requests open at once; 0: no bound
 	RetryAfter                   time.Duration
-	place                        func(key string) sloe.Pos
+	keyPos                       func(key string) sloe.Pos
 }
 
 // HedgePolicy tells when a second copy may go out.
@@ -49,19 +49,19 @@
 	MinTimeLeft time.Duration // time that must be left to it
 }
 
-// at is where a key was set, or the route.
-func (r *Route) at(key string) sloe.Pos {
-	if r.place != nil {
-		if p := r.place(key); p.Valid() {
+// position is where a key was set, or the route.
+func (r *Route) position(key string) sloe.Pos {
+	if r.keyPos != nil {
+		if p := r.keyPos(key); p.Valid() {
 			return p
 		}
 	}
 	return r.Pos
 }
 
-// rank orders routes that match the same request: what names customers comes before what names a prefix of them, the
+// specificity orders routes that match the same request: what names customers comes before what names a prefix of them, the
 // longer prefix first; then what names classes, then plans, then a patience.
-func (r *Route) rank() int {
+func (r *Route) specificity() int {
 	n := 0
 	switch {
 	case len(r.Customers) > 0:
@@ -69,43 +69,43 @@
 	case r.CustomerPrefix != "":
 		n = len(r.CustomerPrefix)
 	}
-	n = n*8 + 4*b2i(len(r.Classes) > 0) + 2*b2i(len(r.Plans) > 0) + b2i(r.MinClientTimeout > 0 || r.MaxClientTimeout > 0)
+	n = n*8 + 4*boolToInt(len(r.Classes) > 0) + 2*boolToInt(len(r.Plans) > 0) + boolToInt(r.MinClientTimeout > 0 || r.MaxClientTimeout > 0)
 	return n
 }
 
 const customerDigits = 16
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// hasPatience reports whether a declared patience is in the route's span.
-func (r *Route) hasPatience(d time.Duration) bool {
+// matchesTimeout reports whether a declared patience is in the route's span.
+func (r *Route) matchesTimeout(d time.Duration) bool {
 	return d >= r.MinClientTimeout && (r.MaxClientTimeout == 0 || d < r.MaxClientTimeout)
 }
 
 // Table finds the route of a request. Make it with NewTable. It is not changed after that but for what its routes have
 // seen: budgets, answer times and how many requests are open.
 type Table struct {
-	routes   []*Route // by rank, the highest first
-	classes  map[string]int
-	plans    map[string]int
-	cells    int // of a class and a plan, in each group's index
-	exact    map[uint64]group
-	prefixes []prefixes // the longest first
-	all      group
-	state    []*state // by place in routes
+	routes      []*Route // by rank, the highest first
+	classes     map[string]int
+	plans       map[string]int
+	pairCount   int // of a class and a plan, in each group's index
+	byCustomer  map[uint64]classPlanIndex
+	byPrefix    []prefixIndex // the longest first
+	anyCustomer classPlanIndex
+	states      []*routeState // by place in routes
 }
 
-// group holds the routes of the same customers by class and plan: for each of the pairs those that fit, by rank.
-type group [][]int16
+// classPlanIndex holds the routes of the same customers by class and plan: for each of the pairs those that fit, by rank.
+type classPlanIndex [][]int16
 
-type prefixes struct {
-	shift uint // of a customer's number
-	by    map[uint64]group
+type prefixIndex struct {
+	shift  uint // of a customer's number
+	groups map[uint64]classPlanIndex
 }
 
 // MaxRoutes is how many routes a table takes.
@@ -113,32 +113,32 @@
 
 // NewTable makes a table for a platform's settings. The routes were checked by Prove.
 func NewTable(routes []*Route, cfg *decide.Config) *Table {
-	t := &Table{routes: slices.Clone(routes), classes: map[string]int{}, plans: map[string]int{}, exact: map[uint64]group{}}
-	slices.SortStableFunc(t.routes, func(a, b *Route) int { return cmp.Compare(b.rank(), a.rank()) })
+	t := &Table{routes: slices.Clone(routes), classes: map[string]int{}, plans: map[string]int{}, byCustomer: map[uint64]classPlanIndex{}}
+	slices.SortStableFunc(t.routes, func(a, b *Route) int { return cmp.Compare(b.specificity(), a.specificity()) })
 	for i, c := range cfg.Classes {
 		t.classes[c.Name] = i
 	}
 	for i, p := range cfg.Plans {
 		t.plans[p.Name] = i
 	}
-	t.cells = len(cfg.Classes) * len(cfg.Plans)
-	t.all = make(group, t.cells)
+	t.pairCount = len(cfg.Classes) * len(cfg.Plans)
+	t.anyCustomer = make(classPlanIndex, t.pairCount)
 	for i, r := range t.routes {
-		t.state = append(t.state, newState(r, len(cfg.Classes)))
-		t.index(int16(i), r)
+		t.states = append(t.states, newRouteState(r, len(cfg.Classes)))
+		t.addToIndex(int16(i), r)
 	}
-	slices.SortFunc(t.prefixes, func(a, b prefixes) int { return cmp.Compare(a.shift, b.shift) })
+	slices.SortFunc(t.byPrefix, func(a, b prefixIndex) int { return cmp.Compare(a.shift, b.shift) })
 	return t
 }
 
-func (t *Table) index(no int16, r *Route) {
+func (t *Table) addToIndex(no int16, r *Route) {
 	switch {
 	case len(r.Customers) > 0:
 		for _, c := range r.Customers {
-			if t.exact[c] == nil {
-				t.exact[c] = make(group, t.cells)
+			if t.byCustomer[c] == nil {
+				t.byCustomer[c] = make(classPlanIndex, t.pairCount)
 			}
-			t.put(t.exact[c], no, r)
+			t.addRoute(t.byCustomer[c], no, r)
 		}
 	case r.CustomerPrefix != "":
 		v, err := strconv.ParseUint(r.CustomerPrefix, 16, 64)
@@ -146,22 +146,22 @@
 			panic(err) // its shape was checked when it was read
 		}
 		shift := uint(4 * (customerDigits - len(r.CustomerPrefix)))
-		i := slices.IndexFunc(t.prefixes, func(p prefixes) bool { return p.shift == shift })
+		i := slices.IndexFunc(t.byPrefix, func(p prefixIndex) bool { return p.shift == shift })
 		if i < 0 {
-			i = len(t.prefixes)
-			t.prefixes = append(t.prefixes, prefixes{shift, map[uint64]group{}})
+			i = len(t.byPrefix)
+			t.byPrefix = append(t.byPrefix, prefixIndex{shift, map[uint64]classPlanIndex{}})
 		}
-		by := t.prefixes[i].by
+		by := t.byPrefix[i].groups
 		if by[v] == nil {
-			by[v] = make(group, t.cells)
+			by[v] = make(classPlanIndex, t.pairCount)
 		}
-		t.put(by[v], no, r)
+		t.addRoute(by[v], no, r)
 	default:
-		t.put(t.all, no, r)
+		t.addRoute(t.anyCustomer, no, r)
 	}
 }
 
-func (t *Table) put(g group, no int16, r *Route) {
+func (t *Table) addRoute(g classPlanIndex, no int16, r *Route) {
 	for class, i := range t.classes {
 		if len(r.Classes) > 0 && !slices.Contains(r.Classes, class) {
 			continue
@@ -190,36 +190,36 @@
 		return -1
 	}
 	cell := class*len(t.plans) + plan
-	if len(t.exact)+len(t.prefixes) > 0 {
-		if c, ok := number(a.Customer); ok {
-			if n := t.in(t.exact[c], cell, a.ClientTimeout); n >= 0 {
+	if len(t.byCustomer)+len(t.byPrefix) > 0 {
+		if c, ok := parseCustomer(a.Customer); ok {
+			if n := t.lookup(t.byCustomer[c], cell, a.ClientTimeout); n >= 0 {
 				return n
 			}
-			for i := range t.prefixes {
-				p := &t.prefixes[i]
-				if n := t.in(p.by[c>>p.shift], cell, a.ClientTimeout); n >= 0 {
+			for i := range t.byPrefix {
+				p := &t.byPrefix[i]
+				if n := t.lookup(p.groups[c>>p.shift], cell, a.ClientTimeout); n >= 0 {
 					return n
 				}
 			}
 		}
 	}
-	return t.in(t.all, cell, a.ClientTimeout)
+	return t.lookup(t.anyCustomer, cell, a.ClientTimeout)
 }
 
-func (t *Table) in(g group, cell int, patience time.Duration) int {
+func (t *Table) lookup(g classPlanIndex, cell int, patience time.Duration) int {
 	if g == nil {
 		return -1
 	}
 	for _, n := range g[cell] {
-		if t.routes[n].hasPatience(patience) {
+		if t.routes[n].matchesTimeout(patience) {
 			return int(n)
 		}
 	}
 	return -1
 }
 
-// number reads a customer's 16 hex digits.
-func number(s string) (v uint64, ok bool) {
+// parseCustomer reads a customer's 16 hex digits.
+func parseCustomer(s string) (v uint64, ok bool) {
 	if len(s) != customerDigits {
 		return 0, false
 	}
@@ -251,13 +251,13 @@
 	} else {
 		r := t.routes[won]
 		fmt.Fprintf(&b, "route %s (%s) matches\n", r.Name, r.Pos)
-		t.explainBounds(&b, r, a)
+		t.explainPolicy(&b, r, a)
 	}
 	for i, r := range t.routes {
 		if i == won {
 			continue
 		}
-		why := r.whyNot(a)
+		why := r.mismatch(a)
 		if why == "" {
 			why = "it matches too, and comes after " + t.routes[won].Name + ", which is more specific"
 		}
@@ -266,9 +266,9 @@
 	return b.String()
 }
 
-// whyNot is the first thing in which a request does not fit a route, or "".
-func (r *Route) whyNot(a Request) string {
-	c, ok := number(a.Customer)
+// mismatch is the first thing in which a request does not fit a route, or "".
+func (r *Route) mismatch(a Request) string {
+	c, ok := parseCustomer(a.Customer)
 	switch {
 	case len(r.Customers) > 0 && (!ok || !slices.Contains(r.Customers, c)):
 		return "customer " + a.Customer + " is not in its list"
@@ -278,14 +278,14 @@
 		return "class " + a.Class + " is not in its list"
 	case len(r.Plans) > 0 && !slices.Contains(r.Plans, a.Plan):
 		return "plan " + a.Plan + " is not in its list"
-	case !r.hasPatience(a.ClientTimeout):
+	case !r.matchesTimeout(a.ClientTimeout):
 		return fmt.Sprintf("patience %v is not in its span", a.ClientTimeout)
 	}
 	return ""
 }
 
-// explainBounds writes what holds for a request, with what its own patience narrows.
-func (t *Table) explainBounds(b *strings.Builder, r *Route, a Request) {
+// explainPolicy writes what holds for a request, with what its own patience narrows.
+func (t *Table) explainPolicy(b *strings.Builder, r *Route, a Request) {
 	clamp := func(name string, v time.Duration) {
 		switch {
 		case v == 0:
@@ -300,22 +300,22 @@
 	clamp("attempt", r.AttemptTimeout)
 	fmt.Fprintf(b, "  attempts: %d, again after %s\n", r.MaxAttempts, strings.Join(r.RetryOnNames, ", "))
 	if r.InitialBackoff > 0 {
-		fmt.Fprintf(b, "  wait: %v, times %g each, %v at most, give or take %.0f%%\n", r.InitialBackoff, r.BackoffFactor, r.longestWait(), 100*r.Jitter)
+		fmt.Fprintf(b, "  wait: %v, times %g each, %v at most, give or take %.0f%%\n", r.InitialBackoff, r.BackoffFactor, r.maxBackoff(), 100*r.Jitter)
 	}
 	switch {
 	case !r.Hedge.Enabled:
 		b.WriteString("  second copy: none\n")
 	case r.Hedge.Quantile > 0:
 		fmt.Fprintf(b, "  second copy: after the %.4g%% quantile of answer times (%v until %d answers were seen), with %v left\n",
-			100*r.Hedge.Quantile, r.Hedge.Delay, quantileLeast, r.Hedge.MinTimeLeft)
+			100*r.Hedge.Quantile, r.Hedge.Delay, minSamples, r.Hedge.MinTimeLeft)
 	default:
 		fmt.Fprintf(b, "  second copy: after %v, with %v left\n", r.Hedge.Delay, r.Hedge.MinTimeLeft)
 	}
 	fmt.Fprintf(b, "  budget: %.4g%% of first attempts, and %.4g a second, in each node group\n", 100*r.RetryRatio, r.MinRetriesPerSecond)
 }
 
-// longestWait is the longest wait before jitter.
-func (r *Route) longestWait() time.Duration {
+// maxBackoff is the longest wait before jitter.
+func (r *Route) maxBackoff() time.Duration {
 	if r.MaxBackoff > 0 {
 		return r.MaxBackoff
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -12,10 +12,10 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// slow finds a request's route by trying all, the most specific first.
-func slow(t *Table, a Request) int {
+// matchLinearly finds a request's route by trying all, the most specific first.
+func matchLinearly(t *Table, a Request) int {
 	for i, r := range t.routes {
-		if r.whyNot(a) == "" {
+		if r.mismatch(a) == "" {
 			return i
 		}
 	}
@@ -23,8 +23,8 @@
 }
 
 // draw makes routes that match by everything, without care for ties.
-func drawMatching(r *rand.Rand, n int, cfg *decide.Config) (all []*Route) {
-	classes, plans := namesOf(cfg)
+func randomMatchingRoutes(r *rand.Rand, n int, cfg *decide.Config) (all []*Route) {
+	classes, plans := classAndPlanNames(cfg)
 	for i := range n {
 		t := &Route{Name: fmt.Sprintf("r%d", i)}
 		for _, c := range classes {
@@ -55,23 +55,23 @@
 }
 
 // The index finds what trying all routes finds.
-func TestMatchIsWhatTryingAllFinds(t *testing.T) {
-	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { matchIsWhatTryingAllFinds(t, seeds.Rand(seed)) })
+func TestMatchEqualsLinearSearch(t *testing.T) {
+	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { matchEqualsLinearSearch(t, seeds.Rand(seed)) })
 }
 
-func matchIsWhatTryingAllFinds(t *testing.T, r *rand.Rand) {
+func matchEqualsLinearSearch(t *testing.T, r *rand.Rand) {
 	cfg := platform()
 	hit := 0
 	for range 50 {
-		table := NewTable(drawMatching(r, 60, cfg), cfg)
+		table := NewTable(randomMatchingRoutes(r, 60, cfg), cfg)
 		for range 200 {
 			a := Request{Class: cfg.Classes[r.IntN(len(cfg.Classes))].Name, Plan: cfg.Plans[r.IntN(len(cfg.Plans))].Name,
 				Customer: fmt.Sprintf("%016x", r.Uint64N(64)<<56), ClientTimeout: time.Duration(r.IntN(2000)) * time.Millisecond}
-			got, want := table.Match(a), slow(table, a)
+			got, want := table.Match(a), matchLinearly(table, a)
 			if got != want {
 				t.Fatalf("%+v: got %d, want %d", a, got, want)
 			}
-			if hit += b2i(got >= 0); got >= 0 && !strings.Contains(table.Explain(a), "route "+table.Route(got).Name+" ") {
+			if hit += boolToInt(got >= 0); got >= 0 && !strings.Contains(table.Explain(a), "route "+table.Route(got).Name+" ") {
 				t.Fatalf("Explain says\n%s", table.Explain(a))
 			}
 		}
@@ -88,7 +88,7 @@
 }
 
 // The stated order: customers, the longer prefix, class, plan, patience.
-func TestOrder(t *testing.T) {
+func TestSpecificityOrder(t *testing.T) {
 	cfg, r := platform(), seeds.Rand(1)
 	byRank := []*Route{
 		{Name: "customer", Customers: []uint64{0xab << 56}}, {Name: "prefix2", CustomerPrefix: "ab"}, {Name: "prefix1", CustomerPrefix: "a"},
@@ -106,7 +106,7 @@
 }
 
 // A request's own patience cuts what a route gives, and Explain shows it.
-func TestExplainShowsTheClamp(t *testing.T) {
+func TestExplainShowsTimeoutClamp(t *testing.T) {
 	table := NewTable([]*Route{{Name: "book", Classes: []string{"slot-book"}, TotalTimeout: 5 * time.Second, AttemptTimeout: 2 * time.Second, MaxAttempts: 2,
 		RetryOnNames: []string{"never-ran"}, Hedge: HedgePolicy{Enabled: true, Delay: time.Second, Quantile: 0.95, MinTimeLeft: time.Millisecond}}}, platform())
 	got := table.Explain(Request{Class: "slot-book", Plan: "plus", ClientTimeout: 1500 * time.Millisecond})
@@ -121,7 +121,7 @@
 }
 
 // The delay of second copies follows the answers; requests that are open keep theirs.
-func TestBoundsFollowTheQuantile(t *testing.T) {
+func TestHedgeDelayFollowsQuantile(t *testing.T) {
 	cfg := platform()
 	table := NewTable([]*Route{{Name: "r", MaxAttempts: 2, Hedge: HedgePolicy{Enabled: true, Quantile: 0.9}}}, cfg)
 	first := table.RetryPolicy(0, "slot-lookup", time.Second)
@@ -144,28 +144,30 @@
 }
 
 // With every node failing, a group gets first attempts x (1 + budget) at most, and the floor; each group by itself.
-func TestBudgetHoldsAtTotalFailure(t *testing.T) {
+func TestRetryBudgetAtTotalFailure(t *testing.T) {
 	for _, o := range []decide.Outcome{decide.Error, decide.Rejected, decide.Reset} {
 		cfg := platform()
-		rt := &Route{Name: "r", MaxAttempts: 5, RetryOn: outcomes["error"] | outcomes["never-ran"] | outcomes["reset"], RetryRatio: 0.2}
-		w := newWorld(t, cfg, []*Route{rt})
-		w.fate = func(*world, *asked, *sent) (decide.Outcome, time.Duration) { return o, time.Millisecond }
+		rt := &Route{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"] | outcomesByName["never-ran"] | outcomesByName["reset"], RetryRatio: 0.2}
+		w := newSimulation(t, cfg, []*Route{rt})
+		w.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
+			return o, time.Millisecond
+		}
 		for range 2000 {
-			w.ask("slot-lookup", "plus", time.Second)
-			w.run(w.now + 20*time.Millisecond)
+			w.submit("slot-lookup", "plus", time.Second)
+			w.runUntil(w.now + 20*time.Millisecond)
 		}
 		firsts, further := 0, 0
 		for cell := range 2 {
-			firsts, further = firsts+w.firsts[cell], further+w.further[cell]
-			if float64(w.further[cell]) > 0.2*float64(w.firsts[cell]) {
-				t.Errorf("outcome %d: cell %d got %d further attempts on %d first ones", o, cell, w.further[cell], w.firsts[cell])
+			firsts, further = firsts+w.firstAttempts[cell], further+w.retries[cell]
+			if float64(w.retries[cell]) > 0.2*float64(w.firstAttempts[cell]) {
+				t.Errorf("outcome %d: cell %d got %d further attempts on %d first ones", o, cell, w.retries[cell], w.firstAttempts[cell])
 			}
 		}
 		if further < firsts/10 {
 			t.Errorf("outcome %d: only %d further attempts on %d first ones", o, further, firsts)
 		}
-		if len(w.broken) > 0 {
-			t.Error(w.broken)
+		if len(w.violations) > 0 {
+			t.Error(w.violations)
 		}
 	}
 }
@@ -173,18 +175,20 @@
 // What nodes get when all fail, with a budget and without one worth the name.
 func TestLoadAtTotalFailure(t *testing.T) {
 	load := func(budget, floor float64) float64 {
-		w := newWorld(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomes["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
-		w.fate = func(*world, *asked, *sent) (decide.Outcome, time.Duration) { return decide.Error, time.Millisecond }
+		w := newSimulation(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
+		w.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
+			return decide.Error, time.Millisecond
+		}
 		sends := 0
 		for range 2000 {
-			w.ask("slot-lookup", "plus", time.Second)
-			w.run(w.now + 20*time.Millisecond)
+			w.submit("slot-lookup", "plus", time.Second)
+			w.runUntil(w.now + 20*time.Millisecond)
 		}
-		w.run(w.now + time.Minute)
-		for _, a := range w.all {
-			sends += len(a.sent)
+		w.runUntil(w.now + time.Minute)
+		for _, a := range w.requests {
+			sends += len(a.attempts)
 		}
-		return float64(sends) / float64(len(w.all))
+		return float64(sends) / float64(len(w.requests))
 	}
 	with, without := load(0.2, 0), load(10, 10000)
 	t.Logf("attempts a request: %.3f with a budget of 20%%, %.3f without", with, without)
@@ -194,20 +198,20 @@
 }
 
 // Second copies stop where servers are full, before anything else does.
-func TestCopiesStopWhenTheFleetIsFull(t *testing.T) {
+func TestHedgingStopsWhenServersAreFull(t *testing.T) {
 	cfg := platform()
 	rt := &Route{Name: "r", MaxAttempts: 2, RetryRatio: 10, MinRetriesPerSecond: 1000, Hedge: HedgePolicy{Enabled: true, Delay: 50 * time.Millisecond}}
 	copies := func(every time.Duration) (n int) {
-		w := newWorld(t, cfg, []*Route{rt})
-		w.fate = func(w *world, a *asked, s *sent) (decide.Outcome, time.Duration) {
+		w := newSimulation(t, cfg, []*Route{rt})
+		w.outcome = func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
 			return decide.OK, 200 * time.Millisecond
 		}
 		for range 400 {
-			w.ask("slot-lookup", "plus", time.Second)
-			w.run(w.now + every)
+			w.submit("slot-lookup", "plus", time.Second)
+			w.runUntil(w.now + every)
 		}
-		for _, a := range w.all {
-			n += max(0, len(a.sent)-1)
+		for _, a := range w.requests {
+			n += max(0, len(a.attempts)-1)
 		}
 		return n
 	}
@@ -218,12 +222,12 @@
 }
 
 // Budgets take constant memory, whatever cells servers name.
-func TestGroupsAreBounded(t *testing.T) {
-	s := newState(&Route{RetryRatio: 1}, 1)
-	for cell := range 10 * groupsMost {
+func TestBudgetGroupsAreBounded(t *testing.T) {
+	s := newRouteState(&Route{RetryRatio: 1}, 1)
+	for cell := range 10 * maxGroups {
 		s.RecordFirstAttempt(time.Second, &decide.Server{Cell: cell})
 	}
-	if len(s.budgets) != groupsMost+1 {
+	if len(s.budgets) != maxGroups+1 {
 		t.Errorf("%d groups are kept", len(s.budgets))
 	}
 	if !s.TakeRetry(time.Second, &decide.Server{Cell: 1 << 20}) {
@@ -231,7 +235,7 @@
 	}
 }
 
-func TestOpenIsBounded(t *testing.T) {
+func TestMaxOpen(t *testing.T) {
 	table := NewTable([]*Route{{Name: "r", MaxOpen: 2}}, platform())
 	for n, want := range []bool{true, true, false} {
 		if table.Acquire(0) != want {
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -7,36 +7,36 @@
 	"sloepick/decide"
 )
 
-// state is what a route has seen since it was loaded.
-type state struct {
-	route   *Route
-	open    int
-	budgets map[int]*tokens    // by node group
-	times   []*LatencyQuantile // by class; nil where no quantile is asked for
-	bounds  []*decide.RetryPolicy
+// routeState is what a route has seen since it was loaded.
+type routeState struct {
+	route     *Route
+	open      int
+	budgets   map[int]*tokenBucket // by node group
+	latencies []*LatencyQuantile   // by class; nil where no quantile is asked for
+	policies  []*decide.RetryPolicy
 }
 
 const (
-	groupsMost  = 1024 // node groups with a budget of their own; the others share one
-	sharedGroup = math.MinInt
-	delayStep   = time.Millisecond
+	maxGroups      = 1024 // node groups with a budget of their own; the others share one
+	sharedGroup    = math.MinInt
+	hedgeDelayStep = time.Millisecond
 )
 
-func newState(r *Route, classes int) *state {
-	s := &state{route: r, budgets: map[int]*tokens{}}
+func newRouteState(r *Route, classes int) *routeState {
+	s := &routeState{route: r, budgets: map[int]*tokenBucket{}}
 	for range classes {
 		var t *LatencyQuantile
 		if r.Hedge.Enabled && r.Hedge.Quantile > 0 {
 			t = NewLatencyQuantile(r.Hedge.Quantile)
 		}
-		s.times = append(s.times, t)
-		s.bounds = append(s.bounds, s.make(0))
+		s.latencies = append(s.latencies, t)
+		s.policies = append(s.policies, s.newPolicy(0))
 	}
 	return s
 }
 
-// make is the route in the module's words, with a delay of second copies.
-func (s *state) make(after time.Duration) *decide.RetryPolicy {
+// newPolicy is the route in the module's words, with a delay of second copies.
+func (s *routeState) newPolicy(after time.Duration) *decide.RetryPolicy {
 	r := s.route
 	b := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
 		BackoffFactor: r.BackoffFactor, Jitter: r.Jitter, HedgeMinTimeLeft: r.Hedge.MinTimeLeft, RetryAfter: r.RetryAfter, Budget: s}
@@ -47,70 +47,70 @@
 	return b
 }
 
-// tokens are a node group's: a first attempt brings the share, a second brings the floor, a further attempt takes one.
-type tokens struct {
-	v  float64
-	at time.Duration
+// tokenBucket are a node group's: a first attempt brings the share, a second brings the floor, a further attempt takes one.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt time.Duration
 }
 
 // burstSeconds is how much of the floor is kept for a moment in which it is needed, and there at the start.
 const burstSeconds = 1.0
 
-// fill lets time bring the floor's part. What it brings is capped apart from what first attempts brought.
-func (k *tokens) fill(now time.Duration, floor float64) {
-	if k.at == 0 {
-		k.v, k.at = floor*burstSeconds, now
+// refill lets time bring the floor's part. What it brings is capped apart from what first attempts brought.
+func (k *tokenBucket) refill(now time.Duration, floor float64) {
+	if k.updatedAt == 0 {
+		k.tokens, k.updatedAt = floor*burstSeconds, now
 		return
 	}
-	if room := max(0, floor*burstSeconds-k.v); now > k.at {
-		k.v += min(room, floor*(now-k.at).Seconds())
-		k.at = now
+	if room := max(0, floor*burstSeconds-k.tokens); now > k.updatedAt {
+		k.tokens += min(room, floor*(now-k.updatedAt).Seconds())
+		k.updatedAt = now
 	}
 }
 
-// keptMost is how many unspent further attempts a group keeps from its first attempts.
-const keptMost = 10.0
+// maxSavedRetries is how many unspent further attempts a group keeps from its first attempts.
+const maxSavedRetries = 10.0
 
-func (s *state) group(cell int) *tokens {
+func (s *routeState) bucket(cell int) *tokenBucket {
 	k := s.budgets[cell]
 	if k == nil {
-		if len(s.budgets) >= groupsMost {
+		if len(s.budgets) >= maxGroups {
 			cell = sharedGroup
 			if k = s.budgets[cell]; k != nil {
 				return k
 			}
 		}
-		k = &tokens{}
+		k = &tokenBucket{}
 		s.budgets[cell] = k
 	}
 	return k
 }
 
 // RecordFirstAttempt counts a first attempt at a server's group.
-func (s *state) RecordFirstAttempt(now time.Duration, to *decide.Server) {
-	k := s.group(to.Cell)
-	k.fill(now, s.route.MinRetriesPerSecond)
-	if most := max(keptMost, s.route.MinRetriesPerSecond*burstSeconds); k.v < most {
-		k.v = min(most, k.v+s.route.RetryRatio)
+func (s *routeState) RecordFirstAttempt(now time.Duration, to *decide.Server) {
+	k := s.bucket(to.Cell)
+	k.refill(now, s.route.MinRetriesPerSecond)
+	if most := max(maxSavedRetries, s.route.MinRetriesPerSecond*burstSeconds); k.tokens < most {
+		k.tokens = min(most, k.tokens+s.route.RetryRatio)
 	}
 }
 
 // TakeRetry takes a further attempt from the budget of a server's group, if it holds one. With F first attempts in t
 // seconds a group gets at most F x Budget + (t + burstSeconds) x BudgetFloor further ones.
-func (s *state) TakeRetry(now time.Duration, to *decide.Server) bool {
-	k := s.group(to.Cell)
-	k.fill(now, s.route.MinRetriesPerSecond)
-	if k.v < 1 {
+func (s *routeState) TakeRetry(now time.Duration, to *decide.Server) bool {
+	k := s.bucket(to.Cell)
+	k.refill(now, s.route.MinRetriesPerSecond)
+	if k.tokens < 1 {
 		return false
 	}
-	k.v--
+	k.tokens--
 	return true
 }
 
 // Acquire takes a request into its route, or reports that the route has no room for it. Every request that it takes
 // must be given back by End.
 func (t *Table) Acquire(n int) bool {
-	s := t.state[n]
+	s := t.states[n]
 	if s.route.MaxOpen > 0 && s.open >= s.route.MaxOpen {
 		return false
 	}
@@ -119,26 +119,26 @@
 }
 
 // Release gives a request back.
-func (t *Table) Release(n int) { t.state[n].open-- }
+func (t *Table) Release(n int) { t.states[n].open-- }
 
 // RetryPolicy is what holds for a request of a class on a route now. It is shared and must not be changed.
 func (t *Table) RetryPolicy(n int, class string, now time.Duration) *decide.RetryPolicy {
-	s, i := t.state[n], t.classes[class]
-	times := s.times[i]
+	s, i := t.states[n], t.classes[class]
+	times := s.latencies[i]
 	if times == nil {
-		return s.bounds[i]
+		return s.policies[i]
 	}
 	if after := times.Quantile(now); after > 0 {
-		if d := after - s.bounds[i].HedgeDelay; d > delayStep || d < -delayStep {
-			s.bounds[i] = s.make(after) // requests that are open keep what they began with
+		if d := after - s.policies[i].HedgeDelay; d > hedgeDelayStep || d < -hedgeDelayStep {
+			s.policies[i] = s.newPolicy(after) // requests that are open keep what they began with
 		}
 	}
-	return s.bounds[i]
+	return s.policies[i]
 }
 
 // RecordLatency notes how long an answer took.
 func (t *Table) RecordLatency(n int, class string, took, now time.Duration) {
-	if times := t.state[n].times[t.classes[class]]; times != nil {
+	if times := t.states[n].latencies[t.classes[class]]; times != nil {
 		times.Add(took, now)
 	}
 }
--- a/internal/route/times.go
+++ b/internal/route/times.go
@@ -17,44 +17,44 @@
 //
 // All arithmetic on weights is on whole numbers, so a rank is exact however many answers there were.
 type LatencyQuantile struct {
-	perBillion uint64 // the quantile
-	weights    [buckets]uint64
-	sum        uint64
-	below      uint64 // weight in the buckets before place
-	place      int    // the quantile's bucket, as of the last look
-	aged       time.Duration
+	quantilePerBillion uint64 // the quantile
+	weights            [bucketCount]uint64
+	totalWeight        uint64
+	weightBelow        uint64 // weight in the buckets before place
+	current            int    // the quantile's bucket, as of the last look
+	decayedAt          time.Duration
 }
 
 const (
-	buckets       = 320
-	shortest      = time.Millisecond / 10 // answers are told as this long at least
-	halveAfter    = 10 * time.Second
-	quantileLeast = 50 // answers (by weight) without which a quantile says nothing
-	weightBits    = 20 // of an answer's weight behind the point
-	one           = 1 << weightBits
-	billion       = 1_000_000_000
-	subBits       = 4 // an octave is searched from its 16th parts, each of which meets three buckets at most
+	bucketCount = 320
+	minLatency  = time.Millisecond / 10 // answers are told as this long at least
+	halfLife    = 10 * time.Second
+	minSamples  = 50 // answers (by weight) without which a quantile says nothing
+	weightBits  = 20 // of an answer's weight behind the point
+	unitWeight  = 1 << weightBits
+	billion     = 1_000_000_000
+	subBits     = 4 // an octave is searched from its 16th parts, each of which meets three buckets at most
 )
 
-// bounds are the buckets' upper ones, each within its bucket. A bucket's bound is over the bound before it by a
+// bucketBounds are the buckets' upper ones, each within its bucket. A bucket's bound is over the bound before it by a
 // twentieth at most.
-var bounds = makeBounds()
+var bucketBounds = makeBucketBounds()
 
-// longest is the longest answer time that is told apart: about ten minutes.
-var longest = bounds[buckets-1]
+// maxLatency is the maxLatency answer time that is told apart: about ten minutes.
+var maxLatency = bucketBounds[bucketCount-1]
 
-// firsts is the bucket from which to search for an answer time, by the place of its highest bit and the subBits after.
-var firsts = makeFirsts()
+// firstBuckets is the bucket from which to search for an answer time, by the place of its highest bit and the subBits after.
+var firstBuckets = makeFirstBuckets()
 
-func makeBounds() (b [buckets]time.Duration) {
-	b[0] = shortest
-	for i := 1; i < buckets; i++ {
+func makeBucketBounds() (b [bucketCount]time.Duration) {
+	b[0] = minLatency
+	for i := 1; i < bucketCount; i++ {
 		b[i] = b[i-1] + b[i-1]/20
 	}
 	return b
 }
 
-func makeFirsts() (first [64 << subBits]uint16) {
+func makeFirstBuckets() (first [64 << subBits]uint16) {
 	i := 0
 	for at := range first {
 		high, sub := at>>subBits, at&(1<<subBits-1)
@@ -62,7 +62,7 @@
 			continue
 		}
 		least := uint64(1<<subBits|sub) << (high - subBits)
-		for i < buckets-1 && least <= math.MaxInt64 && bounds[i] < time.Duration(least) {
+		for i < bucketCount-1 && least <= math.MaxInt64 && bucketBounds[i] < time.Duration(least) {
 			i++
 		}
 		first[at] = uint16(i)
@@ -70,15 +70,15 @@
 	return first
 }
 
-// bucketOf is the first bucket whose bound an answer time does not exceed; beyond longest, the last.
-func bucketOf(took time.Duration) int {
-	if took <= shortest {
+// bucketIndex is the first bucket whose bound an answer time does not exceed; beyond longest, the last.
+func bucketIndex(took time.Duration) int {
+	if took <= minLatency {
 		return 0
 	}
 	high := bits.Len64(uint64(took)) - 1
 	sub := uint64(took) >> (high - subBits) & (1<<subBits - 1)
-	i := int(firsts[uint64(high)<<subBits|sub])
-	for i < buckets-1 && bounds[i] < took {
+	i := int(firstBuckets[uint64(high)<<subBits|sub])
+	for i < bucketCount-1 && bucketBounds[i] < took {
 		i++
 	}
 	return i
@@ -86,53 +86,53 @@
 
 // NewLatencyQuantile keeps a quantile, from 0 to less than 1, to nine digits.
 func NewLatencyQuantile(q float64) *LatencyQuantile {
-	return &LatencyQuantile{perBillion: uint64(math.Round(q * billion))}
+	return &LatencyQuantile{quantilePerBillion: uint64(math.Round(q * billion))}
 }
 
 // Add counts an answer.
 func (t *LatencyQuantile) Add(took, now time.Duration) {
-	t.age(now)
-	i := bucketOf(took)
-	t.weights[i] += one
-	t.sum += one
-	if i < t.place {
-		t.below += one
+	t.decay(now)
+	i := bucketIndex(took)
+	t.weights[i] += unitWeight
+	t.totalWeight += unitWeight
+	if i < t.current {
+		t.weightBelow += unitWeight
 	}
 }
 
-// age halves all weights for each halveAfter that has passed.
-func (t *LatencyQuantile) age(now time.Duration) {
-	if t.aged == 0 {
-		t.aged = now
+// decay halves all weights for each halveAfter that has passed.
+func (t *LatencyQuantile) decay(now time.Duration) {
+	if t.decayedAt == 0 {
+		t.decayedAt = now
 	}
-	if now-t.aged < halveAfter {
+	if now-t.decayedAt < halfLife {
 		return
 	}
-	halvings := (now - t.aged) / halveAfter
-	t.aged += halvings * halveAfter
-	t.sum, t.below, t.place = 0, 0, 0
+	halvings := (now - t.decayedAt) / halfLife
+	t.decayedAt += halvings * halfLife
+	t.totalWeight, t.weightBelow, t.current = 0, 0, 0
 	for i := range t.weights {
 		t.weights[i] >>= min(halvings, 64)
-		t.sum += t.weights[i]
+		t.totalWeight += t.weights[i]
 	}
 }
 
 // Quantile is the quantile of the answers so far, or 0 while they weigh less than quantileLeast. An answer after the
 // last look moves it by few buckets, so that a look costs little.
 func (t *LatencyQuantile) Quantile(now time.Duration) time.Duration {
-	t.age(now)
-	if t.sum < quantileLeast*one {
+	t.decay(now)
+	if t.totalWeight < minSamples*unitWeight {
 		return 0
 	}
-	hi, lo := bits.Mul64(t.sum, t.perBillion)
+	hi, lo := bits.Mul64(t.totalWeight, t.quantilePerBillion)
 	rank, _ := bits.Div64(hi, lo, billion) // weight up to and with the quantile's is more than this
-	for t.below > rank {
-		t.place--
-		t.below -= t.weights[t.place]
+	for t.weightBelow > rank {
+		t.current--
+		t.weightBelow -= t.weights[t.current]
 	}
-	for t.below+t.weights[t.place] <= rank {
-		t.below += t.weights[t.place]
-		t.place++
+	for t.weightBelow+t.weights[t.current] <= rank {
+		t.weightBelow += t.weights[t.current]
+		t.current++
 	}
-	return bounds[t.place]
+	return bucketBounds[t.current]
 }
--- a/internal/route/times_test.go
+++ b/internal/route/times_test.go
@@ -12,16 +12,16 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// promised fails the test unless what is told is the exact quantile or over it by a twentieth at most.
-func promised(t *testing.T, got, exact time.Duration, what string, args ...int) {
+// checkQuantile fails the test unless what is told is the exact quantile or over it by a twentieth at most.
+func checkQuantile(t *testing.T, got, exact time.Duration, what string, args ...int) {
 	t.Helper()
-	if want := max(exact, shortest); got < want || got > want+want/20 {
+	if want := max(exact, minLatency); got < want || got > want+want/20 {
 		t.Fatalf("%s %v: told %v, the exact one is %v", what, args, got, exact)
 	}
 }
 
-// perMille are all quantiles that the schema allows, in tenths of a percent.
-func perMille() (all []int) {
+// allPerMille are all quantiles that the schema allows, in tenths of a percent.
+func allPerMille() (all []int) {
 	for q := 500; q <= 999; q++ {
 		all = append(all, q)
 	}
@@ -30,13 +30,13 @@
 
 // Seeds of 20,000 answers by an exponential law. With the three long ones the quantile 0.999 was told by the rank
 // below: 0.999 x 20,000 is whole.
-func TestTimesAtRandom(t *testing.T) {
+func TestQuantileOfRandomLatencies(t *testing.T) {
 	seeds.Run(t, []uint64{1796123194424894679, 1796123196420768847, 1796123200026887706, 1}, func(t *testing.T, seed uint64) {
-		timesAtRandom(t, seeds.Rand(seed))
+		quantileOfRandomLatencies(t, seeds.Rand(seed))
 	})
 }
 
-func timesAtRandom(t *testing.T, r *rand.Rand) {
+func quantileOfRandomLatencies(t *testing.T, r *rand.Rand) {
 	var all []time.Duration
 	for range 20000 {
 		all = append(all, time.Duration(r.ExpFloat64()*float64(80*time.Millisecond)))
@@ -47,13 +47,13 @@
 		for _, d := range all {
 			times.Add(d, time.Second)
 		}
-		promised(t, times.Quantile(time.Second), sorted[int(q*float64(len(all)))], fmt.Sprint(q))
+		checkQuantile(t, times.Quantile(time.Second), sorted[int(q*float64(len(all)))], fmt.Sprint(q))
 	}
 }
 
-// spaced are answer times far enough apart that the wrong rank is told by the wrong bucket, each a few times, in an
+// spacedLatencies are answer times far enough apart that the wrong rank is told by the wrong bucket, each a few times, in an
 // order that puts every next one anywhere among those before.
-func spaced(n int) (all []time.Duration) {
+func spacedLatencies(n int) (all []time.Duration) {
 	for i := range n {
 		all = append(all, time.Duration(float64(time.Millisecond)*math.Pow(1.11, float64(i*61%101))))
 	}
@@ -61,8 +61,8 @@
 }
 
 // Every count from 50 to 2,000, every quantile that the schema allows in tenths of a percent, told after each answer.
-func TestTimesAtEveryCount(t *testing.T) {
-	qs, answers := perMille(), spaced(2000)
+func TestQuantileAtEveryCount(t *testing.T) {
+	qs, answers := allPerMille(), spacedLatencies(2000)
 	var times []*LatencyQuantile
 	for _, q := range qs {
 		times = append(times, NewLatencyQuantile(float64(q)/1000))
@@ -74,65 +74,65 @@
 		for j, q := range qs {
 			times[j].Add(d, time.Second)
 			got, n := times[j].Quantile(time.Second), i+1
-			if n < quantileLeast {
+			if n < minSamples {
 				if got != 0 {
 					t.Fatalf("%d answers tell %v", n, got)
 				}
 				continue
 			}
-			promised(t, got, sorted[q*n/1000], "quantile per mille, answers", q, n)
+			checkQuantile(t, got, sorted[q*n/1000], "quantile per mille, answers", q, n)
 		}
 	}
 }
 
-// weighted are answers with their weights in units that make all whole.
-type weighted struct {
-	took   []time.Duration
-	weight map[time.Duration]int
+// weightedSamples are answers with their weights in units that make all whole.
+type weightedSamples struct {
+	latencies []time.Duration
+	weight    map[time.Duration]int
 }
 
-func (w *weighted) add(d time.Duration, weight int) {
+func (w *weightedSamples) add(d time.Duration, weight int) {
 	if w.weight[d] == 0 {
-		at, _ := slices.BinarySearch(w.took, d)
-		w.took = slices.Insert(w.took, at, d)
+		at, _ := slices.BinarySearch(w.latencies, d)
+		w.latencies = slices.Insert(w.latencies, at, d)
 	}
 	w.weight[d] += weight
 }
 
 // exact tells quantiles by a sum over all answers.
-func (w *weighted) exact() (at func(perMille int) time.Duration, sum int) {
+func (w *weightedSamples) exact() (at func(perMille int) time.Duration, sum int) {
 	var upTo []int
-	for _, d := range w.took {
+	for _, d := range w.latencies {
 		sum += w.weight[d]
 		upTo = append(upTo, sum)
 	}
 	return func(q int) time.Duration {
-		return w.took[sort.Search(len(upTo), func(i int) bool { return 1000*upTo[i] > q*sum })]
+		return w.latencies[sort.Search(len(upTo), func(i int) bool { return 1000*upTo[i] > q*sum })]
 	}, sum
 }
 
 // The same after halving, once to thrice, and with new answers among the halved.
-func TestTimesAtEveryCountAfterHalving(t *testing.T) {
-	answers, before := spaced(2100), NewLatencyQuantile(0.75)
+func TestQuantileAfterDecay(t *testing.T) {
+	answers, before := spacedLatencies(2100), NewLatencyQuantile(0.75)
 	for n := 1; n <= 2000; n++ {
 		before.Add(answers[n-1], time.Second)
 		before.Quantile(time.Second) // so that a place is kept over the halving
 		halvings, fresh := 1+n%3, n%97
-		w := &weighted{weight: map[time.Duration]int{}}
+		w := &weightedSamples{weight: map[time.Duration]int{}}
 		for _, d := range answers[:n] {
 			w.add(d, 1)
 		}
-		now, times := time.Second+time.Duration(halvings)*halveAfter, *before
+		now, times := time.Second+time.Duration(halvings)*halfLife, *before
 		for _, d := range answers[n : n+fresh] {
 			times.Add(d, now)
 			w.add(d, 1<<halvings)
 		}
 		at, sum := w.exact()
-		for _, q := range perMille() {
-			times.perBillion = uint64(q) * billion / 1000
+		for _, q := range allPerMille() {
+			times.quantilePerBillion = uint64(q) * billion / 1000
 			got := times.Quantile(now)
-			if sum >= quantileLeast<<halvings {
-				promised(t, got, at(q), "quantile per mille, answers, halvings, new answers", q, n, halvings, fresh)
+			if sum >= minSamples<<halvings {
+				checkQuantile(t, got, at(q), "quantile per mille, answers, halvings, new answers", q, n, halvings, fresh)
 			} else if got != 0 {
 				t.Fatalf("%d answers halved %d times and %d new ones tell %v", n, halvings, fresh, got)
 			}
@@ -141,31 +141,31 @@
 }
 
 // A bucket's bound is told for what lies in it, at its edges too, and never for less.
-func TestBucketsMeetAtTheirBounds(t *testing.T) {
-	for i := 1; i < buckets; i++ {
-		for _, d := range []time.Duration{bounds[i-1] + 1, bounds[i-1] + (bounds[i]-bounds[i-1])/2, bounds[i]} {
-			if got := bucketOf(d); got != i {
+func TestBucketBounds(t *testing.T) {
+	for i := 1; i < bucketCount; i++ {
+		for _, d := range []time.Duration{bucketBounds[i-1] + 1, bucketBounds[i-1] + (bucketBounds[i]-bucketBounds[i-1])/2, bucketBounds[i]} {
+			if got := bucketIndex(d); got != i {
 				t.Fatalf("%v falls into %d, not %d", d, got, i)
 			}
 		}
-		if bounds[i] > bounds[i-1]+bounds[i-1]/20 {
+		if bucketBounds[i] > bucketBounds[i-1]+bucketBounds[i-1]/20 {
 			t.Fatalf("bucket %d grows by more than a twentieth", i)
 		}
 	}
-	for _, d := range []time.Duration{-time.Hour, 0, 1, 15, 16, shortest} {
-		if got := bucketOf(d); got != 0 {
+	for _, d := range []time.Duration{-time.Hour, 0, 1, 15, 16, minLatency} {
+		if got := bucketIndex(d); got != 0 {
 			t.Errorf("%v falls into %d", d, got)
 		}
 	}
-	for _, d := range []time.Duration{longest, longest + 1, 1000 * time.Hour, math.MaxInt64} {
-		if got := bucketOf(d); got != buckets-1 {
+	for _, d := range []time.Duration{maxLatency, maxLatency + 1, 1000 * time.Hour, math.MaxInt64} {
+		if got := bucketIndex(d); got != bucketCount-1 {
 			t.Errorf("%v falls into %d", d, got)
 		}
 	}
 }
 
 // What is old counts for less, then for nothing; a clock that stands or leaps harms nothing; no memory is taken.
-func TestTimesAge(t *testing.T) {
+func TestQuantileDecay(t *testing.T) {
 	times := NewLatencyQuantile(0.5)
 	if times.Quantile(0) != 0 {
 		t.Error("a quantile of nothing")
@@ -173,13 +173,13 @@
 	for range 20000 {
 		times.Add(80*time.Millisecond, time.Second)
 	}
-	now := time.Second + 5*halveAfter
+	now := time.Second + 5*halfLife
 	for range 20000 {
 		times.Add(400*time.Millisecond, now)
 	}
-	promised(t, times.Quantile(now), 400*time.Millisecond, "the median after a change")
-	promised(t, times.Quantile(now-time.Minute), 400*time.Millisecond, "the median at an earlier time")
-	if times.Quantile(now+time.Hour) != 0 || times.sum != 0 || times.Quantile(math.MaxInt64) != 0 {
+	checkQuantile(t, times.Quantile(now), 400*time.Millisecond, "the median after a change")
+	checkQuantile(t, times.Quantile(now-time.Minute), 400*time.Millisecond, "the median at an earlier time")
+	if times.Quantile(now+time.Hour) != 0 || times.totalWeight != 0 || times.Quantile(math.MaxInt64) != 0 {
 		t.Error("what is an hour old still counts")
 	}
 	now += time.Hour
@@ -188,8 +188,8 @@
 	}
 }
 
-// BenchmarkTimes is a request's part: an answer is counted and the quantile told, of answers that spread.
-func BenchmarkTimes(b *testing.B) {
+// BenchmarkLatencyQuantile is a request's part: an answer is counted and the quantile told, of answers that spread.
+func BenchmarkLatencyQuantile(b *testing.B) {
 	r := seeds.Rand(1)
 	var answers [4096]time.Duration
 	for i := range answers {
@@ -207,8 +207,8 @@
 	}
 }
 
-// BenchmarkAnswered is the same through a route's table.
-func BenchmarkAnswered(b *testing.B) {
+// BenchmarkRecordLatency is the same through a route's table.
+func BenchmarkRecordLatency(b *testing.B) {
 	table := NewTable([]*Route{{Name: "r", Hedge: HedgePolicy{Enabled: true, Quantile: 0.95}}}, platform())
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,18 +13,18 @@
 	value float64
 }
 
-// check reports the first setting that no host of the decision module can work with, in the settings' own words.
-func (s *wire) check() error {
-	for _, f := range s.figures() {
+// validate reports the first setting that no host of the decision module can work with, in the settings' own words.
+func (s *settingsObject) validate() error {
+	for _, f := range s.nonNegativeFields() {
 		if f.value < 0 || math.IsInf(f.value, 0) || math.IsNaN(f.value) {
 			return fmt.Errorf("%s is %v, want 0 or more", f.name, f.value)
 		}
 	}
-	return s.checkNames()
+	return s.validateNames()
 }
 
-// figures are all settings that can't be negative.
-func (s *wire) figures() []field {
+// nonNegativeFields are all settings that can't be negative.
+func (s *settingsObject) nonNegativeFields() []field {
 	all := []field{
 		{"Extra.CounterPrice", s.Extra.CounterPrice}, {"Extra.PeerIntake", s.Extra.PeerIntake}, {"Extra.UnitsTop", s.Extra.UnitsTop},
 		{"Extra.CountWaitNs", float64(s.Extra.CountWaitNs)}, {"Extra.MeterNs", float64(s.Extra.MeterNs)},
@@ -52,23 +52,23 @@
 	return all
 }
 
-// checkNames reports names that are missing or stand twice: a request names its class and its plan by them.
-func (s *wire) checkNames() error {
+// validateNames reports names that are missing or stand twice: a request names its class and its plan by them.
+func (s *settingsObject) validateNames() error {
 	classes, plans := map[string]int{}, map[string]int{}
 	for i, k := range s.Classes {
-		if err := newName("Classes", k.Name, i, classes); err != nil {
+		if err := validateName("Classes", k.Name, i, classes); err != nil {
 			return err
 		}
 	}
 	for i, p := range s.TiersOfService {
-		if err := newName("TiersOfService", p.Name, i, plans); err != nil {
+		if err := validateName("TiersOfService", p.Name, i, plans); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func newName(list, name string, i int, seen map[string]int) error {
+func validateName(list, name string, i int, seen map[string]int) error {
 	if name == "" {
 		return fmt.Errorf("%s[%d].Name is empty", list, i)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,8 +11,8 @@
 	"sloepick/decide"
 )
 
-// wire are the wire's words for decide.Config. Keys that are not named here are ignored.
-type wire struct {
+// settingsObject are the settingsObject's words for decide.Config. Keys that are not named here are ignored.
+type settingsObject struct {
 	Classes []struct {
 		Name, Effect, Group               string
 		AimNs, GiveUpNs, WindowNs         int64
@@ -67,18 +67,18 @@
 
 // Parse reads a settings object. Whether a gateway can work with it is for decide.New to say.
 func Parse(raw json.RawMessage) (Settings, error) {
-	var s wire
+	var s settingsObject
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return Settings{}, DescribeDecodeError(err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return Settings{}, err
 	}
-	c, err := s.config()
+	c, err := s.decideConfig()
 	return Settings{Decide: c, ServerIdleTimeout: time.Duration(s.Limits.ConnIdleNs), MaxOpen: s.Limits.OpenCap}, err
 }
 
-func (s *wire) config() (decide.Config, error) {
+func (s *settingsObject) decideConfig() (decide.Config, error) {
 	c := decide.Config{Rank: s.Rank, Gateways: s.Instances, Zone: s.Zone, SettledLater: s.Extra.CostAfter,
 		MaxUnits: s.Extra.UnitsTop, MeterPeriod: time.Duration(s.Extra.MeterNs), PeerIntake: s.Extra.PeerIntake,
 		Counter: s.Extra.HasCounter, CounterTimeout: time.Duration(s.Extra.CountWaitNs),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"sloepick/internal/testbed"
 )
 
-// TestSettingsThatCantBeServed: each is refused with the field's own name and its value.
-func TestSettingsThatCantBeServed(t *testing.T) {
+// TestInvalidSettings: each is refused with the field's own name and its value.
+func TestInvalidSettings(t *testing.T) {
 	good := string(testbed.MinimalSettings(time.Second))
 	if s, err := Parse([]byte(good)); err != nil || s.ValidateServing() != nil {
 		t.Fatalf("the settings as they are: %v, %v", err, s.ValidateServing())
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func middle(span []float64) float64 {
+func midpoint(span []float64) float64 {
 	if len(span) == 0 {
 		return 0
 	}
@@ -70,18 +70,18 @@
 
 const millisecond = int(time.Millisecond)
 
-// object is the site's settings as a gateway is given them.
-func (s *site) object() map[string]any {
+// settingsObjectMap is the site's settings as a gateway is given them.
+func (s *site) settingsObjectMap() map[string]any {
 	var classes, plans []map[string]any
 	for _, k := range s.Class {
 		classes = append(classes, map[string]any{"Name": k.Name, "Effect": k.Effect, "Group": k.Group, "AimNs": k.Aim * millisecond,
 			"GiveUpNs": k.Deadline * millisecond, "WindowNs": k.Window * millisecond, "Importance": k.Worth, "LateWorth": k.LateWorth})
 	}
 	for i, p := range s.Fam.Plan {
-		rate := middle(p.Rate)
-		plan := map[string]any{"Name": s.Tenant[i].Name, "Refill": rate, "MostAtOnce": rate * middle(p.Burst), "Pays": p.Price}
-		if c := middle(p.Ceiling); c > 0 {
-			plan["NeverOverRate"], plan["NeverOverDepth"], plan["HardSlack"] = c*rate, c*rate*middle(p.Burst), s.Fam.Slack*rate
+		rate := midpoint(p.Rate)
+		plan := map[string]any{"Name": s.Tenant[i].Name, "Refill": rate, "MostAtOnce": rate * midpoint(p.Burst), "Pays": p.Price}
+		if c := midpoint(p.Ceiling); c > 0 {
+			plan["NeverOverRate"], plan["NeverOverDepth"], plan["HardSlack"] = c*rate, c*rate*midpoint(p.Burst), s.Fam.Slack*rate
 		}
 		plans = append(plans, plan)
 	}
@@ -92,8 +92,8 @@
 		"Limits": map[string]any{"SendCap": s.Allow.MaxAttempts, "MayCancel": s.Allow.Cancel, "ParallelTries": s.Allow.SecondCopies,
 			"Peers": s.Allow.Peers, "Probes": s.Allow.Probes, "RetryAfter": s.Allow.RetryAfter, "MaxRetryAfterNs": s.Clients.MaxRetryAfter * millisecond,
 			"ConnectTimeoutNs": tier.Conn.Connect * millisecond, "ConnIdleNs": tier.Conn.Idle * int(time.Second)},
-		"Safety": map[string]any{"DrainGraceNs": s.Rules.DrainGrace * millisecond, "ColdFrom": middle(tier.Kind[0].ColdFrom),
-			"ColdNs": int64(middle(tier.Kind[0].ColdFor) * float64(time.Second)), "FallMultiple": s.Rules.FallMultiple, "FallNs": s.Rules.FallFor * millisecond},
+		"Safety": map[string]any{"DrainGraceNs": s.Rules.DrainGrace * millisecond, "ColdFrom": midpoint(tier.Kind[0].ColdFrom),
+			"ColdNs": int64(midpoint(tier.Kind[0].ColdFor) * float64(time.Second)), "FallMultiple": s.Rules.FallMultiple, "FallNs": s.Rules.FallFor * millisecond},
 	}
 }
 
@@ -110,7 +110,7 @@
 			t.Fatal(err)
 		}
 		t.Run(s.Name, func(t *testing.T) {
-			raw, err := json.Marshal(s.object())
+			raw, err := json.Marshal(s.settingsObjectMap())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -123,15 +123,15 @@
 			}
 			for _, class := range s.Class {
 				for _, plan := range s.Tenant {
-					serve(t, set.Decide, class.Name, plan.Name)
+					serveAfterReset(t, set.Decide, class.Name, plan.Name)
 				}
 			}
 		})
 	}
 }
 
-// serve has a gateway of the settings serve a request whose first attempt broke.
-func serve(t *testing.T, cfg decide.Config, class, plan string) {
+// serveAfterReset has a gateway of the settings serveAfterReset a request whose first attempt broke.
+func serveAfterReset(t *testing.T, cfg decide.Config, class, plan string) {
 	t.Helper()
 	cfg.Gateways, cfg.Limits.PeerMessages = 1, false
 	g, err := decide.New(cfg, 1)
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -49,12 +49,12 @@
 func Block() *operator.Block {
 	return &operator.Block{
 		Name: "gateway", Doc: "The gateway's core: connections of clients and to nodes, and its end.",
-		Blocks: []*operator.Block{clients(), nodes(), stop()},
-		Check:  check,
+		Blocks: []*operator.Block{clientsBlock(), nodesBlock(), shutdownBlock()},
+		Check:  validate,
 	}
 }
 
-func clients() *operator.Block {
+func clientsBlock() *operator.Block {
 	return &operator.Block{
 		Name: "clients", Doc: "Connections of clients.",
 		Keys: []operator.Key{
@@ -80,7 +80,7 @@
 	}
 }
 
-func nodes() *operator.Block {
+func nodesBlock() *operator.Block {
 	return &operator.Block{
 		Name: "nodes", Doc: "Connections to nodes.",
 		Keys: []operator.Key{
@@ -98,7 +98,7 @@
 	}
 }
 
-func stop() *operator.Block {
+func shutdownBlock() *operator.Block {
 	return &operator.Block{
 		Name: "stop", Doc: "The end of the gateway, at SIGTERM.",
 		Keys: []operator.Key{
@@ -112,7 +112,7 @@
 	}
 }
 
-func check(s *operator.Section) (out []operator.Problem) {
+func validate(s *operator.Section) (out []operator.Problem) {
 	a, b := s.One("clients").Share("descriptors"), s.One("nodes").Share("descriptors")
 	if a+b > 1 {
 		key := "nodes.descriptors"
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -6,7 +6,7 @@
 )
 
 // Without an operator file the gateway does what it did before there was one: these are the constants of then.
-func TestDefaultsAreWhatTheyWere(t *testing.T) {
+func TestDefaults(t *testing.T) {
 	want := Tuning{
 		Clients: Clients{ReadTimeout: 2 * time.Second, IdleTimeout: 5 * time.Second, WriteTimeout: 2 * time.Second, ProtocolErrorTimeout: time.Second, MaxPipeline: 64,
 			MaxUnreadBytes: 1 << 20, DescriptorShare: 0.5, MemoryShare: 0.25, AcceptAhead: 16},
