--- a/internal/route/times.go
+++ b/internal/route/latency.go
@@ -90,9 +90,9 @@
 }
 
 // Add counts an answer.
-func (t *LatencyQuantile) Add(took, now time.Duration) {
+func (t *LatencyQuantile) Add(latency, now time.Duration) {
 	t.decay(now)
-	i := bucketIndex(took)
+	i := bucketIndex(latency)
 	t.weights[i] += unitWeight
 	t.totalWeight += unitWeight
 	if i < t.current {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -131,14 +131,14 @@
 	return t
 }
 
-func (t *Table) addToIndex(no int16, r *Route) {
+func (t *Table) addToIndex(n int16, r *Route) {
 	switch {
 	case len(r.Customers) > 0:
 		for _, c := range r.Customers {
 			if t.byCustomer[c] == nil {
 				t.byCustomer[c] = make(classPlanIndex, t.pairCount)
 			}
-			t.addRoute(t.byCustomer[c], no, r)
+			t.addRoute(t.byCustomer[c], n, r)
 		}
 	case r.CustomerPrefix != "":
 		v, err := strconv.ParseUint(r.CustomerPrefix, 16, 64)
@@ -151,17 +151,17 @@
 			i = len(t.byPrefix)
 			t.byPrefix = append(t.byPrefix, prefixIndex{shift, map[uint64]classPlanIndex{}})
 		}
-		by := t.byPrefix[i].groups
-		if by[v] == nil {
-			by[v] = make(classPlanIndex, t.pairCount)
+		groups := t.byPrefix[i].groups
+		if groups[v] == nil {
+			groups[v] = make(classPlanIndex, t.pairCount)
 		}
-		t.addRoute(by[v], no, r)
+		t.addRoute(groups[v], n, r)
 	default:
-		t.addRoute(t.anyCustomer, no, r)
+		t.addRoute(t.anyCustomer, n, r)
 	}
 }
 
-func (t *Table) addRoute(g classPlanIndex, no int16, r *Route) {
+func (t *Table) addRoute(g classPlanIndex, n int16, r *Route) {
 	for class, i := range t.classes {
 		if len(r.Classes) > 0 && !slices.Contains(r.Classes, class) {
 			continue
@@ -169,7 +169,7 @@
 		for plan, j := range t.plans {
 			if len(r.Plans) == 0 || slices.Contains(r.Plans, plan) {
 				at := i*len(t.plans) + j
-				g[at] = append(g[at], no)
+				g[at] = append(g[at], n)
 			}
 		}
 	}
@@ -189,29 +189,29 @@
 	if !ok || !ok2 {
 		return -1
 	}
-	cell := class*len(t.plans) + plan
+	pair := class*len(t.plans) + plan
 	if len(t.byCustomer)+len(t.byPrefix) > 0 {
 		if c, ok := parseCustomer(a.Customer); ok {
-			if n := t.lookup(t.byCustomer[c], cell, a.ClientTimeout); n >= 0 {
+			if n := t.lookup(t.byCustomer[c], pair, a.ClientTimeout); n >= 0 {
 				return n
 			}
 			for i := range t.byPrefix {
 				p := &t.byPrefix[i]
-				if n := t.lookup(p.groups[c>>p.shift], cell, a.ClientTimeout); n >= 0 {
+				if n := t.lookup(p.groups[c>>p.shift], pair, a.ClientTimeout); n >= 0 {
 					return n
 				}
 			}
 		}
 	}
-	return t.lookup(t.anyCustomer, cell, a.ClientTimeout)
+	return t.lookup(t.anyCustomer, pair, a.ClientTimeout)
 }
 
-func (t *Table) lookup(g classPlanIndex, cell int, patience time.Duration) int {
+func (t *Table) lookup(g classPlanIndex, pair int, clientTimeout time.Duration) int {
 	if g == nil {
 		return -1
 	}
-	for _, n := range g[cell] {
-		if t.routes[n].matchesTimeout(patience) {
+	for _, n := range g[pair] {
+		if t.routes[n].matchesTimeout(clientTimeout) {
 			return int(n)
 		}
 	}
@@ -245,23 +245,23 @@
 // Explain tells in words which route a request gets and why no other.
 func (t *Table) Explain(a Request) string {
 	var b strings.Builder
-	won := t.Match(a)
-	if won < 0 {
+	matched := t.Match(a)
+	if matched < 0 {
 		b.WriteString("no route matches: the module's own bounds hold\n")
 	} else {
-		r := t.routes[won]
+		r := t.routes[matched]
 		fmt.Fprintf(&b, "route %s (%s) matches\n", r.Name, r.Pos)
 		t.explainPolicy(&b, r, a)
 	}
 	for i, r := range t.routes {
-		if i == won {
+		if i == matched {
 			continue
 		}
-		why := r.mismatch(a)
-		if why == "" {
-			why = "it matches too, and comes after " + t.routes[won].Name + ", which is more specific"
+		reason := r.mismatch(a)
+		if reason == "" {
+			reason = "it matches too, and comes after " + t.routes[matched].Name + ", which is more specific"
 		}
-		fmt.Fprintf(&b, "not %s: %s\n", r.Name, why)
+		fmt.Fprintf(&b, "not %s: %s\n", r.Name, reason)
 	}
 	return b.String()
 }
--- a/internal/route/model_test.go
+++ b/internal/route/simulation_test.go
@@ -100,9 +100,9 @@
 	w.violations = append(w.violations, fmt.Sprintf("%s (%s, route %s): ", a.id, a.class.Name, a.route.Name)+fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) schedule(t time.Duration, do func()) {
+func (w *simulation) schedule(at time.Duration, run func()) {
 	w.eventCount++
-	heap.Push(&w.queue, event{t, w.eventCount, do})
+	heap.Push(&w.queue, event{at, w.eventCount, run})
 }
 
 func (w *simulation) handle(ev decide.Event) {
@@ -166,10 +166,10 @@
 // startAttempt holds an attempt to the rules and to the bounds, and draws its fate.
 func (w *simulation) startAttempt(a *simRequest, act decide.SendAttempt) {
 	s := &simAttempt{server: act.Server, cell: w.cells[act.Server], startedAt: w.now, endsAt: w.now + act.Timeout}
-	b, out := a.policy, 0
+	b, inFlight := a.policy, 0
 	for _, o := range a.attempts {
 		if !o.finished {
-			out++
+			inFlight++
 		}
 		if o.finished && !o.mayHaveRun || a.class.Effect == decide.Safe {
 			continue
@@ -183,17 +183,17 @@
 			w.addViolation(a, "a keyed repeat %v after an attempt that may have run", w.now-o.startedAt)
 		}
 	}
-	last, worth := time.Duration(0), len(a.attempts) == 0 || out > 0
+	last, allowed := time.Duration(0), len(a.attempts) == 0 || inFlight > 0
 	for _, o := range a.attempts {
 		last = max(last, o.endsAt)
 	}
 	for _, o := range a.attempts { // what ended last decides; where two copies end at once, either may
-		worth = worth || o.endsAt == last && b.RetryOn.Has(o.outcome)
+		allowed = allowed || o.endsAt == last && b.RetryOn.Has(o.outcome)
 	}
-	if !worth {
+	if !allowed {
 		w.addViolation(a, "another attempt after an outcome that is not worth one")
 	}
-	if out == 0 && len(a.attempts) > 0 && float64(w.now-last) < float64(minBackoff(b))*(1-b.Jitter)-1 {
+	if inFlight == 0 && len(a.attempts) > 0 && float64(w.now-last) < float64(minBackoff(b))*(1-b.Jitter)-1 {
 		w.addViolation(a, "another attempt after a wait of %v", w.now-last)
 	}
 	switch {
@@ -201,9 +201,9 @@
 		w.addViolation(a, "sent after its answer")
 	case len(a.attempts) >= b.MaxAttempts:
 		w.addViolation(a, "attempt %d", len(a.attempts)+1)
-	case out > 1 || out == 1 && !b.Hedge:
+	case inFlight > 1 || inFlight == 1 && !b.Hedge:
 		w.addViolation(a, "a second copy")
-	case out == 1 && b.HedgeDelay > 0 && w.now-a.attempts[0].startedAt < b.HedgeDelay && len(a.attempts) == 1:
+	case inFlight == 1 && b.HedgeDelay > 0 && w.now-a.attempts[0].startedAt < b.HedgeDelay && len(a.attempts) == 1:
 		w.addViolation(a, "a second copy after %v", w.now-a.attempts[0].startedAt)
 	case b.AttemptTimeout > 0 && act.Timeout > b.AttemptTimeout:
 		w.addViolation(a, "an attempt has %v", act.Timeout)
@@ -260,7 +260,7 @@
 
 // randomRoute makes a random route, safe or not.
 func randomRoute(r *rand.Rand, name string, cfg *decide.Config) *Route {
-	ms := func(most int) time.Duration { return time.Duration(1+r.IntN(most)) * time.Millisecond }
+	ms := func(limit int) time.Duration { return time.Duration(1+r.IntN(limit)) * time.Millisecond }
 	maybe := func(d time.Duration) time.Duration {
 		if r.IntN(3) == 0 {
 			return 0
@@ -298,18 +298,18 @@
 }
 
 func validatedRoutesKeepTheRules(t *testing.T, r *rand.Rand, rounds int) {
-	taken, sends := 0, 0
-	for round := 0; taken < rounds; round++ {
+	accepted, attempts := 0, 0
+	for round := 0; accepted < rounds; round++ {
 		cfg := platform()
 		rt := randomRoute(r, fmt.Sprintf("r%d", round), cfg)
 		if len(Validate([]*Route{rt}, cfg, margins)) > 0 {
 			continue
 		}
-		taken++
+		accepted++
 		w := newSimulation(t, cfg, []*Route{rt})
-		mood := r.IntN(4) // of the fleet: mixed, failing fast, silent, one class slow
+		scenario := r.IntN(4) // of the fleet: mixed, failing fast, silent, one class slow
 		w.outcome = func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
-			switch mood {
+			switch scenario {
 			case 1:
 				return []decide.Outcome{decide.Error, decide.Rejected, decide.Reset, decide.NoConnection}[r.IntN(4)], time.Millisecond
 			case 2:
@@ -329,30 +329,30 @@
 		}
 		w.runUntil(w.now + time.Minute)
 		for _, a := range w.requests {
-			sends += len(a.attempts)
+			attempts += len(a.attempts)
 			if a.answeredAt == 0 {
 				w.addViolation(a, "no answer")
 			}
 		}
 		for cell, n := range w.retries {
 			span := (w.now - time.Hour).Seconds() + burstSeconds
-			if most := float64(w.firstAttempts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > most+1e-6 {
-				w.violations = append(w.violations, fmt.Sprintf("cell %d got %d further attempts, %.1f at most", cell, n, most))
+			if limit := float64(w.firstAttempts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > limit+1e-6 {
+				w.violations = append(w.violations, fmt.Sprintf("cell %d got %d further attempts, %.1f at most", cell, n, limit))
 			}
 		}
 		if len(w.violations) > 0 {
-			t.Fatalf("round %d, mood %d, route %+v:\n%s", round, mood, *rt, strings.Join(w.violations, "\n"))
+			t.Fatalf("round %d, mood %d, route %+v:\n%s", round, scenario, *rt, strings.Join(w.violations, "\n"))
 		}
 	}
-	t.Logf("%d routes, %d attempts", taken, sends)
-	if sends < taken {
+	t.Logf("%d routes, %d attempts", accepted, attempts)
+	if attempts < accepted {
 		t.Error("too little happened for a test")
 	}
 }
 
 // runUnchecked runs a request by the letter of its route and nothing else, with every attempt ending in the worst way for it.
 // It tells which rule breaks. This is what the proof is there to refuse.
-func runUnchecked(r *Route, k *decide.Class, o decide.Outcome, slow bool) (broken []string) {
+func runUnchecked(r *Route, k *decide.Class, o decide.Outcome, slow bool) (violations []string) {
 	whole := r.TotalTimeout
 	if whole == 0 {
 		whole = k.Deadline - margins.Response
@@ -365,17 +365,17 @@
 	for n := 0; n < r.MaxAttempts; n++ {
 		if n > 0 {
 			if k.Effect == decide.Unsafe && o != decide.NoConnection {
-				broken = append(broken, "effect twice")
+				violations = append(violations, "effect twice")
 			}
 			if k.Effect == decide.Keyed && o != decide.NoConnection && now+attempt > k.DedupWindow-margins.Dedup && now < whole {
-				broken = append(broken, "outside the window")
+				violations = append(violations, "outside the window")
 			}
 		}
 		if r.Hedge.Enabled && n == 0 && k.Effect == decide.Unsafe {
-			broken = append(broken, "effect twice")
+			violations = append(violations, "effect twice")
 		}
 		if r.Hedge.Enabled && n == 0 && k.Effect == decide.Keyed && whole > k.DedupWindow-margins.Dedup {
-			broken = append(broken, "outside the window")
+			violations = append(violations, "outside the window")
 		}
 		if slow {
 			now += attempt
@@ -391,12 +391,12 @@
 		}
 	}
 	if max(now, whole) > k.Deadline-margins.Response {
-		broken = append(broken, "answered too late")
+		violations = append(violations, "answered too late")
 	}
 	if now > whole {
-		broken = append(broken, "attempts outlast the whole")
+		violations = append(violations, "attempts outlast the whole")
 	}
-	return broken
+	return violations
 }
 
 // For each named kind of what the proof rejects there is a schedule that breaks the rule, were the route followed.
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -38,13 +38,13 @@
 // newPolicy is the route in the module's words, with a delay of second copies.
 func (s *routeState) newPolicy(after time.Duration) *decide.RetryPolicy {
 	r := s.route
-	b := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
+	p := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
 		BackoffFactor: r.BackoffFactor, Jitter: r.Jitter, HedgeMinTimeLeft: r.Hedge.MinTimeLeft, RetryAfter: r.RetryAfter, Budget: s}
-	if b.HedgeDelay = r.Hedge.Delay; after > 0 {
-		b.HedgeDelay = after
+	if p.HedgeDelay = r.Hedge.Delay; after > 0 {
+		p.HedgeDelay = after
 	}
-	b.Hedge = r.Hedge.Enabled && b.HedgeDelay > 0
-	return b
+	p.Hedge = r.Hedge.Enabled && p.HedgeDelay > 0
+	return p
 }
 
 // tokenBucket are a node group's: a first attempt brings the share, a second brings the floor, a further attempt takes one.
@@ -57,14 +57,14 @@
 const burstSeconds = 1.0
 
 // refill lets time bring the floor's part. What it brings is capped apart from what first attempts brought.
-func (k *tokenBucket) refill(now time.Duration, floor float64) {
-	if k.updatedAt == 0 {
-		k.tokens, k.updatedAt = floor*burstSeconds, now
+func (b *tokenBucket) refill(now time.Duration, floor float64) {
+	if b.updatedAt == 0 {
+		b.tokens, b.updatedAt = floor*burstSeconds, now
 		return
 	}
-	if room := max(0, floor*burstSeconds-k.tokens); now > k.updatedAt {
-		k.tokens += min(room, floor*(now-k.updatedAt).Seconds())
-		k.updatedAt = now
+	if room := max(0, floor*burstSeconds-b.tokens); now > b.updatedAt {
+		b.tokens += min(room, floor*(now-b.updatedAt).Seconds())
+		b.updatedAt = now
 	}
 }
 
@@ -72,38 +72,38 @@
 const maxSavedRetries = 10.0
 
 func (s *routeState) bucket(cell int) *tokenBucket {
-	k := s.budgets[cell]
-	if k == nil {
+	b := s.budgets[cell]
+	if b == nil {
 		if len(s.budgets) >= maxGroups {
 			cell = sharedGroup
-			if k = s.budgets[cell]; k != nil {
-				return k
+			if b = s.budgets[cell]; b != nil {
+				return b
 			}
 		}
-		k = &tokenBucket{}
-		s.budgets[cell] = k
+		b = &tokenBucket{}
+		s.budgets[cell] = b
 	}
-	return k
+	return b
 }
 
 // RecordFirstAttempt counts a first attempt at a server's group.
 func (s *routeState) RecordFirstAttempt(now time.Duration, to *decide.Server) {
-	k := s.bucket(to.Cell)
-	k.refill(now, s.route.MinRetriesPerSecond)
-	if most := max(maxSavedRetries, s.route.MinRetriesPerSecond*burstSeconds); k.tokens < most {
-		k.tokens = min(most, k.tokens+s.route.RetryRatio)
+	b := s.bucket(to.Cell)
+	b.refill(now, s.route.MinRetriesPerSecond)
+	if limit := max(maxSavedRetries, s.route.MinRetriesPerSecond*burstSeconds); b.tokens < limit {
+		b.tokens = min(limit, b.tokens+s.route.RetryRatio)
 	}
 }
 
 // TakeRetry takes a further attempt from the budget of a server's group, if it holds one. With F first attempts in t
 // seconds a group gets at most F x Budget + (t + burstSeconds) x BudgetFloor further ones.
 func (s *routeState) TakeRetry(now time.Duration, to *decide.Server) bool {
-	k := s.bucket(to.Cell)
-	k.refill(now, s.route.MinRetriesPerSecond)
-	if k.tokens < 1 {
+	b := s.bucket(to.Cell)
+	b.refill(now, s.route.MinRetriesPerSecond)
+	if b.tokens < 1 {
 		return false
 	}
-	k.tokens--
+	b.tokens--
 	return true
 }
 
--- a/internal/route/prove.go
+++ b/internal/route/validate.go
@@ -62,8 +62,8 @@
 			p.errorf(r.position("plans"), "route %s: the platform has no plan %q%s", r.Name, n, operator.Near(n, plans))
 		}
 	}
-	if most := p.cfg.Limits.MaxAttempts; r.MaxAttempts > most {
-		p.errorf(r.position("attempts"), "route %s: %d attempts, and the platform allows %d; attempts at most %d", r.Name, r.MaxAttempts, most, most)
+	if limit := p.cfg.Limits.MaxAttempts; r.MaxAttempts > limit {
+		p.errorf(r.position("attempts"), "route %s: %d attempts, and the platform allows %d; attempts at most %d", r.Name, r.MaxAttempts, limit, limit)
 	}
 	if l := p.cfg.Limits; r.RetryAfter > 0 && !l.RetryAfter {
 		p.errorf(r.position("advise"), "route %s: the platform's clients take no advice; leave advise out", r.Name)
@@ -78,29 +78,29 @@
 
 // checkClass proves a route for one checkClass. A finding of which another follows is told alone.
 func (p *validator) checkClass(r *Route, k *decide.Class) {
-	most := k.Deadline - p.margins.Response
+	maxTotal := k.Deadline - p.margins.Response
 	if k.Deadline <= 0 {
-		most = math.MaxInt64
+		maxTotal = math.MaxInt64
 	}
 	if k.Deadline > 0 && r.MinClientTimeout > k.Deadline {
 		p.errorf(r.position("patience-from"), "route %s, class %s: no client declares %v or more, as all give up after %v; patience-from at most that",
 			r.Name, k.Name, r.MinClientTimeout, k.Deadline)
 		return
 	}
-	if r.TotalTimeout > most {
+	if r.TotalTimeout > maxTotal {
 		p.errorf(r.position("whole"), "route %s, class %s: whole is %v, and clients wait %v, of which %v are for the way; whole at most %v",
-			r.Name, k.Name, r.TotalTimeout, k.Deadline, p.margins.Response, most)
+			r.Name, k.Name, r.TotalTimeout, k.Deadline, p.margins.Response, maxTotal)
 		return
 	}
-	whole := r.TotalTimeout
-	if whole == 0 {
-		whole = most
+	total := r.TotalTimeout
+	if total == 0 {
+		total = maxTotal
 	}
-	if !p.checkEffect(r, k) || !p.checkTimeouts(r, k, whole) {
+	if !p.checkEffect(r, k) || !p.checkTimeouts(r, k, total) {
 		return
 	}
-	p.checkHedge(r, k, whole)
-	p.checkDedupWindow(r, k, whole)
+	p.checkHedge(r, k, total)
+	p.checkDedupWindow(r, k, total)
 }
 
 // mayRun are the outcomes after which an attempt may have run.
@@ -145,10 +145,10 @@
 	return time.Duration(attempts)*r.AttemptTimeout + r.totalBackoff(attempts)
 }
 
-func (p *validator) checkTimeouts(r *Route, k *decide.Class, whole time.Duration) bool {
-	if r.AttemptTimeout > whole {
+func (p *validator) checkTimeouts(r *Route, k *decide.Class, total time.Duration) bool {
+	if r.AttemptTimeout > total {
 		p.errorf(r.position("attempt"), "route %s, class %s: one attempt has %v and the whole %v; attempt at most %v", r.Name, k.Name, r.AttemptTimeout,
-			whole, whole)
+			total, total)
 		return false
 	}
 	if r.MaxAttempts < 2 {
@@ -156,38 +156,38 @@
 	}
 	if r.AttemptTimeout == 0 && r.RetryOn.Has(decide.TimedOut) {
 		p.errorf(r.position("attempts"), "route %s, class %s: %d attempts, again after timed-out, and no time for one: the first would take the whole; attempt at most %v",
-			r.Name, k.Name, r.MaxAttempts, p.maxAttemptTimeout(r, r.MaxAttempts, whole))
+			r.Name, k.Name, r.MaxAttempts, p.maxAttemptTimeout(r, r.MaxAttempts, total))
 		return false
 	}
-	if need := r.totalDuration(r.MaxAttempts); need > whole {
-		fit := r.MaxAttempts
-		for fit > 1 && r.totalDuration(fit) > whole {
-			fit--
+	if need := r.totalDuration(r.MaxAttempts); need > total {
+		attempts := r.MaxAttempts
+		for attempts > 1 && r.totalDuration(attempts) > total {
+			attempts--
 		}
-		mend := fmt.Sprintf("attempts at most %d", fit)
-		if each := p.maxAttemptTimeout(r, r.MaxAttempts, whole); each > 0 {
-			mend += fmt.Sprintf(", or attempt at most %v", each)
+		fix := fmt.Sprintf("attempts at most %d", attempts)
+		if timeout := p.maxAttemptTimeout(r, r.MaxAttempts, total); timeout > 0 {
+			fix += fmt.Sprintf(", or attempt at most %v", timeout)
 		}
-		each := ""
+		attemptTimeout := ""
 		if r.AttemptTimeout > 0 {
-			each = fmt.Sprintf(" of %v", r.AttemptTimeout)
+			attemptTimeout = fmt.Sprintf(" of %v", r.AttemptTimeout)
 		}
 		p.errorf(r.position("attempts"), "route %s, class %s: %d attempts%s with waits of %v come to %v, and the whole is %v; %s", r.Name, k.Name,
-			r.MaxAttempts, each, r.totalBackoff(r.MaxAttempts), need, whole, mend)
+			r.MaxAttempts, attemptTimeout, r.totalBackoff(r.MaxAttempts), need, total, fix)
 		return false
 	}
 	return true
 }
 
 // maxAttemptTimeout is the time that one of so many attempts can have, in whole milliseconds, or 0.
-func (p *validator) maxAttemptTimeout(r *Route, attempts int, whole time.Duration) time.Duration {
-	if whole == math.MaxInt64 {
-		return whole
+func (p *validator) maxAttemptTimeout(r *Route, attempts int, total time.Duration) time.Duration {
+	if total == math.MaxInt64 {
+		return total
 	}
-	return max(0, (whole-r.totalBackoff(attempts))/time.Duration(attempts)).Truncate(time.Millisecond)
+	return max(0, (total-r.totalBackoff(attempts))/time.Duration(attempts)).Truncate(time.Millisecond)
 }
 
-func (p *validator) checkHedge(r *Route, k *decide.Class, whole time.Duration) {
+func (p *validator) checkHedge(r *Route, k *decide.Class, total time.Duration) {
 	c := r.Hedge
 	if !c.Enabled {
 		return
@@ -202,28 +202,28 @@
 	case r.AttemptTimeout > 0 && c.Delay >= r.AttemptTimeout:
 		p.errorf(r.position("copy.after"), "route %s, class %s: a second copy after %v never goes out, as an attempt ends after %v; after below %v",
 			r.Name, k.Name, c.Delay, r.AttemptTimeout, r.AttemptTimeout)
-	case c.MinTimeLeft > whole:
+	case c.MinTimeLeft > total:
 		p.errorf(r.position("copy.least"), "route %s, class %s: a second copy needs %v to win, and the whole is %v; least at most %v", r.Name, k.Name,
-			c.MinTimeLeft, whole, max(0, whole-c.Delay))
-	case c.Delay+c.MinTimeLeft > whole:
+			c.MinTimeLeft, total, max(0, total-c.Delay))
+	case c.Delay+c.MinTimeLeft > total:
 		p.errorf(r.position("copy.after"), "route %s, class %s: a second copy after %v has %v to win, and least is %v; after at most %v", r.Name, k.Name,
-			c.Delay, whole-c.Delay, c.MinTimeLeft, max(0, whole-c.MinTimeLeft))
+			c.Delay, total-c.Delay, c.MinTimeLeft, max(0, total-c.MinTimeLeft))
 	}
 }
 
 // checkDedupWindow holds repeats of a keyed class to the time for which nodes drop them, from the first attempt's send through
 // the last one's latest moment.
-func (p *validator) checkDedupWindow(r *Route, k *decide.Class, whole time.Duration) {
+func (p *validator) checkDedupWindow(r *Route, k *decide.Class, total time.Duration) {
 	if k.Effect != decide.Keyed || !r.retriesAfterExecution() && !r.Hedge.Enabled {
 		return
 	}
-	span := whole
+	span := total
 	if r.AttemptTimeout > 0 {
-		span = min(whole, r.totalDuration(r.MaxAttempts))
+		span = min(total, r.totalDuration(r.MaxAttempts))
 	}
-	if most := k.DedupWindow - p.margins.Dedup; span > most {
+	if window := k.DedupWindow - p.margins.Dedup; span > window {
 		p.errorf(r.position("whole"), "route %s, class %s: from the first attempt to the end of the last are %v, and nodes drop a repeat for %v, less %v; whole at most %v",
-			r.Name, k.Name, span, k.DedupWindow, p.margins.Dedup, max(0, most))
+			r.Name, k.Name, span, k.DedupWindow, p.margins.Dedup, max(0, window))
 	}
 }
 
