--- a/internal/route/block.go
+++ b/internal/route/block.go
@@ -9,12 +9,13 @@
 	"sloepick/internal/operator"
 )
 
-// The words for outcomes after which another attempt may be made. A cancelled attempt is one that timed out while the
-// gateway itself came late.
+// retryOutcomeNames are the values of the key again: the outcomes after which an attempt may be retried.
 var retryOutcomeNames = []string{"never-ran", "error", "timed-out", "reset"}
 
 var (
-	notExecuted    = decide.NewOutcomeSet(decide.Rejected, decide.NoConnection, decide.NotSent)
+	// notExecuted are the outcomes after which an attempt has certainly not run.
+	notExecuted = decide.NewOutcomeSet(decide.Rejected, decide.NoConnection, decide.NotSent)
+	// Cancelled counts as timed-out: the gateway itself was late in noticing the timeout.
 	outcomesByName = map[string]decide.OutcomeSet{
 		"never-ran": decide.NewOutcomeSet(decide.Rejected, decide.NoConnection),
 		"error":     decide.NewOutcomeSet(decide.Error),
@@ -23,7 +24,7 @@
 	}
 )
 
-// Block declares the block route.
+// Block returns the declaration of the block route of the operators' file.
 func Block() *operator.Block {
 	return &operator.Block{
 		Name: "route", Labels: true, Check: validateBlock,
@@ -64,7 +65,7 @@
 	return bad
 }
 
-// parseRoute is a route as the block has it.
+// parseRoute reads a route from its block, with the problems that the schema alone does not find.
 func parseRoute(s *operator.Section) (r *Route, bad []operator.Problem) {
 	r = &Route{Name: s.Label, Pos: s.Pos(""), keyPos: s.Pos, Classes: s.Words("classes"), Plans: s.Words("plans"),
 		MinClientTimeout: s.Duration("patience-from"), MaxAttempts: s.Count("attempts"), RetryOnNames: s.Words("again"), InitialBackoff: s.Duration("wait"),
@@ -108,7 +109,7 @@
 	return r, bad
 }
 
-// FromConfig reads the routes of a checked configuration.
+// FromConfig returns the routes of a validated configuration.
 func FromConfig(c *operator.Config) (all []*Route) {
 	for _, s := range c.All("route") {
 		r, _ := parseRoute(s)
--- a/internal/route/latency.go
+++ b/internal/route/latency.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// LatencyQuantile keep one quantile of answer times in constant memory: counts in buckets whose bounds grow by a twentieth, as in
-// a DDSketch (Masson, Rim and Lee, VLDB 2019), halved with age.
+// LatencyQuantile estimates one quantile of response latencies in constant memory. It counts samples in buckets whose
+// bounds grow by 5%, as in a DDSketch (Masson, Rim and Lee, VLDB 2019), and halves the counts with age.
 //
-// An answer weighs 1 and half as much after each halveAfter; one halved more than weightBits times weighs nothing. The
-// quantile q is the shortest answer time that more than the share q of all weight does not exceed: where q x weight is
-// whole, the next answer up, so that two ways to count a rank can't differ in which of two answers they mean. What is
-// told is never under it and over it by a twentieth at most, from shortest to longest. Told too low, it would send
-// second copies after the bulk of answers that are on time, and the budget would be spent when a slow one comes.
+// A sample has a weight of 1 that is halved every halfLife; after more than weightBits halvings it is 0. The quantile q
+// is the lowest latency such that samples up to and including it have more than the fraction q of the total weight.
+// Where q x weight is a whole number, that is the next higher sample, so that the rank is unambiguous. The estimate is
+// never below this value and at most 5% above it, between minLatency and maxLatency. An estimate that is too low would
+// hedge the bulk of requests that are on time, and the retry budget would be spent before a slow one needs it.
 //
-// All arithmetic on weights is on whole numbers, so a rank is exact however many answers there were.
+// Weights are integers, so a rank is exact for any number of samples.
 type LatencyQuantile struct {
-	quantilePerBillion uint64 // the quantile
+	quantilePerBillion uint64 // the quantile that is estimated
 	weights            [bucketCount]uint64
 	totalWeight        uint64
-	weightBelow        uint64 // weight in the buckets before place
-	current            int    // the quantile's bucket, as of the last look
-	decayedAt          time.Duration
+	weightBelow        uint64        // weight in the buckets before current
+	current            int           // the bucket of the quantile at the last call of Quantile
+	decayedAt          time.Duration // time of the last halving
 }
 
 const (
 	bucketCount = 320
-	minLatency  = time.Millisecond / 10 // answers are told as this long at least
+	minLatency  = time.Millisecond / 10 // upper bound of the first bucket; the lowest estimate
 	halfLife    = 10 * time.Second
-	minSamples  = 50 // answers (by weight) without which a quantile says nothing
-	weightBits  = 20 // of an answer's weight behind the point
+	minSamples  = 50 // total weight below which there is no estimate
+	weightBits  = 20 // fractional bits of a weight
 	unitWeight  = 1 << weightBits
 	billion     = 1_000_000_000
-	subBits     = 4 // an octave is searched from its 16th parts, each of which meets three buckets at most
+	subBits     = 4 // an octave is divided into 16 parts, each of which overlaps at most three buckets
 )
 
-// bucketBounds are the buckets' upper ones, each within its bucket. A bucket's bound is over the bound before it by a
-// twentieth at most.
+// bucketBounds are the inclusive upper bounds of the buckets. Each is at most 5% above the one before it.
 var bucketBounds = makeBucketBounds()
 
-// maxLatency is the maxLatency answer time that is told apart: about ten minutes.
+// maxLatency is the bound of the last bucket, about ten minutes. Longer latencies count as this one.
 var maxLatency = bucketBounds[bucketCount-1]
 
-// firstBuckets is the bucket from which to search for an answer time, by the place of its highest bit and the subBits after.
+// firstBuckets holds the bucket at which the search for a latency starts, indexed by the position of its highest bit and
+// the subBits bits after it.
 var firstBuckets = makeFirstBuckets()
 
 func makeBucketBounds() (b [bucketCount]time.Duration) {
@@ -70,7 +70,7 @@
 	return first
 }
 
-// bucketIndex is the first bucket whose bound an answer time does not exceed; beyond longest, the last.
+// bucketIndex returns the first bucket whose bound a latency does not exceed, or the last one above maxLatency.
 func bucketIndex(took time.Duration) int {
 	if took <= minLatency {
 		return 0
@@ -84,12 +84,12 @@
 	return i
 }
 
-// NewLatencyQuantile keeps a quantile, from 0 to less than 1, to nine digits.
+// NewLatencyQuantile returns an estimator of the quantile q, with 0 <= q < 1, which is rounded to nine decimal places.
 func NewLatencyQuantile(q float64) *LatencyQuantile {
 	return &LatencyQuantile{quantilePerBillion: uint64(math.Round(q * billion))}
 }
 
-// Add counts an answer.
+// Add records the latency of a response.
 func (t *LatencyQuantile) Add(latency, now time.Duration) {
 	t.decay(now)
 	i := bucketIndex(latency)
@@ -100,7 +100,7 @@
 	}
 }
 
-// decay halves all weights for each halveAfter that has passed.
+// decay halves all weights once for each halfLife that has passed.
 func (t *LatencyQuantile) decay(now time.Duration) {
 	if t.decayedAt == 0 {
 		t.decayedAt = now
@@ -117,15 +117,15 @@
 	}
 }
 
-// Quantile is the quantile of the answers so far, or 0 while they weigh less than quantileLeast. An answer after the
-// last look moves it by few buckets, so that a look costs little.
+// Quantile returns the estimate, or 0 while the total weight is below minSamples. The search starts at the bucket of the
+// last call, as a few samples move the quantile by few buckets.
 func (t *LatencyQuantile) Quantile(now time.Duration) time.Duration {
 	t.decay(now)
 	if t.totalWeight < minSamples*unitWeight {
 		return 0
 	}
 	hi, lo := bits.Mul64(t.totalWeight, t.quantilePerBillion)
-	rank, _ := bits.Div64(hi, lo, billion) // weight up to and with the quantile's is more than this
+	rank, _ := bits.Div64(hi, lo, billion) // the weight up to and including the quantile's bucket exceeds this
 	for t.weightBelow > rank {
 		t.current--
 		t.weightBelow -= t.weights[t.current]
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route decides within which bounds a request is tried: how long an attempt and the whole may take, how many
-// attempts there may be and after what, when a second copy goes out, and what share of first attempts may be repeated.
-// Package decide still chooses servers and decides on each attempt, within these bounds. The package is pure: time
-// comes in as a value, and nothing in it is safe for concurrent use.
+// Package route matches requests to routes and gives each request the retry policy of its route: timeouts for an
+// attempt and for the whole request, the number of attempts, the outcomes that may be retried, backoff, hedging and the
+// retry budget. Package decide still chooses servers and decides on each attempt, within this policy. The package does
+// no I/O and reads no clock: the current time is a parameter. Nothing in it is safe for concurrent use.
 package route
 
 import (
@@ -16,40 +16,40 @@
 	"sloepick/internal/sloe"
 )
 
-// Route is one route as the operators' file has it. Times of 0 are no bound.
+// Route is one route of the operators' file. A duration of 0 means no limit.
 type Route struct {
 	Name string
-	Pos  sloe.Pos // of the block
+	Pos  sloe.Pos // of the route's block
 
-	Classes, Plans   []string // none: all
-	Customers        []uint64 // none: all
-	CustomerPrefix   string   // of a customer's 16 hex digits; "": all
-	MinClientTimeout time.Duration
-	MaxClientTimeout time.Duration // declared patience within [from, to); 0: no upper end
+	Classes, Plans   []string      // empty: all
+	Customers        []uint64      // empty: all
+	CustomerPrefix   string        // prefix of a customer's 16 hex digits; "": all
+	MinClientTimeout time.Duration // shortest client timeout that matches
+	MaxClientTimeout time.Duration // client timeouts from this one on do not match; 0: no upper limit
 
 	AttemptTimeout, TotalTimeout time.Duration
 	MaxAttempts                  int
 	RetryOn                      decide.OutcomeSet
-	RetryOnNames                 []string // Again, as the file spells it
+	RetryOnNames                 []string // RetryOn as the names in the file
 	InitialBackoff, MaxBackoff   time.Duration
 	BackoffFactor, Jitter        float64
 	Hedge                        HedgePolicy
-	RetryRatio                   float64 // further attempts a first attempt ...
-	MinRetriesPerSecond          float64 // ... and so many a second besides, for each node group
-	MaxOpen                      int     // requests open at once; 0: no bound
+	RetryRatio                   float64 // retries that each first attempt adds to the budget of its node group
+	MinRetriesPerSecond          float64 // retries that each second adds to the budget of each node group
+	MaxOpen                      int     // requests open at the same time; 0: no limit
 	RetryAfter                   time.Duration
 	keyPos                       func(key string) sloe.Pos
 }
 
-// HedgePolicy tells when a second copy may go out.
+// HedgePolicy says when a hedged attempt may be sent.
 type HedgePolicy struct {
 	Enabled     bool
-	Delay       time.Duration // with a Quantile: until enough answers were seen
-	Quantile    float64       // of the answer times of route and class; 0: After alone
-	MinTimeLeft time.Duration // time that must be left to it
+	Delay       time.Duration // with a Quantile: used until there are enough samples
+	Quantile    float64       // of the latencies of the route and class; 0: only Delay is used
+	MinTimeLeft time.Duration // time that must remain for the hedged attempt
 }
 
-// position is where a key was set, or the route.
+// position returns where the file sets a key, or the position of the route if it does not.
 func (r *Route) position(key string) sloe.Pos {
 	if r.keyPos != nil {
 		if p := r.keyPos(key); p.Valid() {
@@ -59,8 +59,9 @@
 	return r.Pos
 }
 
-// specificity orders routes that match the same request: what names customers comes before what names a prefix of them, the
-// longer prefix first; then what names classes, then plans, then a patience.
+// specificity orders routes that match the same request; the highest wins. Routes that name customers come first, then
+// those with a customer prefix, longer prefixes first. Among equals a route that names classes comes first, then one that
+// names plans, then one that is limited by the client timeout.
 func (r *Route) specificity() int {
 	n := 0
 	switch {
@@ -82,36 +83,38 @@
 	return 0
 }
 
-// matchesTimeout reports whether a declared patience is in the route's span.
+// matchesTimeout reports whether a client timeout is in the range of the route.
 func (r *Route) matchesTimeout(d time.Duration) bool {
 	return d >= r.MinClientTimeout && (r.MaxClientTimeout == 0 || d < r.MaxClientTimeout)
 }
 
-// Table finds the route of a request. Make it with NewTable. It is not changed after that but for what its routes have
-// seen: budgets, answer times and how many requests are open.
+// Table finds the route of a request. Its routes and indexes do not change after NewTable; its state does: retry
+// budgets, latencies and the numbers of open requests.
 type Table struct {
-	routes      []*Route // by rank, the highest first
+	routes      []*Route // by specificity, the highest first
 	classes     map[string]int
 	plans       map[string]int
-	pairCount   int // of a class and a plan, in each group's index
+	pairCount   int // number of pairs of a class and a plan; the length of each index
 	byCustomer  map[uint64]classPlanIndex
-	byPrefix    []prefixIndex // the longest first
+	byPrefix    []prefixIndex // longest prefix first
 	anyCustomer classPlanIndex
-	states      []*routeState // by place in routes
+	states      []*routeState // in the order of routes
 }
 
-// classPlanIndex holds the routes of the same customers by class and plan: for each of the pairs those that fit, by rank.
+// classPlanIndex holds the routes for the same set of customers by pair of class and plan. Each entry lists the indexes
+// in Table.routes of the matching routes, the most specific first.
 type classPlanIndex [][]int16
 
+// prefixIndex holds the routes with a customer prefix of one length.
 type prefixIndex struct {
-	shift  uint // of a customer's number
+	shift  uint // number of low bits of a customer's number that are not part of the prefix
 	groups map[uint64]classPlanIndex
 }
 
-// MaxRoutes is how many routes a table takes.
+// MaxRoutes is the largest number of routes in a table.
 const MaxRoutes = 4096
 
-// NewTable makes a table for a platform's settings. The routes were checked by Prove.
+// NewTable returns a table of routes that Validate has accepted for the same settings.
 func NewTable(routes []*Route, cfg *decide.Config) *Table {
 	t := &Table{routes: slices.Clone(routes), classes: map[string]int{}, plans: map[string]int{}, byCustomer: map[uint64]classPlanIndex{}}
 	slices.SortStableFunc(t.routes, func(a, b *Route) int { return cmp.Compare(b.specificity(), a.specificity()) })
@@ -143,7 +146,7 @@
 	case r.CustomerPrefix != "":
 		v, err := strconv.ParseUint(r.CustomerPrefix, 16, 64)
 		if err != nil {
-			panic(err) // its shape was checked when it was read
+			panic(err) // unreachable: parseRoute has checked the prefix
 		}
 		shift := uint(4 * (customerDigits - len(r.CustomerPrefix)))
 		i := slices.IndexFunc(t.byPrefix, func(p prefixIndex) bool { return p.shift == shift })
@@ -175,14 +178,14 @@
 	}
 }
 
-// Request is what of a request its route goes by.
+// Request holds the attributes of a request by which its route is chosen.
 type Request struct {
 	Class, Plan   string
 	Customer      string // 16 hex digits
 	ClientTimeout time.Duration
 }
 
-// Match is the place of the request's route in the table, or -1 where none matches.
+// Match returns the index of the most specific route that matches a request, or -1 if there is none.
 func (t *Table) Match(a Request) int {
 	class, ok := t.classes[a.Class]
 	plan, ok2 := t.plans[a.Plan]
@@ -218,7 +221,7 @@
 	return -1
 }
 
-// parseCustomer reads a customer's 16 hex digits.
+// parseCustomer parses a customer's 16 hex digits, in either case.
 func parseCustomer(s string) (v uint64, ok bool) {
 	if len(s) != customerDigits {
 		return 0, false
@@ -239,10 +242,10 @@
 	return v, true
 }
 
-// Route is the route at a place that Match told.
+// Route returns the route at an index that Match returned.
 func (t *Table) Route(n int) *Route { return t.routes[n] }
 
-// Explain tells in words which route a request gets and why no other.
+// Explain describes which route a request gets and why the others do not apply.
 func (t *Table) Explain(a Request) string {
 	var b strings.Builder
 	matched := t.Match(a)
@@ -266,7 +269,7 @@
 	return b.String()
 }
 
-// mismatch is the first thing in which a request does not fit a route, or "".
+// mismatch describes the first condition of a route that a request does not meet, or returns "" if it meets all.
 func (r *Route) mismatch(a Request) string {
 	c, ok := parseCustomer(a.Customer)
 	switch {
@@ -284,7 +287,7 @@
 	return ""
 }
 
-// explainPolicy writes what holds for a request, with what its own patience narrows.
+// explainPolicy writes the retry policy that a request gets, with timeouts cut to the request's client timeout.
 func (t *Table) explainPolicy(b *strings.Builder, r *Route, a Request) {
 	clamp := func(name string, v time.Duration) {
 		switch {
@@ -314,7 +317,7 @@
 	fmt.Fprintf(b, "  budget: %.4g%% of first attempts, and %.4g a second, in each node group\n", 100*r.RetryRatio, r.MinRetriesPerSecond)
 }
 
-// maxBackoff is the longest wait before jitter.
+// maxBackoff returns the longest backoff, before jitter.
 func (r *Route) maxBackoff() time.Duration {
 	if r.MaxBackoff > 0 {
 		return r.MaxBackoff
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -7,19 +7,19 @@
 	"sloepick/decide"
 )
 
-// routeState is what a route has seen since it was loaded.
+// routeState is the state of a route since it was loaded. It implements decide.RetryBudget.
 type routeState struct {
 	route     *Route
-	open      int
-	budgets   map[int]*tokenBucket // by node group
-	latencies []*LatencyQuantile   // by class; nil where no quantile is asked for
-	policies  []*decide.RetryPolicy
+	open      int                   // requests open now
+	budgets   map[int]*tokenBucket  // by node group (cell)
+	latencies []*LatencyQuantile    // by class; nil without a hedge quantile
+	policies  []*decide.RetryPolicy // by class
 }
 
 const (
-	maxGroups      = 1024 // node groups with a budget of their own; the others share one
-	sharedGroup    = math.MinInt
-	hedgeDelayStep = time.Millisecond
+	maxGroups      = 1024             // node groups with a budget of their own; all others share one, so that memory is bounded
+	sharedGroup    = math.MinInt      // key of the budget that the other node groups share
+	hedgeDelayStep = time.Millisecond // a smaller change of the quantile leaves the hedge delay as it is
 )
 
 func newRouteState(r *Route, classes int) *routeState {
@@ -35,7 +35,7 @@
 	return s
 }
 
-// newPolicy is the route in the module's words, with a delay of second copies.
+// newPolicy returns the route's retry policy. A hedge delay of 0 selects the configured one.
 func (s *routeState) newPolicy(after time.Duration) *decide.RetryPolicy {
 	r := s.route
 	p := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
@@ -47,16 +47,18 @@
 	return p
 }
 
-// tokenBucket are a node group's: a first attempt brings the share, a second brings the floor, a further attempt takes one.
+// tokenBucket is the retry budget of a node group: a first attempt adds RetryRatio tokens, each second adds
+// MinRetriesPerSecond, and a retry or hedged attempt takes one.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt time.Duration
 }
 
-// burstSeconds is how much of the floor is kept for a moment in which it is needed, and there at the start.
+// burstSeconds is for how many seconds of MinRetriesPerSecond a bucket saves tokens. A new bucket starts with as many.
 const burstSeconds = 1.0
 
-// refill lets time bring the floor's part. What it brings is capped apart from what first attempts brought.
+// refill adds the tokens for the time since the last call. The cap on these tokens is separate from the one on tokens
+// from first attempts.
 func (b *tokenBucket) refill(now time.Duration, floor float64) {
 	if b.updatedAt == 0 {
 		b.tokens, b.updatedAt = floor*burstSeconds, now
@@ -68,7 +70,7 @@
 	}
 }
 
-// maxSavedRetries is how many unspent further attempts a group keeps from its first attempts.
+// maxSavedRetries is how many tokens from first attempts a bucket saves.
 const maxSavedRetries = 10.0
 
 func (s *routeState) bucket(cell int) *tokenBucket {
@@ -86,7 +88,7 @@
 	return b
 }
 
-// RecordFirstAttempt counts a first attempt at a server's group.
+// RecordFirstAttempt adds to the retry budget of a server's group for a first attempt.
 func (s *routeState) RecordFirstAttempt(now time.Duration, to *decide.Server) {
 	b := s.bucket(to.Cell)
 	b.refill(now, s.route.MinRetriesPerSecond)
@@ -95,8 +97,8 @@
 	}
 }
 
-// TakeRetry takes a further attempt from the budget of a server's group, if it holds one. With F first attempts in t
-// seconds a group gets at most F x Budget + (t + burstSeconds) x BudgetFloor further ones.
+// TakeRetry takes a retry from the budget of a server's group, or reports that the budget is used up. With F first
+// attempts in t seconds a group gets at most F x RetryRatio + (t + burstSeconds) x MinRetriesPerSecond retries.
 func (s *routeState) TakeRetry(now time.Duration, to *decide.Server) bool {
 	b := s.bucket(to.Cell)
 	b.refill(now, s.route.MinRetriesPerSecond)
@@ -107,8 +109,8 @@
 	return true
 }
 
-// Acquire takes a request into its route, or reports that the route has no room for it. Every request that it takes
-// must be given back by End.
+// Acquire counts a request as open on a route, or reports that the route has MaxOpen requests already. Each request
+// that is counted must be released by Release.
 func (t *Table) Acquire(n int) bool {
 	s := t.states[n]
 	if s.route.MaxOpen > 0 && s.open >= s.route.MaxOpen {
@@ -118,10 +120,10 @@
 	return true
 }
 
-// Release gives a request back.
+// Release counts a request that Acquire accepted as closed.
 func (t *Table) Release(n int) { t.states[n].open-- }
 
-// RetryPolicy is what holds for a request of a class on a route now. It is shared and must not be changed.
+// RetryPolicy returns the current policy for a request of a class on a route. It is shared and must not be changed.
 func (t *Table) RetryPolicy(n int, class string, now time.Duration) *decide.RetryPolicy {
 	s, i := t.states[n], t.classes[class]
 	times := s.latencies[i]
@@ -130,13 +132,13 @@
 	}
 	if after := times.Quantile(now); after > 0 {
 		if d := after - s.policies[i].HedgeDelay; d > hedgeDelayStep || d < -hedgeDelayStep {
-			s.policies[i] = s.newPolicy(after) // requests that are open keep what they began with
+			s.policies[i] = s.newPolicy(after) // open requests keep the policy that they started with
 		}
 	}
 	return s.policies[i]
 }
 
-// RecordLatency notes how long an answer took.
+// RecordLatency records the latency of a response, for the quantile that sets the hedge delay.
 func (t *Table) RecordLatency(n int, class string, took, now time.Duration) {
 	if times := t.states[n].latencies[t.classes[class]]; times != nil {
 		times.Add(took, now)
--- a/internal/route/validate.go
+++ b/internal/route/validate.go
@@ -12,21 +12,21 @@
 	"sloepick/internal/sloe"
 )
 
-// Margins are what a gateway keeps of the time that clients and nodes give it.
+// Margins are the safety margins that a gateway keeps before the time limits of clients and nodes.
 type Margins struct {
-	Response time.Duration // an answer leaves so long before its client stops waiting
-	Dedup    time.Duration // a repeat comes so long before nodes forget its key
+	Response time.Duration // from the last moment of an answer to the end of the client's timeout
+	Dedup    time.Duration // from the end of the last attempt to the moment at which nodes forget its idempotency key
 }
 
-// validator collects what is wrong with routes. Each finding names the rule, the figures and the smallest change.
+// validator collects the errors of routes. Each message names the rule, the values and the smallest change that fixes it.
 type validator struct {
 	cfg     *decide.Config
 	margins Margins
 	diags   sloe.Diags
 }
 
-// Validate holds every route against every class that it can match, by the figures of a platform's settings. Without a
-// finding no order of outcomes makes a request on these routes break a rule: the sums below are of the worst case.
+// Validate checks each route against each class that it can match, by the platform's settings. If it returns no errors,
+// no sequence of outcomes makes a request on these routes break a rule, as all durations are those of the worst case.
 func Validate(routes []*Route, cfg *decide.Config, m Margins) sloe.Diags {
 	p := &validator{cfg: cfg, margins: m}
 	if len(routes) > MaxRoutes {
@@ -63,32 +63,32 @@
 		}
 	}
 	if limit := p.cfg.Limits.MaxAttempts; r.MaxAttempts > limit {
-		p.errorf(r.position("attempts"), "route %s: %d attempts, and the platform allows %d; attempts at most %d", r.Name, r.MaxAttempts, limit, limit)
+		p.errorf(r.position("attempts"), "route %s: %d attempts, but the platform allows %d; attempts at most %d", r.Name, r.MaxAttempts, limit, limit)
 	}
 	if l := p.cfg.Limits; r.RetryAfter > 0 && !l.RetryAfter {
-		p.errorf(r.position("advise"), "route %s: the platform's clients take no advice; leave advise out", r.Name)
+		p.errorf(r.position("advise"), "route %s: the platform's clients do not follow retry advice; remove advise", r.Name)
 	} else if r.RetryAfter > l.MaxRetryAfter {
-		p.errorf(r.position("advise"), "route %s: clients follow advice up to %v; advise at most that, not %v", r.Name, l.MaxRetryAfter, r.RetryAfter)
+		p.errorf(r.position("advise"), "route %s: clients follow retry advice up to %v; advise at most that, not %v", r.Name, l.MaxRetryAfter, r.RetryAfter)
 	}
 	if r.MaxClientTimeout > 0 && r.MinClientTimeout >= r.MaxClientTimeout {
-		p.errorf(r.position("patience-to"), "route %s: no patience is from %v and below %v; patience-to more than %v", r.Name, r.MinClientTimeout,
+		p.errorf(r.position("patience-to"), "route %s: the range of patience from %v to below %v is empty; patience-to more than %v", r.Name, r.MinClientTimeout,
 			r.MaxClientTimeout, r.MinClientTimeout)
 	}
 }
 
-// checkClass proves a route for one checkClass. A finding of which another follows is told alone.
+// checkClass checks a route for one class. It stops at an error that would cause others, so that only the cause is reported.
 func (p *validator) checkClass(r *Route, k *decide.Class) {
 	maxTotal := k.Deadline - p.margins.Response
 	if k.Deadline <= 0 {
 		maxTotal = math.MaxInt64
 	}
 	if k.Deadline > 0 && r.MinClientTimeout > k.Deadline {
-		p.errorf(r.position("patience-from"), "route %s, class %s: no client declares %v or more, as all give up after %v; patience-from at most that",
+		p.errorf(r.position("patience-from"), "route %s, class %s: no client waits %v or longer, as the deadline of the class is %v; patience-from at most that",
 			r.Name, k.Name, r.MinClientTimeout, k.Deadline)
 		return
 	}
 	if r.TotalTimeout > maxTotal {
-		p.errorf(r.position("whole"), "route %s, class %s: whole is %v, and clients wait %v, of which %v are for the way; whole at most %v",
+		p.errorf(r.position("whole"), "route %s, class %s: whole is %v, but clients wait %v, less a margin of %v; whole at most %v",
 			r.Name, k.Name, r.TotalTimeout, k.Deadline, p.margins.Response, maxTotal)
 		return
 	}
@@ -103,9 +103,10 @@
 	p.checkDedupWindow(r, k, total)
 }
 
-// mayRun are the outcomes after which an attempt may have run.
+// mayHaveRunNames lists the outcomes after which an attempt may have run, for messages.
 const mayHaveRunNames = "error, timed-out or reset"
 
+// retriesAfterExecution reports whether the route retries attempts that may have run.
 func (r *Route) retriesAfterExecution() bool {
 	return r.MaxAttempts > 1 && r.RetryOn&^notExecuted != 0
 }
@@ -115,18 +116,18 @@
 		return true
 	}
 	if r.retriesAfterExecution() {
-		p.errorf(r.position("again"), "route %s, class %s: it must never run twice, and %s may have run; again = [never-ran], or attempts = 1",
+		p.errorf(r.position("again"), "route %s, class %s: it is unsafe to repeat, and an attempt that ended with %s may have run; again = [never-ran], or attempts = 1",
 			r.Name, k.Name, mayHaveRunNames)
 		return false
 	}
 	if r.Hedge.Enabled {
-		p.errorf(r.position("copy"), "route %s, class %s: it must never run twice, so it takes no second copy; leave copy out", r.Name, k.Name)
+		p.errorf(r.position("copy"), "route %s, class %s: it is unsafe to repeat, so a second copy is not allowed; remove copy", r.Name, k.Name)
 		return false
 	}
 	return true
 }
 
-// totalBackoff are the totalBackoff between attempts that one after the other take together, at their longest.
+// totalBackoff returns the sum of the waits between a number of sequential attempts, each with the most jitter.
 func (r *Route) totalBackoff(attempts int) (sum time.Duration) {
 	w := float64(r.InitialBackoff)
 	for range attempts - 1 {
@@ -140,14 +141,14 @@
 	return sum
 }
 
-// totalDuration is the longest that so many attempts take with their waits.
+// totalDuration returns the longest time that a number of sequential attempts takes, waits included.
 func (r *Route) totalDuration(attempts int) time.Duration {
 	return time.Duration(attempts)*r.AttemptTimeout + r.totalBackoff(attempts)
 }
 
 func (p *validator) checkTimeouts(r *Route, k *decide.Class, total time.Duration) bool {
 	if r.AttemptTimeout > total {
-		p.errorf(r.position("attempt"), "route %s, class %s: one attempt has %v and the whole %v; attempt at most %v", r.Name, k.Name, r.AttemptTimeout,
+		p.errorf(r.position("attempt"), "route %s, class %s: one attempt may take %v, but the whole request %v; attempt at most %v", r.Name, k.Name, r.AttemptTimeout,
 			total, total)
 		return false
 	}
@@ -155,7 +156,7 @@
 		return true
 	}
 	if r.AttemptTimeout == 0 && r.RetryOn.Has(decide.TimedOut) {
-		p.errorf(r.position("attempts"), "route %s, class %s: %d attempts, again after timed-out, and no time for one: the first would take the whole; attempt at most %v",
+		p.errorf(r.position("attempts"), "route %s, class %s: %d attempts, again after timed-out, but no attempt time: the first attempt can use up the whole time; attempt at most %v",
 			r.Name, k.Name, r.MaxAttempts, p.maxAttemptTimeout(r, r.MaxAttempts, total))
 		return false
 	}
@@ -172,14 +173,15 @@
 		if r.AttemptTimeout > 0 {
 			attemptTimeout = fmt.Sprintf(" of %v", r.AttemptTimeout)
 		}
-		p.errorf(r.position("attempts"), "route %s, class %s: %d attempts%s with waits of %v come to %v, and the whole is %v; %s", r.Name, k.Name,
+		p.errorf(r.position("attempts"), "route %s, class %s: %d attempts%s and waits of %v take up to %v, but the whole request may take %v; %s", r.Name, k.Name,
 			r.MaxAttempts, attemptTimeout, r.totalBackoff(r.MaxAttempts), need, total, fix)
 		return false
 	}
 	return true
 }
 
-// maxAttemptTimeout is the time that one of so many attempts can have, in whole milliseconds, or 0.
+// maxAttemptTimeout returns the longest attempt timeout with which a number of attempts fits into the total, in whole
+// milliseconds, or 0 if the waits alone take longer.
 func (p *validator) maxAttemptTimeout(r *Route, attempts int, total time.Duration) time.Duration {
 	if total == math.MaxInt64 {
 		return total
@@ -194,25 +196,25 @@
 	}
 	switch {
 	case !p.cfg.Limits.ParallelAttempts:
-		p.errorf(r.position("copy"), "route %s: the platform allows one attempt at a time, so no second copy; leave copy out", r.Name)
+		p.errorf(r.position("copy"), "route %s: the platform does not allow parallel attempts, so no second copy; remove copy", r.Name)
 	case r.MaxAttempts < 2:
-		p.errorf(r.position("attempts"), "route %s: a second copy is an attempt, and attempts is %d; attempts at least 2", r.Name, r.MaxAttempts)
+		p.errorf(r.position("attempts"), "route %s: a second copy counts as an attempt, but attempts is %d; attempts at least 2", r.Name, r.MaxAttempts)
 	case c.Delay == 0 && c.Quantile == 0:
-		p.errorf(r.position("copy"), "route %s: copy says neither after nor quantile; after = 100ms, or quantile = 95%%", r.Name)
+		p.errorf(r.position("copy"), "route %s: copy sets neither after nor quantile; after = 100ms, or quantile = 95%%", r.Name)
 	case r.AttemptTimeout > 0 && c.Delay >= r.AttemptTimeout:
-		p.errorf(r.position("copy.after"), "route %s, class %s: a second copy after %v never goes out, as an attempt ends after %v; after below %v",
+		p.errorf(r.position("copy.after"), "route %s, class %s: a second copy after %v is never sent, as an attempt ends after %v; after below %v",
 			r.Name, k.Name, c.Delay, r.AttemptTimeout, r.AttemptTimeout)
 	case c.MinTimeLeft > total:
-		p.errorf(r.position("copy.least"), "route %s, class %s: a second copy needs %v to win, and the whole is %v; least at most %v", r.Name, k.Name,
+		p.errorf(r.position("copy.least"), "route %s, class %s: a second copy needs %v, but the whole request may take %v; least at most %v", r.Name, k.Name,
 			c.MinTimeLeft, total, max(0, total-c.Delay))
 	case c.Delay+c.MinTimeLeft > total:
-		p.errorf(r.position("copy.after"), "route %s, class %s: a second copy after %v has %v to win, and least is %v; after at most %v", r.Name, k.Name,
+		p.errorf(r.position("copy.after"), "route %s, class %s: a second copy after %v has %v left, but least is %v; after at most %v", r.Name, k.Name,
 			c.Delay, total-c.Delay, c.MinTimeLeft, max(0, total-c.MinTimeLeft))
 	}
 }
 
-// checkDedupWindow holds repeats of a keyed class to the time for which nodes drop them, from the first attempt's send through
-// the last one's latest moment.
+// checkDedupWindow checks that the time from the sending of the first attempt to the latest end of the last one is within
+// the deduplication window of a keyed class. After the window nodes no longer drop a repeat.
 func (p *validator) checkDedupWindow(r *Route, k *decide.Class, total time.Duration) {
 	if k.Effect != decide.Keyed || !r.retriesAfterExecution() && !r.Hedge.Enabled {
 		return
@@ -222,23 +224,24 @@
 		span = min(total, r.totalDuration(r.MaxAttempts))
 	}
 	if window := k.DedupWindow - p.margins.Dedup; span > window {
-		p.errorf(r.position("whole"), "route %s, class %s: from the first attempt to the end of the last are %v, and nodes drop a repeat for %v, less %v; whole at most %v",
+		p.errorf(r.position("whole"), "route %s, class %s: all attempts together take up to %v, but nodes drop repeats for %v, less a margin of %v; whole at most %v",
 			r.Name, k.Name, span, k.DedupWindow, p.margins.Dedup, max(0, window))
 	}
 }
 
-// checkOverlaps finds routes between which nothing decides, and routes that can never match.
+// checkOverlaps reports routes of the same specificity that can match the same request, and routes that never match because
+// a more specific one matches all their requests.
 func (p *validator) checkOverlaps(routes []*Route) {
 	for i, r := range routes {
 		for _, o := range routes[:i] {
 			if r.specificity() == o.specificity() && r.overlaps(o, p.cfg) {
-				p.errorf(r.Pos, "route %s and route %s are as specific and match the same requests; narrow one, by customers, classes, plans or patience",
+				p.errorf(r.Pos, "route %s and route %s are equally specific and can match the same request; narrow one by customers, classes, plans or patience",
 					r.Name, o.Name).Notes = []sloe.Note{{Pos: o.Pos, Msg: "the other route"}}
 			}
 		}
 		for _, o := range routes {
 			if o.specificity() > r.specificity() && o.covers(r, p.cfg) {
-				p.errorf(r.Pos, "route %s never matches: route %s is more specific and matches all that it would; narrow %s, or remove %s", r.Name,
+				p.errorf(r.Pos, "route %s never matches: route %s is more specific and matches all of its requests; narrow %s, or remove %s", r.Name,
 					o.Name, o.Name, r.Name).Notes = []sloe.Note{{Pos: o.Pos, Msg: "the route that hides it"}}
 				break
 			}
@@ -246,7 +249,7 @@
 	}
 }
 
-// listOrAll are those that a list means: itself, or all.
+// listOrAll returns the list, or all names if it is empty.
 func listOrAll(list, all []string) []string {
 	if len(list) > 0 {
 		return list
@@ -272,24 +275,24 @@
 	return !slices.ContainsFunc(a, func(s string) bool { return !slices.Contains(of, s) })
 }
 
-// overlaps reports whether some request fits both routes, which are of the same rank.
+// overlaps reports whether some request matches both routes, which have the same specificity.
 func (r *Route) overlaps(o *Route, cfg *decide.Config) bool {
 	classes, plans := classAndPlanNames(cfg)
 	return intersects(listOrAll(r.Classes, classes), listOrAll(o.Classes, classes)) && intersects(listOrAll(r.Plans, plans), listOrAll(o.Plans, plans)) &&
 		startsBefore(r.MinClientTimeout, o.MaxClientTimeout) && startsBefore(o.MinClientTimeout, r.MaxClientTimeout) && r.customersOverlap(o)
 }
 
-// startsBefore reports whether a start lies startsBefore an end, of which 0 is none.
+// startsBefore reports whether a range that starts at from begins before the end to; a to of 0 is no end.
 func startsBefore(from, to time.Duration) bool { return to == 0 || from < to }
 
 func (r *Route) customersOverlap(o *Route) bool {
 	if len(r.Customers) > 0 {
 		return slices.ContainsFunc(r.Customers, func(c uint64) bool { return slices.Contains(o.Customers, c) })
 	}
-	return strings.EqualFold(r.CustomerPrefix, o.CustomerPrefix) // the same rank: as long
+	return strings.EqualFold(r.CustomerPrefix, o.CustomerPrefix) // prefixes of the same specificity have the same length
 }
 
-// covers reports whether every request that fits a route of lower rank fits this one too.
+// covers reports whether every request that matches r, a less specific route, matches this one too.
 func (o *Route) covers(r *Route, cfg *decide.Config) bool {
 	classes, plans := classAndPlanNames(cfg)
 	return isSubset(listOrAll(r.Classes, classes), listOrAll(o.Classes, classes)) && isSubset(listOrAll(r.Plans, plans), listOrAll(o.Plans, plans)) &&
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that a gateway is given when it starts: by the simulator's first
-// message or in a real gateway's configuration, in the same words.
+// Package settings parses the settings object that a gateway receives when it starts. The simulator's first message and
+// the configuration of a real gateway use the same format.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"sloepick/decide"
 )
 
-// settingsObject are the settingsObject's words for decide.Config. Keys that are not named here are ignored.
+// settingsObject is the JSON form of Settings. The field names are the JSON keys; other keys are ignored.
 type settingsObject struct {
 	Classes []struct {
 		Name, Effect, Group               string
@@ -49,14 +49,14 @@
 	MembershipMode, Zone string
 }
 
-// Settings is what a host of the decision module needs to know.
+// Settings is the configuration of a host of the decision module.
 type Settings struct {
 	Decide            decide.Config
-	ServerIdleTimeout time.Duration // a server closes a connection that has stood idle for so long
-	MaxOpen           int           // requests open at once; 0: no limit
+	ServerIdleTimeout time.Duration // a server closes a connection that was idle for this long
+	MaxOpen           int           // requests open at the same time; 0: no limit
 }
 
-// DescribeDecodeError names the field at which decoding stopped.
+// DescribeDecodeError returns an error that names the field of a JSON type mismatch. Other errors are returned as they are.
 func DescribeDecodeError(err error) error {
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
@@ -65,7 +65,8 @@
 	return err
 }
 
-// Parse reads a settings object. Whether a gateway can work with it is for decide.New to say.
+// Parse parses a settings object and checks each value by itself. Settings.ValidateServing and decide.New check whether
+// a gateway can use the result.
 func Parse(raw json.RawMessage) (Settings, error) {
 	var s settingsObject
 	if err := json.Unmarshal(raw, &s); err != nil {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// field is a setting by its name in the settings object, and its value.
+// field is the path of a setting in the settings object and its value.
 type field struct {
 	name  string
 	value float64
 }
 
-// validate reports the first setting that no host of the decision module can work with, in the settings' own words.
+// validate reports the first setting that no host of the decision module can use, by its path in the settings object.
 func (s *settingsObject) validate() error {
 	for _, f := range s.nonNegativeFields() {
 		if f.value < 0 || math.IsInf(f.value, 0) || math.IsNaN(f.value) {
@@ -23,7 +23,7 @@
 	return s.validateNames()
 }
 
-// nonNegativeFields are all settings that can't be negative.
+// nonNegativeFields returns all settings that must be finite and not negative.
 func (s *settingsObject) nonNegativeFields() []field {
 	all := []field{
 		{"Extra.CounterPrice", s.Extra.CounterPrice}, {"Extra.PeerIntake", s.Extra.PeerIntake}, {"Extra.UnitsTop", s.Extra.UnitsTop},
@@ -52,7 +52,7 @@
 	return all
 }
 
-// validateNames reports names that are missing or stand twice: a request names its class and its plan by them.
+// validateNames reports missing and duplicate names of classes and plans, by which requests refer to them.
 func (s *settingsObject) validateNames() error {
 	classes, plans := map[string]int{}, map[string]int{}
 	for i, k := range s.Classes {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// ValidateServing reports the first setting that a gateway on sockets can't serve by. The simulator makes connections itself and
-// may leave these out.
+// ValidateServing reports the first setting that a gateway with real connections can't use. The simulator makes the
+// connections itself and may omit these settings.
 func (s *Settings) ValidateServing() error {
 	d := &s.Decide
 	if len(d.Classes) == 0 {
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,5 +1,5 @@
-// Package tuning is what operators may set of the gateway's core: the values, their defaults and bounds, and what
-// must hold between them. It is pure; the gateway takes a Tuning at its start and at each reload.
+// Package tuning holds the values that operators may set for the gateway's core, with their defaults, their limits and
+// the checks across them. It does no I/O; the gateway applies a Tuning at its start and at each reload.
 package tuning
 
 import (
@@ -9,43 +9,43 @@
 	"sloepick/internal/operator"
 )
 
-// Tuning is one set of values. It is never changed after it was made.
+// Tuning is one set of values. It is immutable.
 type Tuning struct {
 	Clients  Clients
 	Nodes    Nodes
 	Shutdown Shutdown
 }
 
-// Clients are the values of clients' connections.
+// Clients are the values for client connections.
 type Clients struct {
-	ReadTimeout          time.Duration // to a connection's first command, and to the end of one that has begun
-	IdleTimeout          time.Duration // between commands, with nothing open
-	WriteTimeout         time.Duration // a client that takes nothing for so long is given up
-	ProtocolErrorTimeout time.Duration // a connection that can't be read any more ends after this, whatever is open on it
-	MaxPipeline          int           // answers owed on one connection; further commands wait to be read
-	MaxUnreadBytes       int           // bytes of answers that a client leaves unread, before it is given up
+	ReadTimeout          time.Duration // until a connection's first command, and from the start of any command to its end
+	IdleTimeout          time.Duration // between commands while no request is open
+	WriteTimeout         time.Duration // a connection whose client reads nothing for this long is closed
+	ProtocolErrorTimeout time.Duration // a connection is closed this long after a protocol error, even with open requests
+	MaxPipeline          int           // outstanding answers of a connection; beyond them no further command is read
+	MaxUnreadBytes       int           // unread answers, in bytes, beyond which the connection is closed
 	DescriptorShare      float64       // share of the descriptors
-	MemoryShare          float64       // share of the memory limit that open commands may take
-	AcceptAhead          int           // connections that may be taken before the loop has counted them
+	MemoryShare          float64       // share of the memory limit for open commands
+	AcceptAhead          int           // connections accepted before the event loop has counted them
 }
 
-// Nodes are the values of connections to nodes.
+// Nodes are the values for connections to nodes.
 type Nodes struct {
-	MaxConns            int           // to one node, open or being made
-	ReuseDelay          time.Duration // a connection is used again only after it has stood for so long in step
-	IdleDivisor         int           // an idle connection is retired after one part in so many of the nodes' idle limit
-	ResponseReadTimeout time.Duration // an answer that has begun has so long to its end
+	MaxConns            int           // to one node, open or being established
+	ReuseDelay          time.Duration // a connection is reused only after this long with nothing unread
+	IdleDivisor         int           // an idle connection is closed after the nodes' idle timeout divided by this
+	ResponseReadTimeout time.Duration // from the first byte of an answer to its last
 	DescriptorShare     float64       // share of the descriptors
 }
 
-// Shutdown are the values of the gateway's end.
+// Shutdown are the values for the gateway's shutdown.
 type Shutdown struct {
-	AcceptPeriod    time.Duration // new connections are taken for so long after SIGTERM
-	LateConnTimeout time.Duration // for a connection that came in as the listener closed
-	DrainTimeout    time.Duration // after that, what is still owed is failed; never less than clients wait
+	AcceptPeriod    time.Duration // new connections are accepted for this long after SIGTERM
+	LateConnTimeout time.Duration // until the command of a connection that arrived while the listener closed
+	DrainTimeout    time.Duration // then all open requests fail; at least the longest client timeout is used
 }
 
-// Block declares the block gateway. The defaults are the values that hold without an operator file.
+// Block returns the declaration of the block gateway. Its defaults also apply without an operators' file.
 func Block() *operator.Block {
 	return &operator.Block{
 		Name: "gateway", Doc: "The gateway's core: connections of clients and to nodes, and its end.",
@@ -130,7 +130,7 @@
 	return out
 }
 
-// FromConfig reads a checked configuration.
+// FromConfig returns the values of a validated configuration.
 func FromConfig(c *operator.Config) Tuning {
 	g := c.One("gateway")
 	clients, nodes, stop := g.One("clients"), g.One("nodes"), g.One("stop")
@@ -145,11 +145,11 @@
 	}
 }
 
-// Default is what holds without an operator file.
+// Default returns the values that apply without an operators' file.
 func Default() Tuning {
 	s, err := operator.NewSchema(Block())
 	if err != nil {
-		panic(err) // a slip in this file, which its test finds
+		panic(err) // Block is invalid, which the package's test detects
 	}
 	return FromConfig(s.Defaults())
 }
