--- a/internal/route/latency_test.go
+++ b/internal/route/latency_test.go
@@ -12,15 +12,15 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// checkQuantile fails the test unless what is told is the exact quantile or over it by a twentieth at most.
+// checkQuantile fails the test unless the estimate is at least the exact quantile and at most 5% above it.
 func checkQuantile(t *testing.T, got, exact time.Duration, what string, args ...int) {
 	t.Helper()
 	if want := max(exact, minLatency); got < want || got > want+want/20 {
-		t.Fatalf("%s %v: told %v, the exact one is %v", what, args, got, exact)
+		t.Fatalf("%s %v: got %v, the exact quantile is %v", what, args, got, exact)
 	}
 }
 
-// allPerMille are all quantiles that the schema allows, in tenths of a percent.
+// allPerMille returns all quantiles that the schema allows, in tenths of a percent.
 func allPerMille() (all []int) {
 	for q := 500; q <= 999; q++ {
 		all = append(all, q)
@@ -28,8 +28,8 @@
 	return all
 }
 
-// Seeds of 20,000 answers by an exponential law. With the three long ones the quantile 0.999 was told by the rank
-// below: 0.999 x 20,000 is whole.
+// TestQuantileOfRandomLatencies compares estimates for 20,000 exponentially distributed latencies with the exact ones. The
+// three long seeds are regressions: the quantile 0.999 was one rank too low, as 0.999 x 20,000 is a whole number.
 func TestQuantileOfRandomLatencies(t *testing.T) {
 	seeds.Run(t, []uint64{1796123194424894679, 1796123196420768847, 1796123200026887706, 1}, func(t *testing.T, seed uint64) {
 		quantileOfRandomLatencies(t, seeds.Rand(seed))
@@ -51,8 +51,8 @@
 	}
 }
 
-// spacedLatencies are answer times far enough apart that the wrong rank is told by the wrong bucket, each a few times, in an
-// order that puts every next one anywhere among those before.
+// spacedLatencies returns latencies far enough apart that a wrong rank results in a wrong bucket. Each value occurs several
+// times, and their order spreads new values over the whole range of earlier ones.
 func spacedLatencies(n int) (all []time.Duration) {
 	for i := range n {
 		all = append(all, time.Duration(float64(time.Millisecond)*math.Pow(1.11, float64(i*61%101))))
@@ -60,7 +60,8 @@
 	return all
 }
 
-// Every count from 50 to 2,000, every quantile that the schema allows in tenths of a percent, told after each answer.
+// TestQuantileAtEveryCount compares the estimate with the exact quantile after each of 2,000 samples, for every quantile
+// that the schema allows in tenths of a percent.
 func TestQuantileAtEveryCount(t *testing.T) {
 	qs, answers := allPerMille(), spacedLatencies(2000)
 	var times []*LatencyQuantile
@@ -76,16 +77,16 @@
 			got, n := times[j].Quantile(time.Second), i+1
 			if n < minSamples {
 				if got != 0 {
-					t.Fatalf("%d answers tell %v", n, got)
+					t.Fatalf("%d samples give an estimate of %v, want none", n, got)
 				}
 				continue
 			}
-			checkQuantile(t, got, sorted[q*n/1000], "quantile per mille, answers", q, n)
+			checkQuantile(t, got, sorted[q*n/1000], "quantile per mille, samples", q, n)
 		}
 	}
 }
 
-// weightedSamples are answers with their weights in units that make all whole.
+// weightedSamples are latencies with their weights, in units in which all weights are whole numbers.
 type weightedSamples struct {
 	latencies []time.Duration
 	weight    map[time.Duration]int
@@ -99,7 +100,7 @@
 	w.weight[d] += weight
 }
 
-// exact tells quantiles by a sum over all answers.
+// exact returns a function for the exact quantiles, by sums over all samples, and the total weight.
 func (w *weightedSamples) exact() (at func(perMille int) time.Duration, sum int) {
 	var upTo []int
 	for _, d := range w.latencies {
@@ -111,12 +112,12 @@
 	}, sum
 }
 
-// The same after halving, once to thrice, and with new answers among the halved.
+// TestQuantileAfterDecay compares the estimates after one to three halvings, with new samples among the halved ones.
 func TestQuantileAfterDecay(t *testing.T) {
 	answers, before := spacedLatencies(2100), NewLatencyQuantile(0.75)
 	for n := 1; n <= 2000; n++ {
 		before.Add(answers[n-1], time.Second)
-		before.Quantile(time.Second) // so that a place is kept over the halving
+		before.Quantile(time.Second) // so that the estimator holds a bucket position that the halving must reset
 		halvings, fresh := 1+n%3, n%97
 		w := &weightedSamples{weight: map[time.Duration]int{}}
 		for _, d := range answers[:n] {
@@ -132,15 +133,15 @@
 			times.quantilePerBillion = uint64(q) * billion / 1000
 			got := times.Quantile(now)
 			if sum >= minSamples<<halvings {
-				checkQuantile(t, got, at(q), "quantile per mille, answers, halvings, new answers", q, n, halvings, fresh)
+				checkQuantile(t, got, at(q), "quantile per mille, samples, halvings, new samples", q, n, halvings, fresh)
 			} else if got != 0 {
-				t.Fatalf("%d answers halved %d times and %d new ones tell %v", n, halvings, fresh, got)
+				t.Fatalf("%d samples halved %d times and %d new ones give an estimate of %v, want none", n, halvings, fresh, got)
 			}
 		}
 	}
 }
 
-// A bucket's bound is told for what lies in it, at its edges too, and never for less.
+// TestBucketBounds checks that latencies from just above the previous bound to the bucket's own bound fall into the bucket.
 func TestBucketBounds(t *testing.T) {
 	for i := 1; i < bucketCount; i++ {
 		for _, d := range []time.Duration{bucketBounds[i-1] + 1, bucketBounds[i-1] + (bucketBounds[i]-bucketBounds[i-1])/2, bucketBounds[i]} {
@@ -149,7 +150,7 @@
 			}
 		}
 		if bucketBounds[i] > bucketBounds[i-1]+bucketBounds[i-1]/20 {
-			t.Fatalf("bucket %d grows by more than a twentieth", i)
+			t.Fatalf("bucket %d is more than 5%% above the one before", i)
 		}
 	}
 	for _, d := range []time.Duration{-time.Hour, 0, 1, 15, 16, minLatency} {
@@ -164,11 +165,12 @@
 	}
 }
 
-// What is old counts for less, then for nothing; a clock that stands or leaps harms nothing; no memory is taken.
+// TestQuantileDecay checks that old samples lose weight until they count for nothing, that a clock that goes back or jumps
+// forward does no harm, and that nothing is allocated.
 func TestQuantileDecay(t *testing.T) {
 	times := NewLatencyQuantile(0.5)
 	if times.Quantile(0) != 0 {
-		t.Error("a quantile of nothing")
+		t.Error("a quantile without samples")
 	}
 	for range 20000 {
 		times.Add(80*time.Millisecond, time.Second)
@@ -180,7 +182,7 @@
 	checkQuantile(t, times.Quantile(now), 400*time.Millisecond, "the median after a change")
 	checkQuantile(t, times.Quantile(now-time.Minute), 400*time.Millisecond, "the median at an earlier time")
 	if times.Quantile(now+time.Hour) != 0 || times.totalWeight != 0 || times.Quantile(math.MaxInt64) != 0 {
-		t.Error("what is an hour old still counts")
+		t.Error("samples from an hour ago still count")
 	}
 	now += time.Hour
 	if allocs := testing.AllocsPerRun(100, func() { times.Add(time.Second, now); times.Quantile(now) }); allocs > 0 {
@@ -188,7 +190,7 @@
 	}
 }
 
-// BenchmarkLatencyQuantile is a request's part: an answer is counted and the quantile told, of answers that spread.
+// BenchmarkLatencyQuantile measures the cost per request: one sample is added and the quantile estimated.
 func BenchmarkLatencyQuantile(b *testing.B) {
 	r := seeds.Rand(1)
 	var answers [4096]time.Duration
@@ -207,7 +209,7 @@
 	}
 }
 
-// BenchmarkRecordLatency is the same through a route's table.
+// BenchmarkRecordLatency measures the same through a Table.
 func BenchmarkRecordLatency(b *testing.B) {
 	table := NewTable([]*Route{{Name: "r", Hedge: HedgePolicy{Enabled: true, Quantile: 0.95}}}, platform())
 	b.ReportAllocs()
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -12,7 +12,7 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// matchLinearly finds a request's route by trying all, the most specific first.
+// matchLinearly finds a request's route without the index, by trying all routes from the most specific one.
 func matchLinearly(t *Table, a Request) int {
 	for i, r := range t.routes {
 		if r.mismatch(a) == "" {
@@ -22,7 +22,7 @@
 	return -1
 }
 
-// draw makes routes that match by everything, without care for ties.
+// randomMatchingRoutes returns routes with random conditions of all kinds. Some have the same specificity and overlap.
 func randomMatchingRoutes(r *rand.Rand, n int, cfg *decide.Config) (all []*Route) {
 	classes, plans := classAndPlanNames(cfg)
 	for i := range n {
@@ -54,7 +54,7 @@
 	return all
 }
 
-// The index finds what trying all routes finds.
+// TestMatchEqualsLinearSearch checks that the index finds the same route as a linear search.
 func TestMatchEqualsLinearSearch(t *testing.T) {
 	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { matchEqualsLinearSearch(t, seeds.Rand(seed)) })
 }
@@ -72,7 +72,7 @@
 				t.Fatalf("%+v: got %d, want %d", a, got, want)
 			}
 			if hit += boolToInt(got >= 0); got >= 0 && !strings.Contains(table.Explain(a), "route "+table.Route(got).Name+" ") {
-				t.Fatalf("Explain says\n%s", table.Explain(a))
+				t.Fatalf("Explain does not name the route:\n%s", table.Explain(a))
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// The stated order: customers, the longer prefix, class, plan, patience.
+// TestSpecificityOrder checks the documented order: customers, longer prefixes, classes, plans, client timeouts.
 func TestSpecificityOrder(t *testing.T) {
 	cfg, r := platform(), seeds.Rand(1)
 	byRank := []*Route{
@@ -105,7 +105,7 @@
 	}
 }
 
-// A request's own patience cuts what a route gives, and Explain shows it.
+// TestExplainShowsTimeoutClamp checks that Explain shows where the client timeout shortens the route's timeouts.
 func TestExplainShowsTimeoutClamp(t *testing.T) {
 	table := NewTable([]*Route{{Name: "book", Classes: []string{"slot-book"}, TotalTimeout: 5 * time.Second, AttemptTimeout: 2 * time.Second, MaxAttempts: 2,
 		RetryOnNames: []string{"never-ran"}, Hedge: HedgePolicy{Enabled: true, Delay: time.Second, Quantile: 0.95, MinTimeLeft: time.Millisecond}}}, platform())
@@ -120,13 +120,14 @@
 	}
 }
 
-// The delay of second copies follows the answers; requests that are open keep theirs.
+// TestHedgeDelayFollowsQuantile checks that the hedge delay follows the latencies, while policies returned earlier stay
+// unchanged.
 func TestHedgeDelayFollowsQuantile(t *testing.T) {
 	cfg := platform()
 	table := NewTable([]*Route{{Name: "r", MaxAttempts: 2, Hedge: HedgePolicy{Enabled: true, Quantile: 0.9}}}, cfg)
 	first := table.RetryPolicy(0, "slot-lookup", time.Second)
 	if first.Hedge {
-		t.Error("second copies before any answer was seen")
+		t.Error("hedging is enabled without latency samples")
 	}
 	for range 100 {
 		table.RecordLatency(0, "slot-lookup", 50*time.Millisecond, time.Second)
@@ -136,14 +137,15 @@
 		t.Errorf("first %+v, then %+v", first, second)
 	}
 	if other := table.RetryPolicy(0, "slot-book", time.Second); other.Hedge {
-		t.Error("the other class has seen no answer")
+		t.Error("hedging is enabled for a class without latency samples")
 	}
 	if again := table.RetryPolicy(0, "slot-lookup", time.Second); again != second {
-		t.Error("bounds that did not change were made anew")
+		t.Error("an unchanged policy was allocated again")
 	}
 }
 
-// With every node failing, a group gets first attempts x (1 + budget) at most, and the floor; each group by itself.
+// TestRetryBudgetAtTotalFailure checks that with every node failing each group gets at most the retries of its own
+// budget.
 func TestRetryBudgetAtTotalFailure(t *testing.T) {
 	for _, o := range []decide.Outcome{decide.Error, decide.Rejected, decide.Reset} {
 		cfg := platform()
@@ -160,11 +162,11 @@
 		for cell := range 2 {
 			firsts, further = firsts+w.firstAttempts[cell], further+w.retries[cell]
 			if float64(w.retries[cell]) > 0.2*float64(w.firstAttempts[cell]) {
-				t.Errorf("outcome %d: cell %d got %d further attempts on %d first ones", o, cell, w.retries[cell], w.firstAttempts[cell])
+				t.Errorf("outcome %d: cell %d got %d retries for %d first attempts", o, cell, w.retries[cell], w.firstAttempts[cell])
 			}
 		}
 		if further < firsts/10 {
-			t.Errorf("outcome %d: only %d further attempts on %d first ones", o, further, firsts)
+			t.Errorf("outcome %d: only %d retries for %d first attempts", o, further, firsts)
 		}
 		if len(w.violations) > 0 {
 			t.Error(w.violations)
@@ -172,7 +174,8 @@
 	}
 }
 
-// What nodes get when all fail, with a budget and without one worth the name.
+// TestLoadAtTotalFailure compares the load on nodes that all fail with a retry budget and with one that is practically
+// unlimited.
 func TestLoadAtTotalFailure(t *testing.T) {
 	load := func(budget, floor float64) float64 {
 		w := newSimulation(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
@@ -191,13 +194,13 @@
 		return float64(sends) / float64(len(w.requests))
 	}
 	with, without := load(0.2, 0), load(10, 10000)
-	t.Logf("attempts a request: %.3f with a budget of 20%%, %.3f without", with, without)
+	t.Logf("attempts per request: %.3f with a budget of 20%%, %.3f without a limit", with, without)
 	if with > 1.2 || without < 3 {
-		t.Error("the budget does not hold, or nothing is tried again without one")
+		t.Error("the budget is exceeded, or requests are not retried without one")
 	}
 }
 
-// Second copies stop where servers are full, before anything else does.
+// TestHedgingStopsWhenServersAreFull checks that few requests are hedged under high load.
 func TestHedgingStopsWhenServersAreFull(t *testing.T) {
 	cfg := platform()
 	rt := &Route{Name: "r", MaxAttempts: 2, RetryRatio: 10, MinRetriesPerSecond: 1000, Hedge: HedgePolicy{Enabled: true, Delay: 50 * time.Millisecond}}
@@ -217,21 +220,22 @@
 	}
 	few, many := copies(400*time.Millisecond), copies(2*time.Millisecond)
 	if few < 300 || many > few/3 {
-		t.Errorf("%d copies at little load, %d at much", few, many)
+		t.Errorf("%d hedged attempts at low load, %d at high load", few, many)
 	}
 }
 
-// Budgets take constant memory, whatever cells servers name.
+// TestBudgetGroupsAreBounded checks that the number of budgets is limited, whatever cells the servers name, and that the
+// other cells share one.
 func TestBudgetGroupsAreBounded(t *testing.T) {
 	s := newRouteState(&Route{RetryRatio: 1}, 1)
 	for cell := range 10 * maxGroups {
 		s.RecordFirstAttempt(time.Second, &decide.Server{Cell: cell})
 	}
 	if len(s.budgets) != maxGroups+1 {
-		t.Errorf("%d groups are kept", len(s.budgets))
+		t.Errorf("%d groups have budgets", len(s.budgets))
 	}
 	if !s.TakeRetry(time.Second, &decide.Server{Cell: 1 << 20}) {
-		t.Error("the groups without a budget of their own have none")
+		t.Error("a group without a budget of its own gets no retry from the shared one")
 	}
 }
 
@@ -239,11 +243,11 @@
 	table := NewTable([]*Route{{Name: "r", MaxOpen: 2}}, platform())
 	for n, want := range []bool{true, true, false} {
 		if table.Acquire(0) != want {
-			t.Errorf("request %d: taken is not %v", n+1, want)
+			t.Errorf("request %d: Acquire is not %v", n+1, want)
 		}
 	}
 	if table.Release(0); !table.Acquire(0) {
-		t.Error("a place that was given back is not taken")
+		t.Error("Acquire fails after Release")
 	}
 }
 
--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -13,10 +13,10 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// event is something that happens in the world at a time.
+// event is a function that runs at a virtual time.
 type event struct {
 	at  time.Duration
-	seq int // in the order of making, so that a seed repeats a run
+	seq int // order of creation; makes runs with the same seed identical
 	run func()
 }
 
@@ -35,17 +35,17 @@
 	return x
 }
 
-// simAttempt is an attempt as the world sees it.
+// simAttempt is an attempt in the simulation.
 type simAttempt struct {
 	server            string
 	cell              int
 	startedAt, endsAt time.Duration
 	finished          bool
 	outcome           decide.Outcome
-	mayHaveRun        bool // it had, or may have had, an effect
+	mayHaveRun        bool // it may have had an effect
 }
 
-// simRequest is a request in the world.
+// simRequest is a request in the simulation.
 type simRequest struct {
 	id         string
 	class      *decide.Class
@@ -54,11 +54,12 @@
 	startedAt  time.Duration
 	deadline   time.Duration
 	attempts   []*simAttempt
-	answeredAt time.Duration // 0: not yet
+	answeredAt time.Duration // 0: not answered
 	refused    bool
 }
 
-// simulation drives a decision module in virtual time and holds every action to the rules and to the request's bounds.
+// simulation drives a decision module in virtual time and checks each of its actions against the rules and the request's
+// retry policy.
 type simulation struct {
 	t             *testing.T
 	gateway       *decide.Gateway
@@ -70,7 +71,7 @@
 	open          map[string]*simRequest
 	requests      []*simRequest
 	cells         map[string]int
-	outcome       func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) // how an attempt ends, and after what
+	outcome       func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) // how an attempt ends, and after how long
 	firstAttempts map[int]int
 	retries       map[int]int // by cell
 	violations    []string
@@ -111,7 +112,7 @@
 	}
 }
 
-// submit lets a request come now, and its client leave at the deadline.
+// submit starts a request now, with a deadline from the client's timeout. It returns nil if no route matches.
 func (w *simulation) submit(class, plan string, patience time.Duration) *simRequest {
 	n := w.table.Match(Request{Class: class, Plan: plan, Customer: "0000000000000001", ClientTimeout: patience})
 	if n < 0 {
@@ -144,7 +145,7 @@
 		w.respond(a)
 		a.refused = true
 		if a.class.Effect != decide.Safe && slices.ContainsFunc(a.attempts, func(s *simAttempt) bool { return s.mayHaveRun || !s.finished }) {
-			w.addViolation(a, "refused though it may have run")
+			w.addViolation(a, "refused although it may have run")
 		}
 	case decide.Fail:
 		w.respond(w.open[act.ID])
@@ -155,15 +156,15 @@
 
 func (w *simulation) respond(a *simRequest) {
 	if a.answeredAt > 0 {
-		w.addViolation(a, "a second answer")
+		w.addViolation(a, "answered twice")
 	}
 	a.answeredAt = w.now
 	if w.now > a.deadline+time.Millisecond {
-		w.addViolation(a, "answered %v past its time", w.now-a.deadline)
+		w.addViolation(a, "answered %v after the deadline", w.now-a.deadline)
 	}
 }
 
-// startAttempt holds an attempt to the rules and to the bounds, and draws its fate.
+// startAttempt checks an attempt against the rules and the retry policy, and schedules its end.
 func (w *simulation) startAttempt(a *simRequest, act decide.SendAttempt) {
 	s := &simAttempt{server: act.Server, cell: w.cells[act.Server], startedAt: w.now, endsAt: w.now + act.Timeout}
 	b, inFlight := a.policy, 0
@@ -187,28 +188,28 @@
 	for _, o := range a.attempts {
 		last = max(last, o.endsAt)
 	}
-	for _, o := range a.attempts { // what ended last decides; where two copies end at once, either may
+	for _, o := range a.attempts { // the last outcome decides; if two attempts end at the same time, either one may
 		allowed = allowed || o.endsAt == last && b.RetryOn.Has(o.outcome)
 	}
 	if !allowed {
-		w.addViolation(a, "another attempt after an outcome that is not worth one")
+		w.addViolation(a, "a retry after an outcome that is not in RetryOn")
 	}
 	if inFlight == 0 && len(a.attempts) > 0 && float64(w.now-last) < float64(minBackoff(b))*(1-b.Jitter)-1 {
-		w.addViolation(a, "another attempt after a wait of %v", w.now-last)
+		w.addViolation(a, "a retry after a wait of only %v", w.now-last)
 	}
 	switch {
 	case a.answeredAt > 0:
-		w.addViolation(a, "sent after its answer")
+		w.addViolation(a, "sent after the answer")
 	case len(a.attempts) >= b.MaxAttempts:
-		w.addViolation(a, "attempt %d", len(a.attempts)+1)
+		w.addViolation(a, "attempt %d exceeds MaxAttempts", len(a.attempts)+1)
 	case inFlight > 1 || inFlight == 1 && !b.Hedge:
-		w.addViolation(a, "a second copy")
+		w.addViolation(a, "a hedged attempt that is not allowed")
 	case inFlight == 1 && b.HedgeDelay > 0 && w.now-a.attempts[0].startedAt < b.HedgeDelay && len(a.attempts) == 1:
-		w.addViolation(a, "a second copy after %v", w.now-a.attempts[0].startedAt)
+		w.addViolation(a, "a hedged attempt after %v", w.now-a.attempts[0].startedAt)
 	case b.AttemptTimeout > 0 && act.Timeout > b.AttemptTimeout:
-		w.addViolation(a, "an attempt has %v", act.Timeout)
+		w.addViolation(a, "an attempt has a timeout of %v", act.Timeout)
 	case s.endsAt > a.deadline+time.Millisecond || b.TotalTimeout > 0 && s.endsAt > a.startedAt+b.TotalTimeout+time.Millisecond:
-		w.addViolation(a, "an attempt lasts past the request's end")
+		w.addViolation(a, "an attempt ends after the end of the request")
 	}
 	if len(a.attempts) == 0 {
 		w.firstAttempts[s.cell]++
@@ -224,7 +225,7 @@
 	w.schedule(w.now+after, func() { w.endAttempt(a, n, o) })
 }
 
-// minBackoff is the shortest wait between two attempts, before jitter.
+// minBackoff returns the shortest wait between two attempts, before jitter.
 func minBackoff(b *decide.RetryPolicy) time.Duration {
 	if b.MaxBackoff > 0 {
 		return min(b.InitialBackoff, b.MaxBackoff)
@@ -232,7 +233,7 @@
 	return b.InitialBackoff
 }
 
-// endAttempt tells the module how an attempt ended, once.
+// endAttempt reports the end of an attempt to the module. Only the first call for an attempt has an effect.
 func (w *simulation) endAttempt(a *simRequest, n int, o decide.Outcome) {
 	s := a.attempts[n]
 	if s.finished {
@@ -243,12 +244,12 @@
 	if o == decide.OK && a.answeredAt == 0 {
 		w.respond(a)
 	}
-	w.schedule(w.now, func() { // as the gateway does: after the actions at hand
+	w.schedule(w.now, func() { // like the gateway: after the current actions
 		w.handle(decide.AttemptEnded{ID: a.id, Server: s.server, Attempt: n, Outcome: o, Latency: s.endsAt - s.startedAt, RequestDone: a.answeredAt > 0})
 	})
 }
 
-// runUntil lets the world go on until a time.
+// runUntil runs all events up to a time.
 func (w *simulation) runUntil(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
@@ -258,7 +259,7 @@
 	w.now = until
 }
 
-// randomRoute makes a random route, safe or not.
+// randomRoute returns a random route, which may be unsafe.
 func randomRoute(r *rand.Rand, name string, cfg *decide.Config) *Route {
 	ms := func(limit int) time.Duration { return time.Duration(1+r.IntN(limit)) * time.Millisecond }
 	maybe := func(d time.Duration) time.Duration {
@@ -292,7 +293,8 @@
 	return t
 }
 
-// Whatever routes the proof accepts, in no schedule of outcomes is a rule broken or a bound passed.
+// TestValidatedRoutesKeepTheRules checks that requests on random routes that Validate accepts never break a rule or exceed
+// the policy, whatever the outcomes and their times.
 func TestValidatedRoutesKeepTheRules(t *testing.T) {
 	seeds.Run(t, []uint64{1, 2}, func(t *testing.T, seed uint64) { validatedRoutesKeepTheRules(t, seeds.Rand(seed), seeds.Rounds(150)) })
 }
@@ -307,7 +309,7 @@
 		}
 		accepted++
 		w := newSimulation(t, cfg, []*Route{rt})
-		scenario := r.IntN(4) // of the fleet: mixed, failing fast, silent, one class slow
+		scenario := r.IntN(4) // of the servers: mixed outcomes, failing fast, not answering, one class slow on one server
 		w.outcome = func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
 			switch scenario {
 			case 1:
@@ -337,21 +339,21 @@
 		for cell, n := range w.retries {
 			span := (w.now - time.Hour).Seconds() + burstSeconds
 			if limit := float64(w.firstAttempts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > limit+1e-6 {
-				w.violations = append(w.violations, fmt.Sprintf("cell %d got %d further attempts, %.1f at most", cell, n, limit))
+				w.violations = append(w.violations, fmt.Sprintf("cell %d got %d retries, want at most %.1f", cell, n, limit))
 			}
 		}
 		if len(w.violations) > 0 {
-			t.Fatalf("round %d, mood %d, route %+v:\n%s", round, scenario, *rt, strings.Join(w.violations, "\n"))
+			t.Fatalf("round %d, scenario %d, route %+v:\n%s", round, scenario, *rt, strings.Join(w.violations, "\n"))
 		}
 	}
 	t.Logf("%d routes, %d attempts", accepted, attempts)
 	if attempts < accepted {
-		t.Error("too little happened for a test")
+		t.Error("too few attempts for a meaningful test")
 	}
 }
 
-// runUnchecked runs a request by the letter of its route and nothing else, with every attempt ending in the worst way for it.
-// It tells which rule breaks. This is what the proof is there to refuse.
+// runUnchecked runs a request exactly as its route says, without the safeguards of package decide. Every attempt ends with
+// the outcome o, either at once or, if slow, at its timeout. It returns the rules that this breaks.
 func runUnchecked(r *Route, k *decide.Class, o decide.Outcome, slow bool) (violations []string) {
 	whole := r.TotalTimeout
 	if whole == 0 {
@@ -399,7 +401,8 @@
 	return violations
 }
 
-// For each named kind of what the proof rejects there is a schedule that breaks the rule, were the route followed.
+// TestRejectedRoutesWouldBreakRules checks that Validate is not too strict: for each listed file that it rejects, some
+// sequence of outcomes would break the stated rule if the route were followed.
 func TestRejectedRoutesWouldBreakRules(t *testing.T) {
 	s := schema(t)
 	for file, want := range map[string]string{
@@ -422,13 +425,13 @@
 				if k := &cfg.Classes[i]; len(r.Classes) == 0 || slices.Contains(r.Classes, k.Name) {
 					for _, o := range []decide.Outcome{decide.TimedOut, decide.Error, decide.Reset, decide.NoConnection} {
 						broken = append(broken, runUnchecked(r, k, o, false)...)
-						broken = append(broken, runUnchecked(r, k, o, true)...) // at the attempt's last moment
+						broken = append(broken, runUnchecked(r, k, o, true)...) // each attempt takes its whole timeout
 					}
 				}
 			}
 		}
 		if !slices.Contains(broken, want) {
-			t.Errorf("%s: no schedule shows %q: %v", file, want, broken)
+			t.Errorf("%s: no sequence of outcomes shows %q: %v", file, want, broken)
 		}
 	}
 }
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-// newPolicy returns the route's retry policy. A hedge delay of 0 selects the configured one.
+// newPolicy returns the route's retry policy with the hedge delay after, or with the configured delay if after is 0.
 func (s *routeState) newPolicy(after time.Duration) *decide.RetryPolicy {
 	r := s.route
 	p := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
--- a/internal/route/validate.go
+++ b/internal/route/validate.go
@@ -14,8 +14,8 @@
 
 // Margins are the safety margins that a gateway keeps before the time limits of clients and nodes.
 type Margins struct {
-	Response time.Duration // from the last moment of an answer to the end of the client's timeout
-	Dedup    time.Duration // from the end of the last attempt to the moment at which nodes forget its idempotency key
+	Response time.Duration // an answer is sent at least this long before the client's timeout ends
+	Dedup    time.Duration // the last attempt ends at least this long before nodes forget the idempotency key
 }
 
 // validator collects the errors of routes. Each message names the rule, the values and the smallest change that fixes it.
@@ -50,6 +50,7 @@
 	return &p.diags[len(p.diags)-1]
 }
 
+// checkRoute checks what does not depend on the class: names, limits of the platform and the range of client timeouts.
 func (p *validator) checkRoute(r *Route) {
 	classes, plans := classAndPlanNames(p.cfg)
 	for _, n := range r.Classes {
@@ -111,6 +112,7 @@
 	return r.MaxAttempts > 1 && r.RetryOn&^notExecuted != 0
 }
 
+// checkEffect checks that the route never repeats an attempt of an unsafe class that may have run.
 func (p *validator) checkEffect(r *Route, k *decide.Class) bool {
 	if k.Effect != decide.Unsafe {
 		return true
@@ -146,6 +148,7 @@
 	return time.Duration(attempts)*r.AttemptTimeout + r.totalBackoff(attempts)
 }
 
+// checkTimeouts checks that all attempts and the waits between them fit into the total time.
 func (p *validator) checkTimeouts(r *Route, k *decide.Class, total time.Duration) bool {
 	if r.AttemptTimeout > total {
 		p.errorf(r.position("attempt"), "route %s, class %s: one attempt may take %v, but the whole request %v; attempt at most %v", r.Name, k.Name, r.AttemptTimeout,
@@ -189,6 +192,7 @@
 	return max(0, (total-r.totalBackoff(attempts))/time.Duration(attempts)).Truncate(time.Millisecond)
 }
 
+// checkHedge checks that a hedged attempt is allowed and that it can be sent in time.
 func (p *validator) checkHedge(r *Route, k *decide.Class, total time.Duration) {
 	c := r.Hedge
 	if !c.Enabled {
--- a/internal/route/validate_test.go
+++ b/internal/route/validate_test.go
@@ -13,9 +13,9 @@
 	"sloepick/internal/sloe"
 )
 
-var update = flag.Bool("update", false, "write what the unsafe files give as what they must give")
+var update = flag.Bool("update", false, "write the diagnostics of the unsafe files as the expected ones")
 
-// platform are settings with a class of each effect, and one whose clients wait longer than nodes drop repeats.
+// platform returns settings with a class of each effect, and one whose deadline is longer than its deduplication window.
 func platform() *decide.Config {
 	return &decide.Config{Gateways: 1, Zone: "z",
 		Classes: []decide.Class{
@@ -38,7 +38,8 @@
 	return s
 }
 
-// loadAndValidate loads a file and proves its routes. A first line "# platform: single" takes one without second copies.
+// loadAndValidate loads a file and validates its routes. A first line "# platform: single" selects a platform without
+// parallel attempts and retry advice.
 func loadAndValidate(t testing.TB, s *operator.Schema, file string) ([]*Route, *decide.Config, sloe.Diags) {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -62,7 +63,7 @@
 	return routes, cfg, diags
 }
 
-// Each unsafe file is refused with exactly the words that stand beside it.
+// TestUnsafeFiles checks that each unsafe file is rejected with exactly the diagnostics in its .want file.
 func TestUnsafeFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/unsafe/*.sloe")
 	if err != nil || len(files) < 40 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,11 +8,11 @@
 	"sloepick/internal/testbed"
 )
 
-// TestInvalidSettings: each is refused with the field's own name and its value.
+// TestInvalidSettings checks that each invalid setting is rejected with the path of the field and its value.
 func TestInvalidSettings(t *testing.T) {
 	good := string(testbed.MinimalSettings(time.Second))
 	if s, err := Parse([]byte(good)); err != nil || s.ValidateServing() != nil {
-		t.Fatalf("the settings as they are: %v, %v", err, s.ValidateServing())
+		t.Fatalf("unchanged settings: %v, %v", err, s.ValidateServing())
 	}
 	for edit, want := range map[string]string{
 		`"AimNs":1000000000|"AimNs":-5`:                      "Classes[0].AimNs is -5",
@@ -33,7 +33,7 @@
 	} {
 		from, to, _ := strings.Cut(edit, "|")
 		if !strings.Contains(good, from) {
-			t.Errorf("%s does not stand in the settings", from)
+			t.Errorf("%s is not in the settings", from)
 			continue
 		}
 		s, err := Parse([]byte(strings.Replace(good, from, to, 1)))
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -11,7 +11,7 @@
 	"sloepick/decide"
 )
 
-// site is what this test reads of a site's file: ranges have a least and a most, of which it takes the middle.
+// site is the part of a site file that this test reads. For a range of values it uses the midpoint.
 type site struct {
 	Name  string
 	Scale struct{ Balancers []int }
@@ -70,7 +70,7 @@
 
 const millisecond = int(time.Millisecond)
 
-// settingsObjectMap is the site's settings as a gateway is given them.
+// settingsObjectMap returns the site's settings in the form of the settings object.
 func (s *site) settingsObjectMap() map[string]any {
 	var classes, plans []map[string]any
 	for _, k := range s.Class {
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestSites: the settings of the project's own sites are read, and a gateway serves each class and each plan by them. A class that is
-// unsafe to repeat is never sent twice where the first attempt may have run; a safe one is.
+// TestSites checks that the settings of the project's sites are valid and that a gateway with them serves each class and
+// plan. After an attempt that may have run, a request of a safe class is retried and one of an unsafe class is not.
 func TestSites(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*/site.toml")
 	if err != nil || len(files) < 2 {
@@ -130,7 +130,7 @@
 	}
 }
 
-// serveAfterReset has a gateway of the settings serveAfterReset a request whose first attempt broke.
+// serveAfterReset sends a request whose first attempt ends with a connection reset to a gateway with the given settings.
 func serveAfterReset(t *testing.T, cfg decide.Config, class, plan string) {
 	t.Helper()
 	cfg.Gateways, cfg.Limits.PeerMessages = 1, false
@@ -144,7 +144,7 @@
 		servers = append(servers, decide.Server{ID: id, Zone: cfg.Zone, Weight: 1})
 	}
 	g.Handle(at, decide.ServerListUpdate{Kind: decide.ListFull, Version: 1, Servers: servers})
-	at += time.Minute // a gateway that has just started holds ceilings as if they were used up
+	at += time.Minute // a gateway that has just started treats ceilings as used up
 	sends := func(actions []decide.Action) (n int) {
 		for _, a := range actions {
 			if _, ok := a.(decide.SendAttempt); ok {
@@ -164,6 +164,6 @@
 	}
 	again := sends(g.Handle(at+time.Millisecond, decide.AttemptEnded{ID: "1", Server: "a", Outcome: decide.Reset, Latency: time.Millisecond}))
 	if effect == decide.Unsafe && again != 0 || effect == decide.Safe && again != 1 {
-		t.Errorf("%s on %s: %d further attempts after one that may have run", class, plan, again)
+		t.Errorf("%s on %s: %d retries after an attempt that may have run", class, plan, again)
 	}
 }
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Without an operator file the gateway does what it did before there was one: these are the constants of then.
+// TestDefaults checks that without an operators' file the gateway uses the same values as before that file existed, when
+// they were constants.
 func TestDefaults(t *testing.T) {
 	want := Tuning{
 		Clients: Clients{ReadTimeout: 2 * time.Second, IdleTimeout: 5 * time.Second, WriteTimeout: 2 * time.Second, ProtocolErrorTimeout: time.Second, MaxPipeline: 64,
