--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -186,27 +186,27 @@
 }
 
 // Match returns the index of the most specific route that matches a request, or -1 if there is none.
-func (t *Table) Match(a Request) int {
-	class, ok := t.classes[a.Class]
-	plan, ok2 := t.plans[a.Plan]
+func (t *Table) Match(req Request) int {
+	class, ok := t.classes[req.Class]
+	plan, ok2 := t.plans[req.Plan]
 	if !ok || !ok2 {
 		return -1
 	}
 	pair := class*len(t.plans) + plan
 	if len(t.byCustomer)+len(t.byPrefix) > 0 {
-		if c, ok := parseCustomer(a.Customer); ok {
-			if n := t.lookup(t.byCustomer[c], pair, a.ClientTimeout); n >= 0 {
+		if c, ok := parseCustomer(req.Customer); ok {
+			if n := t.lookup(t.byCustomer[c], pair, req.ClientTimeout); n >= 0 {
 				return n
 			}
 			for i := range t.byPrefix {
 				p := &t.byPrefix[i]
-				if n := t.lookup(p.groups[c>>p.shift], pair, a.ClientTimeout); n >= 0 {
+				if n := t.lookup(p.groups[c>>p.shift], pair, req.ClientTimeout); n >= 0 {
 					return n
 				}
 			}
 		}
 	}
-	return t.lookup(t.anyCustomer, pair, a.ClientTimeout)
+	return t.lookup(t.anyCustomer, pair, req.ClientTimeout)
 }
 
 func (t *Table) lookup(g classPlanIndex, pair int, clientTimeout time.Duration) int {
@@ -246,21 +246,21 @@
 func (t *Table) Route(n int) *Route { return t.routes[n] }
 
 // Explain describes which route a request gets and why the others do not apply.
-func (t *Table) Explain(a Request) string {
+func (t *Table) Explain(req Request) string {
 	var b strings.Builder
-	matched := t.Match(a)
+	matched := t.Match(req)
 	if matched < 0 {
 		b.WriteString("no route matches: the module's own bounds hold\n")
 	} else {
 		r := t.routes[matched]
 		fmt.Fprintf(&b, "route %s (%s) matches\n", r.Name, r.Pos)
-		t.explainPolicy(&b, r, a)
+		t.explainPolicy(&b, r, req)
 	}
 	for i, r := range t.routes {
 		if i == matched {
 			continue
 		}
-		reason := r.mismatch(a)
+		reason := r.mismatch(req)
 		if reason == "" {
 			reason = "it matches too, and comes after " + t.routes[matched].Name + ", which is more specific"
 		}
@@ -270,31 +270,31 @@
 }
 
 // mismatch describes the first condition of a route that a request does not meet, or returns "" if it meets all.
-func (r *Route) mismatch(a Request) string {
-	c, ok := parseCustomer(a.Customer)
+func (r *Route) mismatch(req Request) string {
+	c, ok := parseCustomer(req.Customer)
 	switch {
 	case len(r.Customers) > 0 && (!ok || !slices.Contains(r.Customers, c)):
-		return "customer " + a.Customer + " is not in its list"
-	case r.CustomerPrefix != "" && !strings.HasPrefix(strings.ToLower(a.Customer), strings.ToLower(r.CustomerPrefix)):
-		return "customer " + a.Customer + " does not begin with " + r.CustomerPrefix
-	case len(r.Classes) > 0 && !slices.Contains(r.Classes, a.Class):
-		return "class " + a.Class + " is not in its list"
-	case len(r.Plans) > 0 && !slices.Contains(r.Plans, a.Plan):
-		return "plan " + a.Plan + " is not in its list"
-	case !r.matchesTimeout(a.ClientTimeout):
-		return fmt.Sprintf("patience %v is not in its span", a.ClientTimeout)
+		return "customer " + req.Customer + " is not in its list"
+	case r.CustomerPrefix != "" && !strings.HasPrefix(strings.ToLower(req.Customer), strings.ToLower(r.CustomerPrefix)):
+		return "customer " + req.Customer + " does not begin with " + r.CustomerPrefix
+	case len(r.Classes) > 0 && !slices.Contains(r.Classes, req.Class):
+		return "class " + req.Class + " is not in its list"
+	case len(r.Plans) > 0 && !slices.Contains(r.Plans, req.Plan):
+		return "plan " + req.Plan + " is not in its list"
+	case !r.matchesTimeout(req.ClientTimeout):
+		return fmt.Sprintf("patience %v is not in its span", req.ClientTimeout)
 	}
 	return ""
 }
 
 // explainPolicy writes the retry policy that a request gets, with timeouts cut to the request's client timeout.
-func (t *Table) explainPolicy(b *strings.Builder, r *Route, a Request) {
+func (t *Table) explainPolicy(b *strings.Builder, r *Route, req Request) {
 	clamp := func(name string, v time.Duration) {
 		switch {
 		case v == 0:
-			fmt.Fprintf(b, "  %s: to the end of the request's patience (%v)\n", name, a.ClientTimeout)
-		case a.ClientTimeout > 0 && a.ClientTimeout < v:
-			fmt.Fprintf(b, "  %s: %v, cut to the request's patience of %v\n", name, v, a.ClientTimeout)
+			fmt.Fprintf(b, "  %s: to the end of the request's patience (%v)\n", name, req.ClientTimeout)
+		case req.ClientTimeout > 0 && req.ClientTimeout < v:
+			fmt.Fprintf(b, "  %s: %v, cut to the request's patience of %v\n", name, v, req.ClientTimeout)
 		default:
 			fmt.Fprintf(b, "  %s: %v\n", name, v)
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,9 +13,9 @@
 )
 
 // matchLinearly finds a request's route without the index, by trying all routes from the most specific one.
-func matchLinearly(t *Table, a Request) int {
+func matchLinearly(t *Table, req Request) int {
 	for i, r := range t.routes {
-		if r.mismatch(a) == "" {
+		if r.mismatch(req) == "" {
 			return i
 		}
 	}
@@ -61,28 +61,28 @@
 
 func matchEqualsLinearSearch(t *testing.T, r *rand.Rand) {
 	cfg := platform()
-	hit := 0
+	matches := 0
 	for range 50 {
 		table := NewTable(randomMatchingRoutes(r, 60, cfg), cfg)
 		for range 200 {
-			a := Request{Class: cfg.Classes[r.IntN(len(cfg.Classes))].Name, Plan: cfg.Plans[r.IntN(len(cfg.Plans))].Name,
+			req := Request{Class: cfg.Classes[r.IntN(len(cfg.Classes))].Name, Plan: cfg.Plans[r.IntN(len(cfg.Plans))].Name,
 				Customer: fmt.Sprintf("%016x", r.Uint64N(64)<<56), ClientTimeout: time.Duration(r.IntN(2000)) * time.Millisecond}
-			got, want := table.Match(a), matchLinearly(table, a)
+			got, want := table.Match(req), matchLinearly(table, req)
 			if got != want {
-				t.Fatalf("%+v: got %d, want %d", a, got, want)
+				t.Fatalf("%+v: got %d, want %d", req, got, want)
 			}
-			if hit += boolToInt(got >= 0); got >= 0 && !strings.Contains(table.Explain(a), "route "+table.Route(got).Name+" ") {
-				t.Fatalf("Explain does not name the route:\n%s", table.Explain(a))
+			if matches += boolToInt(got >= 0); got >= 0 && !strings.Contains(table.Explain(req), "route "+table.Route(got).Name+" ") {
+				t.Fatalf("Explain does not name the route:\n%s", table.Explain(req))
 			}
 		}
 	}
-	if hit < 1000 {
-		t.Errorf("only %d matches", hit)
+	if matches < 1000 {
+		t.Errorf("only %d matches", matches)
 	}
 	table := NewTable([]*Route{{Name: "r", Classes: []string{"slot-book"}}}, cfg)
-	for _, a := range []Request{{Class: "none", Plan: "plus"}, {Class: "slot-book", Plan: "none"}, {Class: "slot-lookup", Plan: "plus"}} {
-		if n := table.Match(a); n != -1 {
-			t.Errorf("%+v matches %d", a, n)
+	for _, req := range []Request{{Class: "none", Plan: "plus"}, {Class: "slot-book", Plan: "none"}, {Class: "slot-lookup", Plan: "plus"}} {
+		if n := table.Match(req); n != -1 {
+			t.Errorf("%+v matches %d", req, n)
 		}
 	}
 }
@@ -150,26 +150,26 @@
 	for _, o := range []decide.Outcome{decide.Error, decide.Rejected, decide.Reset} {
 		cfg := platform()
 		rt := &Route{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"] | outcomesByName["never-ran"] | outcomesByName["reset"], RetryRatio: 0.2}
-		w := newSimulation(t, cfg, []*Route{rt})
-		w.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
+		sim := newSimulation(t, cfg, []*Route{rt})
+		sim.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
 			return o, time.Millisecond
 		}
 		for range 2000 {
-			w.submit("slot-lookup", "plus", time.Second)
-			w.runUntil(w.now + 20*time.Millisecond)
+			sim.submit("slot-lookup", "plus", time.Second)
+			sim.runUntil(sim.now + 20*time.Millisecond)
 		}
-		firsts, further := 0, 0
+		firstAttempts, retries := 0, 0
 		for cell := range 2 {
-			firsts, further = firsts+w.firstAttempts[cell], further+w.retries[cell]
-			if float64(w.retries[cell]) > 0.2*float64(w.firstAttempts[cell]) {
-				t.Errorf("outcome %d: cell %d got %d retries for %d first attempts", o, cell, w.retries[cell], w.firstAttempts[cell])
+			firstAttempts, retries = firstAttempts+sim.firstAttempts[cell], retries+sim.retries[cell]
+			if float64(sim.retries[cell]) > 0.2*float64(sim.firstAttempts[cell]) {
+				t.Errorf("outcome %d: cell %d got %d retries for %d first attempts", o, cell, sim.retries[cell], sim.firstAttempts[cell])
 			}
 		}
-		if further < firsts/10 {
-			t.Errorf("outcome %d: only %d retries for %d first attempts", o, further, firsts)
+		if retries < firstAttempts/10 {
+			t.Errorf("outcome %d: only %d retries for %d first attempts", o, retries, firstAttempts)
 		}
-		if len(w.violations) > 0 {
-			t.Error(w.violations)
+		if len(sim.violations) > 0 {
+			t.Error(sim.violations)
 		}
 	}
 }
@@ -178,20 +178,20 @@
 // unlimited.
 func TestLoadAtTotalFailure(t *testing.T) {
 	load := func(budget, floor float64) float64 {
-		w := newSimulation(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
-		w.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
+		sim := newSimulation(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
+		sim.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
 			return decide.Error, time.Millisecond
 		}
 		sends := 0
 		for range 2000 {
-			w.submit("slot-lookup", "plus", time.Second)
-			w.runUntil(w.now + 20*time.Millisecond)
+			sim.submit("slot-lookup", "plus", time.Second)
+			sim.runUntil(sim.now + 20*time.Millisecond)
 		}
-		w.runUntil(w.now + time.Minute)
-		for _, a := range w.requests {
+		sim.runUntil(sim.now + time.Minute)
+		for _, a := range sim.requests {
 			sends += len(a.attempts)
 		}
-		return float64(sends) / float64(len(w.requests))
+		return float64(sends) / float64(len(sim.requests))
 	}
 	with, without := load(0.2, 0), load(10, 10000)
 	t.Logf("attempts per request: %.3f with a budget of 20%%, %.3f without a limit", with, without)
@@ -205,15 +205,15 @@
 	cfg := platform()
 	rt := &Route{Name: "r", MaxAttempts: 2, RetryRatio: 10, MinRetriesPerSecond: 1000, Hedge: HedgePolicy{Enabled: true, Delay: 50 * time.Millisecond}}
 	copies := func(every time.Duration) (n int) {
-		w := newSimulation(t, cfg, []*Route{rt})
-		w.outcome = func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
+		sim := newSimulation(t, cfg, []*Route{rt})
+		sim.outcome = func(sim *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
 			return decide.OK, 200 * time.Millisecond
 		}
 		for range 400 {
-			w.submit("slot-lookup", "plus", time.Second)
-			w.runUntil(w.now + every)
+			sim.submit("slot-lookup", "plus", time.Second)
+			sim.runUntil(sim.now + every)
 		}
-		for _, a := range w.requests {
+		for _, a := range sim.requests {
 			n += max(0, len(a.attempts)-1)
 		}
 		return n
@@ -269,11 +269,11 @@
 	}
 	routes = append(routes, &Route{Name: "all"})
 	table := NewTable(routes, cfg)
-	asks := []Request{{"slot-lookup", "plus", "00000000000003c0", 500 * time.Microsecond}, {"slot-book", "plus", "0003010000000000", 250 * time.Microsecond},
+	requests := []Request{{"slot-lookup", "plus", "00000000000003c0", 500 * time.Microsecond}, {"slot-book", "plus", "0003010000000000", 250 * time.Microsecond},
 		{"slot-lookup", "basic", "00000000b4d65521", 480 * time.Millisecond}}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if table.Match(asks[i%len(asks)]) < 0 {
+		if table.Match(requests[i%len(requests)]) < 0 {
 			b.Fatal("no match")
 		}
 	}
--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -71,7 +71,7 @@
 	open          map[string]*simRequest
 	requests      []*simRequest
 	cells         map[string]int
-	outcome       func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) // how an attempt ends, and after how long
+	outcome       func(sim *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) // how an attempt ends, and after how long
 	firstAttempts map[int]int
 	retries       map[int]int // by cell
 	violations    []string
@@ -85,88 +85,88 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &simulation{t: t, gateway: g, cfg: cfg, table: NewTable(routes, cfg), now: time.Hour, open: map[string]*simRequest{}, cells: map[string]int{},
+	sim := &simulation{t: t, gateway: g, cfg: cfg, table: NewTable(routes, cfg), now: time.Hour, open: map[string]*simRequest{}, cells: map[string]int{},
 		firstAttempts: map[int]int{}, retries: map[int]int{}}
 	u := decide.ServerListUpdate{Kind: decide.ListFull, Version: 1}
 	for i := range serverCount {
 		s := decide.Server{ID: fmt.Sprintf("s%d", i), Zone: "z", Cell: i % 2, Weight: 1}
-		w.cells[s.ID] = s.Cell
+		sim.cells[s.ID] = s.Cell
 		u.Servers = append(u.Servers, s)
 	}
-	w.handle(u)
-	return w
+	sim.handle(u)
+	return sim
 }
 
-func (w *simulation) addViolation(a *simRequest, format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%s (%s, route %s): ", a.id, a.class.Name, a.route.Name)+fmt.Sprintf(format, args...))
+func (sim *simulation) addViolation(a *simRequest, format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("%s (%s, route %s): ", a.id, a.class.Name, a.route.Name)+fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) schedule(at time.Duration, run func()) {
-	w.eventCount++
-	heap.Push(&w.queue, event{at, w.eventCount, run})
+func (sim *simulation) schedule(at time.Duration, run func()) {
+	sim.eventCount++
+	heap.Push(&sim.queue, event{at, sim.eventCount, run})
 }
 
-func (w *simulation) handle(ev decide.Event) {
-	for _, a := range w.gateway.Handle(w.now, ev) {
-		w.apply(a)
+func (sim *simulation) handle(ev decide.Event) {
+	for _, a := range sim.gateway.Handle(sim.now, ev) {
+		sim.apply(a)
 	}
 }
 
 // submit starts a request now, with a deadline from the client's timeout. It returns nil if no route matches.
-func (w *simulation) submit(class, plan string, patience time.Duration) *simRequest {
-	n := w.table.Match(Request{Class: class, Plan: plan, Customer: "0000000000000001", ClientTimeout: patience})
+func (sim *simulation) submit(class, plan string, clientTimeout time.Duration) *simRequest {
+	n := sim.table.Match(Request{Class: class, Plan: plan, Customer: "0000000000000001", ClientTimeout: clientTimeout})
 	if n < 0 {
 		return nil
 	}
-	a := &simRequest{id: fmt.Sprintf("r%d", len(w.requests)), route: w.table.Route(n), startedAt: w.now, deadline: w.now + patience - margins.Response}
-	for i := range w.cfg.Classes {
-		if w.cfg.Classes[i].Name == class {
-			a.class = &w.cfg.Classes[i]
+	a := &simRequest{id: fmt.Sprintf("r%d", len(sim.requests)), route: sim.table.Route(n), startedAt: sim.now, deadline: sim.now + clientTimeout - margins.Response}
+	for i := range sim.cfg.Classes {
+		if sim.cfg.Classes[i].Name == class {
+			a.class = &sim.cfg.Classes[i]
 		}
 	}
-	w.table.Acquire(n)
-	a.policy = w.table.RetryPolicy(n, class, w.now)
-	w.open[a.id] = a
-	w.requests = append(w.requests, a)
-	w.handle(decide.Request{ID: a.id, Class: class, Plan: plan, Customer: "0000000000000001", Units: 1, Deadline: a.deadline, RetryPolicy: a.policy})
+	sim.table.Acquire(n)
+	a.policy = sim.table.RetryPolicy(n, class, sim.now)
+	sim.open[a.id] = a
+	sim.requests = append(sim.requests, a)
+	sim.handle(decide.Request{ID: a.id, Class: class, Plan: plan, Customer: "0000000000000001", Units: 1, Deadline: a.deadline, RetryPolicy: a.policy})
 	return a
 }
 
-func (w *simulation) apply(act decide.Action) {
+func (sim *simulation) apply(act decide.Action) {
 	switch act := act.(type) {
 	case decide.SendAttempt:
-		w.startAttempt(w.open[act.ID], act)
+		sim.startAttempt(sim.open[act.ID], act)
 	case decide.CancelAttempt:
-		if a := w.open[act.ID]; a != nil {
-			w.endAttempt(a, act.Attempt, decide.Cancelled)
+		if a := sim.open[act.ID]; a != nil {
+			sim.endAttempt(a, act.Attempt, decide.Cancelled)
 		}
 	case decide.Refuse:
-		a := w.open[act.ID]
-		w.respond(a)
+		a := sim.open[act.ID]
+		sim.respond(a)
 		a.refused = true
 		if a.class.Effect != decide.Safe && slices.ContainsFunc(a.attempts, func(s *simAttempt) bool { return s.mayHaveRun || !s.finished }) {
-			w.addViolation(a, "refused although it may have run")
+			sim.addViolation(a, "refused although it may have run")
 		}
 	case decide.Fail:
-		w.respond(w.open[act.ID])
+		sim.respond(sim.open[act.ID])
 	case decide.SetTimer:
-		w.schedule(act.At, func() { w.handle(decide.TimerFired{Token: act.Token}) })
+		sim.schedule(act.At, func() { sim.handle(decide.TimerFired{Token: act.Token}) })
 	}
 }
 
-func (w *simulation) respond(a *simRequest) {
+func (sim *simulation) respond(a *simRequest) {
 	if a.answeredAt > 0 {
-		w.addViolation(a, "answered twice")
+		sim.addViolation(a, "answered twice")
 	}
-	a.answeredAt = w.now
-	if w.now > a.deadline+time.Millisecond {
-		w.addViolation(a, "answered %v after the deadline", w.now-a.deadline)
+	a.answeredAt = sim.now
+	if sim.now > a.deadline+time.Millisecond {
+		sim.addViolation(a, "answered %v after the deadline", sim.now-a.deadline)
 	}
 }
 
 // startAttempt checks an attempt against the rules and the retry policy, and schedules its end.
-func (w *simulation) startAttempt(a *simRequest, act decide.SendAttempt) {
-	s := &simAttempt{server: act.Server, cell: w.cells[act.Server], startedAt: w.now, endsAt: w.now + act.Timeout}
+func (sim *simulation) startAttempt(a *simRequest, act decide.SendAttempt) {
+	s := &simAttempt{server: act.Server, cell: sim.cells[act.Server], startedAt: sim.now, endsAt: sim.now + act.Timeout}
 	b, inFlight := a.policy, 0
 	for _, o := range a.attempts {
 		if !o.finished {
@@ -177,52 +177,52 @@
 		}
 		switch {
 		case a.class.Effect == decide.Unsafe:
-			w.addViolation(a, "an unsafe request that may have run is sent again")
+			sim.addViolation(a, "an unsafe request that may have run is sent again")
 		case o.cell != s.cell:
-			w.addViolation(a, "a keyed request that may have run is sent to another group")
-		case w.now-o.startedAt >= a.class.DedupWindow:
-			w.addViolation(a, "a keyed repeat %v after an attempt that may have run", w.now-o.startedAt)
+			sim.addViolation(a, "a keyed request that may have run is sent to another group")
+		case sim.now-o.startedAt >= a.class.DedupWindow:
+			sim.addViolation(a, "a keyed repeat %v after an attempt that may have run", sim.now-o.startedAt)
 		}
 	}
-	last, allowed := time.Duration(0), len(a.attempts) == 0 || inFlight > 0
+	lastEnd, allowed := time.Duration(0), len(a.attempts) == 0 || inFlight > 0
 	for _, o := range a.attempts {
-		last = max(last, o.endsAt)
+		lastEnd = max(lastEnd, o.endsAt)
 	}
 	for _, o := range a.attempts { // the last outcome decides; if two attempts end at the same time, either one may
-		allowed = allowed || o.endsAt == last && b.RetryOn.Has(o.outcome)
+		allowed = allowed || o.endsAt == lastEnd && b.RetryOn.Has(o.outcome)
 	}
 	if !allowed {
-		w.addViolation(a, "a retry after an outcome that is not in RetryOn")
+		sim.addViolation(a, "a retry after an outcome that is not in RetryOn")
 	}
-	if inFlight == 0 && len(a.attempts) > 0 && float64(w.now-last) < float64(minBackoff(b))*(1-b.Jitter)-1 {
-		w.addViolation(a, "a retry after a wait of only %v", w.now-last)
+	if inFlight == 0 && len(a.attempts) > 0 && float64(sim.now-lastEnd) < float64(minBackoff(b))*(1-b.Jitter)-1 {
+		sim.addViolation(a, "a retry after a wait of only %v", sim.now-lastEnd)
 	}
 	switch {
 	case a.answeredAt > 0:
-		w.addViolation(a, "sent after the answer")
+		sim.addViolation(a, "sent after the answer")
 	case len(a.attempts) >= b.MaxAttempts:
-		w.addViolation(a, "attempt %d exceeds MaxAttempts", len(a.attempts)+1)
+		sim.addViolation(a, "attempt %d exceeds MaxAttempts", len(a.attempts)+1)
 	case inFlight > 1 || inFlight == 1 && !b.Hedge:
-		w.addViolation(a, "a hedged attempt that is not allowed")
-	case inFlight == 1 && b.HedgeDelay > 0 && w.now-a.attempts[0].startedAt < b.HedgeDelay && len(a.attempts) == 1:
-		w.addViolation(a, "a hedged attempt after %v", w.now-a.attempts[0].startedAt)
+		sim.addViolation(a, "a hedged attempt that is not allowed")
+	case inFlight == 1 && b.HedgeDelay > 0 && sim.now-a.attempts[0].startedAt < b.HedgeDelay && len(a.attempts) == 1:
+		sim.addViolation(a, "a hedged attempt after %v", sim.now-a.attempts[0].startedAt)
 	case b.AttemptTimeout > 0 && act.Timeout > b.AttemptTimeout:
-		w.addViolation(a, "an attempt has a timeout of %v", act.Timeout)
+		sim.addViolation(a, "an attempt has a timeout of %v", act.Timeout)
 	case s.endsAt > a.deadline+time.Millisecond || b.TotalTimeout > 0 && s.endsAt > a.startedAt+b.TotalTimeout+time.Millisecond:
-		w.addViolation(a, "an attempt ends after the end of the request")
+		sim.addViolation(a, "an attempt ends after the end of the request")
 	}
 	if len(a.attempts) == 0 {
-		w.firstAttempts[s.cell]++
+		sim.firstAttempts[s.cell]++
 	} else {
-		w.retries[s.cell]++
+		sim.retries[s.cell]++
 	}
 	a.attempts = append(a.attempts, s)
 	n := len(a.attempts) - 1
-	o, after := w.outcome(w, a, s)
+	o, after := sim.outcome(sim, a, s)
 	if after >= act.Timeout {
 		o, after = decide.TimedOut, act.Timeout
 	}
-	w.schedule(w.now+after, func() { w.endAttempt(a, n, o) })
+	sim.schedule(sim.now+after, func() { sim.endAttempt(a, n, o) })
 }
 
 // minBackoff returns the shortest wait between two attempts, before jitter.
@@ -234,29 +234,29 @@
 }
 
 // endAttempt reports the end of an attempt to the module. Only the first call for an attempt has an effect.
-func (w *simulation) endAttempt(a *simRequest, n int, o decide.Outcome) {
+func (sim *simulation) endAttempt(a *simRequest, n int, o decide.Outcome) {
 	s := a.attempts[n]
 	if s.finished {
 		return
 	}
-	s.finished, s.endsAt, s.outcome = true, w.now, o
+	s.finished, s.endsAt, s.outcome = true, sim.now, o
 	s.mayHaveRun = o != decide.Rejected && o != decide.NoConnection && o != decide.NotSent
 	if o == decide.OK && a.answeredAt == 0 {
-		w.respond(a)
+		sim.respond(a)
 	}
-	w.schedule(w.now, func() { // like the gateway: after the current actions
-		w.handle(decide.AttemptEnded{ID: a.id, Server: s.server, Attempt: n, Outcome: o, Latency: s.endsAt - s.startedAt, RequestDone: a.answeredAt > 0})
+	sim.schedule(sim.now, func() { // like the gateway: after the current actions
+		sim.handle(decide.AttemptEnded{ID: a.id, Server: s.server, Attempt: n, Outcome: o, Latency: s.endsAt - s.startedAt, RequestDone: a.answeredAt > 0})
 	})
 }
 
 // runUntil runs all events up to a time.
-func (w *simulation) runUntil(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.now = max(w.now, e.at)
+func (sim *simulation) runUntil(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = max(sim.now, e.at)
 		e.run()
 	}
-	w.now = until
+	sim.now = until
 }
 
 // randomRoute returns a random route, which may be unsafe.
@@ -308,9 +308,9 @@
 			continue
 		}
 		accepted++
-		w := newSimulation(t, cfg, []*Route{rt})
+		sim := newSimulation(t, cfg, []*Route{rt})
 		scenario := r.IntN(4) // of the servers: mixed outcomes, failing fast, not answering, one class slow on one server
-		w.outcome = func(w *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
+		sim.outcome = func(sim *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
 			switch scenario {
 			case 1:
 				return []decide.Outcome{decide.Error, decide.Rejected, decide.Reset, decide.NoConnection}[r.IntN(4)], time.Millisecond
@@ -326,24 +326,24 @@
 		}
 		for range 30 {
 			k := cfg.Classes[r.IntN(len(cfg.Classes))]
-			w.submit(k.Name, "plus", max(20*time.Millisecond, time.Duration(float64(k.Deadline)*r.Float64())))
-			w.runUntil(w.now + time.Duration(r.ExpFloat64()*float64(300*time.Millisecond)))
+			sim.submit(k.Name, "plus", max(20*time.Millisecond, time.Duration(float64(k.Deadline)*r.Float64())))
+			sim.runUntil(sim.now + time.Duration(r.ExpFloat64()*float64(300*time.Millisecond)))
 		}
-		w.runUntil(w.now + time.Minute)
-		for _, a := range w.requests {
+		sim.runUntil(sim.now + time.Minute)
+		for _, a := range sim.requests {
 			attempts += len(a.attempts)
 			if a.answeredAt == 0 {
-				w.addViolation(a, "no answer")
+				sim.addViolation(a, "no answer")
 			}
 		}
-		for cell, n := range w.retries {
-			span := (w.now - time.Hour).Seconds() + burstSeconds
-			if limit := float64(w.firstAttempts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > limit+1e-6 {
-				w.violations = append(w.violations, fmt.Sprintf("cell %d got %d retries, want at most %.1f", cell, n, limit))
+		for cell, n := range sim.retries {
+			span := (sim.now - time.Hour).Seconds() + burstSeconds
+			if limit := float64(sim.firstAttempts[cell])*rt.RetryRatio + rt.MinRetriesPerSecond*span; float64(n) > limit+1e-6 {
+				sim.violations = append(sim.violations, fmt.Sprintf("cell %d got %d retries, want at most %.1f", cell, n, limit))
 			}
 		}
-		if len(w.violations) > 0 {
-			t.Fatalf("round %d, scenario %d, route %+v:\n%s", round, scenario, *rt, strings.Join(w.violations, "\n"))
+		if len(sim.violations) > 0 {
+			t.Fatalf("round %d, scenario %d, route %+v:\n%s", round, scenario, *rt, strings.Join(sim.violations, "\n"))
 		}
 	}
 	t.Logf("%d routes, %d attempts", accepted, attempts)
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -35,13 +35,13 @@
 	return s
 }
 
-// newPolicy returns the route's retry policy with the hedge delay after, or with the configured delay if after is 0.
-func (s *routeState) newPolicy(after time.Duration) *decide.RetryPolicy {
+// newPolicy returns the route's retry policy with the given hedge delay, or with the configured one if that is 0.
+func (s *routeState) newPolicy(hedgeDelay time.Duration) *decide.RetryPolicy {
 	r := s.route
 	p := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
 		BackoffFactor: r.BackoffFactor, Jitter: r.Jitter, HedgeMinTimeLeft: r.Hedge.MinTimeLeft, RetryAfter: r.RetryAfter, Budget: s}
-	if p.HedgeDelay = r.Hedge.Delay; after > 0 {
-		p.HedgeDelay = after
+	if p.HedgeDelay = r.Hedge.Delay; hedgeDelay > 0 {
+		p.HedgeDelay = hedgeDelay
 	}
 	p.Hedge = r.Hedge.Enabled && p.HedgeDelay > 0
 	return p
@@ -126,21 +126,21 @@
 // RetryPolicy returns the current policy for a request of a class on a route. It is shared and must not be changed.
 func (t *Table) RetryPolicy(n int, class string, now time.Duration) *decide.RetryPolicy {
 	s, i := t.states[n], t.classes[class]
-	times := s.latencies[i]
-	if times == nil {
+	quantile := s.latencies[i]
+	if quantile == nil {
 		return s.policies[i]
 	}
-	if after := times.Quantile(now); after > 0 {
-		if d := after - s.policies[i].HedgeDelay; d > hedgeDelayStep || d < -hedgeDelayStep {
-			s.policies[i] = s.newPolicy(after) // open requests keep the policy that they started with
+	if hedgeDelay := quantile.Quantile(now); hedgeDelay > 0 {
+		if d := hedgeDelay - s.policies[i].HedgeDelay; d > hedgeDelayStep || d < -hedgeDelayStep {
+			s.policies[i] = s.newPolicy(hedgeDelay) // open requests keep the policy that they started with
 		}
 	}
 	return s.policies[i]
 }
 
 // RecordLatency records the latency of a response, for the quantile that sets the hedge delay.
-func (t *Table) RecordLatency(n int, class string, took, now time.Duration) {
-	if times := t.states[n].latencies[t.classes[class]]; times != nil {
-		times.Add(took, now)
+func (t *Table) RecordLatency(n int, class string, latency, now time.Duration) {
+	if quantile := t.states[n].latencies[t.classes[class]]; quantile != nil {
+		quantile.Add(latency, now)
 	}
 }
