--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -39,7 +39,7 @@
 type simAttempt struct {
 	server            string
 	cell              int
-	startedAt, endsAt time.Duration
+	startedAt, endsAt time.Duration // endsAt: the timeout until it has finished
 	finished          bool
 	outcome           decide.Outcome
 	mayHaveRun        bool // it may have had an effect
@@ -72,8 +72,8 @@
 	requests      []*simRequest
 	cells         map[string]int
 	outcome       func(sim *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) // how an attempt ends, and after how long
-	firstAttempts map[int]int
-	retries       map[int]int // by cell
+	firstAttempts map[int]int                                                                         // by cell
+	retries       map[int]int                                                                         // by cell
 	violations    []string
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,7 +60,7 @@
 func DescribeDecodeError(err error) error {
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
-		return fmt.Errorf("field %q: can't take a %s", t.Field, t.Value)
+		return fmt.Errorf("field %q: wrong type %s", t.Field, t.Value)
 	}
 	return err
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 		`"AimNs":1000000000|"AimNs":0`:                       "Classes[0].AimNs is 0",
 		`"GiveUpNs":30000000000|"GiveUpNs":-1`:               "Classes[0].GiveUpNs is -1",
 		`"WindowNs":30000000000|"WindowNs":-1`:               "Classes[1].WindowNs is -1",
-		`"Name":"book"|"Name":"look"`:                        `Classes[1].Name is "look", as that of Classes[0]`,
+		`"Name":"book"|"Name":"look"`:                        `Classes[1].Name is "look", the same as that of Classes[0]`,
 		`"Name":"book"|"Name":""`:                            "Classes[1].Name is empty",
 		`"Effect":"keyed"|"Effect":"odd"`:                    `Classes[1].Effect: unknown "odd"`,
 		`"Classes":|"Others":`:                               "Classes is empty",
@@ -29,7 +29,7 @@
 		`"ConnectTimeoutNs":|"ConnectTimeoutNs":-7,"Other":`: "Limits.ConnectTimeoutNs is -7",
 		`"ColdNs":|"ColdNs":-1,"Other":`:                     "Safety.ColdNs is -1",
 		`"Refill":|"Refill":-2.5,"Other":`:                   "TiersOfService[0].Refill is -2.5",
-		`"MostAtOnce":|"MostAtOnce":"many","Other":`:         `"TiersOfService.MostAtOnce": can't take a string`,
+		`"MostAtOnce":|"MostAtOnce":"many","Other":`:         `"TiersOfService.MostAtOnce": wrong type string`,
 	} {
 		from, to, _ := strings.Cut(edit, "|")
 		if !strings.Contains(good, from) {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -73,7 +73,7 @@
 		return fmt.Errorf("%s[%d].Name is empty", list, i)
 	}
 	if first, twice := seen[name]; twice {
-		return fmt.Errorf("%s[%d].Name is %q, as that of %s[%d]", list, i, name, list, first)
+		return fmt.Errorf("%s[%d].Name is %q, the same as that of %s[%d]", list, i, name, list, first)
 	}
 	seen[name] = i
 	return nil
