--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -61,19 +61,20 @@
 // simulation drives a decision module in virtual time and checks each of its actions against the rules and the request's
 // retry policy.
 type simulation struct {
-	t             *testing.T
-	gateway       *decide.Gateway
-	cfg           *decide.Config
-	table         *Table
-	now           time.Duration
-	queue         eventQueue
-	eventCount    int
-	open          map[string]*simRequest
-	requests      []*simRequest
-	cells         map[string]int
-	outcome       func(sim *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) // how an attempt ends, and after how long
-	firstAttempts map[int]int                                                                         // by cell
-	retries       map[int]int                                                                         // by cell
+	t          *testing.T
+	gateway    *decide.Gateway
+	cfg        *decide.Config
+	table      *Table
+	now        time.Duration
+	queue      eventQueue
+	eventCount int
+	open       map[string]*simRequest
+	requests   []*simRequest
+	cells      map[string]int
+	// outcome returns how an attempt ends, and after how long.
+	outcome       func(sim *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration)
+	firstAttempts map[int]int // by cell
+	retries       map[int]int // by cell
 	violations    []string
 }
 
