--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -12,19 +12,19 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// slow finds a request's route by trying all, the most specific first.
-func slow(t *Table, a Request) int {
+// matchLinearly finds a request's route without the index, by trying all routes from the most specific one.
+func matchLinearly(t *Table, req Request) int {
 	for i, r := range t.routes {
-		if r.whyNot(a) == "" {
+		if r.mismatch(req) == "" {
 			return i
 		}
 	}
 	return -1
 }
 
-// draw makes routes that match by everything, without care for ties.
-func drawMatching(r *rand.Rand, n int, cfg *decide.Config) (all []*Route) {
-	classes, plans := namesOf(cfg)
+// randomMatchingRoutes returns routes with random conditions of all kinds. Some have the same specificity and overlap.
+func randomMatchingRoutes(r *rand.Rand, n int, cfg *decide.Config) (all []*Route) {
+	classes, plans := classAndPlanNames(cfg)
 	for i := range n {
 		t := &Route{Name: fmt.Sprintf("r%d", i)}
 		for _, c := range classes {
@@ -54,41 +54,41 @@
 	return all
 }
 
-// The index finds what trying all routes finds.
-func TestMatchIsWhatTryingAllFinds(t *testing.T) {
-	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { matchIsWhatTryingAllFinds(t, seeds.Rand(seed)) })
+// TestMatchEqualsLinearSearch checks that the index finds the same route as a linear search.
+func TestMatchEqualsLinearSearch(t *testing.T) {
+	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { matchEqualsLinearSearch(t, seeds.Rand(seed)) })
 }
 
-func matchIsWhatTryingAllFinds(t *testing.T, r *rand.Rand) {
+func matchEqualsLinearSearch(t *testing.T, r *rand.Rand) {
 	cfg := platform()
-	hit := 0
+	matches := 0
 	for range 50 {
-		table := NewTable(drawMatching(r, 60, cfg), cfg)
+		table := NewTable(randomMatchingRoutes(r, 60, cfg), cfg)
 		for range 200 {
-			a := Request{Class: cfg.Classes[r.IntN(len(cfg.Classes))].Name, Plan: cfg.Plans[r.IntN(len(cfg.Plans))].Name,
+			req := Request{Class: cfg.Classes[r.IntN(len(cfg.Classes))].Name, Plan: cfg.Plans[r.IntN(len(cfg.Plans))].Name,
 				Customer: fmt.Sprintf("%016x", r.Uint64N(64)<<56), ClientTimeout: time.Duration(r.IntN(2000)) * time.Millisecond}
-			got, want := table.Match(a), slow(table, a)
+			got, want := table.Match(req), matchLinearly(table, req)
 			if got != want {
-				t.Fatalf("%+v: got %d, want %d", a, got, want)
+				t.Fatalf("%+v: got %d, want %d", req, got, want)
 			}
-			if hit += b2i(got >= 0); got >= 0 && !strings.Contains(table.Explain(a), "route "+table.Route(got).Name+" ") {
-				t.Fatalf("Explain says\n%s", table.Explain(a))
+			if matches += boolToInt(got >= 0); got >= 0 && !strings.Contains(table.Explain(req), "route "+table.Route(got).Name+" ") {
+				t.Fatalf("Explain does not name the route:\n%s", table.Explain(req))
 			}
 		}
 	}
-	if hit < 1000 {
-		t.Errorf("only %d matches", hit)
+	if matches < 1000 {
+		t.Errorf("only %d matches", matches)
 	}
 	table := NewTable([]*Route{{Name: "r", Classes: []string{"slot-book"}}}, cfg)
-	for _, a := range []Request{{Class: "none", Plan: "plus"}, {Class: "slot-book", Plan: "none"}, {Class: "slot-lookup", Plan: "plus"}} {
-		if n := table.Match(a); n != -1 {
-			t.Errorf("%+v matches %d", a, n)
+	for _, req := range []Request{{Class: "none", Plan: "plus"}, {Class: "slot-book", Plan: "none"}, {Class: "slot-lookup", Plan: "plus"}} {
+		if n := table.Match(req); n != -1 {
+			t.Errorf("%+v matches %d", req, n)
 		}
 	}
 }
 
-// The stated order: customers, the longer prefix, class, plan, patience.
-func TestOrder(t *testing.T) {
+// TestSpecificityOrder checks the documented order: customers, longer prefixes, classes, plans, client timeouts.
+func TestSpecificityOrder(t *testing.T) {
 	cfg, r := platform(), seeds.Rand(1)
 	byRank := []*Route{
 		{Name: "customer", Customers: []uint64{0xab << 56}}, {Name: "prefix2", CustomerPrefix: "ab"}, {Name: "prefix1", CustomerPrefix: "a"},
@@ -105,8 +105,8 @@
 	}
 }
 
-// A request's own patience cuts what a route gives, and Explain shows it.
-func TestExplainShowsTheClamp(t *testing.T) {
+// TestExplainShowsTimeoutClamp checks that Explain shows where the client timeout shortens the route's timeouts.
+func TestExplainShowsTimeoutClamp(t *testing.T) {
 	table := NewTable([]*Route{{Name: "book", Classes: []string{"slot-book"}, TotalTimeout: 5 * time.Second, AttemptTimeout: 2 * time.Second, MaxAttempts: 2,
 		RetryOnNames: []string{"never-ran"}, Hedge: HedgePolicy{Enabled: true, Delay: time.Second, Quantile: 0.95, MinTimeLeft: time.Millisecond}}}, platform())
 	got := table.Explain(Request{Class: "slot-book", Plan: "plus", ClientTimeout: 1500 * time.Millisecond})
@@ -120,13 +120,14 @@
 	}
 }
 
-// The delay of second copies follows the answers; requests that are open keep theirs.
-func TestBoundsFollowTheQuantile(t *testing.T) {
+// TestHedgeDelayFollowsQuantile checks that the hedge delay follows the latencies, while policies returned earlier stay
+// unchanged.
+func TestHedgeDelayFollowsQuantile(t *testing.T) {
 	cfg := platform()
 	table := NewTable([]*Route{{Name: "r", MaxAttempts: 2, Hedge: HedgePolicy{Enabled: true, Quantile: 0.9}}}, cfg)
 	first := table.RetryPolicy(0, "slot-lookup", time.Second)
 	if first.Hedge {
-		t.Error("second copies before any answer was seen")
+		t.Error("hedging is enabled without latency samples")
 	}
 	for range 100 {
 		table.RecordLatency(0, "slot-lookup", 50*time.Millisecond, time.Second)
@@ -136,110 +137,117 @@
 		t.Errorf("first %+v, then %+v", first, second)
 	}
 	if other := table.RetryPolicy(0, "slot-book", time.Second); other.Hedge {
-		t.Error("the other class has seen no answer")
+		t.Error("hedging is enabled for a class without latency samples")
 	}
 	if again := table.RetryPolicy(0, "slot-lookup", time.Second); again != second {
-		t.Error("bounds that did not change were made anew")
+		t.Error("an unchanged policy was allocated again")
 	}
 }
 
-// With every node failing, a group gets first attempts x (1 + budget) at most, and the floor; each group by itself.
-func TestBudgetHoldsAtTotalFailure(t *testing.T) {
+// TestRetryBudgetAtTotalFailure checks that with every node failing each group gets at most the retries of its own
+// budget.
+func TestRetryBudgetAtTotalFailure(t *testing.T) {
 	for _, o := range []decide.Outcome{decide.Error, decide.Rejected, decide.Reset} {
 		cfg := platform()
-		rt := &Route{Name: "r", MaxAttempts: 5, RetryOn: outcomes["error"] | outcomes["never-ran"] | outcomes["reset"], RetryRatio: 0.2}
-		w := newWorld(t, cfg, []*Route{rt})
-		w.fate = func(*world, *asked, *sent) (decide.Outcome, time.Duration) { return o, time.Millisecond }
+		rt := &Route{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"] | outcomesByName["never-ran"] | outcomesByName["reset"], RetryRatio: 0.2}
+		sim := newSimulation(t, cfg, []*Route{rt})
+		sim.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
+			return o, time.Millisecond
+		}
 		for range 2000 {
-			w.ask("slot-lookup", "plus", time.Second)
-			w.run(w.now + 20*time.Millisecond)
+			sim.submit("slot-lookup", "plus", time.Second)
+			sim.runUntil(sim.now + 20*time.Millisecond)
 		}
-		firsts, further := 0, 0
+		firstAttempts, retries := 0, 0
 		for cell := range 2 {
-			firsts, further = firsts+w.firsts[cell], further+w.further[cell]
-			if float64(w.further[cell]) > 0.2*float64(w.firsts[cell]) {
-				t.Errorf("outcome %d: cell %d got %d further attempts on %d first ones", o, cell, w.further[cell], w.firsts[cell])
+			firstAttempts, retries = firstAttempts+sim.firstAttempts[cell], retries+sim.retries[cell]
+			if float64(sim.retries[cell]) > 0.2*float64(sim.firstAttempts[cell]) {
+				t.Errorf("outcome %d: cell %d got %d retries for %d first attempts", o, cell, sim.retries[cell], sim.firstAttempts[cell])
 			}
 		}
-		if further < firsts/10 {
-			t.Errorf("outcome %d: only %d further attempts on %d first ones", o, further, firsts)
+		if retries < firstAttempts/10 {
+			t.Errorf("outcome %d: only %d retries for %d first attempts", o, retries, firstAttempts)
 		}
-		if len(w.broken) > 0 {
-			t.Error(w.broken)
+		if len(sim.violations) > 0 {
+			t.Error(sim.violations)
 		}
 	}
 }
 
-// What nodes get when all fail, with a budget and without one worth the name.
+// TestLoadAtTotalFailure compares the load on nodes that all fail with a retry budget and with one that is practically
+// unlimited.
 func TestLoadAtTotalFailure(t *testing.T) {
 	load := func(budget, floor float64) float64 {
-		w := newWorld(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomes["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
-		w.fate = func(*world, *asked, *sent) (decide.Outcome, time.Duration) { return decide.Error, time.Millisecond }
+		sim := newSimulation(t, platform(), []*Route{{Name: "r", MaxAttempts: 5, RetryOn: outcomesByName["error"], RetryRatio: budget, MinRetriesPerSecond: floor}})
+		sim.outcome = func(*simulation, *simRequest, *simAttempt) (decide.Outcome, time.Duration) {
+			return decide.Error, time.Millisecond
+		}
 		sends := 0
 		for range 2000 {
-			w.ask("slot-lookup", "plus", time.Second)
-			w.run(w.now + 20*time.Millisecond)
+			sim.submit("slot-lookup", "plus", time.Second)
+			sim.runUntil(sim.now + 20*time.Millisecond)
 		}
-		w.run(w.now + time.Minute)
-		for _, a := range w.all {
-			sends += len(a.sent)
+		sim.runUntil(sim.now + time.Minute)
+		for _, a := range sim.requests {
+			sends += len(a.attempts)
 		}
-		return float64(sends) / float64(len(w.all))
+		return float64(sends) / float64(len(sim.requests))
 	}
 	with, without := load(0.2, 0), load(10, 10000)
-	t.Logf("attempts a request: %.3f with a budget of 20%%, %.3f without", with, without)
+	t.Logf("attempts per request: %.3f with a budget of 20%%, %.3f without a limit", with, without)
 	if with > 1.2 || without < 3 {
-		t.Error("the budget does not hold, or nothing is tried again without one")
+		t.Error("the budget is exceeded, or requests are not retried without one")
 	}
 }
 
-// Second copies stop where servers are full, before anything else does.
-func TestCopiesStopWhenTheFleetIsFull(t *testing.T) {
+// TestHedgingStopsWhenServersAreFull checks that few requests are hedged under high load.
+func TestHedgingStopsWhenServersAreFull(t *testing.T) {
 	cfg := platform()
 	rt := &Route{Name: "r", MaxAttempts: 2, RetryRatio: 10, MinRetriesPerSecond: 1000, Hedge: HedgePolicy{Enabled: true, Delay: 50 * time.Millisecond}}
 	copies := func(every time.Duration) (n int) {
-		w := newWorld(t, cfg, []*Route{rt})
-		w.fate = func(w *world, a *asked, s *sent) (decide.Outcome, time.Duration) {
+		sim := newSimulation(t, cfg, []*Route{rt})
+		sim.outcome = func(sim *simulation, a *simRequest, s *simAttempt) (decide.Outcome, time.Duration) {
 			return decide.OK, 200 * time.Millisecond
 		}
 		for range 400 {
-			w.ask("slot-lookup", "plus", time.Second)
-			w.run(w.now + every)
+			sim.submit("slot-lookup", "plus", time.Second)
+			sim.runUntil(sim.now + every)
 		}
-		for _, a := range w.all {
-			n += max(0, len(a.sent)-1)
+		for _, a := range sim.requests {
+			n += max(0, len(a.attempts)-1)
 		}
 		return n
 	}
 	few, many := copies(400*time.Millisecond), copies(2*time.Millisecond)
 	if few < 300 || many > few/3 {
-		t.Errorf("%d copies at little load, %d at much", few, many)
+		t.Errorf("%d hedged attempts at low load, %d at high load", few, many)
 	}
 }
 
-// Budgets take constant memory, whatever cells servers name.
-func TestGroupsAreBounded(t *testing.T) {
-	s := newState(&Route{RetryRatio: 1}, 1)
-	for cell := range 10 * groupsMost {
+// TestBudgetGroupsAreBounded checks that the number of budgets is limited, whatever cells the servers name, and that the
+// other cells share one.
+func TestBudgetGroupsAreBounded(t *testing.T) {
+	s := newRouteState(&Route{RetryRatio: 1}, 1)
+	for cell := range 10 * maxGroups {
 		s.RecordFirstAttempt(time.Second, &decide.Server{Cell: cell})
 	}
-	if len(s.budgets) != groupsMost+1 {
-		t.Errorf("%d groups are kept", len(s.budgets))
+	if len(s.budgets) != maxGroups+1 {
+		t.Errorf("%d groups have budgets", len(s.budgets))
 	}
 	if !s.TakeRetry(time.Second, &decide.Server{Cell: 1 << 20}) {
-		t.Error("the groups without a budget of their own have none")
+		t.Error("a group without a budget of its own gets no retry from the shared one")
 	}
 }
 
-func TestOpenIsBounded(t *testing.T) {
+func TestMaxOpen(t *testing.T) {
 	table := NewTable([]*Route{{Name: "r", MaxOpen: 2}}, platform())
 	for n, want := range []bool{true, true, false} {
 		if table.Acquire(0) != want {
-			t.Errorf("request %d: taken is not %v", n+1, want)
+			t.Errorf("request %d: Acquire is not %v", n+1, want)
 		}
 	}
 	if table.Release(0); !table.Acquire(0) {
-		t.Error("a place that was given back is not taken")
+		t.Error("Acquire fails after Release")
 	}
 }
 
@@ -261,11 +269,11 @@
 	}
 	routes = append(routes, &Route{Name: "all"})
 	table := NewTable(routes, cfg)
-	asks := []Request{{"slot-lookup", "plus", "00000000000003c0", 500 * time.Microsecond}, {"slot-book", "plus", "0003010000000000", 250 * time.Microsecond},
+	requests := []Request{{"slot-lookup", "plus", "00000000000003c0", 500 * time.Microsecond}, {"slot-book", "plus", "0003010000000000", 250 * time.Microsecond},
 		{"slot-lookup", "basic", "00000000b4d65521", 480 * time.Millisecond}}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if table.Match(asks[i%len(asks)]) < 0 {
+		if table.Match(requests[i%len(requests)]) < 0 {
 			b.Fatal("no match")
 		}
 	}
--- a/internal/route/state.go
+++ b/internal/route/state.go
@@ -7,110 +7,112 @@
 	"sloepick/decide"
 )
 
-// state is what a route has seen since it was loaded.
-type state struct {
-	route   *Route
-	open    int
-	budgets map[int]*tokens    // by node group
-	times   []*LatencyQuantile // by class; nil where no quantile is asked for
-	bounds  []*decide.RetryPolicy
+// routeState is the state of a route since it was loaded. It implements decide.RetryBudget.
+type routeState struct {
+	route     *Route
+	open      int                   // requests open now
+	budgets   map[int]*tokenBucket  // by node group (cell)
+	latencies []*LatencyQuantile    // by class; nil without a hedge quantile
+	policies  []*decide.RetryPolicy // by class
 }
 
 const (
-	groupsMost  = 1024 // node groups with a budget of their own; the others share one
-	sharedGroup = math.MinInt
-	delayStep   = time.Millisecond
+	maxGroups      = 1024             // node groups with a budget of their own; all others share one, so that memory is bounded
+	sharedGroup    = math.MinInt      // key of the budget that the other node groups share
+	hedgeDelayStep = time.Millisecond // a smaller change of the quantile leaves the hedge delay as it is
 )
 
-func newState(r *Route, classes int) *state {
-	s := &state{route: r, budgets: map[int]*tokens{}}
+func newRouteState(r *Route, classes int) *routeState {
+	s := &routeState{route: r, budgets: map[int]*tokenBucket{}}
 	for range classes {
 		var t *LatencyQuantile
 		if r.Hedge.Enabled && r.Hedge.Quantile > 0 {
 			t = NewLatencyQuantile(r.Hedge.Quantile)
 		}
-		s.times = append(s.times, t)
-		s.bounds = append(s.bounds, s.make(0))
+		s.latencies = append(s.latencies, t)
+		s.policies = append(s.policies, s.newPolicy(0))
 	}
 	return s
 }
 
-// make is the route in the module's words, with a delay of second copies.
-func (s *state) make(after time.Duration) *decide.RetryPolicy {
+// newPolicy returns the route's retry policy with the given hedge delay, or with the configured one if that is 0.
+func (s *routeState) newPolicy(hedgeDelay time.Duration) *decide.RetryPolicy {
 	r := s.route
-	b := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
+	p := &decide.RetryPolicy{MaxAttempts: r.MaxAttempts, AttemptTimeout: r.AttemptTimeout, TotalTimeout: r.TotalTimeout, RetryOn: r.RetryOn, InitialBackoff: r.InitialBackoff, MaxBackoff: r.MaxBackoff,
 		BackoffFactor: r.BackoffFactor, Jitter: r.Jitter, HedgeMinTimeLeft: r.Hedge.MinTimeLeft, RetryAfter: r.RetryAfter, Budget: s}
-	if b.HedgeDelay = r.Hedge.Delay; after > 0 {
-		b.HedgeDelay = after
+	if p.HedgeDelay = r.Hedge.Delay; hedgeDelay > 0 {
+		p.HedgeDelay = hedgeDelay
 	}
-	b.Hedge = r.Hedge.Enabled && b.HedgeDelay > 0
-	return b
+	p.Hedge = r.Hedge.Enabled && p.HedgeDelay > 0
+	return p
 }
 
-// tokens are a node group's: a first attempt brings the share, a second brings the floor, a further attempt takes one.
-type tokens struct {
-	v  float64
-	at time.Duration
+// tokenBucket is the retry budget of a node group: a first attempt adds RetryRatio tokens, each second adds
+// MinRetriesPerSecond, and a retry or hedged attempt takes one.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt time.Duration
 }
 
-// burstSeconds is how much of the floor is kept for a moment in which it is needed, and there at the start.
+// burstSeconds is for how many seconds of MinRetriesPerSecond a bucket saves tokens. A new bucket starts with as many.
 const burstSeconds = 1.0
 
-// fill lets time bring the floor's part. What it brings is capped apart from what first attempts brought.
-func (k *tokens) fill(now time.Duration, floor float64) {
-	if k.at == 0 {
-		k.v, k.at = floor*burstSeconds, now
+// refill adds the tokens for the time since the last call. The cap on these tokens is separate from the one on tokens
+// from first attempts.
+func (b *tokenBucket) refill(now time.Duration, floor float64) {
+	if b.updatedAt == 0 {
+		b.tokens, b.updatedAt = floor*burstSeconds, now
 		return
 	}
-	if room := max(0, floor*burstSeconds-k.v); now > k.at {
-		k.v += min(room, floor*(now-k.at).Seconds())
-		k.at = now
+	if room := max(0, floor*burstSeconds-b.tokens); now > b.updatedAt {
+		b.tokens += min(room, floor*(now-b.updatedAt).Seconds())
+		b.updatedAt = now
 	}
 }
 
-// keptMost is how many unspent further attempts a group keeps from its first attempts.
-const keptMost = 10.0
+// maxSavedRetries is how many tokens from first attempts a bucket saves.
+const maxSavedRetries = 10.0
 
-func (s *state) group(cell int) *tokens {
-	k := s.budgets[cell]
-	if k == nil {
-		if len(s.budgets) >= groupsMost {
+func (s *routeState) bucket(cell int) *tokenBucket {
+	b := s.budgets[cell]
+	if b == nil {
+		if len(s.budgets) >= maxGroups {
 			cell = sharedGroup
-			if k = s.budgets[cell]; k != nil {
-				return k
+			if b = s.budgets[cell]; b != nil {
+				return b
 			}
 		}
-		k = &tokens{}
-		s.budgets[cell] = k
+		b = &tokenBucket{}
+		s.budgets[cell] = b
 	}
-	return k
+	return b
 }
 
-// RecordFirstAttempt counts a first attempt at a server's group.
-func (s *state) RecordFirstAttempt(now time.Duration, to *decide.Server) {
-	k := s.group(to.Cell)
-	k.fill(now, s.route.MinRetriesPerSecond)
-	if most := max(keptMost, s.route.MinRetriesPerSecond*burstSeconds); k.v < most {
-		k.v = min(most, k.v+s.route.RetryRatio)
+// RecordFirstAttempt adds to the retry budget of a server's group for a first attempt.
+func (s *routeState) RecordFirstAttempt(now time.Duration, to *decide.Server) {
+	b := s.bucket(to.Cell)
+	b.refill(now, s.route.MinRetriesPerSecond)
+	if limit := max(maxSavedRetries, s.route.MinRetriesPerSecond*burstSeconds); b.tokens < limit {
+		b.tokens = min(limit, b.tokens+s.route.RetryRatio)
 	}
 }
 
-// TakeRetry takes a further attempt from the budget of a server's group, if it holds one. With F first attempts in t
-// seconds a group gets at most F x Budget + (t + burstSeconds) x BudgetFloor further ones.
-func (s *state) TakeRetry(now time.Duration, to *decide.Server) bool {
-	k := s.group(to.Cell)
-	k.fill(now, s.route.MinRetriesPerSecond)
-	if k.v < 1 {
+// TakeRetry takes a retry from the budget of a server's group, or reports that the budget is used up. With F first
+// attempts in t seconds a group gets at most F x RetryRatio + (t + burstSeconds) x MinRetriesPerSecond retries.
+func (s *routeState) TakeRetry(now time.Duration, to *decide.Server) bool {
+	b := s.bucket(to.Cell)
+	b.refill(now, s.route.MinRetriesPerSecond)
+	if b.tokens < 1 {
 		return false
 	}
-	k.v--
+	b.tokens--
 	return true
 }
 
-// Acquire takes a request into its route, or reports that the route has no room for it. Every request that it takes
-// must be given back by End.
+// Acquire counts a request as open on a route, or reports that the route has MaxOpen requests already. Each request
+// that is counted must be released by Release.
 func (t *Table) Acquire(n int) bool {
-	s := t.state[n]
+	s := t.states[n]
 	if s.route.MaxOpen > 0 && s.open >= s.route.MaxOpen {
 		return false
 	}
@@ -118,27 +120,27 @@
 	return true
 }
 
-// Release gives a request back.
-func (t *Table) Release(n int) { t.state[n].open-- }
+// Release counts a request that Acquire accepted as closed.
+func (t *Table) Release(n int) { t.states[n].open-- }
 
-// RetryPolicy is what holds for a request of a class on a route now. It is shared and must not be changed.
+// RetryPolicy returns the current policy for a request of a class on a route. It is shared and must not be changed.
 func (t *Table) RetryPolicy(n int, class string, now time.Duration) *decide.RetryPolicy {
-	s, i := t.state[n], t.classes[class]
-	times := s.times[i]
-	if times == nil {
-		return s.bounds[i]
+	s, i := t.states[n], t.classes[class]
+	quantile := s.latencies[i]
+	if quantile == nil {
+		return s.policies[i]
 	}
-	if after := times.Quantile(now); after > 0 {
-		if d := after - s.bounds[i].HedgeDelay; d > delayStep || d < -delayStep {
-			s.bounds[i] = s.make(after) // requests that are open keep what they began with
+	if hedgeDelay := quantile.Quantile(now); hedgeDelay > 0 {
+		if d := hedgeDelay - s.policies[i].HedgeDelay; d > hedgeDelayStep || d < -hedgeDelayStep {
+			s.policies[i] = s.newPolicy(hedgeDelay) // open requests keep the policy that they started with
 		}
 	}
-	return s.bounds[i]
+	return s.policies[i]
 }
 
-// RecordLatency notes how long an answer took.
-func (t *Table) RecordLatency(n int, class string, took, now time.Duration) {
-	if times := t.state[n].times[t.classes[class]]; times != nil {
-		times.Add(took, now)
+// RecordLatency records the latency of a response, for the quantile that sets the hedge delay.
+func (t *Table) RecordLatency(n int, class string, latency, now time.Duration) {
+	if quantile := t.states[n].latencies[t.classes[class]]; quantile != nil {
+		quantile.Add(latency, now)
 	}
 }
--- a/internal/route/prove_test.go
+++ b/internal/route/validate_test.go
@@ -13,9 +13,9 @@
 	"sloepick/internal/sloe"
 )
 
-var update = flag.Bool("update", false, "write what the unsafe files give as what they must give")
+var update = flag.Bool("update", false, "write the diagnostics of the unsafe files as the expected ones")
 
-// platform are settings with a class of each effect, and one whose clients wait longer than nodes drop repeats.
+// platform returns settings with a class of each effect, and one whose deadline is longer than its deduplication window.
 func platform() *decide.Config {
 	return &decide.Config{Gateways: 1, Zone: "z",
 		Classes: []decide.Class{
@@ -38,8 +38,9 @@
 	return s
 }
 
-// judge loads a file and proves its routes. A first line "# platform: single" takes one without second copies.
-func judge(t testing.TB, s *operator.Schema, file string) ([]*Route, *decide.Config, sloe.Diags) {
+// loadAndValidate loads a file and validates its routes. A first line "# platform: single" selects a platform without
+// parallel attempts and retry advice.
+func loadAndValidate(t testing.TB, s *operator.Schema, file string) ([]*Route, *decide.Config, sloe.Diags) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return routes, cfg, diags
 }
 
-// Each unsafe file is refused with exactly the words that stand beside it.
+// TestUnsafeFiles checks that each unsafe file is rejected with exactly the diagnostics in its .want file.
 func TestUnsafeFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/unsafe/*.sloe")
 	if err != nil || len(files) < 40 {
@@ -70,7 +71,7 @@
 	}
 	s := schema(t)
 	for _, file := range files {
-		_, _, diags := judge(t, s, file)
+		_, _, diags := loadAndValidate(t, s, file)
 		got := diags.Error()
 		beside := strings.TrimSuffix(file, ".sloe") + ".want"
 		if *update {
@@ -93,7 +94,7 @@
 	}
 	s := schema(t)
 	for _, file := range files {
-		if routes, _, diags := judge(t, s, file); len(diags) > 0 || len(routes) == 0 {
+		if routes, _, diags := loadAndValidate(t, s, file); len(diags) > 0 || len(routes) == 0 {
 			t.Errorf("%s: %d routes\n%v", file, len(routes), diags)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that a gateway is given when it starts: by the simulator's first
-// message or in a real gateway's configuration, in the same words.
+// Package settings parses the settings object that a gateway receives when it starts. The simulator's first message and
+// the configuration of a real gateway use the same format.
 package settings
 
 import (
@@ -11,8 +11,8 @@
 	"sloepick/decide"
 )
 
-// wire are the wire's words for decide.Config. Keys that are not named here are ignored.
-type wire struct {
+// settingsObject is the JSON form of Settings. The field names are the JSON keys; other keys are ignored.
+type settingsObject struct {
 	Classes []struct {
 		Name, Effect, Group               string
 		AimNs, GiveUpNs, WindowNs         int64
@@ -49,36 +49,37 @@
 	MembershipMode, Zone string
 }
 
-// Settings is what a host of the decision module needs to know.
+// Settings is the configuration of a host of the decision module.
 type Settings struct {
 	Decide            decide.Config
-	ServerIdleTimeout time.Duration // a server closes a connection that has stood idle for so long
-	MaxOpen           int           // requests open at once; 0: no limit
+	ServerIdleTimeout time.Duration // a server closes a connection that was idle for this long
+	MaxOpen           int           // requests open at the same time; 0: no limit
 }
 
-// DescribeDecodeError names the field at which decoding stopped.
+// DescribeDecodeError returns an error that names the field of a JSON type mismatch. Other errors are returned as they are.
 func DescribeDecodeError(err error) error {
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
-		return fmt.Errorf("field %q: can't take a %s", t.Field, t.Value)
+		return fmt.Errorf("field %q: wrong type %s", t.Field, t.Value)
 	}
 	return err
 }
 
-// Parse reads a settings object. Whether a gateway can work with it is for decide.New to say.
+// Parse parses a settings object and checks each value by itself. Settings.ValidateServing and decide.New check whether
+// a gateway can use the result.
 func Parse(raw json.RawMessage) (Settings, error) {
-	var s wire
+	var s settingsObject
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return Settings{}, DescribeDecodeError(err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return Settings{}, err
 	}
-	c, err := s.config()
+	c, err := s.decideConfig()
 	return Settings{Decide: c, ServerIdleTimeout: time.Duration(s.Limits.ConnIdleNs), MaxOpen: s.Limits.OpenCap}, err
 }
 
-func (s *wire) config() (decide.Config, error) {
+func (s *settingsObject) decideConfig() (decide.Config, error) {
 	c := decide.Config{Rank: s.Rank, Gateways: s.Instances, Zone: s.Zone, SettledLater: s.Extra.CostAfter,
 		MaxUnits: s.Extra.UnitsTop, MeterPeriod: time.Duration(s.Extra.MeterNs), PeerIntake: s.Extra.PeerIntake,
 		Counter: s.Extra.HasCounter, CounterTimeout: time.Duration(s.Extra.CountWaitNs),
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -11,7 +11,7 @@
 	"sloepick/decide"
 )
 
-// site is what this test reads of a site's file: ranges have a least and a most, of which it takes the middle.
+// site is the part of a site file that this test reads. For a range of values it uses the midpoint.
 type site struct {
 	Name  string
 	Scale struct{ Balancers []int }
@@ -61,7 +61,7 @@
 	}
 }
 
-func middle(span []float64) float64 {
+func midpoint(span []float64) float64 {
 	if len(span) == 0 {
 		return 0
 	}
@@ -70,18 +70,18 @@
 
 const millisecond = int(time.Millisecond)
 
-// object is the site's settings as a gateway is given them.
-func (s *site) object() map[string]any {
+// settingsObjectMap returns the site's settings in the form of the settings object.
+func (s *site) settingsObjectMap() map[string]any {
 	var classes, plans []map[string]any
 	for _, k := range s.Class {
 		classes = append(classes, map[string]any{"Name": k.Name, "Effect": k.Effect, "Group": k.Group, "AimNs": k.Aim * millisecond,
 			"GiveUpNs": k.Deadline * millisecond, "WindowNs": k.Window * millisecond, "Importance": k.Worth, "LateWorth": k.LateWorth})
 	}
 	for i, p := range s.Fam.Plan {
-		rate := middle(p.Rate)
-		plan := map[string]any{"Name": s.Tenant[i].Name, "Refill": rate, "MostAtOnce": rate * middle(p.Burst), "Pays": p.Price}
-		if c := middle(p.Ceiling); c > 0 {
-			plan["NeverOverRate"], plan["NeverOverDepth"], plan["HardSlack"] = c*rate, c*rate*middle(p.Burst), s.Fam.Slack*rate
+		rate := midpoint(p.Rate)
+		plan := map[string]any{"Name": s.Tenant[i].Name, "Refill": rate, "MostAtOnce": rate * midpoint(p.Burst), "Pays": p.Price}
+		if c := midpoint(p.Ceiling); c > 0 {
+			plan["NeverOverRate"], plan["NeverOverDepth"], plan["HardSlack"] = c*rate, c*rate*midpoint(p.Burst), s.Fam.Slack*rate
 		}
 		plans = append(plans, plan)
 	}
@@ -92,13 +92,13 @@
 		"Limits": map[string]any{"SendCap": s.Allow.MaxAttempts, "MayCancel": s.Allow.Cancel, "ParallelTries": s.Allow.SecondCopies,
 			"Peers": s.Allow.Peers, "Probes": s.Allow.Probes, "RetryAfter": s.Allow.RetryAfter, "MaxRetryAfterNs": s.Clients.MaxRetryAfter * millisecond,
 			"ConnectTimeoutNs": tier.Conn.Connect * millisecond, "ConnIdleNs": tier.Conn.Idle * int(time.Second)},
-		"Safety": map[string]any{"DrainGraceNs": s.Rules.DrainGrace * millisecond, "ColdFrom": middle(tier.Kind[0].ColdFrom),
-			"ColdNs": int64(middle(tier.Kind[0].ColdFor) * float64(time.Second)), "FallMultiple": s.Rules.FallMultiple, "FallNs": s.Rules.FallFor * millisecond},
+		"Safety": map[string]any{"DrainGraceNs": s.Rules.DrainGrace * millisecond, "ColdFrom": midpoint(tier.Kind[0].ColdFrom),
+			"ColdNs": int64(midpoint(tier.Kind[0].ColdFor) * float64(time.Second)), "FallMultiple": s.Rules.FallMultiple, "FallNs": s.Rules.FallFor * millisecond},
 	}
 }
 
-// TestSites: the settings of the project's own sites are read, and a gateway serves each class and each plan by them. A class that is
-// unsafe to repeat is never sent twice where the first attempt may have run; a safe one is.
+// TestSites checks that the settings of the project's sites are valid and that a gateway with them serves each class and
+// plan. After an attempt that may have run, a request of a safe class is retried and one of an unsafe class is not.
 func TestSites(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*/site.toml")
 	if err != nil || len(files) < 2 {
@@ -110,7 +110,7 @@
 			t.Fatal(err)
 		}
 		t.Run(s.Name, func(t *testing.T) {
-			raw, err := json.Marshal(s.object())
+			raw, err := json.Marshal(s.settingsObjectMap())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -123,15 +123,15 @@
 			}
 			for _, class := range s.Class {
 				for _, plan := range s.Tenant {
-					serve(t, set.Decide, class.Name, plan.Name)
+					serveAfterReset(t, set.Decide, class.Name, plan.Name)
 				}
 			}
 		})
 	}
 }
 
-// serve has a gateway of the settings serve a request whose first attempt broke.
-func serve(t *testing.T, cfg decide.Config, class, plan string) {
+// serveAfterReset sends a request whose first attempt ends with a connection reset to a gateway with the given settings.
+func serveAfterReset(t *testing.T, cfg decide.Config, class, plan string) {
 	t.Helper()
 	cfg.Gateways, cfg.Limits.PeerMessages = 1, false
 	g, err := decide.New(cfg, 1)
@@ -144,7 +144,7 @@
 		servers = append(servers, decide.Server{ID: id, Zone: cfg.Zone, Weight: 1})
 	}
 	g.Handle(at, decide.ServerListUpdate{Kind: decide.ListFull, Version: 1, Servers: servers})
-	at += time.Minute // a gateway that has just started holds ceilings as if they were used up
+	at += time.Minute // a gateway that has just started treats ceilings as used up
 	sends := func(actions []decide.Action) (n int) {
 		for _, a := range actions {
 			if _, ok := a.(decide.SendAttempt); ok {
@@ -164,6 +164,6 @@
 	}
 	again := sends(g.Handle(at+time.Millisecond, decide.AttemptEnded{ID: "1", Server: "a", Outcome: decide.Reset, Latency: time.Millisecond}))
 	if effect == decide.Unsafe && again != 0 || effect == decide.Safe && again != 1 {
-		t.Errorf("%s on %s: %d further attempts after one that may have run", class, plan, again)
+		t.Errorf("%s on %s: %d retries after an attempt that may have run", class, plan, again)
 	}
 }
