--- a/internal/simulation/commons.go
+++ b/internal/simulation/commons.go
@@ -16,9 +16,9 @@
 	MessagesSent int // messages
 	BytesSent    int
 
-	conf peerinfo.Config
-	rnd  *rand.Rand
-	born map[string]time.Duration // of facts, by author and number
+	config      peerinfo.Config
+	rnd         *rand.Rand
+	publishedAt map[string]time.Duration // of facts, by author and number
 }
 
 // PeerInfoMember is one member.
@@ -28,14 +28,14 @@
 	Table *peerinfo.Table
 	Up    bool
 
-	life, no uint64
+	incarnation, version uint64
 }
 
-const commonsTopic peerinfo.Topic = 0
+const simulatedTopic peerinfo.Topic = 0
 
 // NewPeerInfoFleet makes members that begin to ask at different times.
 func NewPeerInfoFleet(k *Kernel, net *Network, conf peerinfo.Config, n int) (*PeerInfoFleet, error) {
-	c := &PeerInfoFleet{Kernel: k, Net: net, conf: conf, rnd: k.RandomStream("commons"), born: map[string]time.Duration{}}
+	c := &PeerInfoFleet{Kernel: k, Net: net, config: conf, rnd: k.RandomStream("commons"), publishedAt: map[string]time.Duration{}}
 	for i := range n {
 		c.Members = append(c.Members, &PeerInfoMember{Index: i, Name: fmt.Sprintf("n%04d", i)})
 	}
@@ -49,21 +49,21 @@
 
 // Start starts a member's process, which knows nothing.
 func (c *PeerInfoFleet) Start(m *PeerInfoMember) error {
-	m.life++
-	m.no, m.Up = 0, true
-	conf := c.conf
-	conf.Name, conf.Incarnation = m.Name, m.life
+	m.incarnation++
+	m.version, m.Up = 0, true
+	conf := c.config
+	conf.Name, conf.Incarnation = m.Name, m.incarnation
 	t, err := peerinfo.New(conf, c.rnd.Uint64())
 	if err != nil {
 		return err
 	}
 	m.Table = t
-	life := m.life
+	incarnation := m.incarnation
 	c.Kernel.Every(time.Duration(c.rnd.Int64N(int64(conf.Interval))), conf.Interval, func() bool {
-		if !m.Up || m.life != life {
+		if !m.Up || m.incarnation != incarnation {
 			return false
 		}
-		c.turn(m)
+		c.publishAndQuery(m)
 		return true
 	})
 	return nil
@@ -72,43 +72,45 @@
 // Kill ends a member's process.
 func (c *PeerInfoFleet) Kill(m *PeerInfoMember) { m.Up = false }
 
-// turn says what is new of a member, and asks a few others.
-func (c *PeerInfoFleet) turn(m *PeerInfoMember) {
-	m.no++
-	c.born[bornKey(m.Name, m.life, m.no)] = c.Kernel.Now()
-	if err := m.Table.Publish(c.Kernel.Now(), commonsTopic, []byte("hall-a")); err != nil {
+// publishAndQuery says what is new of a member, and asks a few others.
+func (c *PeerInfoFleet) publishAndQuery(m *PeerInfoMember) {
+	m.version++
+	c.publishedAt[versionKey(m.Name, m.incarnation, m.version)] = c.Kernel.Now()
+	if err := m.Table.Publish(c.Kernel.Now(), simulatedTopic, []byte("hall-a")); err != nil {
 		panic(err) // a value of this size always has room
 	}
-	q := m.Table.NextQuery(c.Kernel.Now())
-	for range min(c.conf.Fanout, len(c.Members)-1) {
+	query := m.Table.NextQuery(c.Kernel.Now())
+	for range min(c.config.Fanout, len(c.Members)-1) {
 		to := c.rnd.IntN(len(c.Members) - 1)
 		if to >= m.Index {
 			to++
 		}
-		c.send(m, c.Members[to], q)
+		c.send(m, c.Members[to], query)
 	}
 }
 
-func (c *PeerInfoFleet) send(from, to *PeerInfoMember, text []byte) {
+func (c *PeerInfoFleet) send(from, to *PeerInfoMember, message []byte) {
 	c.MessagesSent++
-	c.BytesSent += len(text)
+	c.BytesSent += len(message)
 	c.Net.SendPacket(from.Index, to.Index, func() {
 		if !to.Up {
 			return
 		}
-		for _, back := range to.Table.HandleMessage(c.Kernel.Now(), text) {
-			c.send(to, from, back)
+		for _, reply := range to.Table.HandleMessage(c.Kernel.Now(), message) {
+			c.send(to, from, reply)
 		}
 	})
 }
 
-func bornKey(name string, life, no uint64) string { return fmt.Sprint(name, "/", life, "/", no) }
+func versionKey(name string, incarnation, version uint64) string {
+	return fmt.Sprint(name, "/", incarnation, "/", version)
+}
 
 // Age is how old a member's news of another one is as it tells it, and as it is; false: it knows nothing.
-func (c *PeerInfoFleet) Age(m, of *PeerInfoMember) (told, is time.Duration, ok bool) {
-	f, told, err := m.Table.Lookup(c.Kernel.Now(), of.Name, commonsTopic, c.conf.Retention)
+func (c *PeerInfoFleet) Age(m, of *PeerInfoMember) (reported, actual time.Duration, ok bool) {
+	fact, reported, err := m.Table.Lookup(c.Kernel.Now(), of.Name, simulatedTopic, c.config.Retention)
 	if err != nil {
 		return 0, 0, false
 	}
-	return told, c.Kernel.Now() - c.born[bornKey(of.Name, f.Incarnation, f.Version)], true
+	return reported, c.Kernel.Now() - c.publishedAt[versionKey(of.Name, fact.Incarnation, fact.Version)], true
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -204,7 +204,7 @@
 		}
 	}
 	sleeper.Resume()
-	x.f.Kernel.RunUntil(x.f.Kernel.Now() + tickEvery)
+	x.f.Kernel.RunUntil(x.f.Kernel.Now() + tickInterval)
 	if len(woke) == 0 || woke[0] >= 0 {
 		t.Errorf("it went on as if it had not stood still: %v", woke)
 	}
--- a/internal/simulation/kernel.go
+++ b/internal/simulation/kernel.go
@@ -12,19 +12,19 @@
 // Kernel is a discrete-event simulation. Events of one instant happen in the order in which they were set. It is for one
 // goroutine.
 type Kernel struct {
-	seed  uint64
-	now   time.Duration
-	seq   uint64
-	queue timers
-	ran   uint64
+	seed     uint64
+	now      time.Duration
+	lastSeq  uint64
+	queue    timerQueue
+	executed uint64
 }
 
 // Timer is an event that is to happen.
 type Timer struct {
-	at    time.Duration
-	seq   uint64
-	do    func()
-	index int // in the queue, or -1
+	due      time.Duration
+	seq      uint64
+	callback func()
+	index    int // in the queue, or -1
 }
 
 // NewKernel makes one whose time is start; what its components draw comes from the seed.
@@ -34,7 +34,7 @@
 func (k *Kernel) Now() time.Duration { return k.now }
 
 // EventCount is how many have happened.
-func (k *Kernel) EventCount() uint64 { return k.ran }
+func (k *Kernel) EventCount() uint64 { return k.executed }
 
 // RandomStream is a source of random numbers for the component of that name. Each has its own: one that is added, or draws more, shifts
 // no other.
@@ -45,21 +45,21 @@
 }
 
 // At has something happen at a time, or now if that is past.
-func (k *Kernel) At(at time.Duration, do func()) *Timer {
-	k.seq++
-	t := &Timer{at: max(at, k.now), seq: k.seq, do: do}
+func (k *Kernel) At(at time.Duration, callback func()) *Timer {
+	k.lastSeq++
+	t := &Timer{due: max(at, k.now), seq: k.lastSeq, callback: callback}
 	heap.Push(&k.queue, t)
 	return t
 }
 
 // After has something happen after a while.
-func (k *Kernel) After(d time.Duration, do func()) *Timer { return k.At(k.now+d, do) }
+func (k *Kernel) After(d time.Duration, callback func()) *Timer { return k.At(k.now+d, callback) }
 
 // Every has something happen again and again, first after a while, until it says that it is enough.
-func (k *Kernel) Every(first, every time.Duration, do func() (more bool)) {
+func (k *Kernel) Every(first, interval time.Duration, callback func() (again bool)) {
 	k.After(first, func() {
-		if do() {
-			k.Every(every, every, do)
+		if callback() {
+			k.Every(interval, interval, callback)
 		}
 	})
 }
@@ -73,30 +73,30 @@
 
 // RunUntil plays all that happens up to a time, which then it is.
 func (k *Kernel) RunUntil(until time.Duration) {
-	for len(k.queue) > 0 && k.queue[0].at <= until {
+	for len(k.queue) > 0 && k.queue[0].due <= until {
 		t := heap.Pop(&k.queue).(*Timer)
-		k.now = t.at
-		k.ran++
-		t.do()
+		k.now = t.due
+		k.executed++
+		t.callback()
 	}
 	k.now = max(k.now, until)
 }
 
-type timers []*Timer
+type timerQueue []*Timer
 
-func (q timers) Len() int { return len(q) }
-func (q timers) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (q timerQueue) Len() int { return len(q) }
+func (q timerQueue) Less(i, j int) bool {
+	return q[i].due < q[j].due || q[i].due == q[j].due && q[i].seq < q[j].seq
 }
-func (q timers) Swap(i, j int) {
+func (q timerQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
 }
-func (q *timers) Push(x any) {
+func (q *timerQueue) Push(x any) {
 	x.(*Timer).index = len(*q)
 	*q = append(*q, x.(*Timer))
 }
-func (q *timers) Pop() any {
+func (q *timerQueue) Pop() any {
 	old := *q
 	n := len(old) - 1
 	t := old[n]
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -7,7 +7,7 @@
 
 // Network carries messages between numbered places: late, and as the faults that are set have it.
 type Network struct {
-	k             *Kernel
+	kernel        *Kernel
 	rnd           *rand.Rand
 	MinDelay      time.Duration // the least time that a message takes
 	MaxDelay      time.Duration // the most
@@ -21,42 +21,44 @@
 
 // NewNetwork makes one without faults.
 func NewNetwork(k *Kernel, fast, slow time.Duration) *Network {
-	return &Network{k: k, rnd: k.RandomStream("network"), MinDelay: fast, MaxDelay: slow}
+	return &Network{kernel: k, rnd: k.RandomStream("network"), MinDelay: fast, MaxDelay: slow}
 }
 
 // SendPacket carries one message, once, twice or never.
-func (n *Network) SendPacket(from, to int, take func()) {
+func (n *Network) SendPacket(from, to int, deliver func()) {
 	n.Sent++
-	if n.cut(from, to) || n.rnd.Float64() < n.LossRate {
+	if n.partitioned(from, to) || n.rnd.Float64() < n.LossRate {
 		n.Lost++
 		return
 	}
-	n.k.After(n.delay(), take)
+	n.kernel.After(n.delay(), deliver)
 	if n.rnd.Float64() < n.DuplicateRate {
-		n.k.After(n.delay(), take)
+		n.kernel.After(n.delay(), deliver)
 	}
 }
 
 // Call carries a question and its answer over a connection, which loses nothing: if either way is cut it fails after a time-out.
-func (n *Network) Call(from, to int, timeout time.Duration, there func() (back func()), failed func()) {
+func (n *Network) Call(from, to int, timeout time.Duration, handle func() (reply func()), fail func()) {
 	n.Sent++
-	if n.cut(from, to) || n.cut(to, from) {
+	if n.partitioned(from, to) || n.partitioned(to, from) {
 		n.Lost++
-		n.k.After(timeout, failed)
+		n.kernel.After(timeout, fail)
 		return
 	}
-	n.k.After(n.delay(), func() {
-		back := there()
-		if back == nil { // nobody listens
-			n.k.After(n.delay(), failed)
+	n.kernel.After(n.delay(), func() {
+		reply := handle()
+		if reply == nil { // nobody listens
+			n.kernel.After(n.delay(), fail)
 			return
 		}
 		n.Sent++
-		n.k.After(n.delay(), back)
+		n.kernel.After(n.delay(), reply)
 	})
 }
 
-func (n *Network) cut(from, to int) bool { return n.Partitioned != nil && n.Partitioned(from, to) }
+func (n *Network) partitioned(from, to int) bool {
+	return n.Partitioned != nil && n.Partitioned(from, to)
+}
 
 func (n *Network) delay() time.Duration {
 	return n.MinDelay + time.Duration(n.rnd.Int64N(int64(n.MaxDelay-n.MinDelay)+1))
--- a/internal/simulation/owners.go
+++ b/internal/simulation/owners.go
@@ -7,7 +7,7 @@
 	"sloepick/internal/election"
 )
 
-const ownersTick = 200 * time.Millisecond // as internal/gossip has it
+const electionTickInterval = 200 * time.Millisecond // as internal/gossip has it
 
 // ElectionFleet is members that do work on behalf of their fleet, each with the program's own table of owners. Who is alive is told to all a while
 // after it changed, as the fleet's membership tells it.
@@ -22,9 +22,9 @@
 	// OnOwnerChange is told who owns a duty from now on, and that it does no more.
 	OnOwnerChange func(m *ElectionMember, duty string, owns bool)
 
-	MessagesSent int // messages
-	conf         election.Config
-	lives        uint64
+	MessagesSent    int // messages
+	config          election.Config
+	lastIncarnation uint64
 }
 
 // ElectionMember is one member.
@@ -33,14 +33,14 @@
 	Table *election.Table
 	Up    bool
 
-	gen    int
-	died   time.Duration
-	voters election.Electorate // on its disk
+	generation int
+	killedAt   time.Duration
+	electorate election.Electorate // on its disk
 }
 
 // NewElectionFleet makes members in the places of their numbers, all up.
 func NewElectionFleet(k *Kernel, net *Network, conf election.Config, n int) (*ElectionFleet, error) {
-	o := &ElectionFleet{Kernel: k, Net: net, DetectionDelay: 8 * time.Second, ReservationPeriod: 3 * time.Minute, OnOwnerChange: func(*ElectionMember, string, bool) {}, conf: conf}
+	o := &ElectionFleet{Kernel: k, Net: net, DetectionDelay: 8 * time.Second, ReservationPeriod: 3 * time.Minute, OnOwnerChange: func(*ElectionMember, string, bool) {}, config: conf}
 	for i := range n {
 		o.Members = append(o.Members, &ElectionMember{Index: i})
 	}
@@ -55,67 +55,67 @@
 	return o, nil
 }
 
-func ownerName(i int) string { return fmt.Sprintf("n%04d", i) }
+func electionMemberName(i int) string { return fmt.Sprintf("n%04d", i) }
 
 // Start starts a member's process, which remembers nothing.
 func (o *ElectionFleet) Start(m *ElectionMember) error {
-	o.lives++
-	conf := o.conf
-	conf.Self, conf.Incarnation = ownerName(m.Index), o.lives
-	t, err := election.New(conf, o.Kernel.Now(), nil, m.voters)
+	o.lastIncarnation++
+	conf := o.config
+	conf.Self, conf.Incarnation = electionMemberName(m.Index), o.lastIncarnation
+	t, err := election.New(conf, o.Kernel.Now(), nil, m.electorate)
 	if err != nil {
 		return err
 	}
 	m.Table, m.Up = t, true
-	m.gen++
-	gen := m.gen
-	o.tell(m, o.stand(m))
-	o.Kernel.Every(ownersTick, ownersTick, func() bool {
-		if m.gen == gen && m.Up {
-			o.tell(m, election.Tick{WallMillis: uint64(o.Kernel.Now() / time.Millisecond)})
+	m.generation++
+	generation := m.generation
+	o.handle(m, o.fleetUpdate(m))
+	o.Kernel.Every(electionTickInterval, electionTickInterval, func() bool {
+		if m.generation == generation && m.Up {
+			o.handle(m, election.Tick{WallMillis: uint64(o.Kernel.Now() / time.Millisecond)})
 		}
-		return m.gen == gen && m.Up
+		return m.generation == generation && m.Up
 	})
-	o.Kernel.After(o.DetectionDelay, o.standAll)
+	o.Kernel.After(o.DetectionDelay, o.updateAll)
 	return nil
 }
 
 // Kill ends a member's process.
 func (o *ElectionFleet) Kill(m *ElectionMember) {
-	m.Up, m.died = false, o.Kernel.Now()
-	o.Kernel.After(o.DetectionDelay, o.standAll)
-	o.Kernel.After(o.ReservationPeriod+o.DetectionDelay, o.standAll)
+	m.Up, m.killedAt = false, o.Kernel.Now()
+	o.Kernel.After(o.DetectionDelay, o.updateAll)
+	o.Kernel.After(o.ReservationPeriod+o.DetectionDelay, o.updateAll)
 }
 
-func (o *ElectionFleet) standAll() {
+func (o *ElectionFleet) updateAll() {
 	for _, m := range o.Members {
 		if m.Up {
-			o.tell(m, o.stand(m))
+			o.handle(m, o.fleetUpdate(m))
 		}
 	}
 }
 
-// stand is how a member stands now. Who is gone keeps its place until Hold is over.
-func (o *ElectionFleet) stand(m *ElectionMember) election.FleetUpdate {
-	s := election.FleetUpdate{Slot: m.Index, ExpectedMembers: len(o.Members)}
-	for _, x := range o.Members {
-		h := election.Holder{Name: ownerName(x.Index), Alive: x.Up}
-		if !x.Up && o.Kernel.Now()-x.died >= o.ReservationPeriod {
-			h.Name = ""
+// fleetUpdate is how a member stands now. Who is gone keeps its place until Hold is over.
+func (o *ElectionFleet) fleetUpdate(m *ElectionMember) election.FleetUpdate {
+	update := election.FleetUpdate{Slot: m.Index, ExpectedMembers: len(o.Members)}
+	for _, other := range o.Members {
+		holder := election.Holder{Name: electionMemberName(other.Index), Alive: other.Up}
+		if !other.Up && o.Kernel.Now()-other.killedAt >= o.ReservationPeriod {
+			holder.Name = ""
 		}
-		s.Holders = append(s.Holders, h)
+		update.Holders = append(update.Holders, holder)
 	}
-	return s
+	return update
 }
 
-func (o *ElectionFleet) tell(m *ElectionMember, e election.Event) {
+func (o *ElectionFleet) handle(m *ElectionMember, e election.Event) {
 	for _, a := range m.Table.Handle(o.Kernel.Now(), e) {
 		switch a := a.(type) {
 		case election.Send:
 			o.MessagesSent++
 			o.Net.SendPacket(m.Index, a.To, func() {
 				if to := o.Members[a.To]; to.Up {
-					o.tell(to, election.Received{From: m.Index, Message: a.Message})
+					o.handle(to, election.Received{From: m.Index, Message: a.Message})
 				}
 			})
 		case election.Acquired:
@@ -123,7 +123,7 @@
 		case election.Lost:
 			o.OnOwnerChange(m, a.Duty, false)
 		case election.ElectorateChange:
-			m.voters = a.Electorate
+			m.electorate = a.Electorate
 		}
 	}
 }
--- a/internal/simulation/quotas_test.go
+++ b/internal/simulation/quotas_test.go
@@ -11,7 +11,7 @@
 
 func quotaConfig() decide.Config {
 	return decide.Config{Zone: "a", PeerIntake: 40, MaxUnits: 4, TrackChanges: true,
-		Classes: []decide.Class{{Name: "get", Effect: decide.Safe, LatencyTarget: 500 * time.Millisecond, Deadline: askPatience, Worth: 1}},
+		Classes: []decide.Class{{Name: "get", Effect: decide.Safe, LatencyTarget: 500 * time.Millisecond, Deadline: requestTimeout, Worth: 1}},
 		Plans: []decide.Plan{{Name: "basic", Rate: 1.3, Burst: 8, Price: 1}, {Name: "standard", Rate: 3.6, Burst: 15, Price: 1},
 			{Name: "network", Rate: 25, Burst: 40, Price: 1}},
 		Limits: decide.Limits{MaxAttempts: 3, Cancel: true, PeerMessages: true, RetryAfter: true, MaxRetryAfter: time.Second},
@@ -85,7 +85,7 @@
 		if over > mostOver || sent < leastSent {
 			t.Errorf("%s: %.3f beyond quotas, %.3f let in of others'; want %v at most and %v at least", name, over, sent, mostOver, leastSent)
 		}
-		if each > q.conf.PeerIntake {
+		if each > q.config.PeerIntake {
 			t.Errorf("%s: %.1f messages a second and gateway", name, each)
 		}
 	}
