--- a/internal/simulation/members.go
+++ b/internal/simulation/members.go
@@ -36,7 +36,7 @@
 	Config  fleet.Config // of all, but for Self
 	Members []*Member
 	// OnAssignment is told how a member stands, whenever that changes, and that it is gone (Place below 0).
-	OnAssignment func(m *Member, s fleet.Assignment)
+	OnAssignment func(m *Member, a fleet.Assignment)
 	// OnLog is told what members log; nil: nothing.
 	OnLog func(m *Member, text string)
 
@@ -400,7 +400,7 @@
 	}
 	acked, generation, incarnation := false, m.generation, m.peers[i].member.Incarnation
 	ack := func(*Member) { acked = true }
-	pinged := func(target, prober *Member) {
+	answerPing := func(target, prober *Member) {
 		if target.incarnation == incarnation { // a later process of its name does not answer for it
 			target.sendPacket(prober.Index, func(prober *Member) {
 				if prober == m {
@@ -411,7 +411,7 @@
 			})
 		}
 	}
-	m.sendPacket(i, func(target *Member) { pinged(target, m) })
+	m.sendPacket(i, func(target *Member) { answerPing(target, m) })
 	m.fleet.Kernel.After(probeTimeout, func() {
 		m.runOrQueue(generation, func() {
 			if acked {
@@ -419,7 +419,7 @@
 			}
 			for n := 0; n < indirectProbes; n++ {
 				if relay, ok := m.pickPeer([]int{i}); ok {
-					m.sendPacket(relay, func(b *Member) { b.sendPacket(i, func(target *Member) { pinged(target, b) }) })
+					m.sendPacket(relay, func(relay *Member) { relay.sendPacket(i, func(target *Member) { answerPing(target, relay) }) })
 				}
 			}
 		})
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -20,8 +20,8 @@
 }
 
 // NewNetwork makes one without faults.
-func NewNetwork(k *Kernel, fast, slow time.Duration) *Network {
-	return &Network{kernel: k, rnd: k.RandomStream("network"), MinDelay: fast, MaxDelay: slow}
+func NewNetwork(k *Kernel, minDelay, maxDelay time.Duration) *Network {
+	return &Network{kernel: k, rnd: k.RandomStream("network"), MinDelay: minDelay, MaxDelay: maxDelay}
 }
 
 // SendPacket carries one message, once, twice or never.
--- a/internal/simulation/owners_test.go
+++ b/internal/simulation/owners_test.go
@@ -10,19 +10,19 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// TestOwnersInVirtualTime plays 20 and 200 members, 2,000 with -large, with ten duties: owners are killed and come back fifty times under 5 % of
+// TestElectionFailover plays 20 and 200 members, 2,000 with -large, with ten duties: owners are killed and come back fifty times under 5 % of
 // loss. No two own a duty at a time, and each goes on elsewhere within the stated time.
-func TestOwnersInVirtualTime(t *testing.T) {
-	for _, n := range sizes(20, 200) {
+func TestElectionFailover(t *testing.T) {
+	for _, n := range fleetSizes(20, 200) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { playOwners(t, seed, n) })
+			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { testElectionFailover(t, seed, n) })
 		})
 	}
 }
 
-func playOwners(t *testing.T, seed uint64, n int) {
-	const duties, deaths = 10, 50
-	k := NewKernel(seed, start)
+func testElectionFailover(t *testing.T, seed uint64, n int) {
+	const duties, kills = 10, 50
+	k := NewKernel(seed, startTime)
 	net := NewNetwork(k, 200*time.Microsecond, 2*time.Millisecond)
 	net.LossRate = 0.05
 	conf := election.DefaultConfig()
@@ -33,111 +33,111 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	who, numbers := map[string]*ElectionMember{}, map[string]uint64{}
+	ownerOf, fencing := map[string]*ElectionMember{}, map[string]uint64{}
 	o.OnOwnerChange = func(m *ElectionMember, duty string, owns bool) {
 		if !owns {
-			if who[duty] == m {
-				delete(who, duty)
+			if ownerOf[duty] == m {
+				delete(ownerOf, duty)
 			}
 			return
 		}
-		if old := who[duty]; old != nil && old != m && old.Up {
-			if _, ok := old.Table.MayAct(k.Now(), duty); ok {
+		if previous := ownerOf[duty]; previous != nil && previous != m && previous.Up {
+			if _, ok := previous.Table.MayAct(k.Now(), duty); ok {
 				t.Errorf("%s is owned by two at %v", duty, k.Now())
 			}
 		}
 		number, _ := m.Table.MayAct(k.Now(), duty)
-		if number <= numbers[duty] {
-			t.Errorf("%s is owned under %d after %d", duty, number, numbers[duty])
+		if number <= fencing[duty] {
+			t.Errorf("%s is owned under %d after %d", duty, number, fencing[duty])
 		}
-		who[duty], numbers[duty] = m, number
+		ownerOf[duty], fencing[duty] = m, number
 	}
-	k.RunUntil(start + 30*time.Second)
-	if len(who) != duties {
-		t.Fatalf("%d of %d duties are owned", len(who), duties)
+	k.RunUntil(startTime + 30*time.Second)
+	if len(ownerOf) != duties {
+		t.Fatalf("%d of %d duties are owned", len(ownerOf), duties)
 	}
-	sent := o.MessagesSent
+	sentBefore := o.MessagesSent
 	k.RunUntil(k.Now() + time.Minute)
-	owners := map[*ElectionMember]bool{}
-	for _, m := range who {
-		owners[m] = true
+	distinctOwners := map[*ElectionMember]bool{}
+	for _, m := range ownerOf {
+		distinctOwners[m] = true
 	}
-	t.Logf("%d members, %d duties by %d owners: %.1f messages a second of the whole fleet at rest", n, duties, len(owners), float64(o.MessagesSent-sent)/60)
+	t.Logf("%d members, %d duties by %d owners: %.1f messages a second of the whole fleet at rest", n, duties, len(distinctOwners), float64(o.MessagesSent-sentBefore)/60)
 
-	var without []time.Duration
-	for i := range deaths {
+	var ownerless []time.Duration
+	for i := range kills {
 		duty := conf.Duties[i%duties]
-		victim := who[duty]
-		if victim == nil {
+		owner := ownerOf[duty]
+		if owner == nil {
 			t.Fatalf("nobody owns %s", duty)
 		}
-		died, number := k.Now(), numbers[duty]
-		o.Kill(victim)
-		for numbers[duty] == number && k.Now()-died < time.Minute {
+		killedAt, number := k.Now(), fencing[duty]
+		o.Kill(owner)
+		for fencing[duty] == number && k.Now()-killedAt < time.Minute {
 			k.RunUntil(k.Now() + 50*time.Millisecond)
 		}
-		without = append(without, k.Now()-died)
-		if err := o.Start(victim); err != nil {
+		ownerless = append(ownerless, k.Now()-killedAt)
+		if err := o.Start(owner); err != nil {
 			t.Fatal(err)
 		}
 		k.RunUntil(k.Now() + 20*time.Second)
 	}
-	renew(t, o, duties, numbers)
-	slices.Sort(without)
-	t.Logf("without an owner after a death: %v in the middle, %v at worst", without[deaths/2], without[deaths-1])
-	if len(owners) < 3 {
-		t.Errorf("%d duties are done by %d members", duties, len(owners))
+	testVoterReplacement(t, o, duties, fencing)
+	slices.Sort(ownerless)
+	t.Logf("without an owner after a death: %v in the middle, %v at worst", ownerless[kills/2], ownerless[kills-1])
+	if len(distinctOwners) < 3 {
+		t.Errorf("%d duties are done by %d members", duties, len(distinctOwners))
 	}
-	if most := 4 * conf.Lease; without[deaths-1] > most {
-		t.Errorf("without an owner for %v after a death, want %v at most", without[deaths-1], most)
+	if limit := 4 * conf.Lease; ownerless[kills-1] > limit {
+		t.Errorf("without an owner for %v after a death, want %v at most", ownerless[kills-1], limit)
 	}
 }
 
-// renew kills three voters one after the other, each when all knew that the one before was replaced, and then a majority of them at once:
+// testVoterReplacement kills three voters one after the other, each when all knew that the one before was replaced, and then a majority of them at once:
 // the duties are owned on or again, after the places were given up at the latest.
-func renew(t *testing.T, o *ElectionFleet, duties int, numbers map[string]uint64) {
+func testVoterReplacement(t *testing.T, o *ElectionFleet, duties int, fencing map[string]uint64) {
 	t.Helper()
-	watcher := o.Members[len(o.Members)-1]
-	votes := func(m *ElectionMember) bool { return slices.Contains(watcher.Table.Electorate().Voters, m.Index) }
-	owned := func() bool {
-		n := 0
+	observer := o.Members[len(o.Members)-1]
+	isVoter := func(m *ElectionMember) bool { return slices.Contains(observer.Table.Electorate().Voters, m.Index) }
+	allOwned := func() bool {
+		owned := 0
 		for _, m := range o.Members {
 			for d := range duties {
 				if _, ok := m.Table.MayAct(o.Kernel.Now(), fmt.Sprint("duty", d)); ok && m.Up {
-					n++
+					owned++
 				}
 			}
 		}
-		return n == duties
+		return owned == duties
 	}
-	wait := func(what string, most time.Duration, done func() bool) time.Duration {
+	waitFor := func(description string, timeout time.Duration, condition func() bool) time.Duration {
 		t.Helper()
-		for from := o.Kernel.Now(); ; o.Kernel.RunUntil(o.Kernel.Now() + 50*time.Millisecond) {
-			if done() {
-				return o.Kernel.Now() - from
+		for began := o.Kernel.Now(); ; o.Kernel.RunUntil(o.Kernel.Now() + 50*time.Millisecond) {
+			if condition() {
+				return o.Kernel.Now() - began
 			}
-			if o.Kernel.Now()-from > most {
-				t.Fatalf("not within %v: %s", most, what)
+			if o.Kernel.Now()-began > timeout {
+				t.Fatalf("not within %v: %s", timeout, description)
 			}
 		}
 	}
-	var took []time.Duration
+	var durations []time.Duration
 	for range 3 {
-		victim := o.Members[watcher.Table.Electorate().Voters[1]]
-		sent := o.MessagesSent
-		o.Kill(victim)
-		took = append(took, wait("a voter is replaced", 2*time.Minute, func() bool { return !votes(victim) }))
-		t.Logf("a voter died and was replaced %v later; %d messages of all members meanwhile", took[len(took)-1], o.MessagesSent-sent)
+		voter := o.Members[observer.Table.Electorate().Voters[1]]
+		sentBefore := o.MessagesSent
+		o.Kill(voter)
+		durations = append(durations, waitFor("a voter is replaced", 2*time.Minute, func() bool { return !isVoter(voter) }))
+		t.Logf("a voter died and was replaced %v later; %d messages of all members meanwhile", durations[len(durations)-1], o.MessagesSent-sentBefore)
 		o.Kernel.RunUntil(o.Kernel.Now() + 10*time.Second) // the new one abstains
 	}
-	wait("all is owned", time.Minute, owned)
-	dead := o.Members[:0:0]
-	for _, p := range watcher.Table.Electorate().Voters[:3] {
-		dead = append(dead, o.Members[p])
-		o.Kill(o.Members[p])
+	waitFor("all is owned", time.Minute, allOwned)
+	killed := o.Members[:0:0]
+	for _, slot := range observer.Table.Electorate().Voters[:3] {
+		killed = append(killed, o.Members[slot])
+		o.Kill(o.Members[slot])
 	}
-	took = append(took, wait("others vote and all is owned", o.ReservationPeriod+2*time.Minute, func() bool {
-		return owned() && !slices.ContainsFunc(dead, votes)
+	durations = append(durations, waitFor("others vote and all is owned", o.ReservationPeriod+2*time.Minute, func() bool {
+		return allOwned() && !slices.ContainsFunc(killed, isVoter)
 	}))
-	t.Logf("three of five voters died at once: all is owned again %v later", took[len(took)-1])
+	t.Logf("three of five voters died at once: all is owned again %v later", durations[len(durations)-1])
 }
--- a/internal/simulation/quotas_test.go
+++ b/internal/simulation/quotas_test.go
@@ -18,134 +18,134 @@
 		Safety: decide.Safety{AnswerSlack: 16 * time.Millisecond, ColdCapacity: 0.2, ColdDuration: 10 * time.Second, OverloadFactor: 4, OverloadWindow: time.Second}}
 }
 
-// quotaTrial is a fleet of so many gateways, of whose customers one in ten asks for three times its rate and the others for a third
+// newLoadedFleet is a fleet of so many gateways, of whose customers one in ten asks for three times its rate and the others for a third
 // of it. On average a gateway sees four units a second.
-func quotaTrial(t *testing.T, seed uint64, n int) (*QuotaFleet, map[string]Customer) {
+func newLoadedFleet(t *testing.T, seed uint64, n int) (*QuotaFleet, map[string]Customer) {
 	t.Helper()
-	k := NewKernel(seed, start)
+	k := NewKernel(seed, startTime)
 	net := NewNetwork(k, 3*time.Millisecond, 30*time.Millisecond)
 	net.LossRate = 0.05
 	q, err := NewQuotaFleet(k, net, quotaConfig(), n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := map[string]Customer{}
-	asked := 0.0
-	for i := 0; asked < 4*float64(n); i++ {
+	customers := map[string]Customer{}
+	totalRate := 0.0
+	for i := 0; totalRate < 4*float64(n); i++ {
 		p := q.plans[[]string{"basic", "basic", "basic", "standard", "network"}[i%5]]
-		a := Customer{ID: fmt.Sprintf("c%05d", i), Plan: p.Name, UnitsPerRequest: 2, Rate: p.Rate / 3, FirstGateway: i % n, GatewayCount: n - n/3}
+		c := Customer{ID: fmt.Sprintf("c%05d", i), Plan: p.Name, UnitsPerRequest: 2, Rate: p.Rate / 3, FirstGateway: i % n, GatewayCount: n - n/3}
 		if i%10 == 3 || i%50 == 4 { // of standard, and of network a tenth
-			a.Rate = 3 * p.Rate
+			c.Rate = 3 * p.Rate
 		}
-		asked += a.Rate
-		all[a.ID] = a
-		q.AddCustomer(a)
+		totalRate += c.Rate
+		customers[c.ID] = c
+		q.AddCustomer(c)
 	}
-	return q, all
+	return q, customers
 }
 
-// quotaSum is what those who flood and those who do not got.
-type quotaSum struct{ calmAsked, calmSent, floodOver, floodQuota float64 }
+// quotaStats is what those who flood and those who do not got.
+type quotaStats struct{ compliantRequested, compliantAdmitted, excess, entitled float64 }
 
-func (q *QuotaFleet) sum(all map[string]Customer, took time.Duration) (s quotaSum) {
-	for id, a := range all {
-		x, p := q.Totals[id], q.plans[a.Plan]
-		if a.Rate > p.Rate {
-			s.floodOver += x.AdmittedOverQuota
-			s.floodQuota += p.Rate * took.Seconds()
+func (q *QuotaFleet) stats(customers map[string]Customer, duration time.Duration) (s quotaStats) {
+	for id, c := range customers {
+		totals, p := q.Totals[id], q.plans[c.Plan]
+		if c.Rate > p.Rate {
+			s.excess += totals.AdmittedOverQuota
+			s.entitled += p.Rate * duration.Seconds()
 		} else {
-			s.calmAsked += x.Requested
-			s.calmSent += x.Admitted
+			s.compliantRequested += totals.Requested
+			s.compliantAdmitted += totals.Admitted
 		}
 	}
 	return s
 }
 
-// TestQuotasOverManyGateways plays 20 and 300 gateways, 2,000 with -large: what is let in beyond quotas, what is refused of those who
+// TestQuotasAcrossGateways plays 20 and 300 gateways, 2,000 with -large: what is let in beyond quotas, what is refused of those who
 // keep to theirs, and what it costs in messages do not grow with their number; nor do they get out of hand while nobody hears another.
-func TestQuotasOverManyGateways(t *testing.T) {
-	for _, n := range sizes(20, 300) {
+func TestQuotasAcrossGateways(t *testing.T) {
+	for _, n := range fleetSizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { quotasOverMany(t, seed, n) })
+			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { testQuotasAcrossGateways(t, seed, n) })
 		})
 	}
 }
 
-func quotasOverMany(t *testing.T, seed uint64, n int) {
-	q, all := quotaTrial(t, seed, n)
-	stretch := func(name string, took time.Duration, mostOver, leastSent float64) {
-		before, asked, told, full, waited := q.sum(all, 0), q.Requests, q.MessagesSent, q.IntakeDrops, q.TotalWait
-		q.Kernel.RunUntil(q.Kernel.Now() + took)
-		s := q.sum(all, took)
-		over := (s.floodOver - before.floodOver) / s.floodQuota
-		sent := (s.calmSent - before.calmSent) / (s.calmAsked - before.calmAsked)
-		each := float64(q.MessagesSent-told) / took.Seconds() / float64(n)
+func testQuotasAcrossGateways(t *testing.T, seed uint64, n int) {
+	q, customers := newLoadedFleet(t, seed, n)
+	runPhase := func(name string, duration time.Duration, maxExcess, minAdmitted float64) {
+		before, requestsBefore, sentBefore, dropsBefore, waitBefore := q.stats(customers, 0), q.Requests, q.MessagesSent, q.IntakeDrops, q.TotalWait
+		q.Kernel.RunUntil(q.Kernel.Now() + duration)
+		s := q.stats(customers, duration)
+		excess := (s.excess - before.excess) / s.entitled
+		admitted := (s.compliantAdmitted - before.compliantAdmitted) / (s.compliantRequested - before.compliantRequested)
+		messageRate := float64(q.MessagesSent-sentBefore) / duration.Seconds() / float64(n)
 		t.Logf("%d gateways, %s: floods %.3f of their quotas beyond them, %.3f of the others' let in, %.1f messages a second and gateway, %.3f of them too many, %v waited a request",
-			n, name, over, sent, each, float64(q.IntakeDrops-full)/float64(max(1, q.MessagesSent-told)), (q.TotalWait-waited)/time.Duration(q.Requests-asked))
-		if over > mostOver || sent < leastSent {
-			t.Errorf("%s: %.3f beyond quotas, %.3f let in of others'; want %v at most and %v at least", name, over, sent, mostOver, leastSent)
+			n, name, excess, admitted, messageRate, float64(q.IntakeDrops-dropsBefore)/float64(max(1, q.MessagesSent-sentBefore)), (q.TotalWait-waitBefore)/time.Duration(q.Requests-requestsBefore))
+		if excess > maxExcess || admitted < minAdmitted {
+			t.Errorf("%s: %.3f beyond quotas, %.3f let in of others'; want %v at most and %v at least", name, excess, admitted, maxExcess, minAdmitted)
 		}
-		if each > q.config.PeerIntake {
-			t.Errorf("%s: %.1f messages a second and gateway", name, each)
+		if messageRate > q.config.PeerIntake {
+			t.Errorf("%s: %.1f messages a second and gateway", name, messageRate)
 		}
 	}
-	stretch("after the start", 6*time.Second, 0.3, 0.8)
-	stretch("in peace", 6*time.Second, 0.05, 0.95)
+	runPhase("after the start", 6*time.Second, 0.3, 0.8)
+	runPhase("in peace", 6*time.Second, 0.05, 0.95)
 	q.Net.Partitioned = func(from, to int) bool { return true }
-	unheard := 0.5
+	isolatedMaxExcess := 0.5
 	if n > 300 {
-		unheard = 1.5 // floods are not told to that many in the time before
+		isolatedMaxExcess = 1.5 // floods are not told to that many in the time before
 	}
-	stretch("nobody hears another", 6*time.Second, unheard, 0.9)
+	runPhase("nobody hears another", 6*time.Second, isolatedMaxExcess, 0.9)
 	q.Net.Partitioned = nil
-	stretch("words come again", 6*time.Second, 0.4, 0.9)
+	runPhase("words come again", 6*time.Second, 0.4, 0.9)
 }
 
-// TestQuotasOverPowerLoss plays 20 and 300 gateways, 2,000 with -large, that all lose their power three times, two seconds apart: with what
+// TestQuotasAfterPowerLoss plays 20 and 300 gateways, 2,000 with -large, that all lose their power three times, two seconds apart: with what
 // their disks hold, floods get little more beyond their quotas than in peace; without, they get part of a burst at each loss.
-func TestQuotasOverPowerLoss(t *testing.T) {
-	for _, n := range sizes(20, 300) {
+func TestQuotasAfterPowerLoss(t *testing.T) {
+	for _, n := range fleetSizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) {
-				over, calm := map[bool]float64{}, map[bool]float64{}
-				for _, kept := range []bool{false, true} {
-					over[kept], calm[kept] = quotasOverPowerLoss(t, seed, n, kept)
+				excess, admitted := map[bool]float64{}, map[bool]float64{}
+				for _, persist := range []bool{false, true} {
+					excess[persist], admitted[persist] = testQuotasAfterPowerLoss(t, seed, n, persist)
 				}
 				t.Logf("%d gateways: floods got %.2f bursts beyond their quotas at a loss, %.2f with disks; others %.2f and %.2f of what they asked",
-					n, over[false], over[true], calm[false], calm[true])
-				if over[true] > 0.5*over[false] || over[true] > 0.2 || calm[true] < 0.8 {
-					t.Errorf("with disks floods got %.2f bursts, without %.2f; others %.2f", over[true], over[false], calm[true])
+					n, excess[false], excess[true], admitted[false], admitted[true])
+				if excess[true] > 0.5*excess[false] || excess[true] > 0.2 || admitted[true] < 0.8 {
+					t.Errorf("with disks floods got %.2f bursts, without %.2f; others %.2f", excess[true], excess[false], admitted[true])
 				}
 			})
 		})
 	}
 }
 
-// quotasOverPowerLoss is how many bursts more those who flood got at a loss than in as long a time of peace, and the share of what others
+// testQuotasAfterPowerLoss is how many bursts more those who flood got at a loss than in as long a time of peace, and the share of what others
 // asked that was let in.
-func quotasOverPowerLoss(t *testing.T, seed uint64, n int, kept bool) (over, calm float64) {
-	const losses, apart = 3, 2 * time.Second
-	q, all := quotaTrial(t, seed, n)
-	if kept {
+func testQuotasAfterPowerLoss(t *testing.T, seed uint64, n int, persist bool) (excess, admitted float64) {
+	const outages, interval = 3, 2 * time.Second
+	q, customers := newLoadedFleet(t, seed, n)
+	if persist {
 		q.PersistBuckets(250 * time.Millisecond)
 	}
 	q.Kernel.RunUntil(q.Kernel.Now() + 10*time.Second)
-	burst := 0.0
-	for _, a := range all {
-		if p := q.plans[a.Plan]; a.Rate > p.Rate {
-			burst += p.Burst
+	bursts := 0.0
+	for _, c := range customers {
+		if p := q.plans[c.Plan]; c.Rate > p.Rate {
+			bursts += p.Burst
 		}
 	}
-	peace := q.sum(all, 0)
-	q.Kernel.RunUntil(q.Kernel.Now() + losses*apart)
-	before := q.sum(all, 0)
-	for range losses {
+	steady := q.stats(customers, 0)
+	q.Kernel.RunUntil(q.Kernel.Now() + outages*interval)
+	before := q.stats(customers, 0)
+	for range outages {
 		if err := q.PowerLoss(); err != nil {
 			t.Fatal(err)
 		}
-		q.Kernel.RunUntil(q.Kernel.Now() + apart)
+		q.Kernel.RunUntil(q.Kernel.Now() + interval)
 	}
-	s := q.sum(all, 0)
-	more := (s.floodOver - before.floodOver) - (before.floodOver - peace.floodOver)
-	return more / burst / losses, (s.calmSent - before.calmSent) / (s.calmAsked - before.calmAsked)
+	s := q.stats(customers, 0)
+	additional := (s.excess - before.excess) - (before.excess - steady.excess)
+	return additional / bursts / outages, (s.compliantAdmitted - before.compliantAdmitted) / (s.compliantRequested - before.compliantRequested)
 }
