--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -7,27 +7,28 @@
 	"sloepick/internal/election"
 )
 
-const electionTickInterval = 200 * time.Millisecond // as internal/gossip has it
+const electionTickInterval = 200 * time.Millisecond // same as in internal/gossip
 
-// ElectionFleet is members that do work on behalf of their fleet, each with the program's own table of owners. Who is alive is told to all a while
-// after it changed, as the fleet's membership tells it.
+// ElectionFleet is a fleet whose members elect owners of duties. Each member has the program's own election table. All
+// running members get a membership update some time after a member starts or ends, as they would from the fleet's
+// membership.
 type ElectionFleet struct {
 	Kernel  *Kernel
 	Net     *Network
 	Members []*ElectionMember
-	// DetectionDelay is how long it takes until all know that a member is gone or back.
+	// DetectionDelay is the time until all members know that a member has ended or restarted.
 	DetectionDelay time.Duration
-	// ReservationPeriod is for how long a place is kept for who is gone.
+	// ReservationPeriod is how long the slot of a member that has ended is reserved.
 	ReservationPeriod time.Duration
-	// OnOwnerChange is told who owns a duty from now on, and that it does no more.
+	// OnOwnerChange is called when a member acquires or loses a duty.
 	OnOwnerChange func(m *ElectionMember, duty string, owns bool)
 
-	MessagesSent    int // messages
+	MessagesSent    int
 	config          election.Config
 	lastIncarnation uint64
 }
 
-// ElectionMember is one member.
+// ElectionMember is a member of an ElectionFleet.
 type ElectionMember struct {
 	Index int
 	Table *election.Table
@@ -35,10 +36,10 @@
 
 	generation int
 	killedAt   time.Duration
-	electorate election.Electorate // on its disk
+	electorate election.Electorate // kept on its disk
 }
 
-// NewElectionFleet makes members in the places of their numbers, all up.
+// NewElectionFleet starts n members. Each holds the slot of its own index.
 func NewElectionFleet(k *Kernel, net *Network, conf election.Config, n int) (*ElectionFleet, error) {
 	o := &ElectionFleet{Kernel: k, Net: net, DetectionDelay: 8 * time.Second, ReservationPeriod: 3 * time.Minute, OnOwnerChange: func(*ElectionMember, string, bool) {}, config: conf}
 	for i := range n {
@@ -57,7 +58,7 @@
 
 func electionMemberName(i int) string { return fmt.Sprintf("n%04d", i) }
 
-// Start starts a member's process, which remembers nothing.
+// Start starts a member's process, which remembers only the electorate on its disk.
 func (o *ElectionFleet) Start(m *ElectionMember) error {
 	o.lastIncarnation++
 	conf := o.config
@@ -80,13 +81,14 @@
 	return nil
 }
 
-// Kill ends a member's process.
+// Kill ends a member's process without a message to the others.
 func (o *ElectionFleet) Kill(m *ElectionMember) {
 	m.Up, m.killedAt = false, o.Kernel.Now()
 	o.Kernel.After(o.DetectionDelay, o.updateAll)
 	o.Kernel.After(o.ReservationPeriod+o.DetectionDelay, o.updateAll)
 }
 
+// updateAll passes every running member its current view of the fleet.
 func (o *ElectionFleet) updateAll() {
 	for _, m := range o.Members {
 		if m.Up {
@@ -95,7 +97,7 @@
 	}
 }
 
-// fleetUpdate is how a member stands now. Who is gone keeps its place until Hold is over.
+// fleetUpdate returns a member's current view of the fleet. A member that has ended keeps its slot for ReservationPeriod.
 func (o *ElectionFleet) fleetUpdate(m *ElectionMember) election.FleetUpdate {
 	update := election.FleetUpdate{Slot: m.Index, ExpectedMembers: len(o.Members)}
 	for _, other := range o.Members {
@@ -108,6 +110,7 @@
 	return update
 }
 
+// handle passes an event to a member's table and carries out the actions that it returns.
 func (o *ElectionFleet) handle(m *ElectionMember, e election.Event) {
 	for _, a := range m.Table.Handle(o.Kernel.Now(), e) {
 		switch a := a.(type) {
--- a/internal/simulation/kernel.go
+++ b/internal/simulation/kernel.go
@@ -1,5 +1,6 @@
-// Package world is the emulator: a fleet and what it meets, in virtual time. The kernel plays events in the order of their times;
-// models of networks and members are built on it, round the program's own code. From the same seed everything comes the same.
+// Package simulation is a discrete-event simulator of gateway fleets in virtual time. The kernel runs events in the
+// order of their times. On top of it, models of the network and of the processes drive the program's own decision code:
+// membership, peer information, elections and quotas. The same seed gives the same run.
 package simulation
 
 import (
@@ -9,8 +10,8 @@
 	"time"
 )
 
-// Kernel is a discrete-event simulation. Events of one instant happen in the order in which they were set. It is for one
-// goroutine.
+// Kernel is the event queue and the virtual clock. Events with the same time run in the order in which they were
+// scheduled. It is not safe for concurrent use.
 type Kernel struct {
 	seed     uint64
 	now      time.Duration
@@ -19,32 +20,32 @@
 	executed uint64
 }
 
-// Timer is an event that is to happen.
+// Timer is a scheduled event.
 type Timer struct {
 	due      time.Duration
 	seq      uint64
 	callback func()
-	index    int // in the queue, or -1
+	index    int // position in the queue; -1: not queued
 }
 
-// NewKernel makes one whose time is start; what its components draw comes from the seed.
+// NewKernel returns a kernel whose clock shows start. All random streams derive from the seed.
 func NewKernel(seed uint64, start time.Duration) *Kernel { return &Kernel{seed: seed, now: start} }
 
-// Now implements gateway.Clock.
+// Now returns the virtual time. It implements gateway.Clock.
 func (k *Kernel) Now() time.Duration { return k.now }
 
-// EventCount is how many have happened.
+// EventCount returns the number of events that have run.
 func (k *Kernel) EventCount() uint64 { return k.executed }
 
-// RandomStream is a source of random numbers for the component of that name. Each has its own: one that is added, or draws more, shifts
-// no other.
+// RandomStream returns a source of random numbers for the component with the given name. Each component has its own
+// stream, so that adding a component, or more draws in one, doesn't change the draws of the others.
 func (k *Kernel) RandomStream(name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(k.seed, h.Sum64()))
 }
 
-// At has something happen at a time, or now if that is past.
+// At schedules callback at a time, or now if that time is past.
 func (k *Kernel) At(at time.Duration, callback func()) *Timer {
 	k.lastSeq++
 	t := &Timer{due: max(at, k.now), seq: k.lastSeq, callback: callback}
@@ -52,10 +53,10 @@
 	return t
 }
 
-// After has something happen after a while.
+// After schedules callback after a delay.
 func (k *Kernel) After(d time.Duration, callback func()) *Timer { return k.At(k.now+d, callback) }
 
-// Every has something happen again and again, first after a while, until it says that it is enough.
+// Every runs callback after the delay first, and then at each interval until it returns false.
 func (k *Kernel) Every(first, interval time.Duration, callback func() (again bool)) {
 	k.After(first, func() {
 		if callback() {
@@ -64,14 +65,14 @@
 	})
 }
 
-// Stop calls a timer off, if it has not happened. nil: nothing.
+// Stop cancels a timer that has not fired. A nil timer is ignored.
 func (k *Kernel) Stop(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&k.queue, t.index)
 	}
 }
 
-// RunUntil plays all that happens up to a time, which then it is.
+// RunUntil runs all events up to and including a time, and sets the clock to that time.
 func (k *Kernel) RunUntil(until time.Duration) {
 	for len(k.queue) > 0 && k.queue[0].due <= until {
 		t := heap.Pop(&k.queue).(*Timer)
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -10,92 +10,93 @@
 	"sloepick/internal/fleet"
 )
 
-// The engine of membership as it is modelled: SWIM with suspicionMult and Lifeguard's time-outs, with the figures that
-// internal/gossip sets for memberlist v0.7.0 and its sizes of packets and members' data.
+// Parameters of the modelled membership engine: SWIM with suspicion and Lifeguard's suspicion time-outs. They follow what
+// internal/gossip sets for memberlist v0.7.0, and the sizes of its packets and of the members' data.
 const (
 	probeInterval           = time.Second
 	probeTimeout            = 500 * time.Millisecond
-	indirectProbes          = 3 // members that are asked to probe in one's place
+	indirectProbes          = 3 // members that are asked for an indirect probe
 	gossipInterval          = 100 * time.Millisecond
-	gossipNodes             = 3 // members
-	updatesPerPacket        = 9 // pieces of news that a packet of 1,400 bytes holds
-	retransmitMult          = 4 // times the logarithm of the fleet's size: so often each is passed on
-	suspicionMult           = 4 // times that logarithm, in probes: a suspect's time to answer, where others agree ...
-	suspicionMaxTimeoutMult = 6 // ... and so many times as much where they don't
-	expectedConfirmations   = 2 // others that must agree for the shortest time
+	gossipNodes             = 3 // members a gossip round goes to
+	updatesPerPacket        = 9 // updates that fit in a packet of 1,400 bytes
+	retransmitMult          = 4 // transmissions of each update, times the logarithm of the fleet's size
+	suspicionMult           = 4 // shortest suspicion time-out, in probe intervals times that logarithm
+	suspicionMaxTimeoutMult = 6 // longest suspicion time-out, as a multiple of the shortest
+	expectedConfirmations   = 2 // further members that must suspect a member for the shortest time-out
 	syncInterval            = 15 * time.Second
 	syncTimeout             = 2 * time.Second
-	gossipToDeadTime        = 30 * time.Second // the dead are gossiped to for so long: they may be alive
+	gossipToDeadTime        = 30 * time.Second // lost members are still gossiped to for so long, as they may be alive
 	tickInterval            = 200 * time.Millisecond
 )
 
-// Fleet is members of a fleet, each with the program's own table on a model of the engine.
+// Fleet is a fleet of gateways. Each member has the program's own membership table on top of a model of the membership
+// engine.
 type Fleet struct {
 	Kernel  *Kernel
 	Net     *Network
-	Config  fleet.Config // of all, but for Self
+	Config  fleet.Config // of all members; Self and LastClaim are set for each
 	Members []*Member
-	// OnAssignment is told how a member stands, whenever that changes, and that it is gone (Place below 0).
+	// OnAssignment is called when a member's assignment changes, and with a negative slot when its process ends.
 	OnAssignment func(m *Member, a fleet.Assignment)
-	// OnLog is told what members log; nil: nothing.
+	// OnLog is called with the members' log messages; nil: they are dropped.
 	OnLog func(m *Member, text string)
 
-	PacketsSent     int // sent by all
-	lastIncarnation uint64
+	PacketsSent     int    // by all members
+	lastIncarnation uint64 // the last one given to a process
 }
 
-// NewFleet is a fleet without members.
+// NewFleet returns a fleet without members.
 func NewFleet(k *Kernel, net *Network, conf fleet.Config) *Fleet {
 	return &Fleet{Kernel: k, Net: net, Config: conf, OnAssignment: func(*Member, fleet.Assignment) {}}
 }
 
-// Member is one member's process.
+// Member is a member of a Fleet and its process, if that is up.
 type Member struct {
 	Index      int
 	Table      *fleet.Table
 	Up         bool
-	Paused     bool // it stands still
-	Superseded bool
+	Paused     bool // the process runs nothing, as after SIGSTOP
+	Superseded bool // it ended because a later process has its name
 
 	fleet           *Fleet
 	name            string
 	incarnation     uint64
 	rnd             *rand.Rand
-	generation      int // counts its processes: what was set for a former one is void
-	swimIncarnation uint32
+	generation      int    // number of its process; timers and messages of an earlier one are ignored
+	swimIncarnation uint32 // SWIM's counter, raised to refute a suspicion
 	self            fleet.Member
 	peers           []peerView
-	aliveCount      int // of the view
+	aliveCount      int // members that peers shows as alive, suspects included
 	updates         []update
 	probeOrder      []int
-	backlog         []func() // what came while it stood still
+	backlog         []func() // work that arrived while it was paused
 	lastContactAt   time.Duration
 	seeds           []int
-	LastClaim       fleet.Claim // on its disk
+	LastClaim       fleet.Claim // kept on its disk
 }
 
-// peerView is what a member's engine knows of another.
+// peerView is what a member's engine knows about another member.
 type peerView struct {
 	known           bool
 	state           fleet.State
 	suspected       bool
 	swimIncarnation uint32
-	changedAt       time.Duration // of the state
+	changedAt       time.Duration // time of the last change of state
 	member          fleet.Member
 	suspicionTimer  *Timer
-	suspectedBy     []int // who suspects it too
+	suspectedBy     []int // members that are known to suspect it
 	suspectedAt     time.Duration
 }
 
-// update is a piece of gossip.
+// update is a gossiped change of a member's state.
 type update struct {
 	subject         int
 	kind            updateKind
-	incarnation     uint64 // of the process that it is about: a later one has its own count of incarnations
+	incarnation     uint64 // of the subject's process; each process counts its own SWIM incarnations
 	swimIncarnation uint32
 	from            int
-	member          fleet.Member // of alive ones
-	transmits       int
+	member          fleet.Member // if kind is updateAlive
+	transmits       int          // by the holder of this copy
 }
 
 type updateKind int
@@ -107,14 +108,14 @@
 	updateLeft
 )
 
-// AddMember makes a member that is not up.
+// AddMember adds a member that is not up.
 func (f *Fleet) AddMember() *Member {
 	m := &Member{Index: len(f.Members), fleet: f, LastClaim: fleet.NoClaim, name: fmt.Sprintf("n%04d", len(f.Members))}
 	f.Members = append(f.Members, m)
 	return m
 }
 
-// Start starts a member's process, which joins by the seeds: numbers of members.
+// Start starts a member's process, which joins the fleet through seeds, the indexes of members.
 func (m *Member) Start(seeds ...int) {
 	f := m.fleet
 	f.lastIncarnation++
@@ -128,7 +129,7 @@
 	m.self, m.seeds = cfg.Self, seeds
 	t, err := fleet.New(cfg)
 	if err != nil {
-		panic(err) // the configuration is the owner's own code
+		panic(err) // the configuration comes from the test
 	}
 	m.Table = t
 	generation := m.generation
@@ -147,7 +148,8 @@
 	})
 }
 
-// runTimer does something of a process, unless that has ended; while it stands still nothing is done, as its timers runTimer out unseen.
+// runTimer runs a periodic callback of a process and returns whether the process is still running. Timers that expire
+// while the process is paused do nothing.
 func (m *Member) runTimer(running func() bool, callback func()) bool {
 	if running() && !m.Paused {
 		callback()
@@ -155,7 +157,8 @@
 	return running()
 }
 
-// scaledSyncInterval is how often whole states are exchanged: more seldom where there are many.
+// scaledSyncInterval returns the interval between exchanges of full state. As in memberlist, it grows with the size of the
+// fleet.
 func (m *Member) scaledSyncInterval() time.Duration {
 	interval := syncInterval
 	for n := len(m.fleet.Members); n > 32; n /= 2 {
@@ -164,26 +167,26 @@
 	return interval
 }
 
-// Kill ends a member's process without a word.
+// Kill ends a member's process without a message to the others.
 func (m *Member) Kill() {
 	m.Up = false
 	m.fleet.OnAssignment(m, fleet.Assignment{Slot: -1})
 }
 
-// Leave ends it with a goodbye.
+// Leave announces that the member leaves, and ends its process.
 func (m *Member) Leave() {
 	m.handle(fleet.Leave{})
 	m.queueUpdate(update{subject: m.Index, kind: updateLeft, incarnation: m.incarnation, swimIncarnation: m.swimIncarnation, from: m.Index})
-	for range 3 { // memberlist waits for its goodbye to be passed on
+	for range 3 { // memberlist waits until the leave message is sent
 		m.gossip()
 	}
 	m.Kill()
 }
 
-// Pause has the process stand still.
+// Pause suspends the process.
 func (m *Member) Pause() { m.Paused = true }
 
-// Resume has it go on, with all that has come meanwhile.
+// Resume continues the process, which first handles all that arrived while it was paused.
 func (m *Member) Resume() {
 	m.Paused = false
 	backlog := m.backlog
@@ -193,7 +196,7 @@
 	}
 }
 
-// handle hands an event to the table and does what it wants.
+// handle passes an event to the table and carries out the actions that it returns.
 func (m *Member) handle(e fleet.Event) {
 	for _, a := range m.Table.Handle(m.fleet.Kernel.Now(), e) {
 		switch a := a.(type) {
@@ -219,10 +222,11 @@
 	}
 }
 
-// syncPeerCount is how many members are asked for their whole state.
+// syncPeerCount is the least number of members that a sync aims to exchange full state with.
 const syncPeerCount = 3
 
-// sync exchanges whole states with seeds, or with members that are known.
+// sync exchanges full state with the seeds, filled up to syncPeerCount with known members. With skipSeeds it uses known
+// members alone if there are any.
 func (m *Member) sync(skipSeeds bool) {
 	to := slices.Clone(m.seeds)
 	if p, ok := m.pickPeer(nil); skipSeeds && ok {
@@ -252,7 +256,8 @@
 	}
 }
 
-// runOrQueue has a runOrQueue do something, now or when it goes on.
+// runOrQueue runs a callback of a process, or queues it while the process is paused. It does nothing if that process has
+// ended.
 func (m *Member) runOrQueue(generation int, callback func()) {
 	switch {
 	case !m.Up || m.generation != generation:
@@ -263,7 +268,7 @@
 	}
 }
 
-// fullState is a member's whole fullState, as it is exchanged.
+// fullState is what two members exchange in a sync.
 type fullState struct {
 	updates []update
 	shared  fleet.SharedState
@@ -277,7 +282,7 @@
 		case !v.known:
 		case v.state == fleet.Alive && !v.suspected:
 			s.updates = append(s.updates, update{subject: i, kind: updateAlive, incarnation: v.member.Incarnation, swimIncarnation: v.swimIncarnation, member: v.member})
-		case v.state != fleet.Left: // memberlist merges the dead as suspects, so that they can answer
+		case v.state != fleet.Left: // memberlist merges dead members as suspects, so that they can refute it
 			s.updates = append(s.updates, update{subject: i, kind: updateSuspect, incarnation: v.member.Incarnation, swimIncarnation: v.swimIncarnation, from: m.Index})
 		}
 	}
@@ -291,11 +296,11 @@
 	m.handle(fleet.RemoteState{SharedState: s.shared})
 }
 
-// exchangeState swaps whole states with another.
+// exchangeState exchanges full state with another member.
 func (m *Member) exchangeState(to int, done func(ok bool)) {
 	generation, local, peer := m.generation, m.fullState(), m.fleet.Members[to]
 	m.fleet.Net.Call(m.Index, to, syncTimeout, func() func() {
-		if !peer.Up || peer.Paused { // one that stands still accepts and does not answer
+		if !peer.Up || peer.Paused { // a paused process accepts the connection but doesn't answer
 			return nil
 		}
 		remote := peer.fullState()
@@ -304,7 +309,7 @@
 	}, func() { m.runOrQueue(generation, func() { done(false) }) })
 }
 
-// pickPeer draws a member that is not known to be gone.
+// pickPeer picks a random member that is known to be alive and is not in exclude.
 func (m *Member) pickPeer(exclude []int) (int, bool) {
 	for range 3 * len(m.peers) {
 		i := m.rnd.IntN(len(m.peers))
@@ -315,21 +320,23 @@
 	return 0, false
 }
 
+// retransmitScale returns the factor by which the size of the fleet multiplies the transmissions of an update.
 func retransmitScale(n int) float64 { return math.Ceil(math.Log10(float64(n + 1))) }
 
-// queueUpdate queues a piece of news, in place of older news of the same member; what was passed on least goes first.
+// queueUpdate queues an update for gossip in place of an earlier one about the same member. The updates with the fewest
+// transmissions are at the end of the queue and are sent first.
 func (m *Member) queueUpdate(u update) {
 	m.updates = slices.DeleteFunc(m.updates, func(queued update) bool { return queued.subject == u.subject })
 	m.updates = append(m.updates, u)
 }
 
-// sendPacket sends news beside what the sendPacket is for; nil: for the news alone.
+// sendPacket sends a payload with as many queued updates as fit. A nil payload sends the updates alone, if there are any.
 func (m *Member) sendPacket(to int, payload func(peer *Member)) {
 	n := min(len(m.updates), updatesPerPacket)
 	if n == 0 && payload == nil {
 		return
 	}
-	// The newest stand at the end; what has been passed on goes to the front.
+	// The newest updates are at the end; those that were sent go back to the front.
 	sent := slices.Clone(m.updates[len(m.updates)-n:])
 	limit := retransmitMult * int(retransmitScale(m.aliveCount+1))
 	requeued := make([]update, 0, n)
@@ -356,7 +363,7 @@
 	})
 }
 
-// recordContact tells the table that another member was heard, now and then.
+// recordContact passes a MemberContact to the table, at most once in half a tick.
 func (m *Member) recordContact() {
 	if now := m.fleet.Kernel.Now(); now-m.lastContactAt >= tickInterval/2 {
 		m.lastContactAt = now
@@ -364,6 +371,7 @@
 	}
 }
 
+// gossip sends queued updates to gossipNodes random members that are alive, or were lost within gossipToDeadTime.
 func (m *Member) gossip() {
 	if len(m.updates) == 0 {
 		return
@@ -380,7 +388,8 @@
 	}
 }
 
-// probe looks whether the next member of the ring is there.
+// probe checks the next member of the probe order: directly, then through indirectProbes other members. The member becomes
+// a suspect if no acknowledgement arrives within probeInterval.
 func (m *Member) probe() {
 	if len(m.probeOrder) == 0 {
 		for i := range m.peers {
@@ -401,7 +410,7 @@
 	acked, generation, incarnation := false, m.generation, m.peers[i].member.Incarnation
 	ack := func(*Member) { acked = true }
 	answerPing := func(target, prober *Member) {
-		if target.incarnation == incarnation { // a later process of its name does not answer for it
+		if target.incarnation == incarnation { // a later process with the same name doesn't answer for it
 			target.sendPacket(prober.Index, func(prober *Member) {
 				if prober == m {
 					acked = true
@@ -433,7 +442,7 @@
 	})
 }
 
-// applyUpdate takes a piece of news, and passes on what is new.
+// applyUpdate applies an update and, if it is new, queues it for gossip.
 func (m *Member) applyUpdate(u update) {
 	if u.subject == m.Index {
 		m.applyUpdateAboutSelf(u)
@@ -479,7 +488,7 @@
 	m.handle(fleet.MemberGone{Name: v.member.Name, Incarnation: v.member.Incarnation, Left: u.kind == updateLeft})
 }
 
-// applyUpdateAboutSelf answers what is said of this member and is not so, and learns of a later process of its name.
+// applyUpdateAboutSelf refutes a false update about this member, and passes a later process with the same name to the table.
 func (m *Member) applyUpdateAboutSelf(u update) {
 	switch {
 	case u.kind == updateAlive && u.incarnation > m.incarnation:
@@ -490,7 +499,7 @@
 	}
 }
 
-// resetSuspicionTimer sets the time at which a resetSuspicionTimer is taken for dead.
+// resetSuspicionTimer sets the time at which a suspect is declared dead. Each confirmation brings it nearer.
 func (m *Member) resetSuspicionTimer(i int) {
 	v := &m.peers[i]
 	minTimeout := time.Duration(suspicionMult*math.Max(1, math.Log10(math.Max(1, float64(m.aliveCount+1))))*1000) * time.Millisecond
@@ -508,7 +517,7 @@
 	})
 }
 
-// confirmSuspicion takes that another suspects one too.
+// confirmSuspicion records that another member has the same suspicion.
 func (m *Member) confirmSuspicion(i, from int) {
 	v := &m.peers[i]
 	if len(v.suspectedBy) > expectedConfirmations || slices.Contains(v.suspectedBy, from) {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Network carries messages between numbered places: late, and as the faults that are set have it.
+// Network carries messages between numbered members, with random delays and the configured faults.
 type Network struct {
 	kernel        *Kernel
 	rnd           *rand.Rand
-	MinDelay      time.Duration // the least time that a message takes
-	MaxDelay      time.Duration // the most
-	LossRate      float64       // share of the messages that are lost
-	DuplicateRate float64       // share of them that come twice
-	// Partitioned reports that nothing passes from one place to another; nil: all does.
+	MinDelay      time.Duration // shortest delay of a message
+	MaxDelay      time.Duration // longest delay of a message
+	LossRate      float64       // share of packets that are lost
+	DuplicateRate float64       // share of the delivered packets that arrive twice
+	// Partitioned reports whether messages from one member to another are blocked; nil: none are.
 	Partitioned func(from, to int) bool
 
-	Sent, Lost int
+	Sent, Lost int // messages
 }
 
-// NewNetwork makes one without faults.
+// NewNetwork returns a network without faults.
 func NewNetwork(k *Kernel, minDelay, maxDelay time.Duration) *Network {
 	return &Network{kernel: k, rnd: k.RandomStream("network"), MinDelay: minDelay, MaxDelay: maxDelay}
 }
 
-// SendPacket carries one message, once, twice or never.
+// SendPacket sends a datagram, which is lost, delivered, or delivered twice.
 func (n *Network) SendPacket(from, to int, deliver func()) {
 	n.Sent++
 	if n.partitioned(from, to) || n.rnd.Float64() < n.LossRate {
@@ -37,7 +37,9 @@
 	}
 }
 
-// Call carries a question and its answer over a connection, which loses nothing: if either way is cut it fails after a time-out.
+// Call sends a request and its response over a reliable connection. handle runs at the receiver and returns what is to
+// run at the caller when the response arrives, or nil if the receiver doesn't answer. If either direction is blocked, the
+// call fails after the time-out.
 func (n *Network) Call(from, to int, timeout time.Duration, handle func() (reply func()), fail func()) {
 	n.Sent++
 	if n.partitioned(from, to) || n.partitioned(to, from) {
@@ -47,7 +49,7 @@
 	}
 	n.kernel.After(n.delay(), func() {
 		reply := handle()
-		if reply == nil { // nobody listens
+		if reply == nil { // no response
 			n.kernel.After(n.delay(), fail)
 			return
 		}
--- a/internal/simulation/peerinfo.go
+++ b/internal/simulation/peerinfo.go
@@ -8,20 +8,21 @@
 	"sloepick/internal/peerinfo"
 )
 
-// PeerInfoFleet is members that know of each other, each with the program's own table, as internal/gossip runs it.
+// PeerInfoFleet is a fleet whose members exchange peer information. Each member has the program's own table and drives
+// it as internal/gossip does.
 type PeerInfoFleet struct {
 	Kernel       *Kernel
 	Net          *Network
 	Members      []*PeerInfoMember
-	MessagesSent int // messages
+	MessagesSent int
 	BytesSent    int
 
 	config      peerinfo.Config
 	rnd         *rand.Rand
-	publishedAt map[string]time.Duration // of facts, by author and number
+	publishedAt map[string]time.Duration // of records, by versionKey
 }
 
-// PeerInfoMember is one member.
+// PeerInfoMember is a member of a PeerInfoFleet.
 type PeerInfoMember struct {
 	Index int
 	Name  string
@@ -33,7 +34,7 @@
 
 const simulatedTopic peerinfo.Topic = 0
 
-// NewPeerInfoFleet makes members that begin to ask at different times.
+// NewPeerInfoFleet starts n members, each with a random offset of its query interval.
 func NewPeerInfoFleet(k *Kernel, net *Network, conf peerinfo.Config, n int) (*PeerInfoFleet, error) {
 	c := &PeerInfoFleet{Kernel: k, Net: net, config: conf, rnd: k.RandomStream("commons"), publishedAt: map[string]time.Duration{}}
 	for i := range n {
@@ -47,7 +48,7 @@
 	return c, nil
 }
 
-// Start starts a member's process, which knows nothing.
+// Start starts a member's process with an empty table.
 func (c *PeerInfoFleet) Start(m *PeerInfoMember) error {
 	m.incarnation++
 	m.version, m.Up = 0, true
@@ -69,15 +70,15 @@
 	return nil
 }
 
-// Kill ends a member's process.
+// Kill ends a member's process without a message to the others.
 func (c *PeerInfoFleet) Kill(m *PeerInfoMember) { m.Up = false }
 
-// publishAndQuery says what is new of a member, and asks a few others.
+// publishAndQuery publishes a new version of a member's record, and sends a query to Fanout random members.
 func (c *PeerInfoFleet) publishAndQuery(m *PeerInfoMember) {
 	m.version++
 	c.publishedAt[versionKey(m.Name, m.incarnation, m.version)] = c.Kernel.Now()
 	if err := m.Table.Publish(c.Kernel.Now(), simulatedTopic, []byte("hall-a")); err != nil {
-		panic(err) // a value of this size always has room
+		panic(err) // a value of this size always fits
 	}
 	query := m.Table.NextQuery(c.Kernel.Now())
 	for range min(c.config.Fanout, len(c.Members)-1) {
@@ -106,11 +107,12 @@
 	return fmt.Sprint(name, "/", incarnation, "/", version)
 }
 
-// Age is how old a member's news of another one is as it tells it, and as it is; false: it knows nothing.
+// Age returns the age of the record that member m holds of another one: the upper bound that the table reports, and the
+// actual age. It returns false if m has no such record.
 func (c *PeerInfoFleet) Age(m, of *PeerInfoMember) (reported, actual time.Duration, ok bool) {
-	fact, reported, err := m.Table.Lookup(c.Kernel.Now(), of.Name, simulatedTopic, c.config.Retention)
+	record, reported, err := m.Table.Lookup(c.Kernel.Now(), of.Name, simulatedTopic, c.config.Retention)
 	if err != nil {
 		return 0, 0, false
 	}
-	return reported, c.Kernel.Now() - c.publishedAt[versionKey(of.Name, fact.Incarnation, fact.Version)], true
+	return reported, c.Kernel.Now() - c.publishedAt[versionKey(of.Name, record.Incarnation, record.Version)], true
 }
--- a/internal/simulation/quotas.go
+++ b/internal/simulation/quotas.go
@@ -11,46 +11,49 @@
 )
 
 const (
-	serverLatency       = 50 * time.Millisecond // by every server: quotas are what is looked at
-	gatewaysPerServer   = 2                     // gateways a server
+	serverLatency       = 50 * time.Millisecond // same for every server, as only quotas are examined
+	gatewaysPerServer   = 2
 	requestTimeout      = time.Second
-	maxPersistedBuckets = 1 << 16 // customers at once
+	maxPersistedBuckets = 1 << 16 // in one write of a gateway
 )
 
-// Customer is a customer that asks for so many units a second, in requests of so many, at gateways of its set drawn anew for each.
+// Customer is a load generator: it requests Rate units a second on average, in requests of UnitsPerRequest units at random
+// intervals, each at a random gateway of its set.
 type Customer struct {
 	ID, Plan                   string
 	Rate, UnitsPerRequest      float64
 	FirstGateway, GatewayCount int
 }
 
-// CustomerTotals is what all gateways together let in of a customer, held to the bucket that one gateway would keep which saw all.
+// CustomerTotals counts what all gateways together admitted of a customer, and compares it with an exact bucket: the one
+// that a single gateway would keep if it received all requests.
 type CustomerTotals struct {
-	Requested, Admitted float64 // units
-	AdmittedOverQuota   float64 // of those sent: beyond the quota as it stood
-	RefusedWithRoom     float64 // of those refused: half of the burst or more was unused
+	Requested, Admitted float64 // units, as in the fields below
+	AdmittedOverQuota   float64 // part of Admitted that the exact bucket had no room for
+	RefusedWithRoom     float64 // refused while half of the burst or more was available
 
-	available float64 // unused
+	available float64 // units in the exact bucket
 	updatedAt time.Duration
 }
 
-// QuotaFleet is many gateways' decision modules, the messages between them, and customers. Servers answer at once and lose nothing.
+// QuotaFleet is the decision modules of many gateways, the messages between them, and their customers. Every server answers
+// every request successfully after serverLatency.
 type QuotaFleet struct {
 	Kernel *Kernel
 	Net    *Network
 	Totals map[string]*CustomerTotals // by customer
 
-	IntakeDrops  int           // messages that came to a gateway faster than it takes them in
-	MessagesSent int           // messages sent
-	TotalWait    time.Duration // of all requests, for homes' words
-	Requests     int           // requests
+	IntakeDrops  int           // messages dropped because they arrived faster than PeerIntake
+	MessagesSent int           // between gateways, including those dropped or lost
+	TotalWait    time.Duration // of all requests, for answers from coordinators
+	Requests     int
 
 	config      decide.Config
 	plans       map[string]*decide.Plan
 	gateways    []*decide.Gateway
 	intake      []intakeLimiter
-	generations []int                              // of each gateway's process: what was set for a former one is void
-	persisted   []map[uint64]decide.BucketSnapshot // what each has kept; nil: nothing is
+	generations []int                              // number of each gateway's process; timers and responses of an earlier one are ignored
+	persisted   []map[uint64]decide.BucketSnapshot // buckets on each gateway's disk, by key; nil: nothing is persisted
 	moduleSeeds *rand.Rand
 	servers     []decide.Server
 	pending     map[string]*pendingRequest
@@ -62,7 +65,7 @@
 	issuedAt time.Duration
 }
 
-// intakeLimiter drops what comes faster than a rate, with a second's worth at once.
+// intakeLimiter is a leaky bucket that limits the messages a gateway accepts to a rate, with a burst of one second's worth.
 type intakeLimiter struct {
 	level     float64
 	updatedAt time.Duration
@@ -78,7 +81,7 @@
 	return true
 }
 
-// NewQuotaFleet makes so many gateways of a configuration, whose number and rank it sets.
+// NewQuotaFleet starts n gateways with a configuration, in which it sets Gateways and Rank.
 func NewQuotaFleet(k *Kernel, net *Network, conf decide.Config, n int) (*QuotaFleet, error) {
 	conf.Gateways = n
 	q := &QuotaFleet{Kernel: k, Net: net, Totals: map[string]*CustomerTotals{}, config: conf, plans: map[string]*decide.Plan{}, intake: make([]intakeLimiter, n),
@@ -97,7 +100,7 @@
 	return q, nil
 }
 
-// startGateway begins a gateway's process.
+// startGateway starts a gateway's process.
 func (q *QuotaFleet) startGateway(i int) error {
 	conf := q.config
 	conf.Rank = i
@@ -111,7 +114,7 @@
 	return nil
 }
 
-// PersistBuckets has every gateway keep what changed, so often.
+// PersistBuckets makes every gateway write its changed buckets to its disk at an interval.
 func (q *QuotaFleet) PersistBuckets(interval time.Duration) {
 	q.persisted = make([]map[uint64]decide.BucketSnapshot, len(q.gateways))
 	for i := range q.gateways {
@@ -125,8 +128,8 @@
 	}
 }
 
-// PowerLoss ends all gateways at once and starts them again at once, with what their disks hold if they have any: nothing has leaked
-// meanwhile, as time stands still.
+// PowerLoss restarts all gateways at the same time, with the buckets on their disks if they persist any. No virtual time
+// passes, so nothing leaks from the buckets in between.
 func (q *QuotaFleet) PowerLoss() error {
 	for i := range q.gateways {
 		if err := q.startGateway(i); err != nil {
@@ -143,7 +146,7 @@
 	return nil
 }
 
-// AddCustomer has a customer ask from now on.
+// AddCustomer adds a customer, whose bucket is unused, and starts its requests.
 func (q *QuotaFleet) AddCustomer(c Customer) {
 	p := q.plans[c.Plan]
 	q.Totals[c.ID] = &CustomerTotals{available: p.Burst, updatedAt: q.Kernel.Now()}
@@ -169,7 +172,7 @@
 		FirstGateway: c.FirstGateway, GatewayCount: c.GatewayCount})
 }
 
-// handle hands a module an event and does what it wants.
+// handle passes an event to a gateway's module and carries out the actions that it returns.
 func (q *QuotaFleet) handle(i int, ev decide.Event) {
 	generation := q.generations[i]
 	for _, act := range q.gateways[i].Handle(q.Kernel.Now(), ev) {
@@ -203,7 +206,7 @@
 	}
 }
 
-// recordResult holds what became of a request to the customer's true bucket.
+// recordResult compares the decision on a request with the customer's exact bucket and adds it to the totals.
 func (q *QuotaFleet) recordResult(id string, admitted bool) {
 	request := q.pending[id]
 	if request == nil {
