--- a/internal/simulation/election_test.go
+++ b/internal/simulation/election_test.go
@@ -10,8 +10,8 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// TestElectionFailover plays 20 and 200 members, 2,000 with -large, with ten duties: owners are killed and come back fifty times under 5 % of
-// loss. No two own a duty at a time, and each goes on elsewhere within the stated time.
+// TestElectionFailover simulates 20 and 200 members, 2,000 with -large, with ten duties and 5 % packet loss. Owners are
+// killed and restarted fifty times. No duty may have two owners at once, and each must have a new owner within four leases.
 func TestElectionFailover(t *testing.T) {
 	for _, n := range fleetSizes(20, 200) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -43,18 +43,18 @@
 		}
 		if previous := ownerOf[duty]; previous != nil && previous != m && previous.Up {
 			if _, ok := previous.Table.MayAct(k.Now(), duty); ok {
-				t.Errorf("%s is owned by two at %v", duty, k.Now())
+				t.Errorf("%s has two owners at %v", duty, k.Now())
 			}
 		}
 		number, _ := m.Table.MayAct(k.Now(), duty)
 		if number <= fencing[duty] {
-			t.Errorf("%s is owned under %d after %d", duty, number, fencing[duty])
+			t.Errorf("%s was acquired with number %d after number %d", duty, number, fencing[duty])
 		}
 		ownerOf[duty], fencing[duty] = m, number
 	}
 	k.RunUntil(startTime + 30*time.Second)
 	if len(ownerOf) != duties {
-		t.Fatalf("%d of %d duties are owned", len(ownerOf), duties)
+		t.Fatalf("%d of %d duties have an owner", len(ownerOf), duties)
 	}
 	sentBefore := o.MessagesSent
 	k.RunUntil(k.Now() + time.Minute)
@@ -62,14 +62,14 @@
 	for _, m := range ownerOf {
 		distinctOwners[m] = true
 	}
-	t.Logf("%d members, %d duties by %d owners: %.1f messages a second of the whole fleet at rest", n, duties, len(distinctOwners), float64(o.MessagesSent-sentBefore)/60)
+	t.Logf("%d members, %d duties of %d owners: %.1f messages per second in the whole fleet when idle", n, duties, len(distinctOwners), float64(o.MessagesSent-sentBefore)/60)
 
 	var ownerless []time.Duration
 	for i := range kills {
 		duty := conf.Duties[i%duties]
 		owner := ownerOf[duty]
 		if owner == nil {
-			t.Fatalf("nobody owns %s", duty)
+			t.Fatalf("%s has no owner", duty)
 		}
 		killedAt, number := k.Now(), fencing[duty]
 		o.Kill(owner)
@@ -84,17 +84,17 @@
 	}
 	testVoterReplacement(t, o, duties, fencing)
 	slices.Sort(ownerless)
-	t.Logf("without an owner after a death: %v in the middle, %v at worst", ownerless[kills/2], ownerless[kills-1])
+	t.Logf("time without an owner after a kill: median %v, maximum %v", ownerless[kills/2], ownerless[kills-1])
 	if len(distinctOwners) < 3 {
-		t.Errorf("%d duties are done by %d members", duties, len(distinctOwners))
+		t.Errorf("%d duties are spread over %d members, want 3 at least", duties, len(distinctOwners))
 	}
 	if limit := 4 * conf.Lease; ownerless[kills-1] > limit {
-		t.Errorf("without an owner for %v after a death, want %v at most", ownerless[kills-1], limit)
+		t.Errorf("a duty had no owner for %v after a kill, want %v at most", ownerless[kills-1], limit)
 	}
 }
 
-// testVoterReplacement kills three voters one after the other, each when all knew that the one before was replaced, and then a majority of them at once:
-// the duties are owned on or again, after the places were given up at the latest.
+// testVoterReplacement kills three voters, each after the one before was replaced, and then a majority of the voters at
+// once. All duties must keep an owner or get one again, at the latest after the slots of the killed members were released.
 func testVoterReplacement(t *testing.T, o *ElectionFleet, duties int, fencing map[string]uint64) {
 	t.Helper()
 	observer := o.Members[len(o.Members)-1]
@@ -117,7 +117,7 @@
 				return o.Kernel.Now() - began
 			}
 			if o.Kernel.Now()-began > timeout {
-				t.Fatalf("not within %v: %s", timeout, description)
+				t.Fatalf("condition not met within %v: %s", timeout, description)
 			}
 		}
 	}
@@ -126,18 +126,18 @@
 		voter := o.Members[observer.Table.Electorate().Voters[1]]
 		sentBefore := o.MessagesSent
 		o.Kill(voter)
-		durations = append(durations, waitFor("a voter is replaced", 2*time.Minute, func() bool { return !isVoter(voter) }))
-		t.Logf("a voter died and was replaced %v later; %d messages of all members meanwhile", durations[len(durations)-1], o.MessagesSent-sentBefore)
-		o.Kernel.RunUntil(o.Kernel.Now() + 10*time.Second) // the new one abstains
+		durations = append(durations, waitFor("replacement of a voter", 2*time.Minute, func() bool { return !isVoter(voter) }))
+		t.Logf("a voter was killed and replaced %v later; all members sent %d messages meanwhile", durations[len(durations)-1], o.MessagesSent-sentBefore)
+		o.Kernel.RunUntil(o.Kernel.Now() + 10*time.Second) // a new voter abstains at first
 	}
-	waitFor("all is owned", time.Minute, allOwned)
+	waitFor("an owner for every duty", time.Minute, allOwned)
 	killed := o.Members[:0:0]
 	for _, slot := range observer.Table.Electorate().Voters[:3] {
 		killed = append(killed, o.Members[slot])
 		o.Kill(o.Members[slot])
 	}
-	durations = append(durations, waitFor("others vote and all is owned", o.ReservationPeriod+2*time.Minute, func() bool {
+	durations = append(durations, waitFor("replacement of the voters and an owner for every duty", o.ReservationPeriod+2*time.Minute, func() bool {
 		return allOwned() && !slices.ContainsFunc(killed, isVoter)
 	}))
-	t.Logf("three of five voters died at once: all is owned again %v later", durations[len(durations)-1])
+	t.Logf("three of five voters were killed at once: all duties had owners again %v later", durations[len(durations)-1])
 }
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -11,12 +11,13 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-var large = flag.Bool("large", false, "play fleets of 600 and 2,000 members too")
+var large = flag.Bool("large", false, "also simulate fleets of 600 and 2,000 members")
 
 const startTime = time.Hour
 
-// fleetSizes are the numbers of members that are played: the first of those named alone with -short, as under the race detector, which makes
-// virtual time ten times as dear and finds nothing in one goroutine; 2,000, and those beyond the second, with -large alone.
+// fleetSizes returns the fleet sizes to simulate: the first of list with -short, the first two without, all of them and
+// 2,000 with -large. -short is used with the race detector, under which a simulation takes ten times as long, and which
+// finds nothing in a single goroutine.
 func fleetSizes(list ...int) []int {
 	switch {
 	case *large:
@@ -27,13 +28,13 @@
 	return list[:2]
 }
 
-// harness is a fleet under watch: no place may be used by two for longer than it takes to hear of it.
+// harness is a fleet with a record of which members use each slot. No slot may be used by two members at once.
 type harness struct {
 	t               *testing.T
 	f               *Fleet
-	holders         map[int][]*Member // by place
+	holders         map[int][]*Member // by slot
 	conflictSince   map[int]time.Duration
-	longestConflict time.Duration // for which a place was used by two
+	longestConflict time.Duration // longest time for which two members used one slot
 }
 
 func newHarness(t *testing.T, seed uint64, n int) *harness {
@@ -49,6 +50,7 @@
 	return h
 }
 
+// recordAssignment updates the users of all slots after a change of a member's assignment.
 func (h *harness) recordAssignment(m *Member, a fleet.Assignment) {
 	now := h.f.Kernel.Now()
 	for slot, members := range h.holders {
@@ -66,7 +68,7 @@
 	}
 }
 
-// startAll starts all members within a second, by one seed.
+// startAll starts all members at random times within a second. They join through the first one.
 func (h *harness) startAll() {
 	rnd := h.f.Kernel.RandomStream("joins")
 	for i, m := range h.f.Members {
@@ -80,26 +82,27 @@
 	}
 }
 
-// waitFor runs waitFor something holds, and tells how long that took.
+// waitFor runs the simulation until a condition holds and returns the virtual time that this took.
 func (h *harness) waitFor(description string, timeout time.Duration, condition func() bool) time.Duration {
 	h.t.Helper()
 	began := h.f.Kernel.Now()
 	for !condition() {
 		if h.f.Kernel.Now()-began > timeout {
 			h.logUnassigned()
-			h.t.Fatalf("%s: not within %v", description, timeout)
+			h.t.Fatalf("%s: condition not met within %v", description, timeout)
 		}
 		h.f.Kernel.RunUntil(h.f.Kernel.Now() + 50*time.Millisecond)
 	}
 	return h.f.Kernel.Now() - began
 }
 
+// logUnassigned logs up to five running members that are isolated or have no slot.
 func (h *harness) logUnassigned() {
 	logged := 0
 	for _, m := range h.f.Members {
 		if s := m.Table.Assignment(); m.Up && (s.Slot < 0 || s.Isolated) && logged < 5 {
 			logged++
-			h.t.Logf("%s: place %d, alone %v, %d rows", m.name, s.Slot, s.Isolated, len(m.Table.Members()))
+			h.t.Logf("%s: slot %d, isolated %v, %d members known", m.name, s.Slot, s.Isolated, len(m.Table.Members()))
 		}
 	}
 }
@@ -113,7 +116,7 @@
 	return all
 }
 
-// converged reports that all members that are up have a place of their own and the same table.
+// converged reports whether all running members have a slot of their own and list the same holders of slots.
 func (h *harness) converged() bool {
 	var first []fleet.Holder
 	for _, m := range h.running() {
@@ -128,7 +131,7 @@
 	return first != nil
 }
 
-// allConsiderLost reports that all of some members know that one is allConsiderLost.
+// allConsiderLost reports whether no observer lists the named member as alive.
 func allConsiderLost(observers []*Member, name string) bool {
 	return !slices.ContainsFunc(observers, func(m *Member) bool {
 		state, known := m.Table.MemberState(name)
@@ -136,7 +139,8 @@
 	})
 }
 
-// TestMembership plays what happens to fleets. The times are bounds of a plain run; -large adds 600 and 2,000 members.
+// TestMembership puts fleets through joins, deaths, restarts, a power loss, partitions, a paused process, a leave and packet
+// loss, and checks that they converge in time and never use a slot twice. -large adds 600 and 2,000 members.
 func TestMembership(t *testing.T) {
 	for _, n := range fleetSizes(20, 200, 600) {
 		seedList := []uint64{1}
@@ -152,25 +156,25 @@
 func testMembership(t *testing.T, seed uint64, n int) {
 	h := newHarness(t, seed, n)
 	h.startAll()
-	t.Logf("all placed and agreed %v after the first start", h.waitFor("joining", 5*time.Minute, h.converged))
+	t.Logf("all members have slots and agree %v after the first start", h.waitFor("initial join", 5*time.Minute, h.converged))
 
 	h.f.Kernel.RunUntil(h.f.Kernel.Now() + 30*time.Second)
 	packetsBefore := h.f.PacketsSent
 	h.f.Kernel.RunUntil(h.f.Kernel.Now() + 20*time.Second)
-	t.Logf("%.1f packets a member and second at rest", float64(h.f.PacketsSent-packetsBefore)/20/float64(n))
+	t.Logf("%.1f packets per member and second when idle", float64(h.f.PacketsSent-packetsBefore)/20/float64(n))
 
 	killed := h.f.Members[n/2]
 	survivors := slices.DeleteFunc(h.running(), func(m *Member) bool { return m == killed })
 	killed.Kill()
-	firstNotice := h.waitFor("the first to know", time.Minute, func() bool {
+	firstNotice := h.waitFor("detection by the first member", time.Minute, func() bool {
 		return slices.ContainsFunc(survivors, func(m *Member) bool { return allConsiderLost([]*Member{m}, killed.name) })
 	})
-	t.Logf("a death noticed after %v, known to all %v later", firstNotice, h.waitFor("all to know", 30*time.Second, func() bool { return allConsiderLost(survivors, killed.name) }))
+	t.Logf("a failure was detected after %v and known to all members %v later", firstNotice, h.waitFor("detection by all members", 30*time.Second, func() bool { return allConsiderLost(survivors, killed.name) }))
 	slot := killed.LastClaim.Slot
 	killed.Start(0)
-	t.Logf("back in its place after %v", h.waitFor("coming back", 30*time.Second, h.converged))
+	t.Logf("the restarted member had its slot again after %v", h.waitFor("restart of one member", 30*time.Second, h.converged))
 	if killed.LastClaim.Slot != slot {
-		t.Errorf("it held place %d and came back to %d", slot, killed.LastClaim.Slot)
+		t.Errorf("the restarted member held slot %d before and %d after", slot, killed.LastClaim.Slot)
 	}
 
 	slots := map[*Member]int{}
@@ -181,14 +185,14 @@
 	for m := range slots {
 		h.f.Kernel.After(500*time.Millisecond, func() { m.Start(0, 1) })
 	}
-	t.Logf("half restarted at once, all in their places after %v", h.waitFor("half restarting", time.Minute, func() bool { return len(h.running()) == n && h.converged() }))
+	t.Logf("half of the members restarted at once; all had their slots again after %v", h.waitFor("restart of half the members", time.Minute, func() bool { return len(h.running()) == n && h.converged() }))
 	for m, slot := range slots {
 		if m.LastClaim.Slot != slot {
-			t.Errorf("%s held place %d and came back to %d", m.name, slot, m.LastClaim.Slot)
+			t.Errorf("%s held slot %d before the restart and %d after", m.name, slot, m.LastClaim.Slot)
 		}
 	}
 
-	h.f.Kernel.RunUntil(h.f.Kernel.Now() + 10*time.Second) // until the engines too know all new processes
+	h.f.Kernel.RunUntil(h.f.Kernel.Now() + 10*time.Second) // until the membership engines know all new processes, too
 	h.testPowerLoss()
 	h.f.Kernel.RunUntil(h.f.Kernel.Now() + 10*time.Second)
 	h.testPartition(n / 2)
@@ -206,27 +210,28 @@
 	paused.Resume()
 	h.f.Kernel.RunUntil(h.f.Kernel.Now() + tickInterval)
 	if len(slotsAfterResume) == 0 || slotsAfterResume[0] >= 0 {
-		t.Errorf("it went on as if it had not stood still: %v", slotsAfterResume)
+		t.Errorf("the resumed member did not give up its slot first; its slots: %v", slotsAfterResume)
 	}
-	t.Logf("one that stood still for 10 s is in its place again after %v", h.waitFor("waking", 30*time.Second, h.converged))
+	t.Logf("a member paused for 10 s had its slot again after %v", h.waitFor("resume after a pause", 30*time.Second, h.converged))
 
 	leaver := h.f.Members[n/4]
 	leaver.Leave()
-	t.Logf("a goodbye known to all after %v", h.waitFor("a goodbye", 10*time.Second, func() bool { return h.noneConsiderAlive(leaver.name) }))
+	t.Logf("a leave was known to all members after %v", h.waitFor("leave", 10*time.Second, func() bool { return h.noneConsiderAlive(leaver.name) }))
 	leaver.Start(0)
-	h.waitFor("coming back from a goodbye", 30*time.Second, h.converged)
+	h.waitFor("restart after a leave", 30*time.Second, h.converged)
 
 	h.f.Net.LossRate, h.f.Net.DuplicateRate = 0.1, 0.05
 	h.f.Kernel.RunUntil(h.f.Kernel.Now() + time.Minute)
 	h.f.Net.LossRate, h.f.Net.DuplicateRate = 0, 0
-	t.Logf("after a minute of 10%% loss and 5%% doubling all agree after %v", h.waitFor("after loss", 30*time.Second, h.converged))
+	t.Logf("after a minute of 10%% packet loss and 5%% duplicates all members agree within %v", h.waitFor("recovery from packet loss", 30*time.Second, h.converged))
 	if h.longestConflict > 0 {
-		t.Errorf("a place was used by two for %v", h.longestConflict)
+		t.Errorf("two members used one slot for %v", h.longestConflict)
 	}
 }
 
-// testPowerLoss has all members lose their power at once and come back within a second, a tenth of them without a disk and so without a
-// claim: those with one are in their places, and nobody's place is used by two.
+// testPowerLoss ends all members at once and restarts them within a second, a tenth of them without a disk and so without
+// their last claim. The members with a claim must get their slots back, and recordAssignment checks that no slot is used by
+// two.
 func (h *harness) testPowerLoss() {
 	h.t.Helper()
 	n := len(h.f.Members)
@@ -241,24 +246,24 @@
 	for _, m := range h.f.Members {
 		h.f.Kernel.After(time.Duration(rnd.Int64N(int64(time.Second))), func() { m.Start(0, 1) })
 	}
-	took := h.waitFor("coming back from a loss of power", time.Minute, func() bool { return len(h.running()) == n && h.converged() })
-	h.t.Logf("power lost everywhere: all agree after %v, by %.0f packets a member and second", took, float64(h.f.PacketsSent-packetsBefore)/took.Seconds()/float64(n))
+	took := h.waitFor("recovery from the power loss", time.Minute, func() bool { return len(h.running()) == n && h.converged() })
+	h.t.Logf("all members lost power: all agree after %v, with %.0f packets per member and second", took, float64(h.f.PacketsSent-packetsBefore)/took.Seconds()/float64(n))
 	for m, slot := range slots {
 		if slot >= 0 && m.LastClaim.Slot != slot {
-			h.t.Errorf("%s held place %d and came back to %d", m.name, slot, m.LastClaim.Slot)
+			h.t.Errorf("%s held slot %d before the power loss and %d after", m.name, slot, m.LastClaim.Slot)
 		}
 	}
 }
 
-// noneConsiderAlive reports that nobody takes a name for a holder.
+// noneConsiderAlive reports whether no running member lists the named one as an alive holder of a slot.
 func (h *harness) noneConsiderAlive(name string) bool {
 	return !slices.ContainsFunc(h.running(), func(m *Member) bool {
 		return slices.ContainsFunc(m.Table.Assignment().Holders, func(holder fleet.Holder) bool { return holder.Name == name && holder.State == fleet.Alive })
 	})
 }
 
-// testPartition cuts a fleet in two, has members on both sides start anew, and heals it: the side without a majority knows it, and nobody
-// gets a place that another may have.
+// testPartition splits the fleet in two before the member with index boundary, and heals it. The side without a majority,
+// or both sides if they are equal, must notice that it is isolated, and no member may give up its slot within its lease.
 func (h *harness) testPartition(boundary int) {
 	h.t.Helper()
 	n := len(h.f.Members)
@@ -267,15 +272,15 @@
 	if 2*boundary == n {
 		minority = h.f.Members
 	}
-	took := h.waitFor("knowing of the cut", 5*time.Minute, func() bool {
+	took := h.waitFor("detection of the partition", 5*time.Minute, func() bool {
 		return !slices.ContainsFunc(minority, func(m *Member) bool { return !m.Table.Assignment().Isolated })
 	})
 	h.f.Kernel.RunUntil(h.f.Kernel.Now() + 20*time.Second)
 	for _, m := range h.f.Members {
 		if s := m.Table.Assignment(); s.Slot < 0 {
-			h.t.Errorf("%s gave its place up within its lease", m.name)
+			h.t.Errorf("%s gave up its slot within its lease", m.name)
 		}
 	}
 	h.f.Net.Partitioned = nil
-	h.t.Logf("cut %d to %d: known after %v, healed after %v", boundary, n-boundary, took, h.waitFor("healing", 2*time.Minute, h.converged))
+	h.t.Logf("partition of %d and %d members: detected after %v, healed after %v", boundary, n-boundary, took, h.waitFor("healing of the partition", 2*time.Minute, h.converged))
 }
--- a/internal/simulation/peerinfo_test.go
+++ b/internal/simulation/peerinfo_test.go
@@ -10,8 +10,9 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// TestPeerInfoStaleness plays 20 and 300 members, 2,000 with -large, under 5 % of loss, delays of up to 40 ms, a cut of 4 s in two halves, and
-// the restart of a third: no age is told younger than it is, and while all hear each other none is older than peerinfo.Config.StalenessBound.
+// TestPeerInfoStaleness simulates 20 and 300 members, 2,000 with -large, with 5 % packet loss, delays of up to 40 ms, a
+// partition into halves for 4 s, and the restart of a third. No record may be reported younger than it is, and none
+// may be older than peerinfo.Config.StalenessBound, plus the partition's duration during and after it.
 func TestPeerInfoStaleness(t *testing.T) {
 	for _, n := range fleetSizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -46,10 +47,10 @@
 					}
 					reported, actual, ok := c.Age(m, subject)
 					if ok && reported < actual {
-						t.Fatalf("%s: %s tells %s's news as %v old; it is %v", phase, m.Name, subject.Name, reported, actual)
+						t.Fatalf("%s: %s reports the record of %s as %v old; it is %v old", phase, m.Name, subject.Name, reported, actual)
 					}
 					if !ok || reported > maxAge {
-						t.Fatalf("%s: %s knows %s's news as of %v ago (%v), more than %v", phase, m.Name, subject.Name, reported, ok, maxAge)
+						t.Fatalf("%s: %s has a record of %s that is %v old (found: %v), want %v at most", phase, m.Name, subject.Name, reported, ok, maxAge)
 					}
 					ages = append(ages, reported)
 				}
@@ -57,16 +58,16 @@
 		}
 		slices.Sort(ages)
 		memberSeconds := float64(n) * duration.Seconds()
-		t.Logf("%d members, %s: news %v old in the middle, %v at the 99th of 100, %v at most, bound %v; %.1f messages and %.1f KB a member and second", n, phase,
+		t.Logf("%d members, %s: age of records: median %v, 99th percentile %v, maximum %v, bound %v; %.1f messages and %.1f KB per member and second", n, phase,
 			ages[len(ages)/2].Round(time.Millisecond), ages[len(ages)*99/100].Round(time.Millisecond), ages[len(ages)-1].Round(time.Millisecond), maxAge.Round(time.Millisecond),
 			float64(c.MessagesSent-sentBefore)/memberSeconds, float64(c.BytesSent-bytesBefore)/memberSeconds/1000)
 	}
 	k.RunUntil(k.Now() + bound)
-	check("in peace", partitionDuration, bound)
+	check("without faults", partitionDuration, bound)
 	net.Partitioned = func(a, b int) bool { return (a < n/2) != (b < n/2) }
-	check("cut in two", partitionDuration, bound+partitionDuration)
+	check("during the partition", partitionDuration, bound+partitionDuration)
 	net.Partitioned = nil
-	check("after it", partitionDuration, bound+partitionDuration)
+	check("after the partition", partitionDuration, bound+partitionDuration)
 	for _, m := range c.Members[:n/3] {
 		c.Kill(m)
 		if err := c.Start(m); err != nil {
@@ -74,5 +75,5 @@
 		}
 	}
 	k.RunUntil(k.Now() + bound)
-	check("after the restart of a third", partitionDuration, bound)
+	check("after the restart of a third of the members", partitionDuration, bound)
 }
--- a/internal/simulation/quotas_test.go
+++ b/internal/simulation/quotas_test.go
@@ -18,8 +18,8 @@
 		Safety: decide.Safety{AnswerSlack: 16 * time.Millisecond, ColdCapacity: 0.2, ColdDuration: 10 * time.Second, OverloadFactor: 4, OverloadWindow: time.Second}}
 }
 
-// newLoadedFleet is a fleet of so many gateways, of whose customers one in ten asks for three times its rate and the others for a third
-// of it. On average a gateway sees four units a second.
+// newLoadedFleet returns a fleet of n gateways and its customers. About one customer in ten requests three times its rate, the
+// others a third of it. On average a gateway gets four units a second.
 func newLoadedFleet(t *testing.T, seed uint64, n int) (*QuotaFleet, map[string]Customer) {
 	t.Helper()
 	k := NewKernel(seed, startTime)
@@ -34,7 +34,7 @@
 	for i := 0; totalRate < 4*float64(n); i++ {
 		p := q.plans[[]string{"basic", "basic", "basic", "standard", "network"}[i%5]]
 		c := Customer{ID: fmt.Sprintf("c%05d", i), Plan: p.Name, UnitsPerRequest: 2, Rate: p.Rate / 3, FirstGateway: i % n, GatewayCount: n - n/3}
-		if i%10 == 3 || i%50 == 4 { // of standard, and of network a tenth
+		if i%10 == 3 || i%50 == 4 { // half of those on standard, a tenth of those on network
 			c.Rate = 3 * p.Rate
 		}
 		totalRate += c.Rate
@@ -44,9 +44,11 @@
 	return q, customers
 }
 
-// quotaStats is what those who flood and those who do not got.
+// quotaStats sums what customers got, in units: those that keep within their quotas (compliant) and the over-quota ones,
+// with their entitlement and what they got in excess of it.
 type quotaStats struct{ compliantRequested, compliantAdmitted, excess, entitled float64 }
 
+// stats returns the sums since the start. entitled is what the over-quota customers' rates allow in the given duration.
 func (q *QuotaFleet) stats(customers map[string]Customer, duration time.Duration) (s quotaStats) {
 	for id, c := range customers {
 		totals, p := q.Totals[id], q.plans[c.Plan]
@@ -61,8 +63,9 @@
 	return s
 }
 
-// TestQuotasAcrossGateways plays 20 and 300 gateways, 2,000 with -large: what is let in beyond quotas, what is refused of those who
-// keep to theirs, and what it costs in messages do not grow with their number; nor do they get out of hand while nobody hears another.
+// TestQuotasAcrossGateways simulates 20 and 300 gateways, 2,000 with -large. What is admitted beyond quotas, what is
+// refused to compliant customers, and the number of messages must not grow with the number of gateways, and must stay
+// bounded while all gateways are isolated.
 func TestQuotasAcrossGateways(t *testing.T) {
 	for _, n := range fleetSizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -80,29 +83,30 @@
 		excess := (s.excess - before.excess) / s.entitled
 		admitted := (s.compliantAdmitted - before.compliantAdmitted) / (s.compliantRequested - before.compliantRequested)
 		messageRate := float64(q.MessagesSent-sentBefore) / duration.Seconds() / float64(n)
-		t.Logf("%d gateways, %s: floods %.3f of their quotas beyond them, %.3f of the others' let in, %.1f messages a second and gateway, %.3f of them too many, %v waited a request",
+		t.Logf("%d gateways, %s: over-quota customers got %.3f of their quotas in excess, %.3f of compliant requests admitted, %.1f messages per second and gateway, %.3f of them dropped, mean wait of a request %v",
 			n, name, excess, admitted, messageRate, float64(q.IntakeDrops-dropsBefore)/float64(max(1, q.MessagesSent-sentBefore)), (q.TotalWait-waitBefore)/time.Duration(q.Requests-requestsBefore))
 		if excess > maxExcess || admitted < minAdmitted {
-			t.Errorf("%s: %.3f beyond quotas, %.3f let in of others'; want %v at most and %v at least", name, excess, admitted, maxExcess, minAdmitted)
+			t.Errorf("%s: %.3f beyond quotas, %.3f of compliant requests admitted; want %v at most and %v at least", name, excess, admitted, maxExcess, minAdmitted)
 		}
 		if messageRate > q.config.PeerIntake {
-			t.Errorf("%s: %.1f messages a second and gateway", name, messageRate)
+			t.Errorf("%s: %.1f messages per second and gateway, more than PeerIntake", name, messageRate)
 		}
 	}
 	runPhase("after the start", 6*time.Second, 0.3, 0.8)
-	runPhase("in peace", 6*time.Second, 0.05, 0.95)
+	runPhase("without faults", 6*time.Second, 0.05, 0.95)
 	q.Net.Partitioned = func(from, to int) bool { return true }
 	isolatedMaxExcess := 0.5
 	if n > 300 {
-		isolatedMaxExcess = 1.5 // floods are not told to that many in the time before
+		isolatedMaxExcess = 1.5 // the phases before are too short to report over-quota customers to that many gateways
 	}
-	runPhase("nobody hears another", 6*time.Second, isolatedMaxExcess, 0.9)
+	runPhase("all gateways isolated", 6*time.Second, isolatedMaxExcess, 0.9)
 	q.Net.Partitioned = nil
-	runPhase("words come again", 6*time.Second, 0.4, 0.9)
+	runPhase("after the isolation", 6*time.Second, 0.4, 0.9)
 }
 
-// TestQuotasAfterPowerLoss plays 20 and 300 gateways, 2,000 with -large, that all lose their power three times, two seconds apart: with what
-// their disks hold, floods get little more beyond their quotas than in peace; without, they get part of a burst at each loss.
+// TestQuotasAfterPowerLoss simulates 20 and 300 gateways, 2,000 with -large, that all lose power three times, two seconds
+// apart. With persisted buckets, over-quota customers may get little more beyond their quotas than without faults. Without
+// them, they get part of a burst at each loss.
 func TestQuotasAfterPowerLoss(t *testing.T) {
 	for _, n := range fleetSizes(20, 300) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -111,18 +115,18 @@
 				for _, persist := range []bool{false, true} {
 					excess[persist], admitted[persist] = testQuotasAfterPowerLoss(t, seed, n, persist)
 				}
-				t.Logf("%d gateways: floods got %.2f bursts beyond their quotas at a loss, %.2f with disks; others %.2f and %.2f of what they asked",
+				t.Logf("%d gateways: over-quota customers got %.2f bursts in excess per power loss without persisted buckets, %.2f with them; %.2f and %.2f of compliant requests admitted",
 					n, excess[false], excess[true], admitted[false], admitted[true])
 				if excess[true] > 0.5*excess[false] || excess[true] > 0.2 || admitted[true] < 0.8 {
-					t.Errorf("with disks floods got %.2f bursts, without %.2f; others %.2f", excess[true], excess[false], admitted[true])
+					t.Errorf("over-quota customers got %.2f bursts in excess with persisted buckets, %.2f without; %.2f of compliant requests admitted with them", excess[true], excess[false], admitted[true])
 				}
 			})
 		})
 	}
 }
 
-// testQuotasAfterPowerLoss is how many bursts more those who flood got at a loss than in as long a time of peace, and the share of what others
-// asked that was let in.
+// testQuotasAfterPowerLoss returns how many bursts more the over-quota customers got in excess per power loss than in an
+// equally long time without faults, and the admitted share of the compliant customers' requests.
 func testQuotasAfterPowerLoss(t *testing.T, seed uint64, n int, persist bool) (excess, admitted float64) {
 	const outages, interval = 3, 2 * time.Second
 	q, customers := newLoadedFleet(t, seed, n)
