--- a/cmd/sloectl/files.go
+++ b/cmd/sloectl/files.go
@@ -192,7 +192,7 @@
 	if !flags(newFlags("doc"), args, errs, 0, 0) {
 		return exitTrouble
 	}
-	io.WriteString(out, blocks.Schema().Doc())
+	io.WriteString(out, blocks.Schema().ReferencePage())
 	return exitOK
 }
 
@@ -241,8 +241,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > sloe.FileMost {
-		return nil, nil, fmt.Errorf("%s is no ordinary file of %d KiB at most", name, sloe.FileMost>>10)
+	if !info.Mode().IsRegular() || info.Size() > sloe.MaxFileSize {
+		return nil, nil, fmt.Errorf("%s is no ordinary file of %d KiB at most", name, sloe.MaxFileSize>>10)
 	}
 	if before, err = os.ReadFile(name); err != nil {
 		return nil, nil, err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,8 +78,8 @@
 		}
 		r.warn(warnings)
 		cfg.Tuning, cfg.Routes = tuning.FromConfig(r.now), route.FromConfig(r.now)
-		level.Set(blocks.Level(r.now))
-		cfg.BackendsByKind = blocks.Backs(r.now)
+		level.Set(blocks.LogLevel(r.now))
+		cfg.BackendsByKind = blocks.Backends(r.now)
 		for _, l := range blocks.Listeners(r.now) {
 			f, err := h2.NewFrontend(l)
 			if err != nil {
@@ -149,7 +149,7 @@
 			return err
 		}
 	}
-	if err := withDuties(f, blocks.DutiesOf(r.now)); err != nil {
+	if err := withDuties(f, blocks.Duties(r.now)); err != nil {
 		return err
 	}
 	member, err := gossip.New(*f, r.log)
@@ -295,7 +295,7 @@
 		takes = append(takes, take)
 	}
 	if r.member != nil {
-		if err := r.member.Reload(blocks.Generation(c), c.One("fleet").Count("expect")); err != nil {
+		if err := r.member.Reload(blocks.SourcesHash(c), c.Section("fleet").Count("expect")); err != nil {
 			return gateway.Reload{}, nil, err
 		}
 		r.member.SetRegions(blocks.Regions(c))
@@ -344,9 +344,9 @@
 	}
 	changes := operator.Diff(r.now, c)
 	r.now = c
-	r.level.Set(blocks.Level(c))
+	r.level.Set(blocks.LogLevel(c))
 	for _, ch := range changes {
-		if ch.Takes == operator.AtRestart.String() {
+		if ch.Applied == operator.AtRestart.String() {
 			r.log.Warn("a change needs a restart", "change", ch.String())
 		} else {
 			r.log.Info("changed", "change", ch.String())
@@ -378,5 +378,5 @@
 	if errA != nil || errB != nil {
 		return errA != nil && errB != nil && errA.Error() == errB.Error()
 	}
-	return sloe.Steady(a.Sources, b.Sources)
+	return sloe.SameSources(a.Sources, b.Sources)
 }
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -12,11 +12,11 @@
 )
 
 // withDuties has a member take part in the fleet's work.
-func withDuties(f *gossip.Config, d *blocks.Duties) error {
+func withDuties(f *gossip.Config, d *blocks.DutiesConfig) error {
 	if d == nil {
 		return nil
 	}
-	f.Election = d.Owner
+	f.Election = d.Election
 	if d.Report != nil {
 		f.Election.Duties = append(f.Election.Duties, fleetreport.DutyName)
 	}
@@ -28,11 +28,11 @@
 
 // serveDuties does the fleet's work while this member owns it, until the function that it returns is called.
 func (r *reloader) serveDuties() (end func()) {
-	d := blocks.DutiesOf(r.now)
+	d := blocks.Duties(r.now)
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
-	report := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
+	report := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Interval, Timeout: d.Election.Lease / 3, Election: r.member, Log: r.log,
 		Body: func() any { return r.member.Status() }, Client: &http.Client{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -35,7 +35,7 @@
 // power makes the gateway come back as the operators' file says, and be asked by others of its fleet, if it is in one. What is kept is
 // written until the function that it returns is called, and once more then.
 func (r *reloader) power() (end func(), err error) {
-	b := blocks.PowerOf(r.now)
+	b := blocks.Power(r.now)
 	if b == nil {
 		return func() {}, nil
 	}
@@ -48,28 +48,28 @@
 	}
 	var img *recovery.Snapshot
 	verdict := recovery.SnapshotMissing
-	if b.File != "" {
-		if r.lock, err = snapshot.Lock(b.File + ".lock"); err != nil {
+	if b.SnapshotFile != "" {
+		if r.lock, err = snapshot.Lock(b.SnapshotFile + ".lock"); err != nil {
 			return nil, err
 		}
-		if img, verdict, err = snapshot.Load(snapshot.OSFS{}, b.File); err != nil {
-			r.log.Error("power: the state is not used", "file", b.File, "err", err)
+		if img, verdict, err = snapshot.Load(snapshot.OSFS{}, b.SnapshotFile); err != nil {
+			r.log.Error("power: the state is not used", "file", b.SnapshotFile, "err", err)
 		}
 	}
-	keeper := snapshot.NewStore(snapshot.Config{FS: snapshot.OSFS{}, Path: b.File, Interval: b.Every, MaxCustomers: b.Customers, Member: self.Name,
+	keeper := snapshot.NewStore(snapshot.Config{FS: snapshot.OSFS{}, Path: b.SnapshotFile, Interval: b.SnapshotInterval, MaxCustomers: b.MaxCustomers, Member: self.Name,
 		Incarnation: life, Plans: set.Plans, Clock: clocks}, r.log)
 	start := recovery.NewCollector(self, now, img, verdict)
 	if img != nil && img.Name == self.Name {
 		keeper.SetPrevious(img)
 	} else if img != nil {
-		r.log.Error("power: the state is another member's and is set aside", "file", b.File, "member", img.Name)
-		if err := snapshot.SetAside(snapshot.OSFS{}, b.File); err != nil {
+		r.log.Error("power: the state is another member's and is set aside", "file", b.SnapshotFile, "member", img.Name)
+		if err := snapshot.SetAside(snapshot.OSFS{}, b.SnapshotFile); err != nil {
 			r.log.Error("power: the state was not set aside", "err", err)
 		}
 	}
 	phase := &atomic.Int64{}
 	set.TrackChanges = true
-	r.cfg.Recovery = &gateway.RecoveryConfig{Start: start, Store: keeper, SaveInterval: b.Every, Clock: clocks,
+	r.cfg.Recovery = &gateway.RecoveryConfig{Start: start, Store: keeper, SaveInterval: b.SnapshotInterval, Clock: clocks,
 		Service: recovery.AdmissionConfig{ColdCapacity: set.Safety.ColdCapacity, ColdDuration: set.Safety.ColdDuration, ColdLoadFactor: decide.ColdLoadFactor(set.Safety), MaxRetryAfter: set.Limits.MaxRetryAfter,
 			MaxUnits: set.MaxUnits, MaxPrice: dearest(r.cfg), Seed: uint64(r.cfg.Seed)},
 		OnPhase: func(p recovery.Phase) { phase.Store(int64(p)) }}
--- a/internal/route/validate.go
+++ b/internal/route/validate.go
@@ -55,12 +55,12 @@
 	classes, plans := classAndPlanNames(p.cfg)
 	for _, n := range r.Classes {
 		if !slices.Contains(classes, n) {
-			p.errorf(r.position("classes"), "route %s: the platform has no class %q%s", r.Name, n, operator.Near(n, classes))
+			p.errorf(r.position("classes"), "route %s: the platform has no class %q%s", r.Name, n, operator.Suggest(n, classes))
 		}
 	}
 	for _, n := range r.Plans {
 		if !slices.Contains(plans, n) {
-			p.errorf(r.position("plans"), "route %s: the platform has no plan %q%s", r.Name, n, operator.Near(n, plans))
+			p.errorf(r.position("plans"), "route %s: the platform has no plan %q%s", r.Name, n, operator.Suggest(n, plans))
 		}
 	}
 	if limit := p.cfg.Limits.MaxAttempts; r.MaxAttempts > limit {
