--- a/cmd/sloectl/files.go
+++ b/cmd/sloectl/files.go
@@ -11,7 +11,7 @@
 	"os"
 	"path/filepath"
 
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/gateway"
 	"sloepick/internal/operator"
 	"sloepick/internal/sloe"
@@ -99,7 +99,7 @@
 		fmt.Fprintln(errs, "sloectl:", err)
 		return exitTrouble
 	}
-	_, diags, err := blocks.Load(fs.Arg(0), cfg)
+	_, diags, err := daemonconfig.Load(fs.Arg(0), cfg)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
 		return exitTrouble
@@ -134,7 +134,7 @@
 
 // load is a checked file, or nil with the exit code: what is wrong was told.
 func load(name string, errs io.Writer) (*operator.Config, int) {
-	c, diags, err := blocks.Schema().Load(name)
+	c, diags, err := daemonconfig.Schema().Load(name)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
 		return nil, exitTrouble
@@ -192,7 +192,7 @@
 	if !flags(newFlags("doc"), args, errs, 0, 0) {
 		return exitTrouble
 	}
-	io.WriteString(out, blocks.Schema().ReferencePage())
+	io.WriteString(out, daemonconfig.Schema().ReferencePage())
 	return exitOK
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/gateway"
 	"sloepick/internal/gossip"
 	"sloepick/internal/h2"
@@ -78,9 +78,9 @@
 		}
 		r.warn(warnings)
 		cfg.Tuning, cfg.Routes = tuning.FromConfig(r.now), route.FromConfig(r.now)
-		level.Set(blocks.LogLevel(r.now))
-		cfg.BackendsByKind = blocks.Backends(r.now)
-		for _, l := range blocks.Listeners(r.now) {
+		level.Set(daemonconfig.LogLevel(r.now))
+		cfg.BackendsByKind = daemonconfig.Backends(r.now)
+		for _, l := range daemonconfig.Listeners(r.now) {
 			f, err := h2.NewFrontend(l)
 			if err != nil {
 				return err
@@ -139,7 +139,7 @@
 
 // join makes the gateway a member of a fleet, if the operators' file says so. The fleet gives it its number.
 func (r *reloader) join(ctx context.Context, end context.CancelCauseFunc) error {
-	f := blocks.Fleet(r.now)
+	f := daemonconfig.Fleet(r.now)
 	if f == nil {
 		return nil
 	}
@@ -149,7 +149,7 @@
 			return err
 		}
 	}
-	if err := withDuties(f, blocks.Duties(r.now)); err != nil {
+	if err := withDuties(f, daemonconfig.Duties(r.now)); err != nil {
 		return err
 	}
 	member, err := gossip.New(*f, r.log)
@@ -216,7 +216,7 @@
 
 // load reads the operator file and holds it to the platform's settings. What comes back beside it are warnings.
 func (r *reloader) load() (*operator.Config, sloe.Diags, error) {
-	c, diags, err := blocks.Load(r.file, r.cfg)
+	c, diags, err := daemonconfig.Load(r.file, r.cfg)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -295,10 +295,10 @@
 		takes = append(takes, take)
 	}
 	if r.member != nil {
-		if err := r.member.Reload(blocks.SourcesHash(c), c.Section("fleet").Count("expect")); err != nil {
+		if err := r.member.Reload(daemonconfig.SourcesHash(c), c.Section("fleet").Count("expect")); err != nil {
 			return gateway.Reload{}, nil, err
 		}
-		r.member.SetRegions(blocks.Regions(c))
+		r.member.SetRegions(daemonconfig.Regions(c))
 	}
 	for _, take := range takes {
 		take()
@@ -344,7 +344,7 @@
 	}
 	changes := operator.Diff(r.now, c)
 	r.now = c
-	r.level.Set(blocks.LogLevel(c))
+	r.level.Set(daemonconfig.LogLevel(c))
 	for _, ch := range changes {
 		if ch.Applied == operator.AtRestart.String() {
 			r.log.Warn("a change needs a restart", "change", ch.String())
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -6,13 +6,13 @@
 	"net/http"
 	"sync"
 
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/fleetreport"
 	"sloepick/internal/gossip"
 )
 
 // withDuties has a member take part in the fleet's work.
-func withDuties(f *gossip.Config, d *blocks.DutiesConfig) error {
+func withDuties(f *gossip.Config, d *daemonconfig.DutiesConfig) error {
 	if d == nil {
 		return nil
 	}
@@ -28,7 +28,7 @@
 
 // serveDuties does the fleet's work while this member owns it, until the function that it returns is called.
 func (r *reloader) serveDuties() (end func()) {
-	d := blocks.Duties(r.now)
+	d := daemonconfig.Duties(r.now)
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"sloepick/decide"
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/gateway"
 	"sloepick/internal/gossip"
 	"sloepick/internal/recovery"
@@ -35,7 +35,7 @@
 // power makes the gateway come back as the operators' file says, and be asked by others of its fleet, if it is in one. What is kept is
 // written until the function that it returns is called, and once more then.
 func (r *reloader) power() (end func(), err error) {
-	b := blocks.Power(r.now)
+	b := daemonconfig.Power(r.now)
 	if b == nil {
 		return func() {}, nil
 	}
