--- a/internal/daemonconfig/back.go
+++ b/internal/daemonconfig/back.go
@@ -6,8 +6,8 @@
 	"sloepick/internal/operator"
 )
 
-// backBlock declares the block back.
-func backBlock() *operator.Block {
+// backendBlock declares the block back.
+func backendBlock() *operator.Block {
 	return &operator.Block{
 		Name: "back", Labeled: true,
 		Doc: "Nodes of a kind that speak HTTP/2, with prior knowledge on plain TCP. The block's name is the kind, as discovery tells it. Nodes of other kinds are reached by RESP2.",
--- a/internal/daemonconfig/blocks.go
+++ b/internal/daemonconfig/blocks.go
@@ -13,7 +13,7 @@
 
 // Schema is made of every subsystem's blocks.
 func Schema() *operator.Schema {
-	s, err := operator.NewSchema(tuning.Block(), route.Block(), listenerBlock(), backBlock(), fleetBlock(), commonsBlock(), regionBlock(), dutiesBlock(), powerBlock(), logBlock())
+	s, err := operator.NewSchema(tuning.Block(), route.Block(), listenerBlock(), backendBlock(), fleetBlock(), peerInfoBlock(), regionBlock(), dutiesBlock(), powerBlock(), logBlock())
 	if err != nil {
 		panic(err) // a slip in a declaration, which the test of this package finds
 	}
--- a/internal/daemonconfig/blocks_test.go
+++ b/internal/daemonconfig/blocks_test.go
@@ -19,7 +19,7 @@
 
 // The shipped example is good, in the usual form, and shows no value that is not one.
 func TestExample(t *testing.T) {
-	c, diags, err := Load("../../deploy/example/"+example.Root, clinic(t))
+	c, diags, err := Load("../../deploy/example/"+example.Root, demoPlatform(t))
 	if err != nil || len(diags) > 0 {
 		t.Fatal(err, diags)
 	}
@@ -64,7 +64,7 @@
 			if err := os.WriteFile(file, []byte(text+"\n"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if _, diags, err := Load(file, clinic(t)); err != nil || len(diags) > 0 {
+			if _, diags, err := Load(file, demoPlatform(t)); err != nil || len(diags) > 0 {
 				t.Errorf("example %d of %s: %v\n%v", i, name, err, diags)
 			}
 		}
@@ -74,8 +74,8 @@
 	}
 }
 
-// clinic is the demonstration's platform.
-func clinic(t *testing.T) *gateway.Config {
+// demoPlatform is the demonstration's platform.
+func demoPlatform(t *testing.T) *gateway.Config {
 	t.Helper()
 	places := []testbed.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
 	text, err := testbed.SmallPlatform().GatewayConfig(0, places, "127.0.0.1:3", 1, testbed.ServerList{})
@@ -99,8 +99,8 @@
 	}
 }
 
-// large writes 5,000 lines over 50 files.
-func large(b *testing.B) string {
+// writeLargeConfig writes 5,000 lines over 50 files.
+func writeLargeConfig(b *testing.B) string {
 	b.Helper()
 	dir := b.TempDir()
 	main := "include \"d\"\n"
@@ -128,7 +128,7 @@
 // BenchmarkCheck5000Lines reads and checks 4,900 lines of definitions and some more, over 50 files. B/op is all that
 // was allocated, so the memory held at once is less.
 func BenchmarkCheck5000Lines(b *testing.B) {
-	file, s := large(b), Schema()
+	file, s := writeLargeConfig(b), Schema()
 	b.ReportAllocs()
 	for b.Loop() {
 		if c, _, err := s.Load(file); err != nil || c == nil {
--- a/internal/daemonconfig/commons.go
+++ b/internal/daemonconfig/commons.go
@@ -5,10 +5,10 @@
 	"sloepick/internal/peerinfo"
 )
 
-// commonsBlock declares the block commons.
-func commonsBlock() *operator.Block {
+// peerInfoBlock declares the block commons.
+func peerInfoBlock() *operator.Block {
 	return &operator.Block{
-		Name: "commons", Check: checkCommons,
+		Name: "commons", Check: checkPeerInfo,
 		Doc: "What the members of a fleet know of each other, with an age that is never told younger than it is. It needs the block fleet. Without it members know who is there, and no more.",
 		Keys: []operator.Key{
 			{Name: "every", Kind: operator.Duration, Default: "500ms", Min: "50ms", Max: "1m", Applied: operator.AtRestart,
@@ -20,10 +20,10 @@
 	}
 }
 
-const keepLeast = 10 // times every
+const minRetentionIntervals = 10 // times every
 
-func checkCommons(s *operator.Section) []operator.Problem {
-	if s.Present() && s.Duration("keep") < keepLeast*s.Duration("every") {
+func checkPeerInfo(s *operator.Section) []operator.Problem {
+	if s.Present() && s.Duration("keep") < minRetentionIntervals*s.Duration("every") {
 		return []operator.Problem{{Key: "keep", Msg: "what is asked for so seldom would be forgotten before it is known again; want ten times every, or more"}}
 	}
 	return nil
--- a/internal/daemonconfig/duties.go
+++ b/internal/daemonconfig/duties.go
@@ -55,9 +55,9 @@
 
 // The times of a lease that an owner renews it in, waits for answers, and the next candidate waits.
 const (
-	renewPart  = 4
-	answerPart = 12
-	stepPart   = 6
+	renewDivisor     = 4
+	answerDivisor    = 12
+	candidateDivisor = 6
 )
 
 // Duties reads the block; nil: there is none.
@@ -68,7 +68,7 @@
 	}
 	o := election.DefaultConfig()
 	o.InitialVoters, o.Lease = s.Count("voters"), s.Duration("lease")
-	o.RenewInterval, o.AnswerTimeout, o.CandidateDelay = o.Lease/renewPart, o.Lease/answerPart, o.Lease/stepPart
+	o.RenewInterval, o.AnswerTimeout, o.CandidateDelay = o.Lease/renewDivisor, o.Lease/answerDivisor, o.Lease/candidateDivisor
 	d := &DutiesConfig{Election: o}
 	if r := s.Section("report"); r.Present() {
 		d.Report = &ReportConfig{r.Text("url"), r.Duration("every")}
--- a/internal/daemonconfig/fleet.go
+++ b/internal/daemonconfig/fleet.go
@@ -37,11 +37,11 @@
 	if !s.IsSet("address") {
 		return []operator.Problem{{Key: "address", Msg: "a member of a fleet needs an address of its own"}}
 	}
-	if msg := badAddress(s.Text("address")); msg != "" {
+	if msg := checkAddress(s.Text("address")); msg != "" {
 		out = append(out, operator.Problem{Key: "address", Msg: msg})
 	}
 	for _, seed := range s.Texts("seeds") {
-		if msg := badAddress(seed); msg != "" {
+		if msg := checkAddress(seed); msg != "" {
 			out = append(out, operator.Problem{Key: "seeds", Msg: msg})
 		}
 	}
@@ -59,16 +59,16 @@
 	}
 	f := &gossip.Config{Address: s.Text("address"), Seeds: s.Texts("seeds"), Generation: SourcesHash(c), Fleet: fleet.DefaultConfig(), PeerInfo: PeerInfo(c), Regions: Regions(c)}
 	f.Fleet.Slots, f.Fleet.ExpectedMembers, f.Fleet.ReservationPeriod = s.Count("places"), s.Count("expect"), s.Duration("hold")
-	f.Fleet.Lease = max(f.Fleet.ReservationPeriod-noticeMost, f.Fleet.ReservationPeriod/3)
+	f.Fleet.Lease = max(f.Fleet.ReservationPeriod-maxDetectionTime, f.Fleet.ReservationPeriod/3)
 	for key, to := range map[string]*string{"keys": &f.KeyFile, "state": &f.StateFile, "status": &f.StatusSocket} {
 		if s.IsSet(key) {
-			*to = beside(s, key)
+			*to = resolvePath(s, key)
 		}
 	}
 	return f
 }
 
-const noticeMost = time.Minute // between a loss and all others' knowing it, or its own
+const maxDetectionTime = time.Minute // between a loss and all others' knowing it, or its own
 
 // SourcesHash is a number for what stands in an operators' file and its includes.
 func SourcesHash(c *operator.Config) uint64 {
--- a/internal/daemonconfig/listener.go
+++ b/internal/daemonconfig/listener.go
@@ -36,7 +36,7 @@
 }
 
 func checkListener(s *operator.Section) (out []operator.Problem) {
-	if msg := badAddress(s.Text("address")); msg != "" {
+	if msg := checkAddress(s.Text("address")); msg != "" {
 		out = append(out, operator.Problem{Key: "address", Msg: msg})
 	}
 	t := s.Section("tls")
@@ -54,8 +54,8 @@
 	return out
 }
 
-// badAddress tells what is wrong with a host and a port; "": nothing.
-func badAddress(addr string) string {
+// checkAddress tells what is wrong with a host and a port; "": nothing.
+func checkAddress(addr string) string {
 	host, port, err := net.SplitHostPort(addr)
 	n, e := strconv.ParseUint(port, 10, 16)
 	switch {
@@ -73,9 +73,9 @@
 		l := h2.FrontendConfig{Name: s.Label, Address: s.Text("address"), MaxStreams: s.Count("streams")}
 		if t := s.Section("tls"); t.Present() {
 			l.HandshakeTimeout = t.Duration("handshake")
-			l.TLS = &h2.TLSFiles{Certificate: beside(t, "certificate"), Key: beside(t, "key"), BindCustomer: t.Text("bind") == "customer"}
+			l.TLS = &h2.TLSFiles{Certificate: resolvePath(t, "certificate"), Key: resolvePath(t, "key"), BindCustomer: t.Text("bind") == "customer"}
 			if t.IsSet("clients") {
-				l.TLS.ClientCAs = beside(t, "clients")
+				l.TLS.ClientCAs = resolvePath(t, "clients")
 			}
 		}
 		all = append(all, l)
@@ -83,8 +83,8 @@
 	return all
 }
 
-// beside is a path as the file means it that names it.
-func beside(s *operator.Section, key string) string {
+// resolvePath is a path as the file means it that names it.
+func resolvePath(s *operator.Section, key string) string {
 	path := s.Text(key)
 	if filepath.IsAbs(path) {
 		return path
--- a/internal/daemonconfig/power.go
+++ b/internal/daemonconfig/power.go
@@ -37,7 +37,7 @@
 	}
 	p := &PowerConfig{SnapshotInterval: s.Duration("every"), MaxCustomers: s.Count("customers")}
 	if s.IsSet("keep") {
-		p.SnapshotFile = beside(s, "keep")
+		p.SnapshotFile = resolvePath(s, "keep")
 	}
 	return p
 }
--- a/internal/daemonconfig/regions.go
+++ b/internal/daemonconfig/regions.go
@@ -23,12 +23,12 @@
 }
 
 func checkRegion(s *operator.Section) (out []operator.Problem) {
-	_, problems := hoursOf(s)
+	_, problems := readCalendar(s)
 	return problems
 }
 
-// hoursOf reads a region's calendar, and what is wrong with it.
-func hoursOf(s *operator.Section) (h *maintenance.Calendar, out []operator.Problem) {
+// readCalendar reads a region's calendar, and what is wrong with it.
+func readCalendar(s *operator.Section) (h *maintenance.Calendar, out []operator.Problem) {
 	h = &maintenance.Calendar{Excluded: map[maintenance.Date]bool{}, Extra: map[maintenance.Date][]maintenance.Span{}}
 	var err error
 	if h.Zone, err = time.LoadLocation(s.Text("clock")); err != nil || s.Text("clock") == "Local" {
@@ -67,7 +67,7 @@
 func Regions(c *operator.Config) map[string]*maintenance.Calendar {
 	all := map[string]*maintenance.Calendar{}
 	for _, s := range c.Sections("region") {
-		all[s.Label], _ = hoursOf(s)
+		all[s.Label], _ = readCalendar(s)
 	}
 	return all
 }
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -28,48 +28,48 @@
 
 // checker goes through a tree once. What is wrong is told once, and nothing is told that follows from it.
 type checker struct {
-	schema  *Schema
-	diags   sloe.Diags
-	defines map[string]*defined
-	order   []*defined
-	later   map[string]*sloe.Define // all that the tree defines, also behind the place of use
-	refs    []ref
-	open    bool            // something could not be read: what seems to be unused may be used there
-	unsure  map[string]bool // types of blocks of which one may be missing because of an error that was told
+	schema          *Schema
+	diags           sloe.Diags
+	defines         map[string]*definition
+	order           []*definition
+	allDefines      map[string]*sloe.Define // all that the tree defines, also behind the place of use
+	refs            []blockRef
+	usageUnknown    bool            // something could not be read: what seems to be unused may be used there
+	incompleteTypes map[string]bool // types of blocks of which one may be missing because of an error that was told
 }
 
-type defined struct {
+type definition struct {
 	def  *sloe.Define
 	used bool
 }
 
-// ref is a name that must be the label of a block, looked up when all blocks are known.
-type ref struct {
-	key *Key
-	to  string
-	pos sloe.Pos
+// blockRef is a name that must be the label of a block, looked up when all blocks are known.
+type blockRef struct {
+	key   *Key
+	label string
+	pos   sloe.Pos
 }
 
 // Check gives a tree its meaning. The Config is whole only if the tree had no errors and none comes back.
 func (s *Schema) Check(tree *sloe.Tree) (*Config, sloe.Diags) {
-	c := &checker{schema: s, defines: map[string]*defined{}, later: map[string]*sloe.Define{}, unsure: map[string]bool{}}
+	c := &checker{schema: s, defines: map[string]*definition{}, allDefines: map[string]*sloe.Define{}, incompleteTypes: map[string]bool{}}
 	cfg := s.Defaults()
 	cfg.Sources = tree.Sources()
 	if tree.Unbalanced {
 		return cfg, nil // what belongs to what is not known
 	}
 	for _, e := range tree.Entries {
-		if d, ok := e.(*sloe.Define); ok && c.later[d.Name.Name] == nil {
-			c.later[d.Name.Name] = d
+		if d, ok := e.(*sloe.Define); ok && c.allDefines[d.Name.Name] == nil {
+			c.allDefines[d.Name.Name] = d
 		}
 	}
 	cfg.sections = c.entries(tree.Entries, s.blocks, cfg.sections, nil)
-	c.references(cfg)
+	c.checkReferences(cfg)
 	for _, sec := range cfg.sections {
-		c.cross(sec)
+		c.checkSection(sec)
 	}
 	for _, d := range c.order {
-		if !d.used && !c.open {
+		if !d.used && !c.usageUnknown {
 			c.warn(d.def.Name.Pos, "the definition %q is never used", d.def.Name.Name)
 		}
 	}
@@ -96,7 +96,7 @@
 			sections = c.block(e, blocks, sections, in, seen)
 		case *sloe.Setting:
 			if in == nil {
-				c.errorf(e.Name.Pos, "the setting %q stands outside of all blocks", clip(e.Name.Name))
+				c.errorf(e.Name.Pos, "the setting %q stands outside of all blocks", truncate(e.Name.Name))
 				continue
 			}
 			c.setting(e, in, seen)
@@ -112,7 +112,7 @@
 		return
 	}
 	e.Value = c.resolve(e.Value)
-	d := &defined{def: e}
+	d := &definition{def: e}
 	c.defines[name] = d
 	c.order = append(c.order, d)
 }
@@ -138,16 +138,16 @@
 			d.used = true
 			w = *d.def.Value
 			w.Definition, w.RefPos = d.def, v.Pos
-		} else if later := c.later[v.Text]; later != nil {
-			c.open = true
-			c.errorf(v.Pos, "$%s is used before it is defined", clip(v.Text)).Notes = []sloe.Note{{Pos: later.Name.Pos, Msg: "defined here"}}
+		} else if later := c.allDefines[v.Text]; later != nil {
+			c.usageUnknown = true
+			c.errorf(v.Pos, "$%s is used before it is defined", truncate(v.Text)).Notes = []sloe.Note{{Pos: later.Name.Pos, Msg: "defined here"}}
 		} else {
 			var names []string
-			for n := range c.later {
+			for n := range c.allDefines {
 				names = append(names, n)
 			}
-			c.open = true
-			c.errorf(v.Pos, "$%s is not defined%s", clip(v.Text), near(v.Text, names, "$"))
+			c.usageUnknown = true
+			c.errorf(v.Pos, "$%s is not defined%s", truncate(v.Text), suggestion(v.Text, names, "$"))
 		}
 		return &w
 	}
@@ -155,7 +155,7 @@
 }
 
 func (c *checker) block(e *sloe.Block, blocks []*Block, sections []*Section, in *Section, seen map[string]sloe.Pos) []*Section {
-	b := find(blocks, e.Type.Name)
+	b := findBlock(blocks, e.Type.Name)
 	if b == nil {
 		where, names := "", []string(nil)
 		for _, b := range blocks {
@@ -164,19 +164,19 @@
 		if in != nil {
 			where = " in " + in.Block.Name
 			if k := in.Block.key(e.Type.Name); k != nil {
-				c.errorf(e.Type.Pos, "%q is a setting, not a block: write %s = %s", k.Name, k.Name, k.sample())
+				c.errorf(e.Type.Pos, "%q is a setting, not a block: write %s = %s", k.Name, k.Name, k.exampleValue())
 				return sections
 			}
 		}
-		c.errorf(e.Type.Pos, "unknown block %q%s%s", clip(e.Type.Name), where, near(e.Type.Name, names, ""))
-		c.open = true // what it holds is not looked at, so it may be what uses something
-		c.unsure[nearest(e.Type.Name, names)] = true
+		c.errorf(e.Type.Pos, "unknown block %q%s%s", truncate(e.Type.Name), where, suggestion(e.Type.Name, names, ""))
+		c.usageUnknown = true // what it holds is not looked at, so it may be what uses something
+		c.incompleteTypes[closestMatch(e.Type.Name, names)] = true
 		return sections
 	}
 	name, label := b.Name, ""
 	switch {
 	case b.Labeled && (e.Label == nil || e.Label.Name == ""):
-		c.unsure[b.Name] = true
+		c.incompleteTypes[b.Name] = true
 	}
 	switch {
 	case b.Labeled && e.Label == nil:
@@ -195,8 +195,8 @@
 	}
 	seen[name] = e.Type.Pos
 	s := newSection(b, label, e.Type.Pos)
-	s.subs = c.entries(e.Entries, b.Blocks, s.subs, s)
-	c.required(s)
+	s.subsections = c.entries(e.Entries, b.Blocks, s.subsections, s)
+	c.checkRequired(s)
 	if i := slices.IndexFunc(sections, func(o *Section) bool { return o.Block == b && !b.Labeled }); i >= 0 {
 		sections[i] = s
 		return sections
@@ -204,12 +204,12 @@
 	return append(sections, s)
 }
 
-func (c *checker) required(s *Section) {
+func (c *checker) checkRequired(s *Section) {
 	for _, v := range s.values {
-		if !v.set && !v.Key.Optional {
-			s.ok = false
-			if v.place == (sloe.Pos{}) {
-				c.errorf(s.pos, "the block %q lacks %s, which is %s", s.Block.Name, v.Key.Name, v.Key.form())
+		if !v.isSet && !v.Key.Optional {
+			s.valid = false
+			if v.pos == (sloe.Pos{}) {
+				c.errorf(s.pos, "the block %q lacks %s, which is %s", s.Block.Name, v.Key.Name, v.Key.describe())
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 	v := c.resolve(e.Value) // first: what it refers to is used, whatever else is wrong
 	i := slices.IndexFunc(in.values, func(v Value) bool { return v.Key.Name == name })
 	if i < 0 {
-		c.unknown(e, in)
+		c.reportUnknownKey(e, in)
 		return
 	}
 	if first, ok := seen[name]; ok {
@@ -229,14 +229,14 @@
 	}
 	seen[name] = e.Name.Pos
 	got, ok := c.value(in.values[i].Key, v)
-	got.place = e.Name.Pos
+	got.pos = e.Name.Pos
 	in.values[i] = got
-	in.ok = in.ok && ok
+	in.valid = in.valid && ok
 }
 
-func (c *checker) unknown(e *sloe.Setting, in *Section) {
+func (c *checker) reportUnknownKey(e *sloe.Setting, in *Section) {
 	name := e.Name.Name
-	if find(in.Block.Blocks, name) != nil {
+	if findBlock(in.Block.Blocks, name) != nil {
 		c.errorf(e.Name.Pos, "%q is a block, not a setting: write %s { ... }", name, name)
 		return
 	}
@@ -244,7 +244,7 @@
 	for _, k := range in.Block.Keys {
 		names = append(names, k.Name)
 	}
-	hint := near(name, names, "")
+	hint := suggestion(name, names, "")
 	if hint == "" { // it may stand in the wrong block
 		for _, b := range in.Block.Blocks {
 			if b.key(name) != nil {
@@ -252,22 +252,22 @@
 			}
 		}
 	}
-	c.errorf(e.Name.Pos, "unknown key %q in %s%s", clip(name), in.Block.Name, hint)
+	c.errorf(e.Name.Pos, "unknown key %q in %s%s", truncate(name), in.Block.Name, hint)
 }
 
 // value holds a value to its key. What is wrong was told where it returns false.
 func (c *checker) value(k *Key, v *sloe.Value) (Value, bool) {
-	out := Value{Key: k, by: v.Definition}
+	out := Value{Key: k, definition: v.Definition}
 	at := v.Pos
 	if v.RefPos.Valid() {
 		at = v.RefPos
 	}
 	if v.Kind == sloe.Invalid {
-		out.place = v.Pos
+		out.pos = v.Pos
 		return out, false
 	}
 	if k.List != (v.Kind == sloe.List) {
-		c.errorf(at, "%s takes %s, not %s", k.Name, k.form(), shape(v))
+		c.errorf(at, "%s takes %s, not %s", k.Name, k.describe(), describeValue(v))
 		return out, false
 	}
 	items := []*sloe.Value{v}
@@ -290,7 +290,7 @@
 		ok = ok && good
 		out.items = append(out.items, it)
 	}
-	out.set = ok
+	out.isSet = ok
 	return out, ok
 }
 
@@ -301,7 +301,7 @@
 			return item{text: v.Text}, true
 		}
 		if v.Kind == sloe.Word {
-			c.errorf(at, "%s is %s, not %q%s", k.Name, join(k.AllowedWords), clip(v.Text), near(v.Text, k.AllowedWords, ""))
+			c.errorf(at, "%s is %s, not %q%s", k.Name, joinAlternatives(k.AllowedWords), truncate(v.Text), suggestion(v.Text, k.AllowedWords, ""))
 			return item{}, false
 		}
 	case Text:
@@ -310,13 +310,13 @@
 		}
 	case Ref:
 		if v.Kind == sloe.Text || v.Kind == sloe.Word {
-			c.refs = append(c.refs, ref{k, v.Text, at})
+			c.refs = append(c.refs, blockRef{k, v.Text, at})
 			return item{text: v.Text}, true
 		}
 	default:
 		return c.quantity(k, v, at)
 	}
-	c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
+	c.errorf(at, "%s takes %s, not %s", k.Name, k.describeItem(), describeValue(v))
 	return item{}, false
 }
 
@@ -324,11 +324,11 @@
 	q := v.Number
 	switch {
 	case v.Kind != sloe.Number:
-		c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
+		c.errorf(at, "%s takes %s, not %s", k.Name, k.describeItem(), describeValue(v))
 	case q.Dimension == sloe.Count && k.Kind != Count:
-		c.errorf(at, "%s needs a unit: %s takes %s", v.Raw, k.Name, k.each())
-	case q.Dimension != dims[k.Kind]:
-		c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
+		c.errorf(at, "%s needs a unit: %s takes %s", v.Raw, k.Name, k.describeItem())
+	case q.Dimension != dimensions[k.Kind]:
+		c.errorf(at, "%s takes %s, not %s", k.Name, k.describeItem(), describeValue(v))
 	case q.Dimension == sloe.Rate && q.RateItem != k.RateItem:
 		c.errorf(at, "%s counts %s, not %s", k.Name, k.RateItem, q.RateItem)
 	case k.Kind != Share && k.Kind != Rate && !q.Value.IsInt():
@@ -340,33 +340,33 @@
 	case k.maxQuantity != nil && q.Value.Cmp(k.maxQuantity.Value) > 0:
 		c.errorf(at, "%s is %s at most, not %s", k.Name, k.maxQuantity, v.Raw)
 	default:
-		return item{q: q}, true
+		return item{quantity: q}, true
 	}
 	return item{}, false
 }
 
-// each is form for one value of a list.
-func (k *Key) each() string {
+// describeItem is form for one value of a list.
+func (k *Key) describeItem() string {
 	one := *k
 	one.List = false
-	return one.form()
+	return one.describe()
 }
 
-// sample is a value that the key takes.
-func (k *Key) sample() string {
+// exampleValue is a value that the key takes.
+func (k *Key) exampleValue() string {
 	if k.Default != "" {
 		return k.Default
 	}
-	return strings.TrimPrefix(k.form(), "one of ")
+	return strings.TrimPrefix(k.describe(), "one of ")
 }
 
-// shape is what a value looks like, in words for messages.
-func shape(v *sloe.Value) string {
+// describeValue is what a value looks like, in words for messages.
+func describeValue(v *sloe.Value) string {
 	switch v.Kind {
 	case sloe.Word:
-		return fmt.Sprintf("the word %s", clip(v.Text))
+		return fmt.Sprintf("the word %s", truncate(v.Text))
 	case sloe.Text:
-		return fmt.Sprintf("the text %s", sloe.Quote(clip(v.Text)))
+		return fmt.Sprintf("the text %s", sloe.Quote(truncate(v.Text)))
 	case sloe.List:
 		return "a list"
 	}
@@ -375,38 +375,38 @@
 	return names[v.Number.Dimension] + " " + v.Raw
 }
 
-// references looks up what keys of the kind Ref name, and finds blocks that serve nobody.
-func (c *checker) references(cfg *Config) {
+// checkReferences looks up what keys of the kind Ref name, and finds blocks that serve nobody.
+func (c *checker) checkReferences(cfg *Config) {
 	used := map[string]bool{}
 	for _, r := range c.refs {
 		var names []string
 		for _, s := range cfg.Sections(r.key.RefBlock) {
 			names = append(names, s.Label)
 		}
-		used[r.key.RefBlock+" "+r.to] = true
-		if !slices.Contains(names, r.to) && !c.unsure[r.key.RefBlock] {
-			c.open = true
-			c.errorf(r.pos, "there is no block %s %s%s", r.key.RefBlock, sloe.Quote(clip(r.to)), near(r.to, names, ""))
+		used[r.key.RefBlock+" "+r.label] = true
+		if !slices.Contains(names, r.label) && !c.incompleteTypes[r.key.RefBlock] {
+			c.usageUnknown = true
+			c.errorf(r.pos, "there is no block %s %s%s", r.key.RefBlock, sloe.Quote(truncate(r.label)), suggestion(r.label, names, ""))
 		}
 	}
 	for _, s := range cfg.sections {
-		if s.Block.WarnIfUnused && s.Label != "" && !used[s.Block.Name+" "+s.Label] && !c.open {
+		if s.Block.WarnIfUnused && s.Label != "" && !used[s.Block.Name+" "+s.Label] && !c.usageUnknown {
 			c.warn(s.pos, "the block %s %s is never used", s.Block.Name, sloe.Quote(s.Label))
 		}
 	}
 }
 
-// cross checks what is between the values of a block and of those within it.
-func (c *checker) cross(s *Section) (ok bool) {
-	ok = s.ok
-	for _, sub := range s.subs {
-		ok = c.cross(sub) && ok
+// checkSection checks what is between the values of a block and of those within it.
+func (c *checker) checkSection(s *Section) (ok bool) {
+	ok = s.valid
+	for _, sub := range s.subsections {
+		ok = c.checkSection(sub) && ok
 	}
 	if !ok || s.Block.Check == nil {
 		return ok
 	}
 	for _, p := range s.Block.Check(s) {
-		at := s.placeOf(p.Key)
+		at := s.keyPos(p.Key)
 		if !at.Valid() {
 			at = s.pos
 		}
@@ -416,58 +416,58 @@
 	return ok
 }
 
-// placeOf is where a key was set, or the block within that could have set it.
-func (s *Section) placeOf(key string) sloe.Pos {
+// keyPos is where a key was set, or the block within that could have set it.
+func (s *Section) keyPos(key string) sloe.Pos {
 	if block, rest, ok := strings.Cut(key, "."); ok {
 		sub := s.Section(block)
-		if at := sub.placeOf(rest); at.Valid() {
+		if at := sub.keyPos(rest); at.Valid() {
 			return at
 		}
 		return sub.pos
 	}
-	return s.Value(key).place
+	return s.Value(key).pos
 }
 
-const clipMost = 40 // characters of a file's text in a message
+const maxQuotedChars = 40 // characters of a file's text in a message
 
-func clip(s string) string {
-	if r := []rune(s); len(r) > clipMost {
-		return string(r[:clipMost]) + "..."
+func truncate(s string) string {
+	if r := []rune(s); len(r) > maxQuotedChars {
+		return string(r[:maxQuotedChars]) + "..."
 	}
 	return s
 }
 
-// near names the word that was probably meant: one that is at most two slips away, and less than half of it.
-func near(got string, words []string, prefix string) string {
-	if best := nearest(got, words); best != "" {
+// suggestion names the word that was probably meant: one that is at most two slips away, and less than half of it.
+func suggestion(got string, words []string, prefix string) string {
+	if best := closestMatch(got, words); best != "" {
 		return fmt.Sprintf("; did you mean %q?", prefix+best)
 	}
 	return ""
 }
 
-// nearest is the word that was probably meant, or "".
-func nearest(got string, words []string) string {
+// closestMatch is the word that was probably meant, or "".
+func closestMatch(got string, words []string) string {
 	best, least := "", 3
 	sorted := slices.Clone(words)
 	slices.Sort(sorted)
 	for _, w := range sorted {
-		if d := slips(got, w); d < least && 2*d < max(len(w), 3) {
+		if d := editDistance(got, w); d < least && 2*d < max(len(w), 3) {
 			best, least = w, d
 		}
 	}
 	return best
 }
 
-const slipsMost = 64 // bytes of words that are compared
+const maxComparedBytes = 64 // bytes of words that are compared
 
 // Suggest is a hint at the word that was probably meant, or "".
-func Suggest(got string, words []string) string { return near(got, words, "") }
+func Suggest(got string, words []string) string { return suggestion(got, words, "") }
 
-// slips counts the letters to insert, drop, change or swap between two words (optimal string alignment).
-func slips(a, b string) int {
+// editDistance counts the letters to insert, drop, change or swap between two words (optimal string alignment).
+func editDistance(a, b string) int {
 	a, b = strings.ToLower(a), strings.ToLower(b)
-	if len(a) > slipsMost || len(b) > slipsMost {
-		return slipsMost
+	if len(a) > maxComparedBytes || len(b) > maxComparedBytes {
+		return maxComparedBytes
 	}
 	rows := make([][]int, len(a)+1)
 	for i := range rows {
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -34,14 +34,14 @@
 
 // Diff tells what changes in meaning from one configuration to another of the same schema. The order of blocks,
 // spellings, comments and files are no difference.
-func Diff(from, to *Config) []Change { return diff(from.sections, to.sections, "") }
+func Diff(from, to *Config) []Change { return diffSections(from.sections, to.sections, "") }
 
-func diff(from, to []*Section, path string) (out []Change) {
+func diffSections(from, to []*Section, path string) (out []Change) {
 	for _, a := range from {
 		name := path + a.name()
-		b := a.among(to)
+		b := a.findIn(to)
 		if b == nil {
-			out = append(out, Change{Block: name, Old: a.summary(), Applied: a.takes().String()})
+			out = append(out, Change{Block: name, Old: a.summary(), Applied: a.applied().String()})
 			continue
 		}
 		for i, v := range a.values {
@@ -50,11 +50,11 @@
 					Direction: direction(v, w), Applied: v.Key.Applied.String()})
 			}
 		}
-		out = append(out, diff(a.subs, b.subs, name+".")...)
+		out = append(out, diffSections(a.subsections, b.subsections, name+".")...)
 	}
 	for _, b := range to {
-		if b.among(from) == nil {
-			out = append(out, Change{Block: path + b.name(), New: b.summary(), Applied: b.takes().String()})
+		if b.findIn(from) == nil {
+			out = append(out, Change{Block: path + b.name(), New: b.summary(), Applied: b.applied().String()})
 		}
 	}
 	return out
@@ -68,7 +68,7 @@
 	return s.Block.Name + " " + fmt.Sprintf("%q", s.Label)
 }
 
-func (s *Section) among(all []*Section) *Section {
+func (s *Section) findIn(all []*Section) *Section {
 	for _, o := range all {
 		if o.Block.Name == s.Block.Name && o.Label == s.Label {
 			return o
@@ -81,11 +81,11 @@
 func (s *Section) summary() string {
 	var parts []string
 	for _, v := range s.values {
-		if v.set {
+		if v.isSet {
 			parts = append(parts, v.Key.Name+" "+v.String())
 		}
 	}
-	for _, sub := range s.subs {
+	for _, sub := range s.subsections {
 		if t := sub.summary(); t != "" {
 			parts = append(parts, sub.name()+" ("+t+")")
 		}
@@ -93,14 +93,14 @@
 	return strings.Join(parts, ", ")
 }
 
-// takes is AtRestart if anything in the block needs one.
-func (s *Section) takes() ApplyTime {
+// applied is AtRestart if anything in the block needs one.
+func (s *Section) applied() ApplyTime {
 	t := AtReload
 	for _, v := range s.values {
 		t = max(t, v.Key.Applied)
 	}
-	for _, sub := range s.subs {
-		t = max(t, sub.takes())
+	for _, sub := range s.subsections {
+		t = max(t, sub.applied())
 	}
 	return t
 }
@@ -108,10 +108,10 @@
 // direction tells whether a change lets more through, and by how much of the old value.
 func direction(old, now Value) string {
 	k := old.Key
-	if k.Strictness == Neutral || k.List || !old.set || !now.set || old.items[0].q.Value == nil {
+	if k.Strictness == Neutral || k.List || !old.isSet || !now.isSet || old.items[0].quantity.Value == nil {
 		return ""
 	}
-	a, b := old.items[0].q.Value, now.items[0].q.Value
+	a, b := old.items[0].quantity.Value, now.items[0].quantity.Value
 	word := "tighter"
 	if (b.Cmp(a) > 0) == (k.Strictness == HigherIsLooser) {
 		word = "looser"
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,8 +14,8 @@
 
 var update = flag.Bool("update", false, "write what the broken files give as what they must give")
 
-// fixture is the shipped schema and two blocks such as a later subsystem declares: routes that lead to pools.
-func fixture(t testing.TB) *operator.Schema {
+// testSchema is the shipped schema and two blocks such as a later subsystem declares: routes that lead to pools.
+func testSchema(t testing.TB) *operator.Schema {
 	t.Helper()
 	pool := &operator.Block{Name: "pool", Doc: "Nodes.", Labeled: true, WarnIfUnused: true, Keys: []operator.Key{
 		{Name: "nodes", Kind: operator.Text, List: true, Doc: "Their names."},
@@ -33,8 +33,8 @@
 	return s
 }
 
-// unpack writes the files of a case: texts behind lines such as "-- name --". It returns what must come out.
-func unpack(t testing.TB, text string) (want string) {
+// writeCaseFiles writes the files of a case: texts behind lines such as "-- name --". It returns what must come out.
+func writeCaseFiles(t testing.TB, text string) (want string) {
 	t.Helper()
 	for _, part := range strings.Split("\n"+text, "\n-- ")[1:] {
 		name, body, ok := strings.Cut(part, " --\n")
@@ -51,12 +51,12 @@
 		if body != "" && !strings.Contains(text, "-- cut --") {
 			body += "\n"
 		}
-		write(t, name, body)
+		writeFile(t, name, body)
 	}
 	return want
 }
 
-func write(t testing.TB, name, text string) {
+func writeFile(t testing.TB, name, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(name), 0o700); err != nil {
 		t.Fatal(err)
@@ -67,12 +67,12 @@
 }
 
 // Every broken file gives exactly the words that stand beside it.
-func TestBrokenFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.txt")
 	if err != nil || len(files) < 60 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
-	s := fixture(t)
+	s := testSchema(t)
 	for _, file := range files {
 		file, err := filepath.Abs(file)
 		if err != nil {
@@ -84,7 +84,7 @@
 				t.Fatal(err)
 			}
 			t.Chdir(t.TempDir())
-			want := strings.TrimRight(unpack(t, strings.TrimRight(string(text), "\n")+"\n"), "\n")
+			want := strings.TrimRight(writeCaseFiles(t, strings.TrimRight(string(text), "\n")+"\n"), "\n")
 			c, diags, err := s.Load("main.sloe")
 			if err != nil {
 				t.Fatal(err)
@@ -108,7 +108,7 @@
 func load(t *testing.T, s *operator.Schema, text string) (*operator.Config, sloe.Diags) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "main.sloe")
-	write(t, file, text+"# the end\n")
+	writeFile(t, file, text+"# the end\n")
 	c, diags, err := s.Load(file)
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	return c, diags
 }
 
-func good(t *testing.T, s *operator.Schema, text string) *operator.Config {
+func loadValid(t *testing.T, s *operator.Schema, text string) *operator.Config {
 	t.Helper()
 	c, diags := load(t, s, text)
 	if len(diags) > 0 {
@@ -125,35 +125,35 @@
 	return c
 }
 
-const pools = "pool main { nodes = [\"a\"] }\npool spare { nodes = [\"b\"] }\n"
+const poolBlocks = "pool main { nodes = [\"a\"] }\npool spare { nodes = [\"b\"] }\n"
 
 // The diff tells meaning: each change with its size, direction and when it counts; nothing else.
 func TestDiff(t *testing.T) {
-	s := fixture(t)
+	s := testSchema(t)
 	for name, tc := range map[string]struct{ old, now, want string }{
 		"spelling, order, comments, a definition": {
-			"gateway { clients { idle = 2000ms } }\nroute r {\n to = main\n limit = 480units/m\n}\nroute q { to = spare }\n" + pools,
-			"define i = 2s # why\n" + pools + "route q { to = \"spare\" }\nroute r {\n limit = 8units/s\n to = main\n}\ngateway {\n clients {\n  idle = $i\n }\n}\n", ""},
+			"gateway { clients { idle = 2000ms } }\nroute r {\n to = main\n limit = 480units/m\n}\nroute q { to = spare }\n" + poolBlocks,
+			"define i = 2s # why\n" + poolBlocks + "route q { to = \"spare\" }\nroute r {\n limit = 8units/s\n to = main\n}\ngateway {\n clients {\n  idle = $i\n }\n}\n", ""},
 		"the default, spelled out": {"", "log { level = info }\ngateway { nodes { rest = 10ms } }\n", ""},
-		"looser": {pools + "route r {\n to = main\n limit = 8units/s\n}\nroute q { to = spare }\n",
-			pools + "route r {\n to = main\n limit = 10units/s\n}\nroute q { to = spare }\n",
+		"looser": {poolBlocks + "route r {\n to = main\n limit = 8units/s\n}\nroute q { to = spare }\n",
+			poolBlocks + "route r {\n to = main\n limit = 10units/s\n}\nroute q { to = spare }\n",
 			"route \"r\": limit 8units/s -> 10units/s, looser by 25%; at reload"},
-		"less is looser": {pools + "route r {\n to = main\n wait = 10ms\n}\nroute q { to = spare }\n",
-			pools + "route r {\n to = main\n wait = 5ms\n}\nroute q { to = spare }\n",
+		"less is looser": {poolBlocks + "route r {\n to = main\n wait = 10ms\n}\nroute q { to = spare }\n",
+			poolBlocks + "route r {\n to = main\n wait = 5ms\n}\nroute q { to = spare }\n",
 			"route \"r\": wait 10ms -> 5ms, looser by 50%; at reload"},
-		"from nothing": {pools + "route r { to = main }\nroute q { to = spare }\n", pools + "route r {\n to = main\n wait = 5ms\n}\nroute q { to = spare }\n",
+		"from nothing": {poolBlocks + "route r { to = main }\nroute q { to = spare }\n", poolBlocks + "route r {\n to = main\n wait = 5ms\n}\nroute q { to = spare }\n",
 			"route \"r\": wait 0ns -> 5ms, tighter; at reload"},
 		"restart": {"", "gateway { clients { accept-ahead = 32 } }\n", "gateway.clients: accept-ahead 16 -> 32; at restart"},
-		"a limit taken away": {pools + "route r {\n to = main\n limit = 8units/s\n}\nroute q { to = spare }\n",
-			pools + "route r { to = main }\nroute q { to = spare }\n", "route \"r\": limit 8units/s -> none; at reload"},
-		"added and removed": {pools + "route r { to = main }\nroute q { to = spare }\n",
-			pools + "route new { to = main }\nroute q { to = spare }\n",
+		"a limit taken away": {poolBlocks + "route r {\n to = main\n limit = 8units/s\n}\nroute q { to = spare }\n",
+			poolBlocks + "route r { to = main }\nroute q { to = spare }\n", "route \"r\": limit 8units/s -> none; at reload"},
+		"added and removed": {poolBlocks + "route r { to = main }\nroute q { to = spare }\n",
+			poolBlocks + "route new { to = main }\nroute q { to = spare }\n",
 			"route \"r\": removed, it had to main, wait 0ns; at reload\nroute \"new\": added, to main, wait 0ns; at reload"},
-		"a pool, which needs a restart": {"pool main { nodes = [\"a\"] }\nroute q { to = main }\n", pools + "route q { to = main }\nroute r { to = spare }\n",
+		"a pool, which needs a restart": {"pool main { nodes = [\"a\"] }\nroute q { to = main }\n", poolBlocks + "route q { to = main }\nroute r { to = spare }\n",
 			"pool \"spare\": added, nodes [\"b\"], weight 100%; at restart\nroute \"r\": added, to spare, wait 0ns; at reload"},
 	} {
 		var lines []string
-		for _, c := range operator.Diff(good(t, s, tc.old), good(t, s, tc.now)) {
+		for _, c := range operator.Diff(loadValid(t, s, tc.old), loadValid(t, s, tc.now)) {
 			lines = append(lines, c.String())
 		}
 		if got := strings.Join(lines, "\n"); got != tc.want {
@@ -163,11 +163,11 @@
 }
 
 // What Show prints is a file of the same meaning.
-func TestShowIsAFile(t *testing.T) {
-	s := fixture(t)
-	a := good(t, s, "define i = 7s\ngateway { clients { idle = $i } }\nroute \"a \\\"b\" { to = main }\npool main { nodes = [\"x\", \"y\\n\"] }\n")
+func TestShowOutputIsValid(t *testing.T) {
+	s := testSchema(t)
+	a := loadValid(t, s, "define i = 7s\ngateway { clients { idle = $i } }\nroute \"a \\\"b\" { to = main }\npool main { nodes = [\"x\", \"y\\n\"] }\n")
 	text := a.Show()
-	if b := good(t, s, text); len(operator.Diff(a, b)) > 0 {
+	if b := loadValid(t, s, text); len(operator.Diff(a, b)) > 0 {
 		t.Errorf("%v\n%s", operator.Diff(a, b), text)
 	}
 	if !strings.Contains(text, "idle = 7s") || !strings.Contains(text, "main.sloe:2, $i of ") || !strings.Contains(text, "# default\n") {
@@ -180,7 +180,7 @@
 }
 
 // A schema that is wrong by itself is no schema.
-func TestSchemaIsHeldToItself(t *testing.T) {
+func TestInvalidSchemas(t *testing.T) {
 	key := func(k operator.Key) *operator.Block {
 		return &operator.Block{Name: "b", Keys: []operator.Key{k}}
 	}
@@ -203,11 +203,11 @@
 
 // What a formatter does never changes meaning, for whatever the checker takes.
 func FuzzCheck(f *testing.F) {
-	for _, s := range []string{"#\n", pools + "route r { to = main }\nroute s { to = spare }\n", "define x = 1s\ngateway { clients { idle = $x } }\n",
+	for _, s := range []string{"#\n", poolBlocks + "route r { to = main }\nroute s { to = spare }\n", "define x = 1s\ngateway { clients { idle = $x } }\n",
 		"log { level = warn }\n", "gateway {\n stop { longest = 10m } }\n", "pool a { nodes = [\"\\\"\"] }\n", "define a = [1]\ndefine b = [$a, 2]\n"} {
 		f.Add([]byte(s))
 	}
-	s := fixture(f)
+	s := testSchema(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		check := func(text []byte) *operator.Config {
 			file, diags := sloe.Parse(&sloe.Source{Name: "f", Text: text})
--- a/internal/operator/pages.go
+++ b/internal/operator/pages.go
@@ -7,17 +7,17 @@
 	"sloepick/internal/sloe"
 )
 
-const valueColumn = 40 // where the places of values stand in Show, if the values leave room
+const originColumn = 40 // where the places of values stand in Show, if the values leave room
 
 // Show is the whole configuration with includes and defaults in place, each value with where it came from. It is
 // itself a file that can be used.
 func (c *Config) Show() string {
 	var b strings.Builder
-	show(&b, c.sections, "")
+	showSections(&b, c.sections, "")
 	return b.String()
 }
 
-func show(b *strings.Builder, all []*Section, indent string) {
+func showSections(b *strings.Builder, all []*Section, indent string) {
 	for i, s := range all {
 		if i > 0 || indent != "" && len(s.values) > 0 && b.Len() > 0 && !strings.HasSuffix(b.String(), "{\n") {
 			b.WriteString("\n")
@@ -28,12 +28,12 @@
 		}
 		fmt.Fprintf(b, "%s%s%s {\n", indent, s.Block.Name, label)
 		for _, v := range s.values {
-			if v.set {
+			if v.isSet {
 				line := fmt.Sprintf("%s    %s = %s", indent, v.Key.Name, v)
-				fmt.Fprintf(b, "%-*s # %s\n", valueColumn, line, v.Origin())
+				fmt.Fprintf(b, "%-*s # %s\n", originColumn, line, v.Origin())
 			}
 		}
-		show(b, s.subs, indent+"    ")
+		showSections(b, s.subsections, indent+"    ")
 		fmt.Fprintf(b, "%s}\n", indent)
 	}
 }
@@ -42,11 +42,11 @@
 func (s *Schema) ReferencePage() string {
 	var b strings.Builder
 	b.WriteString("# Configuration reference\n\nMade by `sloectl doc` from the schema that also checks files.\n")
-	doc(&b, s.blocks, "")
+	documentBlocks(&b, s.blocks, "")
 	return b.String()
 }
 
-func doc(b *strings.Builder, blocks []*Block, path string) {
+func documentBlocks(b *strings.Builder, blocks []*Block, path string) {
 	for _, k := range blocks {
 		name, label := path+k.Name, ""
 		if k.Labeled {
@@ -58,23 +58,23 @@
 		}
 		for i := range k.Keys {
 			key := &k.Keys[i]
-			fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Name, key.form(), key.defaultDoc(), key.bounds(), key.Applied, key.Doc)
+			fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Name, key.describe(), key.describeDefault(), key.describeBounds(), key.Applied, key.Doc)
 		}
-		doc(b, k.Blocks, name+".")
+		documentBlocks(b, k.Blocks, name+".")
 	}
 }
 
-func (k *Key) defaultDoc() string {
+func (k *Key) describeDefault() string {
 	switch {
 	case k.Default != "":
-		return "`" + k.value.String() + "`"
+		return "`" + k.defaultValue.String() + "`"
 	case k.Optional:
 		return "none"
 	}
 	return "required"
 }
 
-func (k *Key) bounds() string {
+func (k *Key) describeBounds() string {
 	switch {
 	case k.minQuantity != nil && k.maxQuantity != nil:
 		return fmt.Sprintf("%s to %s", k.minQuantity, k.maxQuantity)
--- a/internal/operator/schema.go
+++ b/internal/operator/schema.go
@@ -32,8 +32,8 @@
 // examples are values that show a kind's form in messages.
 var examples = map[Kind]string{Duration: "250ms", Size: "64KiB", Share: "15%", Count: "3"}
 
-// dims are the dimensions of the kinds that are quantities.
-var dims = map[Kind]sloe.Dimension{Duration: sloe.Time, Size: sloe.Size, Share: sloe.Share, Count: sloe.Count, Rate: sloe.Rate}
+// dimensions are the dimensions of the kinds that are quantities.
+var dimensions = map[Kind]sloe.Dimension{Duration: sloe.Time, Size: sloe.Size, Share: sloe.Share, Count: sloe.Count, Rate: sloe.Rate}
 
 // ApplyTime tells when a changed value counts.
 type ApplyTime int
@@ -76,7 +76,7 @@
 	Strictness   Strictness
 
 	minQuantity, maxQuantity *sloe.Quantity
-	value                    Value // the default
+	defaultValue             Value // the default
 }
 
 // Block declares a block. A block with Labels may come several times, each under a name of its own; one without
@@ -154,12 +154,12 @@
 			continue
 		}
 		q, err := sloe.ParseQuantity(bound.text)
-		if err != nil || q.Dimension != dims[k.Kind] {
+		if err != nil || q.Dimension != dimensions[k.Kind] {
 			return fmt.Errorf("the bound %q: %w", bound.text, errors.Join(err, errors.New("not of its kind")))
 		}
 		*bound.to = &q
 	}
-	k.value = Value{Key: k}
+	k.defaultValue = Value{Key: k}
 	if k.Default == "" {
 		return nil
 	}
@@ -172,8 +172,8 @@
 	if !ok {
 		return c.diags
 	}
-	v.place = sloe.Pos{}
-	k.value = v
+	v.pos = sloe.Pos{}
+	k.defaultValue = v
 	return nil
 }
 
@@ -186,7 +186,7 @@
 	return nil
 }
 
-func find(blocks []*Block, name string) *Block {
+func findBlock(blocks []*Block, name string) *Block {
 	for _, b := range blocks {
 		if b.Name == name {
 			return b
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// form is what a key takes, in words for messages and for the reference page.
-func (k *Key) form() string {
+// describe is what a key takes, in words for messages and for the reference page.
+func (k *Key) describe() string {
 	what := kindNames[k.Kind]
 	if ex := examples[k.Kind]; ex != "" {
 		what += " such as " + ex
@@ -205,7 +205,7 @@
 	case Rate:
 		what += " such as 8" + k.RateItem + "/s"
 	case Word:
-		what = "one of " + join(k.AllowedWords)
+		what = "one of " + joinAlternatives(k.AllowedWords)
 	case Ref:
 		what = "the name of a block " + k.RefBlock
 	}
--- a/internal/operator/values.go
+++ b/internal/operator/values.go
@@ -11,29 +11,29 @@
 
 // Value is a setting's value: the one in the file, or the default.
 type Value struct {
-	Key   *Key
-	items []item
-	place sloe.Pos // zero: the default
-	by    *sloe.Define
-	set   bool // there is one: false for an optional key that is left out
+	Key        *Key
+	items      []item
+	pos        sloe.Pos // zero: the default
+	definition *sloe.Define
+	isSet      bool // there is one: false for an optional key that is left out
 }
 
 // item is one value of a list, or the only one.
 type item struct {
-	q    sloe.Quantity
-	text string // of words, texts and names
+	quantity sloe.Quantity
+	text     string // of words, texts and names
 }
 
 func (i item) String() string {
-	if i.q.Value != nil {
-		return i.q.String()
+	if i.quantity.Value != nil {
+		return i.quantity.String()
 	}
 	return i.text
 }
 
 // String is the value in its one usual spelling: two that mean the same are spelled the same.
 func (v Value) String() string {
-	if !v.set {
+	if !v.isSet {
 		return "none"
 	}
 	var parts []string
@@ -52,24 +52,24 @@
 
 // Origin tells where the value came from, as FILE:LINE, or that it is the default.
 func (v Value) Origin() string {
-	if !v.place.Valid() {
+	if !v.pos.Valid() {
 		return "default"
 	}
-	from := fmt.Sprintf("%s:%d", v.place.Src.Name, v.place.Line())
-	if v.by != nil {
-		from += fmt.Sprintf(", $%s of %s:%d", v.by.Name.Name, v.by.Pos.Src.Name, v.by.Pos.Line())
+	from := fmt.Sprintf("%s:%d", v.pos.Src.Name, v.pos.Line())
+	if v.definition != nil {
+		from += fmt.Sprintf(", $%s of %s:%d", v.definition.Name.Name, v.definition.Pos.Src.Name, v.definition.Pos.Line())
 	}
 	return from
 }
 
 // Section is a block with its values: those of the file, and defaults for the rest.
 type Section struct {
-	Block  *Block
-	Label  string
-	pos    sloe.Pos // zero: left out
-	values []Value  // in the order of Block.Keys
-	subs   []*Section
-	ok     bool // all its values are good, so that what is between them may be checked
+	Block       *Block
+	Label       string
+	pos         sloe.Pos // zero: left out
+	values      []Value  // in the order of Block.Keys
+	subsections []*Section
+	valid       bool // all its values are good, so that what is between them may be checked
 }
 
 // Config is a whole configuration, checked.
@@ -91,31 +91,31 @@
 }
 
 func newSection(b *Block, label string, pos sloe.Pos) *Section {
-	s := &Section{Block: b, Label: label, pos: pos, ok: true}
+	s := &Section{Block: b, Label: label, pos: pos, valid: true}
 	for i := range b.Keys {
-		s.values = append(s.values, b.Keys[i].value)
+		s.values = append(s.values, b.Keys[i].defaultValue)
 	}
 	for _, sub := range b.Blocks {
 		if !sub.Labeled {
-			s.subs = append(s.subs, newSection(sub, "", sloe.Pos{}))
+			s.subsections = append(s.subsections, newSection(sub, "", sloe.Pos{}))
 		}
 	}
 	return s
 }
 
 // Section is the block without a label of that name, which the schema must declare.
-func (c *Config) Section(name string) *Section { return one(c.sections, name) }
+func (c *Config) Section(name string) *Section { return findSection(c.sections, name) }
 
 // Sections are the blocks with labels of that name, in the order of reading.
-func (c *Config) Sections(name string) []*Section { return all(c.sections, name) }
+func (c *Config) Sections(name string) []*Section { return findSections(c.sections, name) }
 
 // Section is the block without a label within this one.
-func (s *Section) Section(name string) *Section { return one(s.subs, name) }
+func (s *Section) Section(name string) *Section { return findSection(s.subsections, name) }
 
 // Sections are the blocks with labels of that name within this one.
-func (s *Section) Sections(name string) []*Section { return all(s.subs, name) }
+func (s *Section) Sections(name string) []*Section { return findSections(s.subsections, name) }
 
-func one(in []*Section, name string) *Section {
+func findSection(in []*Section, name string) *Section {
 	for _, s := range in {
 		if s.Block.Name == name && !s.Block.Labeled {
 			return s
@@ -124,7 +124,7 @@
 	panic("operator: no block " + name + " is declared")
 }
 
-func all(in []*Section, name string) (out []*Section) {
+func findSections(in []*Section, name string) (out []*Section) {
 	for _, s := range in {
 		if s.Block.Name == name && s.Block.Labeled {
 			out = append(out, s)
@@ -144,7 +144,7 @@
 }
 
 // IsSet reports whether a key has a value: always, but for an optional one that was left out.
-func (s *Section) IsSet(key string) bool { return s.Value(key).set }
+func (s *Section) IsSet(key string) bool { return s.Value(key).isSet }
 
 // Present reports whether the block stands in a file.
 func (s *Section) Present() bool { return s.pos.Valid() }
@@ -155,20 +155,20 @@
 	if key == "" {
 		return s.pos
 	}
-	for _, sub := range s.subs {
+	for _, sub := range s.subsections {
 		if sub.Block.Name == key {
 			return sub.pos
 		}
 	}
-	if at := s.placeOf(key); at.Valid() {
+	if at := s.keyPos(key); at.Valid() {
 		return at
 	}
 	return s.pos
 }
 
-func (s *Section) only(key string, kind Kind) item {
+func (s *Section) single(key string, kind Kind) item {
 	v := s.Value(key)
-	if v.Key.Kind != kind || v.Key.List || !v.set {
+	if v.Key.Kind != kind || v.Key.List || !v.isSet {
 		panic("operator: " + key + " is not read as it is declared, or has no value")
 	}
 	return v.items[0]
@@ -176,23 +176,25 @@
 
 // Duration is the value of a key of that kind.
 func (s *Section) Duration(key string) time.Duration {
-	return time.Duration(s.only(key, Duration).q.Value.Num().Int64())
+	return time.Duration(s.single(key, Duration).quantity.Value.Num().Int64())
 }
 
 // Size is the value of a key of that kind, in bytes.
-func (s *Section) Size(key string) int64 { return s.only(key, Size).q.Value.Num().Int64() }
+func (s *Section) Size(key string) int64 { return s.single(key, Size).quantity.Value.Num().Int64() }
 
 // Count is the value of a key of that kind.
-func (s *Section) Count(key string) int { return int(s.only(key, Count).q.Value.Num().Int64()) }
+func (s *Section) Count(key string) int {
+	return int(s.single(key, Count).quantity.Value.Num().Int64())
+}
 
 // Share is the value of a key of that kind, as a part of 1.
-func (s *Section) Share(key string) float64 { return float(s.only(key, Share).q.Value) }
+func (s *Section) Share(key string) float64 { return toFloat(s.single(key, Share).quantity.Value) }
 
 // Rate is the value of a key of that kind, a second.
-func (s *Section) Rate(key string) float64 { return float(s.only(key, Rate).q.Value) }
+func (s *Section) Rate(key string) float64 { return toFloat(s.single(key, Rate).quantity.Value) }
 
 // Text is the value of a key of the kinds Text, Text and Ref.
-func (s *Section) Text(key string) string { return s.only(key, s.Value(key).Key.Kind).text }
+func (s *Section) Text(key string) string { return s.single(key, s.Value(key).Key.Kind).text }
 
 // Texts are the values of a key that takes a list of words, texts or names.
 func (s *Section) Texts(key string) (all []string) {
@@ -202,13 +204,13 @@
 	return all
 }
 
-func float(v *big.Rat) float64 {
+func toFloat(v *big.Rat) float64 {
 	f, _ := v.Float64()
 	return f
 }
 
-// join lists words: a, b or c.
-func join(words []string) string {
+// joinAlternatives lists words: a, b or c.
+func joinAlternatives(words []string) string {
 	if n := len(words); n > 1 {
 		return strings.Join(words[:n-1], ", ") + " or " + words[n-1]
 	}
--- a/internal/sloe/ast.go
+++ b/internal/sloe/ast.go
@@ -14,8 +14,8 @@
 
 // Entry is a statement of a file: *Include, *Define, *Block or *Setting.
 type Entry interface {
-	notes() *Comments
-	at() Pos
+	comments() *Comments
+	position() Pos
 }
 
 type (
@@ -50,15 +50,15 @@
 	}
 )
 
-func (e *Include) notes() *Comments { return &e.Comments }
-func (e *Define) notes() *Comments  { return &e.Comments }
-func (e *Block) notes() *Comments   { return &e.Comments }
-func (e *Setting) notes() *Comments { return &e.Comments }
+func (e *Include) comments() *Comments { return &e.Comments }
+func (e *Define) comments() *Comments  { return &e.Comments }
+func (e *Block) comments() *Comments   { return &e.Comments }
+func (e *Setting) comments() *Comments { return &e.Comments }
 
-func (e *Include) at() Pos { return e.Pos }
-func (e *Define) at() Pos  { return e.Pos }
-func (e *Block) at() Pos   { return e.Type.Pos }
-func (e *Setting) at() Pos { return e.Name.Pos }
+func (e *Include) position() Pos { return e.Pos }
+func (e *Define) position() Pos  { return e.Pos }
+func (e *Block) position() Pos   { return e.Type.Pos }
+func (e *Setting) position() Pos { return e.Name.Pos }
 
 // ValueKind tells the shape of a value.
 type ValueKind int
--- a/internal/sloe/diag.go
+++ b/internal/sloe/diag.go
@@ -18,8 +18,8 @@
 	Name string // as shown to people
 	Text []byte
 	// Modified is when the file was last written, as the file system tells.
-	Modified time.Time
-	lines    []int // offsets at which lines begin; made when first asked for
+	Modified   time.Time
+	lineStarts []int // offsets at which lines begin; made when first asked for
 }
 
 // Pos is a place in a source. The zero value is no place.
@@ -52,16 +52,16 @@
 }
 
 func (s *Source) locate(off int) (line, start int) {
-	if s.lines == nil {
-		s.lines = []int{0}
+	if s.lineStarts == nil {
+		s.lineStarts = []int{0}
 		for i, c := range s.Text {
 			if c == '\n' {
-				s.lines = append(s.lines, i+1)
+				s.lineStarts = append(s.lineStarts, i+1)
 			}
 		}
 	}
-	i := sort.SearchInts(s.lines, off+1) - 1
-	return i + 1, s.lines[i]
+	i := sort.SearchInts(s.lineStarts, off+1) - 1
+	return i + 1, s.lineStarts[i]
 }
 
 // Note points from a problem to a second place.
@@ -72,15 +72,15 @@
 
 // Diag is a problem of a file.
 type Diag struct {
-	Pos     Pos
-	Msg     string
-	Warning bool // the file can be used all the same
-	Notes   []Note
-	order   int // of its source among those read
+	Pos         Pos
+	Msg         string
+	Warning     bool // the file can be used all the same
+	Notes       []Note
+	sourceIndex int // of its source among those read
 }
 
 const (
-	excerptMost = 160 // bytes of a source line that are shown
+	maxExcerptBytes = 160 // bytes of a source line that are shown
 	// MaxShownDiags is how many problems are told in one run; the rest are counted.
 	MaxShownDiags = 200
 )
@@ -109,12 +109,12 @@
 	if i := bytes.IndexByte(line, '\n'); i >= 0 {
 		line = line[:i]
 	}
-	if p.Off-start > excerptMost {
+	if p.Off-start > maxExcerptBytes {
 		return "" // the place lies beyond what can be shown
 	}
 	line = bytes.TrimRight(line, "\r")
-	if len(line) > excerptMost {
-		line = append(slices.Clone(line[:excerptMost]), "..."...)
+	if len(line) > maxExcerptBytes {
+		line = append(slices.Clone(line[:maxExcerptBytes]), "..."...)
 	}
 	var text, caret strings.Builder
 	for i, r := range string(line) {
@@ -142,16 +142,16 @@
 
 // Sort puts them in the order of their places: files as they were first read, then lines.
 func (ds Diags) Sort(files []*Source) {
-	rank := map[*Source]int{}
+	index := map[*Source]int{}
 	for i, f := range files {
-		rank[f] = i
+		index[f] = i
 	}
 	for i := range ds {
-		ds[i].order = rank[ds[i].Pos.Src]
+		ds[i].sourceIndex = index[ds[i].Pos.Src]
 	}
 	slices.SortStableFunc(ds, func(a, b Diag) int {
-		if a.order != b.order {
-			return a.order - b.order
+		if a.sourceIndex != b.sourceIndex {
+			return a.sourceIndex - b.sourceIndex
 		}
 		return a.Pos.Off - b.Pos.Off
 	})
--- a/internal/sloe/load.go
+++ b/internal/sloe/load.go
@@ -14,11 +14,11 @@
 
 // Bounds on a configuration of many files.
 const (
-	filesMost   = 256     // files in all
-	depthMost   = 16      // includes within includes
-	totalMost   = 8 << 20 // bytes in all
-	entriesMost = 4096    // names looked at in a folder that a pattern names
-	extension   = ".sloe"
+	maxFiles         = 256     // files in all
+	maxIncludeDepth  = 16      // includes within includes
+	maxTotalBytes    = 8 << 20 // bytes in all
+	maxFolderEntries = 4096    // names looked at in a folder that a pattern names
+	extension        = ".sloe"
 )
 
 // Tree is a configuration with its includes in place.
@@ -51,32 +51,32 @@
 		return nil, nil, fmt.Errorf("reading the configuration: %w", err)
 	}
 	defer root.Close()
-	l := &loader{root: root, shown: filepath.Dir(name), tree: &Tree{}}
+	l := &loader{root: root, rootDisplayName: filepath.Dir(name), tree: &Tree{}}
 	text, info, err := l.read(filepath.Base(real))
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the configuration: %s: %w", name, err)
 	}
-	l.file(filepath.Base(real), name, text, info, nil)
+	l.parseFile(filepath.Base(real), name, text, info, nil)
 	l.diags.Sort(l.tree.Sources())
 	return l.tree, l.diags, nil
 }
 
-// step is a file on the way from the first one to the one that is being read.
-type step struct {
-	shown string
-	info  fs.FileInfo
-	from  *step
-	by    Pos // the include that led to it
+// includeStep is a file on the way from the first one to the one that is being read.
+type includeStep struct {
+	displayName string
+	info        fs.FileInfo
+	parent      *includeStep
+	includePos  Pos // the include that led to it
 }
 
 type loader struct {
-	root  *os.Root
-	shown string // the folder of the first file, as the caller named it
-	tree  *Tree
-	diags Diags
-	seen  []*step
-	bytes int
-	full  bool // a bound on the whole was passed, and told
+	root            *os.Root
+	rootDisplayName string // the folder of the first file, as the caller named it
+	tree            *Tree
+	diags           Diags
+	loaded          []*includeStep
+	totalBytes      int
+	stopped         bool // a bound on the whole was passed, and told
 }
 
 func (l *loader) errorf(at Pos, format string, args ...any) {
@@ -84,8 +84,8 @@
 }
 
 var (
-	errKind  = errors.New("it is no ordinary file")
-	errLarge = fmt.Errorf("it has more than %d KiB", MaxFileSize>>10)
+	errNotRegular = errors.New("it is no ordinary file")
+	errTooLarge   = fmt.Errorf("it has more than %d KiB", MaxFileSize>>10)
 )
 
 // read opens a file by its path below the root.
@@ -96,9 +96,9 @@
 	}
 	switch {
 	case !info.Mode().IsRegular():
-		return nil, nil, errKind
+		return nil, nil, errNotRegular
 	case info.Size() > MaxFileSize:
-		return nil, nil, errLarge
+		return nil, nil, errTooLarge
 	}
 	f, err := l.root.Open(name)
 	if err != nil {
@@ -109,10 +109,10 @@
 	return text, info, err
 }
 
-// file parses a text and follows its includes.
-func (l *loader) file(name, shown string, text []byte, info fs.FileInfo, by *step) {
-	here := &step{shown: shown, info: info, from: by}
-	l.seen = append(l.seen, here)
+// parseFile parses a text and follows its includes.
+func (l *loader) parseFile(name, shown string, text []byte, info fs.FileInfo, by *includeStep) {
+	here := &includeStep{displayName: shown, info: info, parent: by}
+	l.loaded = append(l.loaded, here)
 	f, diags := Parse(&Source{Name: shown, Text: text, Modified: info.ModTime()})
 	l.tree.Files = append(l.tree.Files, f)
 	l.tree.Unbalanced = l.tree.Unbalanced || f.Unbalanced
@@ -126,7 +126,7 @@
 	}
 }
 
-func (l *loader) include(from string, inc *Include, here *step) {
+func (l *loader) include(from string, inc *Include, here *includeStep) {
 	target, at := inc.Target.Text, inc.Target.Pos
 	if target == "" || path.IsAbs(target) || strings.ContainsAny(target, "\\\x00") {
 		l.errorf(at, "an include names a file, a folder or a pattern relative to this file")
@@ -134,12 +134,12 @@
 	}
 	name := path.Join(path.Dir(from), target)
 	if name == ".." || strings.HasPrefix(name, "../") {
-		l.errorf(at, "the include leads out of the folder %s", l.shown)
+		l.errorf(at, "the include leads out of the folder %s", l.rootDisplayName)
 		return
 	}
 	names, err := l.expand(name)
 	if err != nil {
-		l.errorf(at, "%s", l.reason(err))
+		l.errorf(at, "%s", l.describeError(err))
 		return
 	}
 	if len(names) == 0 {
@@ -147,7 +147,7 @@
 		return
 	}
 	for _, n := range names {
-		l.one(n, inc, here)
+		l.includeFile(n, inc, here)
 	}
 }
 
@@ -171,21 +171,21 @@
 	if _, err := path.Match(pattern, ""); err != nil {
 		return nil, errors.New("the pattern is malformed")
 	}
-	return l.match(path.Clean("./"+dir), pattern)
+	return l.matchingFiles(path.Clean("./"+dir), pattern)
 }
 
-func (l *loader) match(dir, pattern string) ([]string, error) {
+func (l *loader) matchingFiles(dir, pattern string) ([]string, error) {
 	d, err := l.root.Open(dir)
 	if err != nil {
 		return nil, err
 	}
 	defer d.Close()
-	entries, err := d.ReadDir(entriesMost + 1)
+	entries, err := d.ReadDir(maxFolderEntries + 1)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
-	if len(entries) > entriesMost {
-		return nil, fmt.Errorf("the folder holds more than %d names", entriesMost)
+	if len(entries) > maxFolderEntries {
+		return nil, fmt.Errorf("the folder holds more than %d names", maxFolderEntries)
 	}
 	var names []string
 	for _, e := range entries {
@@ -197,79 +197,79 @@
 	return names, nil
 }
 
-// reason words an error of the file system for the place of the include, without the path that stands there.
-func (l *loader) reason(err error) string {
+// describeError words an error of the file system for the place of the include, without the path that stands there.
+func (l *loader) describeError(err error) string {
 	var pe *fs.PathError
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return "there is no such file or folder"
 	case errors.As(err, &pe) && strings.Contains(pe.Err.Error(), "escapes"):
-		return "the include leads out of the folder " + l.shown
+		return "the include leads out of the folder " + l.rootDisplayName
 	case errors.As(err, &pe):
 		return fmt.Sprintf("it can't be read: %v", pe.Err)
 	}
 	return err.Error()
 }
 
-// one includes one file, if that is neither a circle nor a second time.
-func (l *loader) one(name string, inc *Include, here *step) {
-	if l.full {
+// includeFile includes includeFile file, if that is neither a circle nor a second time.
+func (l *loader) includeFile(name string, inc *Include, here *includeStep) {
+	if l.stopped {
 		return
 	}
-	at, shown := inc.Target.Pos, filepath.Join(l.shown, name)
+	at, shown := inc.Target.Pos, filepath.Join(l.rootDisplayName, name)
 	text, info, err := l.read(name)
 	if err != nil {
-		l.errorf(at, "%s: %s", shown, l.reason(err))
+		l.errorf(at, "%s: %s", shown, l.describeError(err))
 		return
 	}
-	by := &step{shown: here.shown, info: here.info, from: here.from, by: at}
-	if l.circle(shown, info, by) || l.twice(shown, info, at) {
+	by := &includeStep{displayName: here.displayName, info: here.info, parent: here.parent, includePos: at}
+	if l.reportCycle(shown, info, by) || l.reportDuplicate(shown, info, at) {
 		return
 	}
 	depth := 0
-	for s := by; s != nil; s = s.from {
+	for s := by; s != nil; s = s.parent {
 		depth++
 	}
-	l.bytes += len(text)
-	l.full = true
+	l.totalBytes += len(text)
+	l.stopped = true
 	switch {
-	case depth > depthMost:
-		l.errorf(at, "includes go deeper than %d files; nothing more is read", depthMost)
-	case len(l.seen) >= filesMost:
-		l.errorf(at, "more than %d files; nothing more is read", filesMost)
-	case l.bytes > totalMost:
-		l.errorf(at, "more than %d MiB in all; nothing more is read", totalMost>>20)
+	case depth > maxIncludeDepth:
+		l.errorf(at, "includes go deeper than %d files; nothing more is read", maxIncludeDepth)
+	case len(l.loaded) >= maxFiles:
+		l.errorf(at, "more than %d files; nothing more is read", maxFiles)
+	case l.totalBytes > maxTotalBytes:
+		l.errorf(at, "more than %d MiB in all; nothing more is read", maxTotalBytes>>20)
 	default:
-		l.full = false
-		l.file(name, shown, text, info, by)
+		l.stopped = false
+		l.parseFile(name, shown, text, info, by)
 	}
-	if l.full {
+	if l.stopped {
 		l.tree.Unbalanced = true // what is missing is not known, so nothing is to be said of meaning
 	}
 }
 
-// circle reports a file that includes itself, by whatever names, with the whole way.
-func (l *loader) circle(shown string, info fs.FileInfo, by *step) bool {
+// reportCycle reports a file that includes itself, by whatever names, with the whole way.
+func (l *loader) reportCycle(shown string, info fs.FileInfo, by *includeStep) bool {
 	names, way := []string{shown}, []Note(nil)
-	for s := by; s != nil; s = s.from {
-		way = append(way, Note{s.by, fmt.Sprintf("%s includes %s", s.shown, names[len(names)-1])})
-		names = append(names, s.shown)
+	for s := by; s != nil; s = s.parent {
+		way = append(way, Note{s.includePos, fmt.Sprintf("%s includes %s", s.displayName, names[len(names)-1])})
+		names = append(names, s.displayName)
 		if os.SameFile(s.info, info) {
 			slices.Reverse(way)
-			l.diags = append(l.diags, Diag{Pos: by.by, Msg: "the includes go in a circle", Notes: way})
+			l.diags = append(l.diags, Diag{Pos: by.includePos, Msg: "the includes go in a circle", Notes: way})
 			return true
 		}
 	}
 	return false
 }
 
-// twice reports a file that was included before.
-func (l *loader) twice(shown string, info fs.FileInfo, at Pos) bool {
-	for _, s := range l.seen {
+// reportDuplicate reports a file that was included before.
+func (l *loader) reportDuplicate(shown string, info fs.FileInfo, at Pos) bool {
+	for _, s := range l.loaded {
 		if os.SameFile(s.info, info) {
 			d := Diag{Pos: at, Msg: fmt.Sprintf("%s is included a second time", shown)}
-			if s.from != nil {
-				d.Notes = []Note{{s.from.by, "first included here"}}
+			if s.parent != nil {
+				d.Notes = []Note{{s.parent.includePos, "first included here"}}
 			}
 			l.diags = append(l.diags, d)
 			return true
--- a/internal/sloe/parse.go
+++ b/internal/sloe/parse.go
@@ -9,41 +9,41 @@
 
 // Bounds on a file. Each is told plainly when it is passed.
 const (
-	MaxFileSize = 1 << 20 // bytes of one file
-	nestMost    = 16      // blocks within blocks, and lists within lists
-	itemsMost   = 4096    // of a list
+	MaxFileSize  = 1 << 20 // bytes of one file
+	maxNesting   = 16      // blocks within blocks, and lists within lists
+	maxListItems = 4096    // of a list
 )
 
 const keywordInclude, keywordDefine = "include", "define"
 
 // parser reads one file. It goes on after an error with the next line, and says nothing twice.
 type parser struct {
-	src     *Source
-	lex     lexer
-	tok     token
-	diags   Diags
-	file    *File
-	opens   []*Block // the blocks that are open
-	culprit *Block   // the first whose end seems to be missing, going by the columns of braces
-	halt    bool     // nothing more of the file is read
-	cut     bool     // the file ends within a list, which was told
+	src            *Source
+	lex            lexer
+	tok            token
+	diags          Diags
+	file           *File
+	openBlocks     []*Block // the blocks that are open
+	likelyUnclosed *Block   // the first whose end seems to be missing, going by the columns of braces
+	stopped        bool     // nothing more of the file is read
+	endsInList     bool     // the file ends within a list, which was told
 }
 
 // Parse reads a source whole. What it finds wrong is in the Diags; the File holds all that could be read.
 func Parse(src *Source) (*File, Diags) {
 	p := &parser{src: src, file: &File{Src: src}}
-	if !p.readable() {
+	if !p.checkEncoding() {
 		p.file.Unbalanced = true
 		return p.file, p.diags
 	}
 	p.lex = lexer{src: src, report: p.errorf}
 	if bytes.HasPrefix(src.Text, []byte("\xef\xbb\xbf")) {
 		p.errorf(0, "the file begins with a byte-order mark: save it as UTF-8 without one")
-		p.lex.at = 3
+		p.lex.offset = 3
 	}
 	p.next()
 	p.file.Entries, p.file.EndComments = p.entries(nil)
-	p.unclosed()
+	p.reportUnclosed()
 	if len(bytes.TrimSpace(src.Text)) == 0 { // as an editor leaves it for a moment
 		p.errorf(0, "the file is empty: it may be cut short (a comment makes it a file that says nothing)")
 	}
@@ -53,8 +53,8 @@
 	return p.file, p.diags
 }
 
-// readable tells what no line of a file can be made of.
-func (p *parser) readable() bool {
+// checkEncoding tells what no line of a file can be made of.
+func (p *parser) checkEncoding() bool {
 	t := p.src.Text
 	if len(t) > MaxFileSize {
 		p.errorf(0, "the file has more than %d KiB", MaxFileSize>>10)
@@ -83,8 +83,8 @@
 
 func (p *parser) next() { p.tok = p.lex.next() }
 
-// lead reads line ends and comments on lines of their own.
-func (p *parser) lead() (lines []string) {
+// leadingComments reads line ends and comments on lines of their own.
+func (p *parser) leadingComments() (lines []string) {
 	for breaks := 0; ; p.next() {
 		switch p.tok.kind {
 		case tNewline:
@@ -104,20 +104,20 @@
 func (p *parser) entries(in *Block) (all []Entry, tail []string) {
 	// A line has just ended, or the file begins: the first line end that comes is a blank line.
 	for first := true; ; first = false {
-		lead := p.lead()
+		lead := p.leadingComments()
 		if first && len(lead) > 0 && lead[0] == "" {
 			lead = lead[1:]
 		}
-		if p.tok.kind == tEOF || p.halt || p.tok.kind == tClose && in != nil {
+		if p.tok.kind == tEOF || p.stopped || p.tok.kind == tClose && in != nil {
 			if n := len(lead); n > 0 && lead[n-1] == "" {
 				lead = lead[:n-1]
 			}
 			return all, lead
 		}
 		if e := p.entry(); e != nil {
-			e.notes().Leading = lead
+			e.comments().Leading = lead
 			if p.tok.kind == tComment {
-				e.notes().Trailing = p.tok.text
+				e.comments().Trailing = p.tok.text
 				p.next()
 			}
 			all = append(all, e)
@@ -134,12 +134,12 @@
 		p.file.Unbalanced = true
 		p.next()
 		return nil
-	case tBad:
-		p.skip()
+	case tInvalid:
+		p.skipStatement()
 		return nil
 	default:
 		p.errorf(p.tok.off, "found %s where a block or a setting begins with its name", p.tok)
-		p.skip()
+		p.skipStatement()
 		return nil
 	}
 	word := p.tok
@@ -155,32 +155,32 @@
 	default:
 		e = p.block(word)
 	}
-	if e != nil && !p.lineEnds() {
+	if e != nil && !p.atStatementEnd() {
 		p.errorf(p.tok.off, "found %s where the line should end", p.tok)
-		p.skip()
+		p.skipStatement()
 	}
 	return e
 }
 
-// lineEnds reports whether a statement may end here.
-func (p *parser) lineEnds() bool {
+// atStatementEnd reports whether a statement may end here.
+func (p *parser) atStatementEnd() bool {
 	switch p.tok.kind {
 	case tNewline, tEOF, tComment:
 		return true
 	case tClose:
-		return len(p.opens) > 0
-	case tBad: // reported, and the only thing to be said of the line
-		p.skip()
+		return len(p.openBlocks) > 0
+	case tInvalid: // reported, and the only thing to be said of the line
+		p.skipStatement()
 		return true
 	}
-	return p.halt
+	return p.stopped
 }
 
-// skip goes to the end of the line, and past the blocks that begin on it: what is in them belongs to what could
+// skipStatement goes to the end of the line, and past the blocks that begin on it: what is in them belongs to what could
 // not be read.
-func (p *parser) skip() {
-	p.lex.muted = true
-	defer func() { p.lex.muted = false }()
+func (p *parser) skipStatement() {
+	p.lex.silent = true
+	defer func() { p.lex.silent = false }()
 	for depth := 0; p.tok.kind != tEOF; p.next() {
 		switch p.tok.kind {
 		case tOpen:
@@ -205,25 +205,25 @@
 }
 
 func (p *parser) include(word token) Entry {
-	if len(p.opens) > 0 {
+	if len(p.openBlocks) > 0 {
 		p.errorf(word.off, "include stands outside of all blocks")
-		p.skip()
+		p.skipStatement()
 		return nil
 	}
 	if p.tok.kind != tString {
-		if p.tok.kind != tBad {
+		if p.tok.kind != tInvalid {
 			p.errorf(p.tok.off, "found %s where include needs a file, a folder or a pattern in quotes", p.tok)
 		}
-		p.skip()
+		p.skipStatement()
 		return nil
 	}
 	return &Include{Pos: p.pos(word.off), Target: p.value(0)}
 }
 
 func (p *parser) define(word token) Entry {
-	if len(p.opens) > 0 {
+	if len(p.openBlocks) > 0 {
 		p.errorf(word.off, "define stands outside of all blocks")
-		p.skip()
+		p.skipStatement()
 		return nil
 	}
 	name := p.tok
@@ -234,15 +234,15 @@
 }
 
 // expect takes a token, or reports that another stands in its place and skips the line.
-func (p *parser) expect(k kind, what string) bool {
+func (p *parser) expect(k tokenKind, what string) bool {
 	if p.tok.kind == k {
 		p.next()
 		return true
 	}
-	if p.tok.kind != tBad {
+	if p.tok.kind != tInvalid {
 		p.errorf(p.tok.off, "found %s where %s should stand", p.tok, what)
 	}
-	p.skip()
+	p.skipStatement()
 	return false
 }
 
@@ -257,15 +257,15 @@
 		p.next()
 	}
 	if p.tok.kind != tOpen {
-		if p.tok.kind != tBad {
-			p.errorf(p.tok.off, "found %s behind %q where '=' and a value, or '{' and a block, should stand", p.tok, clip(word.text))
+		if p.tok.kind != tInvalid {
+			p.errorf(p.tok.off, "found %s behind %q where '=' and a value, or '{' and a block, should stand", p.tok, truncate(word.text))
 		}
-		p.skip()
+		p.skipStatement()
 		return nil
 	}
-	if len(p.opens) == nestMost {
-		p.errorf(word.off, "blocks nest deeper than %d here; the rest of the file is not read", nestMost)
-		p.file.Unbalanced, p.halt = true, true
+	if len(p.openBlocks) == maxNesting {
+		p.errorf(word.off, "blocks nest deeper than %d here; the rest of the file is not read", maxNesting)
+		p.file.Unbalanced, p.stopped = true, true
 		return nil
 	}
 	p.next()
@@ -273,36 +273,36 @@
 		b.OpenComment = p.tok.text
 		p.next()
 	}
-	p.opens = append(p.opens, b)
+	p.openBlocks = append(p.openBlocks, b)
 	b.Entries, b.EndComments = p.entries(b)
 	if p.tok.kind != tClose { // the end of the file: told once, for the block that seems to lack its end
 		return b
 	}
-	if line := p.lineStart(p.tok.off); p.culprit == nil && p.firstOnLine(p.tok.off) && p.tok.off-line < p.indent(word.off) {
-		p.culprit = b
+	if line := p.lineStart(p.tok.off); p.likelyUnclosed == nil && p.firstOnLine(p.tok.off) && p.tok.off-line < p.indent(word.off) {
+		p.likelyUnclosed = b
 	}
-	p.opens = p.opens[:len(p.opens)-1]
+	p.openBlocks = p.openBlocks[:len(p.openBlocks)-1]
 	p.next()
 	return b
 }
 
-// unclosed tells once that braces are missing, at the block whose end is likely to be the missing one.
-func (p *parser) unclosed() {
-	if len(p.opens) == 0 || p.halt {
+// reportUnclosed tells once that braces are missing, at the block whose end is likely to be the missing one.
+func (p *parser) reportUnclosed() {
+	if len(p.openBlocks) == 0 || p.stopped {
 		return
 	}
 	p.file.Unbalanced = true
-	if p.cut {
+	if p.endsInList {
 		return
 	}
-	b := p.opens[len(p.opens)-1]
-	if p.culprit != nil {
-		b = p.culprit
+	b := p.openBlocks[len(p.openBlocks)-1]
+	if p.likelyUnclosed != nil {
+		b = p.likelyUnclosed
 	}
 	p.diags = slices.DeleteFunc(p.diags, func(d Diag) bool {
 		return d.Msg == "include stands outside of all blocks" || d.Msg == "define stands outside of all blocks"
 	})
-	p.errorf(b.Type.Pos.Off, "the block %q is not closed: a '}' is missing", clip(b.Type.Name))
+	p.errorf(b.Type.Pos.Off, "the block %q is not closed: a '}' is missing", truncate(b.Type.Name))
 }
 
 func (p *parser) lineStart(off int) int { return bytes.LastIndexByte(p.src.Text[:off], '\n') + 1 }
@@ -337,12 +337,12 @@
 		}
 	case tListOpen:
 		return p.list(v, depth)
-	case tBad:
+	case tInvalid:
 		v.Kind = Invalid
 	default:
 		p.errorf(t.off, "found %s where a value should stand", t)
 		v.Kind = Invalid
-		p.skip()
+		p.skipStatement()
 		return v
 	}
 	p.next()
@@ -352,9 +352,9 @@
 func (p *parser) list(v *Value, depth int) *Value {
 	v.Kind = List
 	open := p.tok
-	if depth == nestMost {
-		p.errorf(open.off, "lists nest deeper than %d here; the rest of the file is not read", nestMost)
-		p.file.Unbalanced, p.halt = true, true
+	if depth == maxNesting {
+		p.errorf(open.off, "lists nest deeper than %d here; the rest of the file is not read", maxNesting)
+		p.file.Unbalanced, p.stopped = true, true
 		v.Kind = Invalid
 		p.tok = token{kind: tEOF, off: open.off}
 		return v
@@ -362,7 +362,7 @@
 	p.next()
 	for first := true; ; first = false {
 		start := p.tok.off
-		lead := p.lead()
+		lead := p.leadingComments()
 		v.Multiline = v.Multiline || p.tok.off > start && bytes.IndexByte(p.src.Text[start:p.tok.off], '\n') >= 0
 		if len(lead) > 0 && first && lead[0] == "" {
 			lead = lead[1:]
@@ -375,18 +375,18 @@
 			p.next()
 			return v
 		}
-		if p.tok.kind == tEOF || p.tok.kind == tEquals || p.tok.kind == tOpen || p.tok.kind == tClose || p.halt {
-			if !p.halt {
+		if p.tok.kind == tEOF || p.tok.kind == tEquals || p.tok.kind == tOpen || p.tok.kind == tClose || p.stopped {
+			if !p.stopped {
 				p.errorf(open.off, "the list is not closed: a ']' is missing")
-				p.cut = p.tok.kind == tEOF
-				p.skip()
+				p.endsInList = p.tok.kind == tEOF
+				p.skipStatement()
 			}
 			v.Kind = Invalid
 			return v
 		}
-		if len(v.Items) == itemsMost {
-			p.errorf(p.tok.off, "the list has more than %d items", itemsMost)
-			p.skip()
+		if len(v.Items) == maxListItems {
+			p.errorf(p.tok.off, "the list has more than %d items", maxListItems)
+			p.skipStatement()
 			v.Kind = Invalid
 			return v
 		}
@@ -412,24 +412,24 @@
 		item.Trailing, v.Multiline = p.tok.text, true
 		p.next()
 	}
-	if comma || p.halt {
+	if comma || p.stopped {
 		return true
 	}
 	v.Multiline = v.Multiline || p.tok.kind == tNewline
-	v.EndComments = p.lead()
+	v.EndComments = p.leadingComments()
 	if p.tok.kind != tListClose {
 		switch p.tok.kind {
-		case tBad: // told
+		case tInvalid: // told
 		case tClose, tEOF, tEquals:
 			p.errorf(open, "the list is not closed: a ']' is missing")
-			p.cut = p.tok.kind == tEOF
+			p.endsInList = p.tok.kind == tEOF
 		default:
 			if item.Kind != Invalid {
 				p.errorf(p.tok.off, "found %s where ',' or ']' should stand", p.tok)
 			}
 		}
 		v.Kind = Invalid
-		p.skip()
+		p.skipStatement()
 		return false
 	}
 	return true
@@ -443,5 +443,5 @@
 	case tNewline, tComment:
 		return "the end of the line"
 	}
-	return fmt.Sprintf("%q", clip(t.text))
+	return fmt.Sprintf("%q", truncate(t.text))
 }
--- a/internal/sloe/sloe_test.go
+++ b/internal/sloe/sloe_test.go
@@ -17,8 +17,8 @@
 
 func parse(text string) (*File, Diags) { return Parse(&Source{Name: "f.sloe", Text: []byte(text)}) }
 
-// fenced returns the texts between ```lang and ``` in a page.
-func fenced(t *testing.T, file, lang string) (all []string) {
+// codeBlocks returns the texts between ```lang and ``` in a page.
+func codeBlocks(t *testing.T, file, lang string) (all []string) {
 	t.Helper()
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -34,11 +34,11 @@
 	return all
 }
 
-const note = "../../docs/design/configuration.md"
+const designPage = "../../docs/design/configuration.md"
 
 func grammar(t *testing.T) ebnf.Grammar {
 	t.Helper()
-	g, err := ebnf.Parse(note, strings.NewReader(fenced(t, note, "ebnf")[0]))
+	g, err := ebnf.Parse(designPage, strings.NewReader(codeBlocks(t, designPage, "ebnf")[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,17 +50,17 @@
 
 // matcher tells whether a text is a sentence of the grammar, by trying every way.
 type matcher struct {
-	g    ebnf.Grammar
-	text string
-	used map[string]bool
-	left int // steps, so that a text with countless ways ends
+	g         ebnf.Grammar
+	text      string
+	used      map[string]bool
+	stepsLeft int // steps, so that a text with countless ways ends
 }
 
-func lexical(name string) bool { return name[0] >= 'a' }
+func isLexical(name string) bool { return name[0] >= 'a' }
 
 // match tries an expression at a place and goes on with each end of it until one leads to the end of the text.
 func (m *matcher) match(e ebnf.Expression, at int, inToken bool, then func(int) bool) bool {
-	if m.left--; m.left < 0 {
+	if m.stepsLeft--; m.stepsLeft < 0 {
 		return false
 	}
 	switch e := e.(type) {
@@ -85,10 +85,10 @@
 	case *ebnf.Repetition:
 		return m.match(e.Body, at, inToken, func(next int) bool { return next > at && m.match(e, next, inToken, then) }) || then(at)
 	case *ebnf.Name:
-		if !inToken && lexical(e.String) {
+		if !inToken && isLexical(e.String) {
 			at = m.blanks(at)
 		}
-		return m.match(m.g[e.String].Expr, at, inToken || lexical(e.String), func(end int) bool {
+		return m.match(m.g[e.String].Expr, at, inToken || isLexical(e.String), func(end int) bool {
 			if !then(end) {
 				return false
 			}
@@ -116,10 +116,10 @@
 	return at
 }
 
-func (m *matcher) sentence(text string) bool {
-	m.text, m.left = text, 1<<22
+func (m *matcher) accepts(text string) bool {
+	m.text, m.stepsLeft = text, 1<<22
 	ok := m.match(&ebnf.Name{String: "File"}, 0, false, func(at int) bool { return m.blanks(at) == len(m.text) })
-	if m.left < 0 {
+	if m.stepsLeft < 0 {
 		panic("too many ways")
 	}
 	return ok
@@ -127,14 +127,14 @@
 
 // What the parser takes is a sentence of the written grammar, and every production of it is used by the example in
 // the same page. What it does not take is none.
-func TestGrammarHoldsTheParser(t *testing.T) {
+func TestParserMatchesGrammar(t *testing.T) {
 	m := &matcher{g: grammar(t), used: map[string]bool{}}
-	good := fenced(t, note, "sloe")
+	good := codeBlocks(t, designPage, "sloe")
 	for _, text := range good {
 		if _, diags := parse(text); len(diags) > 0 {
 			t.Errorf("an example in the note does not parse:\n%v", diags)
 		}
-		if !m.sentence(text) {
+		if !m.accepts(text) {
 			t.Errorf("an example in the note is no sentence of the grammar")
 		}
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !m.sentence(string(in)) {
+	if !m.accepts(string(in)) {
 		t.Error("comments.in is no sentence of the grammar")
 	}
 	for _, bad := range []string{"a = \n", "a { b = 1\n", "a = 1 b = 2\n", "a = [1 2]\n", "a = \"x\n", "a = 1q\n", "a\n", "= 1\n", "}\n",
@@ -155,14 +155,14 @@
 		if _, diags := parse(bad); !diags.Failed() {
 			t.Errorf("%q parses", bad)
 		}
-		if m.sentence(bad) {
+		if m.accepts(bad) {
 			t.Errorf("%q is a sentence of the grammar", bad)
 		}
 	}
 }
 
 // sentence draws a text from the grammar.
-func draw(r *rand.Rand, g ebnf.Grammar, e ebnf.Expression, depth int, inToken bool, b *strings.Builder) {
+func generate(r *rand.Rand, g ebnf.Grammar, e ebnf.Expression, depth int, inToken bool, b *strings.Builder) {
 	blank := func() {
 		if !inToken {
 			b.WriteString([]string{" ", "\t", "  "}[r.IntN(3)])
@@ -170,23 +170,23 @@
 	}
 	switch e := e.(type) {
 	case ebnf.Alternative:
-		draw(r, g, e[r.IntN(len(e))], depth, inToken, b)
+		generate(r, g, e[r.IntN(len(e))], depth, inToken, b)
 	case ebnf.Sequence:
 		for _, x := range e {
-			draw(r, g, x, depth, inToken, b)
+			generate(r, g, x, depth, inToken, b)
 		}
 	case *ebnf.Group:
-		draw(r, g, e.Body, depth, inToken, b)
+		generate(r, g, e.Body, depth, inToken, b)
 	case *ebnf.Option:
 		if r.IntN(2) == 0 && depth < 40 {
-			draw(r, g, e.Body, depth+1, inToken, b)
+			generate(r, g, e.Body, depth+1, inToken, b)
 		}
 	case *ebnf.Repetition:
 		for r.IntN(3) > 0 && depth < 40 {
-			draw(r, g, e.Body, depth+1, inToken, b)
+			generate(r, g, e.Body, depth+1, inToken, b)
 		}
 	case *ebnf.Name:
-		if lexical(e.String) {
+		if isLexical(e.String) {
 			blank()
 		} else if e.String == "List" && depth > 20 {
 			b.WriteString(" 1ms") // so that it ends
@@ -195,7 +195,7 @@
 			b.WriteString(" end = 1")
 			return
 		}
-		draw(r, g, g[e.String].Expr, depth+1, inToken || lexical(e.String), b)
+		generate(r, g, g[e.String].Expr, depth+1, inToken || isLexical(e.String), b)
 	case *ebnf.Token:
 		blank()
 		b.WriteString(e.String)
@@ -207,15 +207,15 @@
 }
 
 // Sentences drawn from the grammar parse, and survive formatting.
-func TestDrawnSentencesParse(t *testing.T) {
-	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { drawnSentencesParse(t, seeds.Rand(seed), seeds.Rounds(3000)) })
+func TestGeneratedSentencesParse(t *testing.T) {
+	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { generatedSentencesParse(t, seeds.Rand(seed), seeds.Rounds(3000)) })
 }
 
-func drawnSentencesParse(t *testing.T, r *rand.Rand, rounds int) {
+func generatedSentencesParse(t *testing.T, r *rand.Rand, rounds int) {
 	g := grammar(t)
 	for range rounds {
 		var b strings.Builder
-		draw(r, g, &ebnf.Name{String: "File"}, 0, false, &b)
+		generate(r, g, &ebnf.Name{String: "File"}, 0, false, &b)
 		text := b.String()
 		f, diags := parse(text)
 		if strings.TrimSpace(text) == "" {
@@ -243,7 +243,7 @@
 	if twice := Format(g); !bytes.Equal(once, twice) {
 		t.Fatalf("%q: formatted twice\n%q\n%q", f.Src.Text, once, twice)
 	}
-	if a, b := bones(f.Entries), bones(g.Entries); a != b {
+	if a, b := structure(f.Entries), structure(g.Entries); a != b {
 		t.Fatalf("%q: meaning changed\n%s\n%s", f.Src.Text, a, b)
 	}
 	if a, b := comments(f.Src), comments(g.Src); a != b {
@@ -263,19 +263,19 @@
 	return strings.Join(all, "\n")
 }
 
-// bones is what a file means, without notes and places.
-func bones(all []Entry) string {
+// structure is what a file means, without notes and places.
+func structure(all []Entry) string {
 	var b strings.Builder
 	for _, e := range all {
 		switch e := e.(type) {
 		case *Include:
 			fmt.Fprintf(&b, "include %q;", e.Target.Text)
 		case *Define:
-			fmt.Fprintf(&b, "define %s=%s;", e.Name.Name, valueBones(e.Value))
+			fmt.Fprintf(&b, "define %s=%s;", e.Name.Name, valueStructure(e.Value))
 		case *Setting:
-			fmt.Fprintf(&b, "%s=%s;", e.Name.Name, valueBones(e.Value))
+			fmt.Fprintf(&b, "%s=%s;", e.Name.Name, valueStructure(e.Value))
 		case *Block:
-			fmt.Fprintf(&b, "%s %+v %v{%s}", e.Type.Name, e.Label != nil, e.Quoted, bones(e.Entries))
+			fmt.Fprintf(&b, "%s %+v %v{%s}", e.Type.Name, e.Label != nil, e.Quoted, structure(e.Entries))
 			if e.Label != nil {
 				fmt.Fprintf(&b, "%q", e.Label.Name)
 			}
@@ -284,10 +284,10 @@
 	return b.String()
 }
 
-func valueBones(v *Value) string {
+func valueStructure(v *Value) string {
 	var items []string
 	for _, i := range v.Items {
-		items = append(items, valueBones(i))
+		items = append(items, valueStructure(i))
 	}
 	return fmt.Sprintf("%d %q %v %v", v.Kind, v.Text, v.Number, items)
 }
