--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -10,8 +10,8 @@
 	"sloepick/internal/sloe"
 )
 
-// Load reads a file with all its includes and checks it. The Config is nil if any of the Diags is more than a
-// warning. The error tells that the file could not be read at all.
+// Load reads a file with all its includes and checks it. The Config is nil if any of the Diags is an error. The error is
+// non-nil if the file could not be read.
 func (s *Schema) Load(name string) (*Config, sloe.Diags, error) {
 	tree, diags, err := sloe.Load(name)
 	if err != nil {
@@ -26,16 +26,16 @@
 	return c, diags, nil
 }
 
-// checker goes through a tree once. What is wrong is told once, and nothing is told that follows from it.
+// checker checks a tree in one pass. Each error is reported once, and errors that follow from it are not reported.
 type checker struct {
 	schema          *Schema
 	diags           sloe.Diags
 	defines         map[string]*definition
 	order           []*definition
-	allDefines      map[string]*sloe.Define // all that the tree defines, also behind the place of use
+	allDefines      map[string]*sloe.Define // all definitions of the tree, also those after their use
 	refs            []blockRef
-	usageUnknown    bool            // something could not be read: what seems to be unused may be used there
-	incompleteTypes map[string]bool // types of blocks of which one may be missing because of an error that was told
+	usageUnknown    bool            // part of the tree was not checked and may use what seems to be unused
+	incompleteTypes map[string]bool // types of blocks of which one may be missing because of a reported error
 }
 
 type definition struct {
@@ -43,20 +43,21 @@
 	used bool
 }
 
-// blockRef is a name that must be the label of a block, looked up when all blocks are known.
+// blockRef is a reference to the label of a block, resolved when all blocks are known.
 type blockRef struct {
 	key   *Key
 	label string
 	pos   sloe.Pos
 }
 
-// Check gives a tree its meaning. The Config is whole only if the tree had no errors and none comes back.
+// Check checks a tree and returns its configuration. The Config is complete only if neither the tree nor the check had
+// errors.
 func (s *Schema) Check(tree *sloe.Tree) (*Config, sloe.Diags) {
 	c := &checker{schema: s, defines: map[string]*definition{}, allDefines: map[string]*sloe.Define{}, incompleteTypes: map[string]bool{}}
 	cfg := s.Defaults()
 	cfg.Sources = tree.Sources()
 	if tree.Unbalanced {
-		return cfg, nil // what belongs to what is not known
+		return cfg, nil // the nesting of blocks is unknown
 	}
 	for _, e := range tree.Entries {
 		if d, ok := e.(*sloe.Define); ok && c.allDefines[d.Name.Name] == nil {
@@ -85,7 +86,7 @@
 	c.errorf(at, format, args...).Warning = true
 }
 
-// entries checks the statements of a block (in), or of the whole tree (in is nil).
+// entries checks the statements of the block in, or of the top level if in is nil.
 func (c *checker) entries(all []sloe.Entry, blocks []*Block, sections []*Section, in *Section) []*Section {
 	seen := map[string]sloe.Pos{}
 	for _, e := range all {
@@ -117,7 +118,7 @@
 	c.order = append(c.order, d)
 }
 
-// resolve puts values in the place of references.
+// resolve replaces references by the values that they name.
 func (c *checker) resolve(v *sloe.Value) *sloe.Value {
 	switch v.Kind {
 	case sloe.List:
@@ -169,7 +170,7 @@
 			}
 		}
 		c.errorf(e.Type.Pos, "unknown block %q%s%s", truncate(e.Type.Name), where, suggestion(e.Type.Name, names, ""))
-		c.usageUnknown = true // what it holds is not looked at, so it may be what uses something
+		c.usageUnknown = true // its content is not checked and may use definitions and blocks
 		c.incompleteTypes[closestMatch(e.Type.Name, names)] = true
 		return sections
 	}
@@ -217,7 +218,7 @@
 
 func (c *checker) setting(e *sloe.Setting, in *Section, seen map[string]sloe.Pos) {
 	name := e.Name.Name
-	v := c.resolve(e.Value) // first: what it refers to is used, whatever else is wrong
+	v := c.resolve(e.Value) // before any error, so that what it refers to counts as used
 	i := slices.IndexFunc(in.values, func(v Value) bool { return v.Key.Name == name })
 	if i < 0 {
 		c.reportUnknownKey(e, in)
@@ -245,7 +246,7 @@
 		names = append(names, k.Name)
 	}
 	hint := suggestion(name, names, "")
-	if hint == "" { // it may stand in the wrong block
+	if hint == "" { // it may be a key of a nested block
 		for _, b := range in.Block.Blocks {
 			if b.key(name) != nil {
 				hint = fmt.Sprintf("; the block %s within has it", b.Name)
@@ -255,7 +256,7 @@
 	c.errorf(e.Name.Pos, "unknown key %q in %s%s", truncate(name), in.Block.Name, hint)
 }
 
-// value holds a value to its key. What is wrong was told where it returns false.
+// value checks a value against its key. It returns false if the value is invalid, which was then reported.
 func (c *checker) value(k *Key, v *sloe.Value) (Value, bool) {
 	out := Value{Key: k, definition: v.Definition}
 	at := v.Pos
@@ -345,14 +346,14 @@
 	return item{}, false
 }
 
-// describeItem is form for one value of a list.
+// describeItem is like describe, for one value of a list.
 func (k *Key) describeItem() string {
 	one := *k
 	one.List = false
 	return one.describe()
 }
 
-// exampleValue is a value that the key takes.
+// exampleValue returns a value that shows what the key takes.
 func (k *Key) exampleValue() string {
 	if k.Default != "" {
 		return k.Default
@@ -360,7 +361,7 @@
 	return strings.TrimPrefix(k.describe(), "one of ")
 }
 
-// describeValue is what a value looks like, in words for messages.
+// describeValue describes a value for messages.
 func describeValue(v *sloe.Value) string {
 	switch v.Kind {
 	case sloe.Word:
@@ -375,7 +376,7 @@
 	return names[v.Number.Dimension] + " " + v.Raw
 }
 
-// checkReferences looks up what keys of the kind Ref name, and finds blocks that serve nobody.
+// checkReferences resolves the references to blocks, and warns of blocks that must be referenced but are not.
 func (c *checker) checkReferences(cfg *Config) {
 	used := map[string]bool{}
 	for _, r := range c.refs {
@@ -396,7 +397,7 @@
 	}
 }
 
-// checkSection checks what is between the values of a block and of those within it.
+// checkSection runs the Check functions of a block and of the blocks within it, if all their values are valid.
 func (c *checker) checkSection(s *Section) (ok bool) {
 	ok = s.valid
 	for _, sub := range s.subsections {
@@ -416,7 +417,7 @@
 	return ok
 }
 
-// keyPos is where a key was set, or the block within that could have set it.
+// keyPos returns where a key was set, or the nested block in which it could have been set.
 func (s *Section) keyPos(key string) sloe.Pos {
 	if block, rest, ok := strings.Cut(key, "."); ok {
 		sub := s.Section(block)
@@ -428,7 +429,7 @@
 	return s.Value(key).pos
 }
 
-const maxQuotedChars = 40 // characters of a file's text in a message
+const maxQuotedChars = 40 // characters of a file's text quoted in a message
 
 func truncate(s string) string {
 	if r := []rune(s); len(r) > maxQuotedChars {
@@ -437,7 +438,7 @@
 	return s
 }
 
-// suggestion names the word that was probably meant: one that is at most two slips away, and less than half of it.
+// suggestion returns "; did you mean ...?" with the closest match, or "".
 func suggestion(got string, words []string, prefix string) string {
 	if best := closestMatch(got, words); best != "" {
 		return fmt.Sprintf("; did you mean %q?", prefix+best)
@@ -445,7 +446,8 @@
 	return ""
 }
 
-// closestMatch is the word that was probably meant, or "".
+// closestMatch returns the word with the least edit distance, which is at most 2 and less than half of the word's length
+// (words below 3 letters count as 3), or "".
 func closestMatch(got string, words []string) string {
 	best, least := "", 3
 	sorted := slices.Clone(words)
@@ -458,12 +460,13 @@
 	return best
 }
 
-const maxComparedBytes = 64 // bytes of words that are compared
+const maxComparedBytes = 64 // longer words are not compared
 
-// Suggest is a hint at the word that was probably meant, or "".
+// Suggest returns a hint for a message that names the word probably meant, or "".
 func Suggest(got string, words []string) string { return suggestion(got, words, "") }
 
-// editDistance counts the letters to insert, drop, change or swap between two words (optimal string alignment).
+// editDistance counts the insertions, deletions, substitutions and transpositions between two words, regardless of case
+// (optimal string alignment distance).
 func editDistance(a, b string) int {
 	a, b = strings.ToLower(a), strings.ToLower(b)
 	if len(a) > maxComparedBytes || len(b) > maxComparedBytes {
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Change is a difference in meaning between two configurations.
+// Change is a semantic difference between two configurations.
 type Change struct {
 	Block string `json:"block"` // such as gateway.clients, or route "book"
 	Key   string `json:"key,omitempty"`
-	Old   string `json:"old,omitempty"` // "" where a block is added
-	New   string `json:"new,omitempty"` // "" where a block is removed
-	// Direction is looser or tighter with its size, or "" where neither says anything.
+	Old   string `json:"old,omitempty"` // "" if a block is added
+	New   string `json:"new,omitempty"` // "" if a block is removed
+	// Direction is looser or tighter with the relative size of the change, or "" if neither applies.
 	Direction string `json:"direction,omitempty"`
 	Applied   string `json:"takes"` // at reload, or at restart
 }
 
-// String is the change in one line.
+// String returns the change in one line.
 func (c Change) String() string {
 	switch {
 	case c.Key == "" && c.Old == "":
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("%s: %s %s -> %s%s; %s", c.Block, c.Key, c.Old, c.New, dir, c.Applied)
 }
 
-// Diff tells what changes in meaning from one configuration to another of the same schema. The order of blocks,
-// spellings, comments and files are no difference.
+// Diff returns the semantic changes from one configuration to another of the same schema. The order of blocks, spelling,
+// comments and the division into files make no difference.
 func Diff(from, to *Config) []Change { return diffSections(from.sections, to.sections, "") }
 
 func diffSections(from, to []*Section, path string) (out []Change) {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// name is the block with its label.
+// name returns the block's name with its label.
 func (s *Section) name() string {
 	if s.Label == "" {
 		return s.Block.Name
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// summary are all values of a block that is added or removed, and of those within it.
+// summary lists all values of a block that is added or removed, with those of the blocks within it.
 func (s *Section) summary() string {
 	var parts []string
 	for _, v := range s.values {
@@ -93,7 +93,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// applied is AtRestart if anything in the block needs one.
+// applied returns AtRestart if any key in the block or the blocks within it needs a restart.
 func (s *Section) applied() ApplyTime {
 	t := AtReload
 	for _, v := range s.values {
@@ -105,7 +105,7 @@
 	return t
 }
 
-// direction tells whether a change lets more through, and by how much of the old value.
+// direction returns whether a change is looser or tighter, and by how much relative to the old value.
 func direction(old, now Value) string {
 	k := old.Key
 	if k.Strictness == Neutral || k.List || !old.isSet || !now.isSet || old.items[0].quantity.Value == nil {
--- a/internal/operator/render.go
+++ b/internal/operator/render.go
@@ -7,10 +7,10 @@
 	"sloepick/internal/sloe"
 )
 
-const originColumn = 40 // where the places of values stand in Show, if the values leave room
+const originColumn = 40 // column of the comments with origins in Show; longer lines push them to the right
 
-// Show is the whole configuration with includes and defaults in place, each value with where it came from. It is
-// itself a file that can be used.
+// Show returns the whole configuration as a valid file, with includes expanded, defaults filled in and the origin of each
+// value in a comment.
 func (c *Config) Show() string {
 	var b strings.Builder
 	showSections(&b, c.sections, "")
@@ -38,7 +38,7 @@
 	}
 }
 
-// ReferencePage is the reference page of the schema, in Markdown.
+// ReferencePage returns the reference page of the schema in Markdown.
 func (s *Schema) ReferencePage() string {
 	var b strings.Builder
 	b.WriteString("# Configuration reference\n\nMade by `sloectl doc` from the schema that also checks files.\n")
--- a/internal/operator/schema.go
+++ b/internal/operator/schema.go
@@ -1,6 +1,6 @@
-// Package operator gives the configuration language its meaning here: a schema, declared once as data, from which
-// the checking of files, the defaults, the reference page and the diff by meaning all follow. A subsystem declares its
-// blocks in its own package and nothing of this one changes. It does no I/O but through package sloe's loader.
+// Package operator defines the meaning of the operators' configuration files by a schema, declared as data. Checks,
+// defaults, the reference page and the semantic diff are all derived from it. Each subsystem declares its blocks in its
+// own package, without a change to this one. All I/O is done by the loader of package sloe.
 package operator
 
 import (
@@ -11,34 +11,34 @@
 	"sloepick/internal/sloe"
 )
 
-// Kind is what a key takes.
+// Kind is the type of a key's value.
 type Kind int
 
-// The kinds.
+// The kinds of values.
 const (
 	Duration Kind = iota // 250ms
 	Size                 // 64KiB
 	Share                // 15%
 	Count                // 3
-	Rate                 // 8units/s, of what Key.Of names
-	Word                 // one of Key.Words
+	Rate                 // 8units/s, of what Key.RateItem names
+	Word                 // one of Key.AllowedWords
 	Text                 // "any text"
-	Ref                  // the label of a block of the type Key.To
+	Ref                  // the label of a block of the type Key.RefBlock
 )
 
 var kindNames = map[Kind]string{Duration: "a time", Size: "a size", Share: "a share", Count: "a count", Rate: "a rate",
 	Word: "a word", Text: "a text in quotes", Ref: "a name"}
 
-// examples are values that show a kind's form in messages.
+// examples are sample values for messages.
 var examples = map[Kind]string{Duration: "250ms", Size: "64KiB", Share: "15%", Count: "3"}
 
-// dimensions are the dimensions of the kinds that are quantities.
+// dimensions maps the kinds that are quantities to their dimensions.
 var dimensions = map[Kind]sloe.Dimension{Duration: sloe.Time, Size: sloe.Size, Share: sloe.Share, Count: sloe.Count, Rate: sloe.Rate}
 
-// ApplyTime tells when a changed value counts.
+// ApplyTime is when a changed value takes effect.
 type ApplyTime int
 
-// When a change is taken.
+// The times at which a change takes effect.
 const (
 	AtReload ApplyTime = iota
 	AtRestart
@@ -51,21 +51,21 @@
 	return "at reload"
 }
 
-// Strictness tells what more of a value does to what it limits.
+// Strictness is the effect of a higher value on the limit that it sets.
 type Strictness int
 
-// The senses.
+// The effects of a higher value.
 const (
 	Neutral Strictness = iota
 	HigherIsLooser
 	LowerIsLooser
 )
 
-// Key declares a setting. Default, Least and Most are written as in a file.
+// Key declares a setting. Default, Min and Max are written as in a file.
 type Key struct {
 	Name, Doc    string
 	Kind         Kind
-	List         bool // of such values, in brackets
+	List         bool // a list of such values, in brackets
 	RateItem     string
 	AllowedWords []string
 	RefBlock     string
@@ -76,32 +76,32 @@
 	Strictness   Strictness
 
 	minQuantity, maxQuantity *sloe.Quantity
-	defaultValue             Value // the default
+	defaultValue             Value // of Default; not set if there is none
 }
 
-// Block declares a block. A block with Labels may come several times, each under a name of its own; one without
-// stands at most once, and its defaults hold where it is left out.
+// Block declares a block. A Labeled block may occur several times, each time with a different label; another one occurs
+// at most once, and its defaults apply if it is left out.
 type Block struct {
 	Name, Doc    string
 	Labeled      bool
-	WarnIfUnused bool // one that no Ref names is warned of
+	WarnIfUnused bool // warn of a block that no Ref names
 	Keys         []Key
 	Blocks       []*Block
-	// Check tells what is wrong between the values of a block, each of which is good by itself.
+	// Check reports conflicts between the values of a block, each of which is valid by itself.
 	Check func(*Section) []Problem
 }
 
-// Problem is what a Check finds. It is told at the place of the key, or at the block's where the key has none.
+// Problem is an error found by a Check. It is reported at the key, or at the block if the key is not set.
 type Problem struct {
-	Key string // may name a key of a block within, as clients.idle
+	Key string // may be a key of a nested block, such as clients.idle
 	Msg string
 }
 
-// Schema is all blocks that a program knows.
+// Schema holds all blocks that a program knows.
 type Schema struct{ blocks []*Block }
 
-// NewSchema holds a schema to itself: names are told once, references have a target, and every default is a value
-// that the key takes.
+// NewSchema returns a schema of these blocks after it has checked them: names are unique, references have a target and
+// defaults are valid values of their keys.
 func NewSchema(blocks ...*Block) (*Schema, error) {
 	s := &Schema{blocks: blocks}
 	if err := s.prepare(blocks, ""); err != nil {
@@ -141,7 +141,7 @@
 
 func (s *Schema) prepareKey(k *Key) error {
 	if k.Doc == "" {
-		return errors.New("it has no words that explain it")
+		return errors.New("it has no description")
 	}
 	if k.Kind == Ref && !slices.ContainsFunc(s.blocks, func(b *Block) bool { return b.Name == k.RefBlock && b.Labeled }) {
 		return fmt.Errorf("no block %q with labels is declared", k.RefBlock)
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// describe is what a key takes, in words for messages and for the reference page.
+// describe describes what a key takes, for messages and for the reference page.
 func (k *Key) describe() string {
 	what := kindNames[k.Kind]
 	if ex := examples[k.Kind]; ex != "" {
--- a/internal/operator/values.go
+++ b/internal/operator/values.go
@@ -9,19 +9,19 @@
 	"sloepick/internal/sloe"
 )
 
-// Value is a setting's value: the one in the file, or the default.
+// Value is the value of a setting, from a file or by default.
 type Value struct {
 	Key        *Key
 	items      []item
-	pos        sloe.Pos // zero: the default
+	pos        sloe.Pos // invalid for a default
 	definition *sloe.Define
-	isSet      bool // there is one: false for an optional key that is left out
+	isSet      bool // false for an optional key that is left out and for an invalid value
 }
 
-// item is one value of a list, or the only one.
+// item is a single value, or one value of a list.
 type item struct {
 	quantity sloe.Quantity
-	text     string // of words, texts and names
+	text     string // of a Word, a Text or a Ref
 }
 
 func (i item) String() string {
@@ -31,7 +31,7 @@
 	return i.text
 }
 
-// String is the value in its one usual spelling: two that mean the same are spelled the same.
+// String returns the value in canonical form: equal values have the same string.
 func (v Value) String() string {
 	if !v.isSet {
 		return "none"
@@ -50,7 +50,7 @@
 	return parts[0]
 }
 
-// Origin tells where the value came from, as FILE:LINE, or that it is the default.
+// Origin returns where the value came from, as FILE:LINE, or "default".
 func (v Value) Origin() string {
 	if !v.pos.Valid() {
 		return "default"
@@ -62,24 +62,24 @@
 	return from
 }
 
-// Section is a block with its values: those of the file, and defaults for the rest.
+// Section is a block with its values: those set in the files, and defaults for the others.
 type Section struct {
 	Block       *Block
 	Label       string
-	pos         sloe.Pos // zero: left out
+	pos         sloe.Pos // invalid if the block is left out
 	values      []Value  // in the order of Block.Keys
 	subsections []*Section
-	valid       bool // all its values are good, so that what is between them may be checked
+	valid       bool // all its values are valid, so that Block.Check can run
 }
 
-// Config is a whole configuration, checked.
+// Config is a checked configuration.
 type Config struct {
 	schema   *Schema
 	sections []*Section
 	Sources  []*sloe.Source
 }
 
-// Defaults is the configuration of a program without a file.
+// Defaults returns the configuration of a program without a file.
 func (s *Schema) Defaults() *Config {
 	c := &Config{schema: s}
 	for _, b := range s.blocks {
@@ -103,16 +103,16 @@
 	return s
 }
 
-// Section is the block without a label of that name, which the schema must declare.
+// Section returns the unlabeled block of that name, which the schema must declare.
 func (c *Config) Section(name string) *Section { return findSection(c.sections, name) }
 
-// Sections are the blocks with labels of that name, in the order of reading.
+// Sections returns the labeled blocks of that name, in reading order.
 func (c *Config) Sections(name string) []*Section { return findSections(c.sections, name) }
 
-// Section is the block without a label within this one.
+// Section returns the unlabeled block of that name within s, which the schema must declare.
 func (s *Section) Section(name string) *Section { return findSection(s.subsections, name) }
 
-// Sections are the blocks with labels of that name within this one.
+// Sections returns the labeled blocks of that name within s, in reading order.
 func (s *Section) Sections(name string) []*Section { return findSections(s.subsections, name) }
 
 func findSection(in []*Section, name string) *Section {
@@ -133,7 +133,7 @@
 	return out
 }
 
-// Value is that of a key, which the schema must declare.
+// Value returns the value of a key, which the schema must declare.
 func (s *Section) Value(key string) Value {
 	for _, v := range s.values {
 		if v.Key.Name == key {
@@ -143,14 +143,14 @@
 	panic("operator: no key " + key + " is declared in " + s.Block.Name)
 }
 
-// IsSet reports whether a key has a value: always, but for an optional one that was left out.
+// IsSet reports whether a key has a value. Only an optional key without a default can lack one.
 func (s *Section) IsSet(key string) bool { return s.Value(key).isSet }
 
-// Present reports whether the block stands in a file.
+// Present reports whether the block occurs in a file.
 func (s *Section) Present() bool { return s.pos.Valid() }
 
-// Pos is where a key was set, such as copy.after for one of a block within, or else the block. With "" it is the
-// block itself. It is no place where the block was left out.
+// Pos returns where a key or a nested block was set, or else the position of the block. A key of a nested block is
+// written as in copy.after. The position of the block itself is Pos(""). It is invalid if the block is left out.
 func (s *Section) Pos(key string) sloe.Pos {
 	if key == "" {
 		return s.pos
@@ -174,29 +174,29 @@
 	return v.items[0]
 }
 
-// Duration is the value of a key of that kind.
+// Duration returns the value of a key of the kind Duration.
 func (s *Section) Duration(key string) time.Duration {
 	return time.Duration(s.single(key, Duration).quantity.Value.Num().Int64())
 }
 
-// Size is the value of a key of that kind, in bytes.
+// Size returns the value of a key of the kind Size, in bytes.
 func (s *Section) Size(key string) int64 { return s.single(key, Size).quantity.Value.Num().Int64() }
 
-// Count is the value of a key of that kind.
+// Count returns the value of a key of the kind Count.
 func (s *Section) Count(key string) int {
 	return int(s.single(key, Count).quantity.Value.Num().Int64())
 }
 
-// Share is the value of a key of that kind, as a part of 1.
+// Share returns the value of a key of the kind Share, as a fraction of 1.
 func (s *Section) Share(key string) float64 { return toFloat(s.single(key, Share).quantity.Value) }
 
-// Rate is the value of a key of that kind, a second.
+// Rate returns the value of a key of the kind Rate, per second.
 func (s *Section) Rate(key string) float64 { return toFloat(s.single(key, Rate).quantity.Value) }
 
-// Text is the value of a key of the kinds Text, Text and Ref.
+// Text returns the value of a key of the kind Word, Text or Ref.
 func (s *Section) Text(key string) string { return s.single(key, s.Value(key).Key.Kind).text }
 
-// Texts are the values of a key that takes a list of words, texts or names.
+// Texts returns the values of a key that takes a list of the kind Word, Text or Ref.
 func (s *Section) Texts(key string) (all []string) {
 	for _, i := range s.Value(key).items {
 		all = append(all, i.text)
@@ -209,7 +209,7 @@
 	return f
 }
 
-// joinAlternatives lists words: a, b or c.
+// joinAlternatives joins words as in "a, b or c".
 func joinAlternatives(words []string) string {
 	if n := len(words); n > 1 {
 		return strings.Join(words[:n-1], ", ") + " or " + words[n-1]
--- a/internal/sloe/ast.go
+++ b/internal/sloe/ast.go
@@ -1,15 +1,15 @@
 package sloe
 
-// Ident is a word of a file with its place.
+// Ident is a name with its position.
 type Ident struct {
 	Pos  Pos
 	Name string
 }
 
-// Comments are the comments of an entry or a value. A Lead of "" is a blank line.
+// Comments are the comments of an entry or a value. An element "" of Leading is a blank line.
 type Comments struct {
-	Leading  []string // the lines before it
-	Trailing string   // behind it on its line, or ""
+	Leading  []string // on the lines before it
+	Trailing string   // after it on the same line, or ""
 }
 
 // Entry is a statement of a file: *Include, *Define, *Block or *Setting.
@@ -19,10 +19,10 @@
 }
 
 type (
-	// Include stands for the entries of other files.
+	// Include inserts the entries of other files.
 	Include struct {
 		Comments
-		Pos    Pos // of the word
+		Pos    Pos // of the keyword
 		Target *Value
 	}
 	// Define gives a value a name: define NAME = VALUE, used as $NAME.
@@ -37,8 +37,8 @@
 		Comments
 		Type        Ident
 		Label       *Ident // or nil
-		Quoted      bool   // the label stands in quotes
-		OpenComment string // the comment behind the opening brace
+		Quoted      bool   // the label is quoted
+		OpenComment string // comment after the opening brace
 		Entries     []Entry
 		EndComments []string // comments before the closing brace
 	}
@@ -60,39 +60,39 @@
 func (e *Block) position() Pos   { return e.Type.Pos }
 func (e *Setting) position() Pos { return e.Name.Pos }
 
-// ValueKind tells the shape of a value.
+// ValueKind is the syntactic kind of a value.
 type ValueKind int
 
-// The shapes.
+// The kinds of values.
 const (
-	Word ValueKind = iota // a bare name
-	Text                  // a string in quotes
+	Word ValueKind = iota // an unquoted name
+	Text                  // a quoted string
 	Number
 	List
 	Reference
-	Invalid // it was reported; nothing more is to be said of it
+	Invalid // an error was already reported for it
 )
 
-// Value is what stands behind an '='.
+// Value is the right-hand side of an '=', or an item of a list.
 type Value struct {
-	Comments    // inside a list
+	Comments    // only of a list item
 	Kind        ValueKind
 	Pos         Pos
-	Raw         string // as it is spelled, but for lists
-	Text        string // of a word, a text, or the name that a reference names
+	Raw         string // source text, except for lists
+	Text        string // of a Word or a Text, or the name in a Reference
 	Number      Quantity
 	Items       []*Value
-	Multiline   bool     // a list that is written over several lines
+	Multiline   bool     // the list spans several lines
 	EndComments []string // comments before the closing bracket
-	Definition  *Define  // the definition that a resolved reference came from
-	RefPos      Pos      // where that reference stands
+	Definition  *Define  // the definition that a reference was resolved to
+	RefPos      Pos      // position of that reference
 }
 
-// File is a parsed source.
+// File is a parsed source file.
 type File struct {
 	Src         *Source
 	Entries     []Entry
-	EndComments []string // comments behind the last entry
-	// Unbalanced: braces don't match, so what belongs to what is not known and nothing is to be said of meaning.
+	EndComments []string // comments after the last entry
+	// Unbalanced reports mismatched braces: the nesting is unknown, so the file's meaning is not checked.
 	Unbalanced bool
 }
--- a/internal/sloe/diag.go
+++ b/internal/sloe/diag.go
@@ -1,6 +1,6 @@
-// Package sloe is the operators' configuration language: its lexer, parser, syntax tree, formatter and loader of
-// included files. It knows the shapes of the language and nothing of what a setting means; package operator does.
-// The grammar stands in docs/design/configuration.md and a test holds the parser to it.
+// Package sloe implements the syntax of the operators' configuration language: lexer, parser, syntax tree, formatter
+// and the loader for included files. Package operator defines what the settings mean. The grammar is in
+// docs/design/configuration.md; a test checks the parser against it.
 package sloe
 
 import (
@@ -13,37 +13,37 @@
 	"unicode/utf8"
 )
 
-// Source is a file as it was read.
+// Source is the text of a file as it was read.
 type Source struct {
-	Name string // as shown to people
+	Name string // as shown in messages
 	Text []byte
-	// Modified is when the file was last written, as the file system tells.
+	// Modified is the file's modification time.
 	Modified   time.Time
-	lineStarts []int // offsets at which lines begin; made when first asked for
+	lineStarts []int // offsets of line starts, computed on first use
 }
 
-// Pos is a place in a source. The zero value is no place.
+// Pos is a position in a source. The zero value is invalid.
 type Pos struct {
 	Src *Source
-	Off int // bytes from the start
+	Off int // byte offset
 }
 
-// Valid reports whether it is a place at all.
+// Valid reports whether p refers to a source.
 func (p Pos) Valid() bool { return p.Src != nil }
 
-// Line is the number of its line, from 1.
+// Line returns the line number, counted from 1.
 func (p Pos) Line() int {
 	line, _ := p.Src.locate(p.Off)
 	return line
 }
 
-// Col is the number of its character in the line, from 1.
+// Col returns the column in characters, counted from 1.
 func (p Pos) Col() int {
 	_, start := p.Src.locate(p.Off)
 	return utf8.RuneCount(p.Src.Text[start:p.Off]) + 1
 }
 
-// String is FILE:LINE:COL.
+// String returns FILE:LINE:COL, or "-" for an invalid position.
 func (p Pos) String() string {
 	if !p.Valid() {
 		return "-"
@@ -64,28 +64,28 @@
 	return i + 1, s.lineStarts[i]
 }
 
-// Note points from a problem to a second place.
+// Note refers to a second position that is related to a problem.
 type Note struct {
 	Pos Pos
 	Msg string
 }
 
-// Diag is a problem of a file.
+// Diag is an error or a warning in a file.
 type Diag struct {
 	Pos         Pos
 	Msg         string
-	Warning     bool // the file can be used all the same
+	Warning     bool // the file can still be used
 	Notes       []Note
-	sourceIndex int // of its source among those read
+	sourceIndex int // index of its source in reading order
 }
 
 const (
-	maxExcerptBytes = 160 // bytes of a source line that are shown
-	// MaxShownDiags is how many problems are told in one run; the rest are counted.
+	maxExcerptBytes = 160 // bytes shown of a source line
+	// MaxShownDiags is the number of problems printed in one run; the rest are only counted.
 	MaxShownDiags = 200
 )
 
-// String is FILE:LINE:COL: message, the line with a caret below the place, and a line for each note.
+// String returns FILE:LINE:COL: message, the source line with a caret below the position, and a line for each note.
 func (d Diag) String() string {
 	var b strings.Builder
 	kind := ""
@@ -102,7 +102,7 @@
 	return b.String()
 }
 
-// excerpt is the source line and a caret. Tabs stay tabs on both lines, so that the caret stands where it should.
+// excerpt returns the source line and a line with a caret. Tabs are kept on both lines, so that the caret is aligned.
 func (p Pos) excerpt() string {
 	_, start := p.Src.locate(p.Off)
 	line := p.Src.Text[start:]
@@ -110,7 +110,7 @@
 		line = line[:i]
 	}
 	if p.Off-start > maxExcerptBytes {
-		return "" // the place lies beyond what can be shown
+		return "" // the position is beyond the part that is shown
 	}
 	line = bytes.TrimRight(line, "\r")
 	if len(line) > maxExcerptBytes {
@@ -132,15 +132,15 @@
 	return fmt.Sprintf("    %s\n    %s^\n", text.String(), caret.String())
 }
 
-// Diags are problems, in the order of reading.
+// Diags are the problems of a configuration.
 type Diags []Diag
 
-// Failed reports whether one of them keeps the file from being used.
+// Failed reports whether any of them is an error rather than a warning.
 func (ds Diags) Failed() bool {
 	return slices.ContainsFunc(ds, func(d Diag) bool { return !d.Warning })
 }
 
-// Sort puts them in the order of their places: files as they were first read, then lines.
+// Sort orders the problems by file, in reading order, and then by offset.
 func (ds Diags) Sort(files []*Source) {
 	index := map[*Source]int{}
 	for i, f := range files {
@@ -157,7 +157,7 @@
 	})
 }
 
-// Error is all of them, one after the other.
+// Error returns the text of all problems, up to MaxShownDiags of them.
 func (ds Diags) Error() string {
 	var b strings.Builder
 	for i, d := range ds {
@@ -170,7 +170,7 @@
 	return b.String()
 }
 
-// SameSources reports whether two readings brought the same files with the same texts, which nobody wrote in between.
+// SameSources reports whether two loads read the same files with the same texts and modification times.
 func SameSources(a, b []*Source) bool {
 	return slices.EqualFunc(a, b, func(a, b *Source) bool {
 		return a.Name == b.Name && bytes.Equal(a.Text, b.Text) && a.Modified.Equal(b.Modified)
--- a/internal/sloe/format.go
+++ b/internal/sloe/format.go
@@ -4,8 +4,8 @@
 
 const indentUnit = "    "
 
-// Format writes a file in the one usual form: an indent of four spaces, one space round '=', at most one blank
-// line in a row, every block over several lines. Comments and the spelling of values stay.
+// Format returns a file in canonical form: an indent of four spaces, one space around '=', at most one consecutive
+// blank line, every block over several lines. Comments and the spelling of values are kept.
 func Format(f *File) []byte {
 	w := &formatter{}
 	w.entries(f.Entries, "")
@@ -22,7 +22,7 @@
 	w.WriteByte('\n')
 }
 
-// commentLines writes comments and blank lines; a blank one at the start of a group is dropped.
+// commentLines writes comments and blank lines; a blank line at the start of a group is dropped.
 func (w *formatter) commentLines(lines []string, indent string, first bool) {
 	for _, l := range lines {
 		if l == "" {
@@ -107,7 +107,7 @@
 	}
 }
 
-// needsLines reports whether a list takes more than a line: as it did, or because a comment in it needs one.
+// needsLines reports whether a list is written over several lines: it was before, or a list within it is.
 func (v *Value) needsLines() bool {
 	if v.Multiline && len(v.Items)+len(v.EndComments) > 0 {
 		return true
--- a/internal/sloe/lex.go
+++ b/internal/sloe/lex.go
@@ -14,7 +14,7 @@
 	tName
 	tRef // $name
 	tString
-	tNumber // with its unit
+	tNumber // with its unit, if any
 	tOpen
 	tClose
 	tListOpen
@@ -22,30 +22,30 @@
 	tEquals
 	tComma
 	tComment
-	tInvalid // was reported already
+	tInvalid // an error was already reported
 )
 
 type token struct {
 	kind tokenKind
 	off  int
-	text string // as it stands in the file
+	text string // source text
 }
 
-const maxTokenBytes = 4096 // bytes of a word, a string or a comment: longer ones are no one's intent
+const maxTokenBytes = 4096 // bytes of a word, a string or a comment
 
-// lexer cuts a source into tokens. It reports what is no token itself and hands it on as tBad.
+// lexer splits a source into tokens. It reports invalid input itself and returns it as tInvalid.
 type lexer struct {
 	src          *Source
 	offset       int
 	report       func(off int, format string, args ...any)
 	reportedCRLF bool
-	silent       bool // what is skipped over has nothing more to say
+	silent       bool // set while input is skipped: nothing is reported
 }
 
 func isLetter(c byte) bool { return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' }
 func isDigit(c byte) bool  { return '0' <= c && c <= '9' }
 
-// isWordByte tells the characters of names and numbers: those between delimiters.
+// isWordByte reports whether c can be part of a name or a number, valid or not: it is no delimiter.
 func isWordByte(c byte) bool {
 	return isLetter(c) || isDigit(c) || bytes.IndexByte([]byte("_-.%/+"), c) >= 0 || c >= utf8.RuneSelf
 }
@@ -96,7 +96,8 @@
 	return l.invalid(from, "%q can't stand here", string(r))
 }
 
-// acceptCRLF takes the CR of a CR LF, which is told once a file. Any other is no white space.
+// acceptCRLF reports whether the CR is part of a CR LF, and reports the first of these in a file as an error. Any other
+// CR is not white space.
 func (l *lexer) acceptCRLF() bool {
 	if l.offset+1 >= len(l.src.Text) || l.src.Text[l.offset+1] != '\n' {
 		return false
@@ -126,7 +127,7 @@
 	return l.invalid(from, "%q is no name: letters, digits, '-', '_' and '.', a letter first (other text stands in quotes)", truncate(text))
 }
 
-// isName reports whether it is a letter with letters, digits, '-', '_' and '.' behind it.
+// isName reports whether s is a letter followed by letters, digits, '-', '_' and '.'.
 func isName(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; !isLetter(c) && (i == 0 || !isDigit(c) && c != '-' && c != '_' && c != '.') {
@@ -150,7 +151,7 @@
 	return token{tInvalid, from, string(l.src.Text[from:l.offset])}
 }
 
-// quoted reads a string to its closing quote, which stands on the same line.
+// quoted reads a string up to its closing quote, which must be on the same line.
 func (l *lexer) quoted() token {
 	b, from := l.src.Text, l.offset
 	for l.offset++; l.offset < len(b) && b[l.offset] != '\n'; l.offset++ {
@@ -178,7 +179,7 @@
 
 var escapes = map[byte]byte{'n': '\n', 't': '\t', '"': '"', '\\': '\\'}
 
-// unquote reads a string with its quotes. at is where it is wrong.
+// unquote decodes a quoted string. In case of an error, at is its offset in text.
 func unquote(text string) (value string, at int, err error) {
 	var b []byte
 	for i := 1; i < len(text)-1; i++ {
@@ -198,7 +199,7 @@
 	return string(b), 0, nil
 }
 
-// Quote is a string as the language writes it.
+// Quote returns a string with quotes and escapes, as written in a file.
 func Quote(s string) string {
 	b := []byte{'"'}
 	for i := range len(s) {
@@ -216,9 +217,9 @@
 	return string(append(b, '"'))
 }
 
-const maxQuotedChars = 40 // characters of a file's text in a message
+const maxQuotedChars = 40 // characters of a file's text quoted in a message
 
-// truncate shortens what a message quotes.
+// truncate shortens a text for use in a message.
 func truncate(s string) string {
 	if r := []rune(s); len(r) > maxQuotedChars {
 		return string(r[:maxQuotedChars]) + "..."
--- a/internal/sloe/load.go
+++ b/internal/sloe/load.go
@@ -12,24 +12,25 @@
 	"strings"
 )
 
-// Bounds on a configuration of many files.
+// Limits on a configuration with its includes.
 const (
-	maxFiles         = 256     // files in all
-	maxIncludeDepth  = 16      // includes within includes
-	maxTotalBytes    = 8 << 20 // bytes in all
-	maxFolderEntries = 4096    // names looked at in a folder that a pattern names
+	maxFiles         = 256     // number of files
+	maxIncludeDepth  = 16      // nesting of includes
+	maxTotalBytes    = 8 << 20 // bytes of all files
+	maxFolderEntries = 4096    // names in a folder that is searched for a pattern
 	extension        = ".sloe"
 )
 
-// Tree is a configuration with its includes in place.
+// Tree is a configuration with its includes expanded.
 type Tree struct {
-	Entries []Entry // in the order of reading; no includes
-	Files   []*File // in the order of reading
-	// Unbalanced: in one of the files braces don't match.
+	Entries []Entry // in reading order, without includes
+	Files   []*File // in reading order
+	// Unbalanced reports mismatched braces in one of the files, or files that a limit left unread. The meaning of the
+	// configuration is not checked then.
 	Unbalanced bool
 }
 
-// Sources are the files as they were read.
+// Sources returns the sources of all files.
 func (t *Tree) Sources() []*Source {
 	var all []*Source
 	for _, f := range t.Files {
@@ -38,9 +39,9 @@
 	return all
 }
 
-// Load reads a file and all that it includes. Includes are relative to the file that they stand in, and none leads
-// out of the folder of the first file, by whatever links. What is wrong with the files is in the Diags; the error
-// tells that the first one could not be read at all.
+// Load reads a file and all that it includes. Includes are relative to the file that contains them, and must not lead
+// outside the folder of the first file, symbolic links included. Problems of the files are in the Diags; the error is
+// non-nil if the first file could not be read.
 func Load(name string) (*Tree, Diags, error) {
 	real, err := filepath.EvalSymlinks(name)
 	if err != nil {
@@ -61,22 +62,22 @@
 	return l.tree, l.diags, nil
 }
 
-// includeStep is a file on the way from the first one to the one that is being read.
+// includeStep is a file on the include path from the first file to the current one.
 type includeStep struct {
 	displayName string
 	info        fs.FileInfo
 	parent      *includeStep
-	includePos  Pos // the include that led to it
+	includePos  Pos // the include in this file that leads to the next one
 }
 
 type loader struct {
 	root            *os.Root
-	rootDisplayName string // the folder of the first file, as the caller named it
+	rootDisplayName string // the folder of the first file, as given by the caller
 	tree            *Tree
 	diags           Diags
 	loaded          []*includeStep
 	totalBytes      int
-	stopped         bool // a bound on the whole was passed, and told
+	stopped         bool // a limit on the whole configuration was exceeded and reported
 }
 
 func (l *loader) errorf(at Pos, format string, args ...any) {
@@ -88,9 +89,9 @@
 	errTooLarge   = fmt.Errorf("it has more than %d KiB", MaxFileSize>>10)
 )
 
-// read opens a file by its path below the root.
+// read reads a file by its path below the root.
 func (l *loader) read(name string) ([]byte, fs.FileInfo, error) {
-	info, err := l.root.Stat(name) // first: opening a pipe would wait for its writer
+	info, err := l.root.Stat(name) // before Open, which would block on a pipe without a writer
 	if err != nil {
 		return nil, nil, err
 	}
@@ -151,8 +152,8 @@
 	}
 }
 
-// expand tells the files that an include means: itself, the *.sloe files of a folder, or what matches a pattern in
-// its last part, in the order of their names' bytes.
+// expand returns the files that an include names: the file itself, the *.sloe files of a folder, or the files that match
+// a pattern in the last part of the path, sorted by name.
 func (l *loader) expand(name string) ([]string, error) {
 	dir, pattern := path.Split(name)
 	if !strings.ContainsAny(name, "*?[") {
@@ -197,7 +198,7 @@
 	return names, nil
 }
 
-// describeError words an error of the file system for the place of the include, without the path that stands there.
+// describeError returns the message for a file system error at an include, without the path, which the position shows.
 func (l *loader) describeError(err error) string {
 	var pe *fs.PathError
 	switch {
@@ -211,7 +212,7 @@
 	return err.Error()
 }
 
-// includeFile includes includeFile file, if that is neither a circle nor a second time.
+// includeFile loads one file, unless it is part of an include cycle or was included before.
 func (l *loader) includeFile(name string, inc *Include, here *includeStep) {
 	if l.stopped {
 		return
@@ -244,11 +245,11 @@
 		l.parseFile(name, shown, text, info, by)
 	}
 	if l.stopped {
-		l.tree.Unbalanced = true // what is missing is not known, so nothing is to be said of meaning
+		l.tree.Unbalanced = true // files are missing, so the meaning can't be checked
 	}
 }
 
-// reportCycle reports a file that includes itself, by whatever names, with the whole way.
+// reportCycle reports a file that includes itself, directly or not and by any name, with the path of includes.
 func (l *loader) reportCycle(shown string, info fs.FileInfo, by *includeStep) bool {
 	names, way := []string{shown}, []Note(nil)
 	for s := by; s != nil; s = s.parent {
@@ -263,7 +264,7 @@
 	return false
 }
 
-// reportDuplicate reports a file that was included before.
+// reportDuplicate reports a file that was included before, by any name.
 func (l *loader) reportDuplicate(shown string, info fs.FileInfo, at Pos) bool {
 	for _, s := range l.loaded {
 		if os.SameFile(s.info, info) {
--- a/internal/sloe/parse.go
+++ b/internal/sloe/parse.go
@@ -7,29 +7,30 @@
 	"unicode/utf8"
 )
 
-// Bounds on a file. Each is told plainly when it is passed.
+// Limits on a file. Exceeding one is reported as an error.
 const (
 	MaxFileSize  = 1 << 20 // bytes of one file
 	maxNesting   = 16      // blocks within blocks, and lists within lists
-	maxListItems = 4096    // of a list
+	maxListItems = 4096    // in a list
 )
 
 const keywordInclude, keywordDefine = "include", "define"
 
-// parser reads one file. It goes on after an error with the next line, and says nothing twice.
+// parser parses one file. After an error it continues with the next statement; errors that follow from a reported one
+// are not reported.
 type parser struct {
 	src            *Source
 	lex            lexer
 	tok            token
 	diags          Diags
 	file           *File
-	openBlocks     []*Block // the blocks that are open
-	likelyUnclosed *Block   // the first whose end seems to be missing, going by the columns of braces
-	stopped        bool     // nothing more of the file is read
-	endsInList     bool     // the file ends within a list, which was told
+	openBlocks     []*Block // the enclosing blocks, outermost first
+	likelyUnclosed *Block   // the first block whose '}' seems to be missing, judged by the indentation of braces
+	stopped        bool     // the rest of the file is not read
+	endsInList     bool     // the file ends within a list; this was reported
 }
 
-// Parse reads a source whole. What it finds wrong is in the Diags; the File holds all that could be read.
+// Parse parses a source. The Diags are the problems found; the File holds all that could be parsed.
 func Parse(src *Source) (*File, Diags) {
 	p := &parser{src: src, file: &File{Src: src}}
 	if !p.checkEncoding() {
@@ -44,7 +45,7 @@
 	p.next()
 	p.file.Entries, p.file.EndComments = p.entries(nil)
 	p.reportUnclosed()
-	if len(bytes.TrimSpace(src.Text)) == 0 { // as an editor leaves it for a moment
+	if len(bytes.TrimSpace(src.Text)) == 0 { // as some editors leave a file for a moment while saving
 		p.errorf(0, "the file is empty: it may be cut short (a comment makes it a file that says nothing)")
 	}
 	if t := src.Text; len(t) > 0 && t[len(t)-1] != '\n' && len(p.diags) == 0 {
@@ -53,7 +54,7 @@
 	return p.file, p.diags
 }
 
-// checkEncoding tells what no line of a file can be made of.
+// checkEncoding reports a file that is too large or not UTF-8; such a file is not parsed.
 func (p *parser) checkEncoding() bool {
 	t := p.src.Text
 	if len(t) > MaxFileSize {
@@ -83,7 +84,7 @@
 
 func (p *parser) next() { p.tok = p.lex.next() }
 
-// leadingComments reads line ends and comments on lines of their own.
+// leadingComments reads line ends and comments on lines of their own. It returns blank lines as "".
 func (p *parser) leadingComments() (lines []string) {
 	for breaks := 0; ; p.next() {
 		switch p.tok.kind {
@@ -100,12 +101,11 @@
 	}
 }
 
-// entries reads statements to the end of the block, or of the file. Blank lines at the edges are no one's.
+// entries parses statements up to the end of the block or the file. Blank lines at its start and end are dropped.
 func (p *parser) entries(in *Block) (all []Entry, tail []string) {
-	// A line has just ended, or the file begins: the first line end that comes is a blank line.
 	for first := true; ; first = false {
 		lead := p.leadingComments()
-		if first && len(lead) > 0 && lead[0] == "" {
+		if first && len(lead) > 0 && lead[0] == "" { // a blank line at the start of the block or file
 			lead = lead[1:]
 		}
 		if p.tok.kind == tEOF || p.stopped || p.tok.kind == tClose && in != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// entry reads one statement to the end of its line, or returns nil when there is none to be had.
+// entry parses one statement up to the end of its line. It returns nil if there is none that is valid.
 func (p *parser) entry() Entry {
 	switch p.tok.kind {
 	case tName:
@@ -162,22 +162,22 @@
 	return e
 }
 
-// atStatementEnd reports whether a statement may end here.
+// atStatementEnd reports whether a statement may end at the current token.
 func (p *parser) atStatementEnd() bool {
 	switch p.tok.kind {
 	case tNewline, tEOF, tComment:
 		return true
 	case tClose:
 		return len(p.openBlocks) > 0
-	case tInvalid: // reported, and the only thing to be said of the line
+	case tInvalid: // already reported; the rest of the line is skipped without another error
 		p.skipStatement()
 		return true
 	}
 	return p.stopped
 }
 
-// skipStatement goes to the end of the line, and past the blocks that begin on it: what is in them belongs to what could
-// not be read.
+// skipStatement skips to the end of the line, and past the blocks that begin on it, since they belong to a statement
+// that could not be parsed.
 func (p *parser) skipStatement() {
 	p.lex.silent = true
 	defer func() { p.lex.silent = false }()
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// expect takes a token, or reports that another stands in its place and skips the line.
+// expect consumes a token of kind k, or reports the token found instead and skips the statement.
 func (p *parser) expect(k tokenKind, what string) bool {
 	if p.tok.kind == k {
 		p.next()
@@ -275,7 +275,7 @@
 	}
 	p.openBlocks = append(p.openBlocks, b)
 	b.Entries, b.EndComments = p.entries(b)
-	if p.tok.kind != tClose { // the end of the file: told once, for the block that seems to lack its end
+	if p.tok.kind != tClose { // the end of the file, reported once by reportUnclosed
 		return b
 	}
 	if line := p.lineStart(p.tok.off); p.likelyUnclosed == nil && p.firstOnLine(p.tok.off) && p.tok.off-line < p.indent(word.off) {
@@ -286,7 +286,7 @@
 	return b
 }
 
-// reportUnclosed tells once that braces are missing, at the block whose end is likely to be the missing one.
+// reportUnclosed reports missing braces once, at the block that most likely lacks its '}'.
 func (p *parser) reportUnclosed() {
 	if len(p.openBlocks) == 0 || p.stopped {
 		return
@@ -311,13 +311,13 @@
 	return len(bytes.TrimLeft(p.src.Text[p.lineStart(off):off], " \t")) == 0
 }
 
-// indent is how far the line of a place is indented, in bytes.
+// indent returns the indentation, in bytes, of the line that contains an offset.
 func (p *parser) indent(off int) int {
 	line := p.src.Text[p.lineStart(off):]
 	return len(line) - len(bytes.TrimLeft(line, " \t"))
 }
 
-// value reads what stands behind an '='. It always returns one; what is wrong with it was reported.
+// value parses a value. It never returns nil: an Invalid value was already reported.
 func (p *parser) value(depth int) *Value {
 	t := p.tok
 	v := &Value{Pos: p.pos(t.off), Raw: t.text}
@@ -328,7 +328,7 @@
 		v.Kind, v.Text = Reference, t.text[1:]
 	case tString:
 		v.Kind = Text
-		v.Text, _, _ = unquote(t.text) // the lexer has held it to its shape
+		v.Text, _, _ = unquote(t.text) // the lexer has already validated it
 	case tNumber:
 		q, err := ParseQuantity(t.text)
 		if v.Kind, v.Number = Number, q; err != nil {
@@ -396,7 +396,7 @@
 	}
 }
 
-// item reads one value of a list and the comma behind it.
+// item parses one value of a list and the comma after it. It returns false if the list ended with an error.
 func (p *parser) item(v *Value, lead []string, depth, open int) bool {
 	item := p.value(depth + 1)
 	item.Leading = lead
@@ -419,7 +419,7 @@
 	v.EndComments = p.leadingComments()
 	if p.tok.kind != tListClose {
 		switch p.tok.kind {
-		case tInvalid: // told
+		case tInvalid: // already reported
 		case tClose, tEOF, tEquals:
 			p.errorf(open, "the list is not closed: a ']' is missing")
 			p.endsInList = p.tok.kind == tEOF
@@ -435,7 +435,7 @@
 	return true
 }
 
-// String is the token in a message.
+// String describes the token in a message.
 func (t token) String() string {
 	switch t.kind {
 	case tEOF:
--- a/internal/sloe/quantity.go
+++ b/internal/sloe/quantity.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Dimension is what a quantity measures.
+// Dimension is the kind of a quantity.
 type Dimension int
 
 // The dimensions. A count is a number without a unit.
@@ -20,11 +20,11 @@
 	Rate
 )
 
-// Quantity is a number with its unit, exactly.
+// Quantity is an exact number with a unit.
 type Quantity struct {
 	Dimension Dimension
-	RateItem  string   // for Rate: what is counted, such as units
-	Value     *big.Rat // in nanoseconds, bytes, parts of 1, pieces a second or pieces
+	RateItem  string   // for a Rate: what is counted, such as units
+	Value     *big.Rat // in nanoseconds, bytes, fractions of 1, items per second or items
 }
 
 type unit struct {
@@ -34,28 +34,28 @@
 
 func integer(n int64) *big.Rat { return big.NewRat(n, 1) }
 
-// The units, the smallest first.
+// The units, in ascending order of size, except for rates: per second comes first.
 var (
 	timeUnits = []unit{{"ns", integer(1)}, {"us", integer(1e3)}, {"ms", integer(1e6)}, {"s", integer(1e9)}, {"m", integer(60e9)},
 		{"h", integer(3600e9)}, {"d", integer(86400e9)}}
 	sizeUnits = []unit{{"B", integer(1)}, {"KiB", integer(1 << 10)}, {"MiB", integer(1 << 20)}, {"GiB", integer(1 << 30)}}
 	perUnits  = []unit{{"s", integer(1)}, {"m", big.NewRat(1, 60)}, {"h", big.NewRat(1, 3600)}}
-	// RateItems are the things of which rates tell how many there are a second, a minute or an hour.
+	// RateItems are what a rate can count, per second, minute or hour.
 	RateItems = []string{"units", "msgs", "reqs", "bytes"}
 )
 
-// unitAliases are spellings of units that people bring from elsewhere.
+// unitAliases maps common spellings that the language does not accept to the unit suggested instead.
 var unitAliases = map[string]string{"sec": "s", "secs": "s", "second": "s", "seconds": "s", "msec": "ms", "millis": "ms", "min": "m",
 	"mins": "m", "minute": "m", "minutes": "m", "hour": "h", "hours": "h", "hr": "h", "day": "d", "days": "d", "µs": "us",
 	"kb": "KiB", "k": "KiB", "kib": "KiB", "mb": "MiB", "mib": "MiB", "gb": "GiB", "g": "GiB", "gib": "GiB", "b": "B",
 	"percent": "%", "unit/s": "units/s", "rps": "reqs/s", "qps": "reqs/s", "req/s": "reqs/s", "msg/s": "msgs/s",
 	"messages/s": "msgs/s", "requests/s": "reqs/s", "S": "s", "MS": "ms"}
 
-const maxDigits = 18 // before and behind the point together, which every value that can be meant fits
+const maxDigits = 18 // characters of a number with its point; every meaningful value fits
 
 var numberPattern = regexp.MustCompile(`^([-+]?)([0-9]+(?:\.[0-9]+)?)(.*)$`)
 
-// ParseQuantity reads a number with its unit, such as 250ms, 8units/s, 64KiB, 15% or 3.
+// ParseQuantity parses a number with its unit, such as 250ms, 8units/s, 64KiB, 15% or 3.
 func ParseQuantity(text string) (Quantity, error) {
 	m := numberPattern.FindStringSubmatch(text)
 	if m == nil {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// String is the quantity in the largest unit that needs no point, or else in the smallest that is exact. Two
-// quantities that mean the same are spelled the same.
+// String returns the quantity in the largest unit in which it is an integer, or else in the smallest in which it has
+// an exact decimal form. A rate is given per second where that is exact. Equal quantities have the same string.
 func (q Quantity) String() string {
 	switch q.Dimension {
 	case Time:
@@ -148,13 +148,13 @@
 		}
 		best = formatDecimal(n) + prefix + u.name
 		if prefix != "" {
-			break // rates: a second is what people think in
+			break // rates: per second is preferred
 		}
 	}
 	return best
 }
 
-// formatDecimal writes a number that has a finite formatDecimal form.
+// formatDecimal returns a number that has a finite decimal form.
 func formatDecimal(v *big.Rat) string {
 	n, _ := v.FloatPrec()
 	return v.FloatString(n)
