--- a/internal/daemonconfig/daemonconfig.go
+++ b/internal/daemonconfig/daemonconfig.go
@@ -1,4 +1,5 @@
-// Package blocks lists the blocks of the operators' file that the daemon knows, for the daemon and sloectl alike.
+// Package daemonconfig declares the schema of the operators' file, for the daemon and sloectl, and converts the blocks
+// of a checked file into the configuration types of other packages.
 package daemonconfig
 
 import (
@@ -11,16 +12,16 @@
 	"sloepick/internal/tuning"
 )
 
-// Schema is made of every subsystem's blocks.
+// Schema returns the schema with the blocks of all subsystems.
 func Schema() *operator.Schema {
 	s, err := operator.NewSchema(tuning.Block(), route.Block(), listenerBlock(), backendBlock(), fleetBlock(), peerInfoBlock(), regionBlock(), dutiesBlock(), powerBlock(), logBlock())
 	if err != nil {
-		panic(err) // a slip in a declaration, which the test of this package finds
+		panic(err) // a faulty declaration; the tests of this package find it
 	}
 	return s
 }
 
-// Load reads an operators' file, checks it, and holds it to the settings of a platform, if one is given.
+// Load reads and checks an operators' file, and validates its routes against a platform's settings, if given.
 func Load(file string, platform *gateway.Config) (*operator.Config, sloe.Diags, error) {
 	c, diags, err := Schema().Load(file)
 	if c == nil || platform == nil {
@@ -38,11 +39,11 @@
 	return &operator.Block{
 		Name: "log", Doc: "The daemon's log, on standard error.",
 		Keys: []operator.Key{{Name: "level", Kind: operator.Word, AllowedWords: []string{"debug", "info", "warn", "error"}, Default: "info",
-			Doc: "The least that is logged."}},
+			Doc: "The lowest level that is logged."}},
 	}
 }
 
-// LogLevel is the log's level.
+// LogLevel returns the minimum level of the log.
 func LogLevel(c *operator.Config) slog.Level {
 	return map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn,
 		"error": slog.LevelError}[c.Section("log").Text("level")]
--- a/internal/daemonconfig/duties.go
+++ b/internal/daemonconfig/duties.go
@@ -12,17 +12,17 @@
 func dutiesBlock() *operator.Block {
 	return &operator.Block{
 		Name: "duties", Check: checkDuties,
-		Doc: "Work on behalf of the fleet, each by one member at a time. The same in the files of all members. Without the block there is none.",
+		Doc: "Tasks on behalf of the fleet, each done by one member at a time. The block must be the same in the files of all members. Without it there are no such tasks.",
 		Keys: []operator.Key{
 			{Name: "voters", Kind: operator.Count, Default: "5", Min: "1", Max: "9", Applied: operator.AtRestart,
-				Doc: "Members that vote on owners, at first those in the lowest places. More than half of them have to be there; one that is gone is replaced, one after the other."},
+				Doc: "Members that vote on owners, at first those in the lowest places. More than half of them must be reachable. Lost voters are replaced one at a time."},
 			{Name: "lease", Kind: operator.Duration, Default: "6s", Min: "1s", Max: "10m", Applied: operator.AtRestart,
-				Doc: "For how long an owner owns without being heard. Another one takes over after it."},
+				Doc: "How long an owner keeps its task without renewing it. After this time another member can take over."},
 		},
 		Blocks: []*operator.Block{{
-			Name: "report", Doc: "Tell an outside system how the fleet stands, by POST, as JSON with the owner's number.",
+			Name: "report", Doc: "Report the status of the fleet to an external system, by POST, as JSON with the owner's number.",
 			Keys: []operator.Key{
-				{Name: "url", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "Where to, as \"http://host:port/path\". Required."},
+				{Name: "url", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "Where reports are sent, as \"http://host:port/path\". Required."},
 				{Name: "every", Kind: operator.Duration, Default: "10s", Min: "100ms", Max: "1h", Applied: operator.AtRestart, Doc: "Time from one report to the next."},
 			},
 		}},
@@ -41,26 +41,26 @@
 	return nil
 }
 
-// DutiesConfig are a fleet's work.
+// DutiesConfig configures the tasks that members do on behalf of the fleet.
 type DutiesConfig struct {
-	Election election.Config // without duties' names
-	Report   *ReportConfig   // nil: none
+	Election election.Config // without the names of the tasks
+	Report   *ReportConfig   // nil: no reports
 }
 
-// ReportConfig is where the fleet's standing is told.
+// ReportConfig is where and how often the status of the fleet is reported.
 type ReportConfig struct {
 	URL      string
 	Interval time.Duration
 }
 
-// The times of a lease that an owner renews it in, waits for answers, and the next candidate waits.
+// Divisors of the lease for an owner's renewal interval, the time-out for answers and the delay between candidates.
 const (
 	renewDivisor     = 4
 	answerDivisor    = 12
 	candidateDivisor = 6
 )
 
-// Duties reads the block; nil: there is none.
+// Duties returns the configuration of the block duties, or nil if there is none.
 func Duties(c *operator.Config) *DutiesConfig {
 	s := c.Section("duties")
 	if !s.Present() {
--- a/internal/daemonconfig/fleet.go
+++ b/internal/daemonconfig/fleet.go
@@ -13,19 +13,19 @@
 func fleetBlock() *operator.Block {
 	return &operator.Block{
 		Name: "fleet", Check: checkFleet,
-		Doc: "The gateway is one member of a fleet, which gives it its number; numbers and peers of the platform's file do not count then. Without the block there is no fleet.",
+		Doc: "The gateway is a member of a fleet, which assigns its number. Numbers and peers in the platform's file are then ignored. Without the block there is no fleet.",
 		Keys: []operator.Key{
-			{Name: "address", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "The member's own socket for the fleet, as \"host:port\", by UDP and TCP. Required."},
+			{Name: "address", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "The address, \"host:port\", on which this member talks to the fleet by UDP and TCP. Required."},
 			{Name: "places", Kind: operator.Count, Default: "16", Min: "1", Max: "4096", Applied: operator.AtRestart,
-				Doc: "Numbers that there are to give, the same at all members. Spare ones cost nothing; members without one let nothing in."},
+				Doc: "Numbers that the fleet can assign; must be the same at all members. Spare ones cost nothing; members without a number admit no requests."},
 			{Name: "expect", Kind: operator.Count, Default: "1", Min: "1", Max: "4096",
-				Doc: "Members that the fleet is meant to have. Numbers are given only where more than half of them, and of those last known, are there."},
+				Doc: "Members that the fleet is expected to have. Numbers are assigned only while more than half of them, and of the members last known, are reachable."},
 			{Name: "hold", Kind: operator.Duration, Default: "3m", Min: "15s", Max: "1h", Applied: operator.AtRestart,
-				Doc: "A number is kept for so long for a member that is gone. One that is cut off gives its own up a minute before that, but not before a third of it: shorter ones want a network in which a loss is noticed sooner."},
-			{Name: "seeds", Kind: operator.Text, List: true, Optional: true, Applied: operator.AtRestart, Doc: "Addresses of members by which it joins; one of them may be its own."},
-			{Name: "keys", Kind: operator.Text, Optional: true, Doc: "A file with keys of 16, 24 or 32 bytes in base64, one a line; the first is used to send, any to read. Read again at each reload. Left out: nothing is encrypted."},
-			{Name: "state", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "A file in which the member keeps its number and who is there. Left out: nothing is kept."},
-			{Name: "status", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "A local socket for sloectl fleet status, for this user alone. Left out: none."},
+				Doc: "How long a number stays reserved for a lost member. An isolated member gives up its own number a minute earlier, but not before a third of this time: values below 90s need a network in which a loss is detected in less than a minute."},
+			{Name: "seeds", Kind: operator.Text, List: true, Optional: true, Applied: operator.AtRestart, Doc: "Addresses of members through which it joins the fleet; its own may be among them."},
+			{Name: "keys", Kind: operator.Text, Optional: true, Doc: "A file with keys of 16, 24 or 32 bytes in base64, one per line. The first encrypts messages, all can decrypt them. Read again at each reload. Left out: nothing is encrypted."},
+			{Name: "state", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "A file in which the member stores its number and the known members. Left out: nothing is stored."},
+			{Name: "status", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "A local socket for sloectl fleet status, accessible only to this user. Left out: none."},
 		},
 	}
 }
@@ -51,7 +51,7 @@
 	return out
 }
 
-// Fleet reads how the gateway takes part in a fleet; nil: it does not.
+// Fleet returns the configuration of the block fleet, or nil if there is none.
 func Fleet(c *operator.Config) *gossip.Config {
 	s := c.Section("fleet")
 	if !s.Present() {
@@ -68,9 +68,9 @@
 	return f
 }
 
-const maxDetectionTime = time.Minute // between a loss and all others' knowing it, or its own
+const maxDetectionTime = time.Minute // from the loss of a member until all others, or the isolated member itself, detect it
 
-// SourcesHash is a number for what stands in an operators' file and its includes.
+// SourcesHash returns a hash of the text of an operators' file and its includes.
 func SourcesHash(c *operator.Config) uint64 {
 	h := fnv.New64a()
 	for _, src := range c.Sources {
--- a/internal/daemonconfig/power.go
+++ b/internal/daemonconfig/power.go
@@ -10,26 +10,26 @@
 func powerBlock() *operator.Block {
 	return &operator.Block{
 		Name: "power",
-		Doc:  "How the gateway comes back after a loss of power: what it keeps, and the pace of its service. Without the block it begins with nothing known and lets all in.",
+		Doc:  "How the gateway recovers from a loss of power: what it stores, and how it resumes service. Without the block it starts without state and admits all requests.",
 		Keys: []operator.Key{
 			{Name: "keep", Kind: operator.Text, Optional: true, Applied: operator.AtRestart,
-				Doc: "A file for what outlives the process: customers' buckets, what was answered, other members' last lives. Left out: nothing is written, others are asked all the same."},
+				Doc: "A file for state that outlives the process: customers' buckets, answered requests, the last known incarnations of other members. Left out: nothing is written, but other members are still asked."},
 			{Name: "every", Kind: operator.Duration, Default: "250ms", Min: "20ms", Max: "10s", Applied: operator.AtRestart,
-				Doc: "Time from one writing to the next, if anything changed. What is passed on in twice this time before a loss may be passed on again."},
+				Doc: "Interval between writes, if anything changed. Requests passed on within twice this time before a loss may be passed on again."},
 			{Name: "customers", Kind: operator.Count, Default: "16384", Min: "1", Max: "1048576", Applied: operator.AtRestart,
-				Doc: "Customers that are kept; where there are more, those with the emptiest buckets are not."},
+				Doc: "Customers that are stored; if there are more, those with the emptiest buckets are left out."},
 		},
 	}
 }
 
-// PowerConfig is how the gateway comes back after a loss of power.
+// PowerConfig configures how the gateway recovers from a loss of power.
 type PowerConfig struct {
 	SnapshotFile     string // "": nothing is written
 	SnapshotInterval time.Duration
 	MaxCustomers     int
 }
 
-// Power reads the block; nil: there is none.
+// Power returns the configuration of the block power, or nil if there is none.
 func Power(c *operator.Config) *PowerConfig {
 	s := c.Section("power")
 	if !s.Present() {
--- a/internal/daemonconfig/regions.go
+++ b/internal/daemonconfig/regions.go
@@ -2,7 +2,7 @@
 
 import (
 	"time"
-	_ "time/tzdata" // zones by name, also where the machine has none
+	_ "time/tzdata" // time zones by name, also on machines without a time zone database
 
 	"sloepick/internal/maintenance"
 	"sloepick/internal/operator"
@@ -12,12 +12,12 @@
 func regionBlock() *operator.Block {
 	return &operator.Block{
 		Name: "region", Labeled: true, Check: checkRegion,
-		Doc: "A region, by the zone that the platform's settings name, and its quiet hours, by its own clock. The same in the files of all members.",
+		Doc: "A region, named as its zone in the platform's settings, with its quiet hours in local time. Must be the same in the files of all members.",
 		Keys: []operator.Key{
-			{Name: "clock", Kind: operator.Text, Default: "\"UTC\"", Doc: "The time zone of its clock, as \"Asia/Seoul\" (IANA)."},
-			{Name: "quiet", Kind: operator.Text, List: true, Optional: true, Doc: "Spans such as \"mon-fri 22:00-05:00\", \"sat sun 20:00-24:00\" or \"daily 01:00-05:00\"; one that ends at or before its begin goes on over midnight. Left out: it has none."},
-			{Name: "none", Kind: operator.Text, List: true, Optional: true, Doc: "Days without any, as \"2026-09-24\": no minute of them is quiet, and no span begins on them."},
-			{Name: "also", Kind: operator.Text, List: true, Optional: true, Doc: "Spans of single days, as \"2026-12-25 00:00-24:00\"."},
+			{Name: "clock", Kind: operator.Text, Default: "\"UTC\"", Doc: "The region's time zone, as \"Asia/Seoul\" (IANA)."},
+			{Name: "quiet", Kind: operator.Text, List: true, Optional: true, Doc: "Spans such as \"mon-fri 22:00-05:00\", \"sat sun 20:00-24:00\" or \"daily 01:00-05:00\"; a span that ends at or before its start continues past midnight. Left out: none."},
+			{Name: "none", Kind: operator.Text, List: true, Optional: true, Doc: "Days without quiet hours, as \"2026-09-24\": no minute of them is quiet, and no span starts on them."},
+			{Name: "also", Kind: operator.Text, List: true, Optional: true, Doc: "Additional spans on single days, as \"2026-12-25 00:00-24:00\"."},
 		},
 	}
 }
@@ -27,12 +27,12 @@
 	return problems
 }
 
-// readCalendar reads a region's calendar, and what is wrong with it.
+// readCalendar returns a region's calendar and the problems found in it.
 func readCalendar(s *operator.Section) (h *maintenance.Calendar, out []operator.Problem) {
 	h = &maintenance.Calendar{Excluded: map[maintenance.Date]bool{}, Extra: map[maintenance.Date][]maintenance.Span{}}
 	var err error
 	if h.Zone, err = time.LoadLocation(s.Text("clock")); err != nil || s.Text("clock") == "Local" {
-		out = append(out, operator.Problem{Key: "clock", Msg: "there is no such time zone; want a name such as \"Asia/Seoul\""})
+		out = append(out, operator.Problem{Key: "clock", Msg: "unknown time zone; use a name such as \"Asia/Seoul\""})
 		h.Zone = time.UTC
 	}
 	each := func(key string, take func(text string) error) {
@@ -63,7 +63,7 @@
 	return h, out
 }
 
-// Regions are the calendars of the regions that have one, by their names.
+// Regions returns the calendars of all configured regions by name.
 func Regions(c *operator.Config) map[string]*maintenance.Calendar {
 	all := map[string]*maintenance.Calendar{}
 	for _, s := range c.Sections("region") {
--- a/internal/operator/render.go
+++ b/internal/operator/render.go
@@ -54,7 +54,7 @@
 		}
 		fmt.Fprintf(b, "\n## `%s%s`\n\n%s\n", name, label, k.Doc)
 		if len(k.Keys) > 0 {
-			b.WriteString("\n| key | takes | default | bounds | a change counts | what it does |\n| --- | --- | --- | --- | --- | --- |\n")
+			b.WriteString("\n| key | takes | default | bounds | a change takes effect | what it does |\n| --- | --- | --- | --- | --- | --- |\n")
 		}
 		for i := range k.Keys {
 			key := &k.Keys[i]
