--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -97,7 +97,7 @@
 			sections = c.block(e, blocks, sections, in, seen)
 		case *sloe.Setting:
 			if in == nil {
-				c.errorf(e.Name.Pos, "the setting %q stands outside of all blocks", truncate(e.Name.Name))
+				c.errorf(e.Name.Pos, "the setting %q must be in a block", truncate(e.Name.Name))
 				continue
 			}
 			c.setting(e, in, seen)
@@ -109,7 +109,7 @@
 func (c *checker) define(e *sloe.Define) {
 	name := e.Name.Name
 	if first := c.defines[name]; first != nil {
-		c.errorf(e.Name.Pos, "the definition %q comes twice", name).Notes = []sloe.Note{{Pos: first.def.Name.Pos, Msg: "first defined here"}}
+		c.errorf(e.Name.Pos, "%q is defined twice", name).Notes = []sloe.Note{{Pos: first.def.Name.Pos, Msg: "first defined here"}}
 		return
 	}
 	e.Value = c.resolve(e.Value)
@@ -191,7 +191,7 @@
 		name += " " + sloe.Quote(label)
 	}
 	if first, ok := seen[name]; ok && (label != "" || !b.Labeled) {
-		c.errorf(e.Type.Pos, "the block %s comes twice", name).Notes = []sloe.Note{{Pos: first, Msg: "first defined here"}}
+		c.errorf(e.Type.Pos, "the block %s is defined twice", name).Notes = []sloe.Note{{Pos: first, Msg: "first defined here"}}
 		return sections
 	}
 	seen[name] = e.Type.Pos
@@ -210,7 +210,7 @@
 		if !v.isSet && !v.Key.Optional {
 			s.valid = false
 			if v.pos == (sloe.Pos{}) {
-				c.errorf(s.pos, "the block %q lacks %s, which is %s", s.Block.Name, v.Key.Name, v.Key.describe())
+				c.errorf(s.pos, "the block %q needs %s, which is %s", s.Block.Name, v.Key.Name, v.Key.describe())
 			}
 		}
 	}
@@ -225,7 +225,7 @@
 		return
 	}
 	if first, ok := seen[name]; ok {
-		c.errorf(e.Name.Pos, "%s comes twice in this block", name).Notes = []sloe.Note{{Pos: first, Msg: "first set here"}}
+		c.errorf(e.Name.Pos, "%s is set twice in this block", name).Notes = []sloe.Note{{Pos: first, Msg: "first set here"}}
 		return
 	}
 	seen[name] = e.Name.Pos
@@ -249,7 +249,7 @@
 	if hint == "" { // it may be a key of a nested block
 		for _, b := range in.Block.Blocks {
 			if b.key(name) != nil {
-				hint = fmt.Sprintf("; the block %s within has it", b.Name)
+				hint = fmt.Sprintf("; it is a key of the block %s within", b.Name)
 			}
 		}
 	}
@@ -285,7 +285,7 @@
 		}
 		it, good := c.item(k, i, place)
 		if good && slices.ContainsFunc(out.items, func(o item) bool { return o.String() == it.String() }) && k.List {
-			c.errorf(place, "%s stands in the list twice", it)
+			c.errorf(place, "%s is in the list twice", it)
 			good = false
 		}
 		ok = ok && good
@@ -302,7 +302,7 @@
 			return item{text: v.Text}, true
 		}
 		if v.Kind == sloe.Word {
-			c.errorf(at, "%s is %s, not %q%s", k.Name, joinAlternatives(k.AllowedWords), truncate(v.Text), suggestion(v.Text, k.AllowedWords, ""))
+			c.errorf(at, "%s must be %s, not %q%s", k.Name, joinAlternatives(k.AllowedWords), truncate(v.Text), suggestion(v.Text, k.AllowedWords, ""))
 			return item{}, false
 		}
 	case Text:
@@ -333,13 +333,13 @@
 	case q.Dimension == sloe.Rate && q.RateItem != k.RateItem:
 		c.errorf(at, "%s counts %s, not %s", k.Name, k.RateItem, q.RateItem)
 	case k.Kind != Share && k.Kind != Rate && !q.Value.IsInt():
-		c.errorf(at, "%s is finer than %s can be", v.Raw, k.Name)
+		c.errorf(at, "%s is too precise for %s", v.Raw, k.Name)
 	case q.Value.Cmp(new(big.Rat).SetInt64(math.MaxInt64)) > 0:
-		c.errorf(at, "%s is larger than any value can be", v.Raw)
+		c.errorf(at, "%s is too large", v.Raw)
 	case k.minQuantity != nil && q.Value.Cmp(k.minQuantity.Value) < 0:
-		c.errorf(at, "%s is %s at least, not %s", k.Name, k.minQuantity, v.Raw)
+		c.errorf(at, "%s must be at least %s, not %s", k.Name, k.minQuantity, v.Raw)
 	case k.maxQuantity != nil && q.Value.Cmp(k.maxQuantity.Value) > 0:
-		c.errorf(at, "%s is %s at most, not %s", k.Name, k.maxQuantity, v.Raw)
+		c.errorf(at, "%s must be at most %s, not %s", k.Name, k.maxQuantity, v.Raw)
 	default:
 		return item{quantity: q}, true
 	}
--- a/internal/sloe/lex.go
+++ b/internal/sloe/lex.go
@@ -81,7 +81,7 @@
 		l.offset++
 		l.skipWord()
 		if text := string(b[from+1 : l.offset]); !isName(text) {
-			return l.invalid(from, "%q is no name of a definition: letters, digits, '-', '_' and '.', a letter first", truncate(text))
+			return l.invalid(from, "%q is not a valid name of a definition: letters, digits, '-', '_' and '.', a letter first", truncate(text))
 		}
 		return l.token(tRef, from, string(b[from:l.offset]))
 	case isWordByte(c):
@@ -91,9 +91,9 @@
 	r, n := utf8.DecodeRune(b[l.offset:])
 	l.offset += n
 	if r < ' ' || r == 0x7f {
-		return l.invalid(from, "a control character (U+%04X) can't stand here", r)
+		return l.invalid(from, "a control character (U+%04X) is not allowed here", r)
 	}
-	return l.invalid(from, "%q can't stand here", string(r))
+	return l.invalid(from, "%q is not allowed here", string(r))
 }
 
 // acceptCRLF reports whether the CR is part of a CR LF, and reports the first of these in a file as an error. Any other
@@ -124,7 +124,7 @@
 	case isName(text):
 		return l.token(tName, from, text)
 	}
-	return l.invalid(from, "%q is no name: letters, digits, '-', '_' and '.', a letter first (other text stands in quotes)", truncate(text))
+	return l.invalid(from, "%q is not a valid name: letters, digits, '-', '_' and '.', a letter first (put other text in quotes)", truncate(text))
 }
 
 // isName reports whether s is a letter followed by letters, digits, '-', '_' and '.'.
@@ -139,7 +139,7 @@
 
 func (l *lexer) token(k tokenKind, from int, text string) token {
 	if len(text) > maxTokenBytes {
-		return l.invalid(from, "%d characters in one piece; %d at most", len(text), maxTokenBytes)
+		return l.invalid(from, "a word, string or comment of %d bytes is too long; the limit is %d", len(text), maxTokenBytes)
 	}
 	return token{k, from, text}
 }
@@ -187,12 +187,12 @@
 		if c == '\\' {
 			e, ok := escapes[text[i+1]]
 			if !ok {
-				return "", i, fmt.Errorf(`\%c is no escape: \n, \t, \" and \\ are`, text[i+1])
+				return "", i, fmt.Errorf(`\%c is not a valid escape; use \n, \t, \" or \\`, text[i+1])
 			}
 			c = e
 			i++
 		} else if c < ' ' || c == 0x7f {
-			return "", i, fmt.Errorf("a control character (U+%04X) can't stand in a string", c)
+			return "", i, fmt.Errorf("a control character (U+%04X) is not allowed in a string", c)
 		}
 		b = append(b, c)
 	}
--- a/internal/sloe/load.go
+++ b/internal/sloe/load.go
@@ -85,8 +85,8 @@
 }
 
 var (
-	errNotRegular = errors.New("it is no ordinary file")
-	errTooLarge   = fmt.Errorf("it has more than %d KiB", MaxFileSize>>10)
+	errNotRegular = errors.New("it is not a regular file")
+	errTooLarge   = fmt.Errorf("it is larger than %d KiB", MaxFileSize>>10)
 )
 
 // read reads a file by its path below the root.
@@ -135,7 +135,7 @@
 	}
 	name := path.Join(path.Dir(from), target)
 	if name == ".." || strings.HasPrefix(name, "../") {
-		l.errorf(at, "the include leads out of the folder %s", l.rootDisplayName)
+		l.errorf(at, "the include leads outside the folder %s", l.rootDisplayName)
 		return
 	}
 	names, err := l.expand(name)
@@ -167,7 +167,7 @@
 		dir, pattern = name, "*"+extension
 	}
 	if strings.ContainsAny(dir, "*?[") {
-		return nil, errors.New("a pattern may stand in the last part of a path only")
+		return nil, errors.New("a pattern is only allowed in the last part of a path")
 	}
 	if _, err := path.Match(pattern, ""); err != nil {
 		return nil, errors.New("the pattern is malformed")
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	if len(entries) > maxFolderEntries {
-		return nil, fmt.Errorf("the folder holds more than %d names", maxFolderEntries)
+		return nil, fmt.Errorf("the folder contains more than %d names", maxFolderEntries)
 	}
 	var names []string
 	for _, e := range entries {
@@ -205,9 +205,9 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return "there is no such file or folder"
 	case errors.As(err, &pe) && strings.Contains(pe.Err.Error(), "escapes"):
-		return "the include leads out of the folder " + l.rootDisplayName
+		return "the include leads outside the folder " + l.rootDisplayName
 	case errors.As(err, &pe):
-		return fmt.Sprintf("it can't be read: %v", pe.Err)
+		return fmt.Sprintf("cannot read it: %v", pe.Err)
 	}
 	return err.Error()
 }
@@ -235,11 +235,11 @@
 	l.stopped = true
 	switch {
 	case depth > maxIncludeDepth:
-		l.errorf(at, "includes go deeper than %d files; nothing more is read", maxIncludeDepth)
+		l.errorf(at, "includes are nested deeper than %d files; nothing more is read", maxIncludeDepth)
 	case len(l.loaded) >= maxFiles:
 		l.errorf(at, "more than %d files; nothing more is read", maxFiles)
 	case l.totalBytes > maxTotalBytes:
-		l.errorf(at, "more than %d MiB in all; nothing more is read", maxTotalBytes>>20)
+		l.errorf(at, "more than %d MiB in total; nothing more is read", maxTotalBytes>>20)
 	default:
 		l.stopped = false
 		l.parseFile(name, shown, text, info, by)
@@ -257,7 +257,7 @@
 		names = append(names, s.displayName)
 		if os.SameFile(s.info, info) {
 			slices.Reverse(way)
-			l.diags = append(l.diags, Diag{Pos: by.includePos, Msg: "the includes go in a circle", Notes: way})
+			l.diags = append(l.diags, Diag{Pos: by.includePos, Msg: "the includes form a cycle", Notes: way})
 			return true
 		}
 	}
@@ -268,7 +268,7 @@
 func (l *loader) reportDuplicate(shown string, info fs.FileInfo, at Pos) bool {
 	for _, s := range l.loaded {
 		if os.SameFile(s.info, info) {
-			d := Diag{Pos: at, Msg: fmt.Sprintf("%s is included a second time", shown)}
+			d := Diag{Pos: at, Msg: fmt.Sprintf("%s is included twice", shown)}
 			if s.parent != nil {
 				d.Notes = []Note{{s.parent.includePos, "first included here"}}
 			}
--- a/internal/sloe/load_test.go
+++ b/internal/sloe/load_test.go
@@ -51,7 +51,7 @@
 func TestIncludeCycleThroughSymlink(t *testing.T) {
 	writeFiles(t, map[string]string{"main.sloe": "include \"a.sloe\"\n", "a.sloe": "\ninclude \"other.sloe\"\n"})
 	symlink(t, "main.sloe", "other.sloe")
-	expectDiags(t, "a.sloe:2:9: the includes go in a circle")
+	expectDiags(t, "a.sloe:2:9: the includes form a cycle")
 	_, diags, _ := Load("main.sloe")
 	if got := diags.Error(); !strings.Contains(got, "main.sloe:1:9: main.sloe includes a.sloe\n") || !strings.Contains(got, "a.sloe:2:9: a.sloe includes other.sloe\n") {
 		t.Errorf("got\n%s", got)
@@ -61,7 +61,7 @@
 func TestDuplicateIncludeThroughSymlink(t *testing.T) {
 	writeFiles(t, map[string]string{"main.sloe": "include \"a.sloe\"\ninclude \"b.sloe\"\n", "a.sloe": "x { }\n"})
 	symlink(t, "a.sloe", "b.sloe")
-	expectDiags(t, "main.sloe:2:9: b.sloe is included a second time")
+	expectDiags(t, "main.sloe:2:9: b.sloe is included twice")
 }
 
 // No link leads out of the folder of the first file; a link within it is followed.
@@ -74,7 +74,7 @@
 	symlink(t, outside, "a.sloe")
 	symlink(t, filepath.Dir(outside), "dir")
 	symlink(t, "real/in.sloe", "in.sloe")
-	tree := expectDiags(t, "main.sloe:1:9: the include leads out of the folder .", "main.sloe:2:9: the include leads out of the folder .")
+	tree := expectDiags(t, "main.sloe:1:9: the include leads outside the folder .", "main.sloe:2:9: the include leads outside the folder .")
 	if len(tree.Files) != 2 {
 		t.Errorf("%d files were read", len(tree.Files))
 	}
@@ -112,20 +112,20 @@
 		texts map[string]string
 		want  []string
 	}{
-		"10 MB":         {map[string]string{"main.sloe": "include \"big.sloe\"\n", "big.sloe": strings.Repeat("x = 1\n", 10<<20/6)}, []string{"main.sloe:1:9: big.sloe: it has more than 1024 KiB"}},
-		"1,000 levels":  {map[string]string{"main.sloe": nest(1000)}, []string{"main.sloe:17:1: blocks nest deeper than 16 here; the rest of the file is not read"}},
+		"10 MB":         {map[string]string{"main.sloe": "include \"big.sloe\"\n", "big.sloe": strings.Repeat("x = 1\n", 10<<20/6)}, []string{"main.sloe:1:9: big.sloe: it is larger than 1024 KiB"}},
+		"1,000 levels":  {map[string]string{"main.sloe": nest(1000)}, []string{"main.sloe:17:1: blocks are nested deeper than 16 here; the rest of the file is not read"}},
 		"levels enough": {map[string]string{"main.sloe": nest(16)}, nil},
 		"1,000 lists": {map[string]string{"main.sloe": "a {\nb = " + strings.Repeat("[", 1000) + strings.Repeat("]", 1000) + "\n}\n"},
-			[]string{"main.sloe:2:21: lists nest deeper than 16 here; the rest of the file is not read"}},
+			[]string{"main.sloe:2:21: lists are nested deeper than 16 here; the rest of the file is not read"}},
 		"a long list":            {map[string]string{"main.sloe": "a {\nb = [" + strings.Repeat("1, ", maxListItems+1) + "]\n}\n"}, []string{"main.sloe:2:12294: the list has more than 4096 items"}},
-		"a long word":            {map[string]string{"main.sloe": "a {\nb = " + strings.Repeat("x", maxTokenBytes+1) + "\n}\n"}, []string{"main.sloe:2:5: 4097 characters in one piece; 4096 at most"}},
-		"not UTF-8":              {map[string]string{"main.sloe": "a {\n  b = \"\xff\"\n}\n"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xFF can't stand here"}},
-		"cut within a character": {map[string]string{"main.sloe": "a {\n  b = \"\xc3"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xC3 can't stand here"}},
+		"a long word":            {map[string]string{"main.sloe": "a {\nb = " + strings.Repeat("x", maxTokenBytes+1) + "\n}\n"}, []string{"main.sloe:2:5: a word, string or comment of 4097 bytes is too long; the limit is 4096"}},
+		"not UTF-8":              {map[string]string{"main.sloe": "a {\n  b = \"\xff\"\n}\n"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xFF is not valid here"}},
+		"cut within a character": {map[string]string{"main.sloe": "a {\n  b = \"\xc3"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xC3 is not valid here"}},
 		"a mark":                 {map[string]string{"main.sloe": "\xef\xbb\xbfa { }\n"}, []string{"main.sloe:1:1: the file begins with a byte-order mark: save it as UTF-8 without one"}},
 		"CR LF":                  {map[string]string{"main.sloe": "a {\r\n  b = 1 # c\r\n}\r\n"}, []string{"main.sloe:1:4: lines end in CR LF here: save the file with LF line ends"}},
-		"a lone CR":              {map[string]string{"main.sloe": "a {\n  b = 1\rc = 2\n}\n"}, []string{"main.sloe:2:8: a control character (U+000D) can't stand here"}},
-		"a zero byte":            {map[string]string{"main.sloe": "a { b = \x00 }\n"}, []string{"main.sloe:1:9: a control character (U+0000) can't stand here"}},
-		"empty":                  {map[string]string{"main.sloe": ""}, []string{"main.sloe:1:1: the file is empty: it may be cut short (a comment makes it a file that says nothing)"}},
+		"a lone CR":              {map[string]string{"main.sloe": "a {\n  b = 1\rc = 2\n}\n"}, []string{"main.sloe:2:8: a control character (U+000D) is not allowed here"}},
+		"a zero byte":            {map[string]string{"main.sloe": "a { b = \x00 }\n"}, []string{"main.sloe:1:9: a control character (U+0000) is not allowed here"}},
+		"empty":                  {map[string]string{"main.sloe": ""}, []string{"main.sloe:1:1: the file is empty: it may be cut short (write a comment into a file without settings)"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			writeFiles(t, tc.texts)
@@ -140,7 +140,7 @@
 	texts, want := map[string]string{}, []string(nil)
 	for i := range 12 {
 		texts[fmt.Sprintf("%d.sloe", i)] = fmt.Sprintf("include \"%d.sloe\"\ninclude \"%d.sloe\"\n", i+1, i+1)
-		want = append(want, fmt.Sprintf("%d.sloe:2:9: %d.sloe is included a second time", i, i+1))
+		want = append(want, fmt.Sprintf("%d.sloe:2:9: %d.sloe is included twice", i, i+1))
 	}
 	texts["12.sloe"], texts["main.sloe"] = "x { }\n", "include \"0.sloe\"\n"
 	writeFiles(t, texts)
@@ -155,7 +155,7 @@
 		texts[fmt.Sprintf("%d.sloe", i)] = fmt.Sprintf("include \"%d.sloe\"\ninclude \"%d.sloe\"\n", i+1, i+1)
 	}
 	writeFiles(t, texts)
-	if tree := expectDiags(t, "15.sloe:1:9: includes go deeper than 16 files; nothing more is read"); len(tree.Files) > 17 {
+	if tree := expectDiags(t, "15.sloe:1:9: includes are nested deeper than 16 files; nothing more is read"); len(tree.Files) > 17 {
 		t.Errorf("%d files were read", len(tree.Files))
 	}
 }
@@ -175,13 +175,13 @@
 		texts[fmt.Sprintf("%d.sloe", i)] = fmt.Sprintf("include \"%d.sloe\"\n", i+1)
 	}
 	writeFiles(t, texts)
-	expectDiags(t, "15.sloe:1:9: includes go deeper than 16 files; nothing more is read")
+	expectDiags(t, "15.sloe:1:9: includes are nested deeper than 16 files; nothing more is read")
 	texts = map[string]string{"main.sloe": "include \"d\"\n"}
 	for i := range 12 {
 		texts[fmt.Sprintf("d/%03d.sloe", i)] = strings.Repeat("#\n", 1<<19)
 	}
 	writeFiles(t, texts)
-	expectDiags(t, "main.sloe:1:9: more than 8 MiB in all; nothing more is read")
+	expectDiags(t, "main.sloe:1:9: more than 8 MiB in total; nothing more is read")
 }
 
 // A pipe would keep its reader waiting, and a folder is no file.
@@ -190,7 +190,7 @@
 	if err := syscall.Mkfifo("p.sloe", 0o600); err != nil {
 		t.Skip("no pipes here:", err)
 	}
-	expectDiags(t, "main.sloe:1:9: p.sloe: it is no ordinary file")
+	expectDiags(t, "main.sloe:1:9: p.sloe: it is not a regular file")
 	for _, name := range []string{"none.sloe", ".", "p.sloe"} {
 		if _, _, err := Load(name); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
@@ -215,7 +215,7 @@
 func TestDiagnosticsLimit(t *testing.T) {
 	_, diags := parse(strings.Repeat("@\n", 1000))
 	got := diags.Error()
-	if len(diags) != 1000 || !strings.HasSuffix(got, "and 800 more\n") || strings.Count(got, "can't stand") != MaxShownDiags {
+	if len(diags) != 1000 || !strings.HasSuffix(got, "and 800 more\n") || strings.Count(got, "is not allowed") != MaxShownDiags {
 		t.Errorf("%d problems, told:\n%s", len(diags), got[len(got)-100:])
 	}
 }
--- a/internal/sloe/parse.go
+++ b/internal/sloe/parse.go
@@ -46,7 +46,7 @@
 	p.file.Entries, p.file.EndComments = p.entries(nil)
 	p.reportUnclosed()
 	if len(bytes.TrimSpace(src.Text)) == 0 { // as some editors leave a file for a moment while saving
-		p.errorf(0, "the file is empty: it may be cut short (a comment makes it a file that says nothing)")
+		p.errorf(0, "the file is empty: it may be cut short (write a comment into a file without settings)")
 	}
 	if t := src.Text; len(t) > 0 && t[len(t)-1] != '\n' && len(p.diags) == 0 {
 		p.errorf(len(t)-1, "the last line has no line end: the file may be cut short")
@@ -58,7 +58,7 @@
 func (p *parser) checkEncoding() bool {
 	t := p.src.Text
 	if len(t) > MaxFileSize {
-		p.errorf(0, "the file has more than %d KiB", MaxFileSize>>10)
+		p.errorf(0, "the file is larger than %d KiB", MaxFileSize>>10)
 		return false
 	}
 	if utf8.Valid(t) {
@@ -72,7 +72,7 @@
 		}
 		at += n
 	}
-	p.errorf(at, "the file is not UTF-8: byte 0x%02X can't stand here", t[at])
+	p.errorf(at, "the file is not UTF-8: byte 0x%02X is not valid here", t[at])
 	return false
 }
 
@@ -130,7 +130,7 @@
 	switch p.tok.kind {
 	case tName:
 	case tClose:
-		p.errorf(p.tok.off, "this '}' closes nothing")
+		p.errorf(p.tok.off, "this '}' has no matching '{'")
 		p.file.Unbalanced = true
 		p.next()
 		return nil
@@ -138,7 +138,7 @@
 		p.skipStatement()
 		return nil
 	default:
-		p.errorf(p.tok.off, "found %s where a block or a setting begins with its name", p.tok)
+		p.errorf(p.tok.off, "found %s, expected the name of a block or a setting", p.tok)
 		p.skipStatement()
 		return nil
 	}
@@ -156,7 +156,7 @@
 		e = p.block(word)
 	}
 	if e != nil && !p.atStatementEnd() {
-		p.errorf(p.tok.off, "found %s where the line should end", p.tok)
+		p.errorf(p.tok.off, "found %s, expected the end of the line", p.tok)
 		p.skipStatement()
 	}
 	return e
@@ -206,13 +206,13 @@
 
 func (p *parser) include(word token) Entry {
 	if len(p.openBlocks) > 0 {
-		p.errorf(word.off, "include stands outside of all blocks")
+		p.errorf(word.off, "include is only allowed outside of blocks")
 		p.skipStatement()
 		return nil
 	}
 	if p.tok.kind != tString {
 		if p.tok.kind != tInvalid {
-			p.errorf(p.tok.off, "found %s where include needs a file, a folder or a pattern in quotes", p.tok)
+			p.errorf(p.tok.off, "found %s, expected a file, a folder or a pattern in quotes after include", p.tok)
 		}
 		p.skipStatement()
 		return nil
@@ -222,7 +222,7 @@
 
 func (p *parser) define(word token) Entry {
 	if len(p.openBlocks) > 0 {
-		p.errorf(word.off, "define stands outside of all blocks")
+		p.errorf(word.off, "define is only allowed outside of blocks")
 		p.skipStatement()
 		return nil
 	}
@@ -240,7 +240,7 @@
 		return true
 	}
 	if p.tok.kind != tInvalid {
-		p.errorf(p.tok.off, "found %s where %s should stand", p.tok, what)
+		p.errorf(p.tok.off, "found %s, expected %s", p.tok, what)
 	}
 	p.skipStatement()
 	return false
@@ -258,13 +258,13 @@
 	}
 	if p.tok.kind != tOpen {
 		if p.tok.kind != tInvalid {
-			p.errorf(p.tok.off, "found %s behind %q where '=' and a value, or '{' and a block, should stand", p.tok, truncate(word.text))
+			p.errorf(p.tok.off, "found %s after %q, expected '=' and a value, or '{' and a block", p.tok, truncate(word.text))
 		}
 		p.skipStatement()
 		return nil
 	}
 	if len(p.openBlocks) == maxNesting {
-		p.errorf(word.off, "blocks nest deeper than %d here; the rest of the file is not read", maxNesting)
+		p.errorf(word.off, "blocks are nested deeper than %d here; the rest of the file is not read", maxNesting)
 		p.file.Unbalanced, p.stopped = true, true
 		return nil
 	}
@@ -300,7 +300,7 @@
 		b = p.likelyUnclosed
 	}
 	p.diags = slices.DeleteFunc(p.diags, func(d Diag) bool {
-		return d.Msg == "include stands outside of all blocks" || d.Msg == "define stands outside of all blocks"
+		return d.Msg == "include is only allowed outside of blocks" || d.Msg == "define is only allowed outside of blocks"
 	})
 	p.errorf(b.Type.Pos.Off, "the block %q is not closed: a '}' is missing", truncate(b.Type.Name))
 }
@@ -340,7 +340,7 @@
 	case tInvalid:
 		v.Kind = Invalid
 	default:
-		p.errorf(t.off, "found %s where a value should stand", t)
+		p.errorf(t.off, "found %s, expected a value", t)
 		v.Kind = Invalid
 		p.skipStatement()
 		return v
@@ -353,7 +353,7 @@
 	v.Kind = List
 	open := p.tok
 	if depth == maxNesting {
-		p.errorf(open.off, "lists nest deeper than %d here; the rest of the file is not read", maxNesting)
+		p.errorf(open.off, "lists are nested deeper than %d here; the rest of the file is not read", maxNesting)
 		p.file.Unbalanced, p.stopped = true, true
 		v.Kind = Invalid
 		p.tok = token{kind: tEOF, off: open.off}
@@ -425,7 +425,7 @@
 			p.endsInList = p.tok.kind == tEOF
 		default:
 			if item.Kind != Invalid {
-				p.errorf(p.tok.off, "found %s where ',' or ']' should stand", p.tok)
+				p.errorf(p.tok.off, "found %s, expected ',' or ']'", p.tok)
 			}
 		}
 		v.Kind = Invalid
--- a/internal/sloe/quantity.go
+++ b/internal/sloe/quantity.go
@@ -59,12 +59,12 @@
 func ParseQuantity(text string) (Quantity, error) {
 	m := numberPattern.FindStringSubmatch(text)
 	if m == nil {
-		return Quantity{}, fmt.Errorf("%q is no number", truncate(text))
+		return Quantity{}, fmt.Errorf("%q is not a number", truncate(text))
 	}
 	sign, digits, name := m[1], m[2], m[3]
 	switch {
 	case sign == "-":
-		return Quantity{}, fmt.Errorf("%s is below zero, which no setting can be", truncate(text))
+		return Quantity{}, fmt.Errorf("%s is negative, which no setting allows", truncate(text))
 	case sign == "+":
 		return Quantity{}, fmt.Errorf("write %s without the sign", truncate(text))
 	case len(digits) > maxDigits:
@@ -74,7 +74,7 @@
 	}
 	v, ok := new(big.Rat).SetString(digits)
 	if !ok {
-		return Quantity{}, fmt.Errorf("%q is no number", truncate(text))
+		return Quantity{}, fmt.Errorf("%q is not a number", truncate(text))
 	}
 	return withUnit(v, name, text)
 }
@@ -98,16 +98,16 @@
 		}
 	}
 	if strings.ContainsAny(name, "0123456789") {
-		return Quantity{}, fmt.Errorf("%q is no number with one unit (90s, not 1m30s)", truncate(text))
+		return Quantity{}, fmt.Errorf("%q is not a number with one unit (90s, not 1m30s)", truncate(text))
 	}
 	meant := unitAliases[name]
 	if meant == "" {
 		meant = unitAliases[strings.ToLower(name)]
 	}
 	if meant != "" {
-		return Quantity{}, fmt.Errorf("%q is no unit here; did you mean %q?", truncate(name), meant)
+		return Quantity{}, fmt.Errorf("%q is not a unit here; did you mean %q?", truncate(name), meant)
 	}
-	return Quantity{}, fmt.Errorf("%q is no unit: times are in ns, us, ms, s, m, h or d, sizes in B, KiB, MiB or GiB, shares in %%, rates in %s a s, m or h (8units/s)",
+	return Quantity{}, fmt.Errorf("%q is not a unit: times are in ns, us, ms, s, m, h or d, sizes in B, KiB, MiB or GiB, shares in %%, rates in %s per s, m or h (8units/s)",
 		truncate(name), strings.Join(RateItems, ", "))
 }
 
