--- a/internal/daemonconfig/daemonconfig_test.go
+++ b/internal/daemonconfig/daemonconfig_test.go
@@ -17,7 +17,7 @@
 	"sloepick/internal/tuning"
 )
 
-// The shipped example is good, in the usual form, and shows no value that is not one.
+// The shipped example is valid, without warnings, and in canonical form.
 func TestExample(t *testing.T) {
 	c, diags, err := Load("../../deploy/example/"+example.Root, demoPlatform(t))
 	if err != nil || len(diags) > 0 {
@@ -37,7 +37,7 @@
 		}
 		f, _ := sloe.Parse(&sloe.Source{Name: name, Text: text})
 		if !bytes.Equal(sloe.Format(f), text) {
-			t.Errorf("%s is not in the usual form", name)
+			t.Errorf("%s is not in canonical form", name)
 		}
 		return nil
 	})
@@ -46,7 +46,7 @@
 	}
 }
 
-// The reference page is what the schema says, and the examples in the operators' page are good.
+// The reference page matches the schema, and the examples in the operators' pages are valid.
 func TestPages(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/configuration-reference.md")
 	if err != nil || string(page) != Schema().ReferencePage() {
@@ -74,7 +74,7 @@
 	}
 }
 
-// demoPlatform is the demonstration's platform.
+// demoPlatform returns the settings of the demo's platform.
 func demoPlatform(t *testing.T) *gateway.Config {
 	t.Helper()
 	places := []testbed.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
@@ -99,7 +99,7 @@
 	}
 }
 
-// writeLargeConfig writes 5,000 lines over 50 files.
+// writeLargeConfig writes about 5,000 lines into 50 files and returns the name of the main file.
 func writeLargeConfig(b *testing.B) string {
 	b.Helper()
 	dir := b.TempDir()
@@ -125,8 +125,8 @@
 	return filepath.Join(dir, "main.sloe")
 }
 
-// BenchmarkCheck5000Lines reads and checks 4,900 lines of definitions and some more, over 50 files. B/op is all that
-// was allocated, so the memory held at once is less.
+// BenchmarkCheck5000Lines reads and checks about 4,900 lines in 50 files. B/op is the sum of all allocations, so the
+// memory in use at one time is less.
 func BenchmarkCheck5000Lines(b *testing.B) {
 	file, s := writeLargeConfig(b), Schema()
 	b.ReportAllocs()
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,9 +12,10 @@
 	"sloepick/internal/tuning"
 )
 
-var update = flag.Bool("update", false, "write what the broken files give as what they must give")
+var update = flag.Bool("update", false, "write the actual results of the invalid files as the expected ones")
 
-// testSchema is the shipped schema and two blocks such as a later subsystem declares: routes that lead to pools.
+// testSchema returns the shipped tuning block with other blocks such as a subsystem may declare: routes that refer to
+// pools.
 func testSchema(t testing.TB) *operator.Schema {
 	t.Helper()
 	pool := &operator.Block{Name: "pool", Doc: "Nodes.", Labeled: true, WarnIfUnused: true, Keys: []operator.Key{
@@ -33,7 +34,7 @@
 	return s
 }
 
-// writeCaseFiles writes the files of a case: texts behind lines such as "-- name --". It returns what must come out.
+// writeCaseFiles writes the files of a case, each after a line "-- name --", and returns the expected result.
 func writeCaseFiles(t testing.TB, text string) (want string) {
 	t.Helper()
 	for _, part := range strings.Split("\n"+text, "\n-- ")[1:] {
@@ -45,7 +46,7 @@
 		case name == "want":
 			want = body
 			continue
-		case name == "cut": // the file before has no line end
+		case name == "cut": // the file before it lacks its last line end
 			continue
 		}
 		if body != "" && !strings.Contains(text, "-- cut --") {
@@ -66,7 +67,7 @@
 	}
 }
 
-// Every broken file gives exactly the words that stand beside it.
+// Every invalid file is reported with exactly the expected text.
 func TestInvalidFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.txt")
 	if err != nil || len(files) < 60 {
@@ -127,7 +128,7 @@
 
 const poolBlocks = "pool main { nodes = [\"a\"] }\npool spare { nodes = [\"b\"] }\n"
 
-// The diff tells meaning: each change with its size, direction and when it counts; nothing else.
+// The diff lists only semantic changes, each with its size, its direction and when it takes effect.
 func TestDiff(t *testing.T) {
 	s := testSchema(t)
 	for name, tc := range map[string]struct{ old, now, want string }{
@@ -141,15 +142,15 @@
 		"less is looser": {poolBlocks + "route r {\n to = main\n wait = 10ms\n}\nroute q { to = spare }\n",
 			poolBlocks + "route r {\n to = main\n wait = 5ms\n}\nroute q { to = spare }\n",
 			"route \"r\": wait 10ms -> 5ms, looser by 50%; at reload"},
-		"from nothing": {poolBlocks + "route r { to = main }\nroute q { to = spare }\n", poolBlocks + "route r {\n to = main\n wait = 5ms\n}\nroute q { to = spare }\n",
+		"from zero": {poolBlocks + "route r { to = main }\nroute q { to = spare }\n", poolBlocks + "route r {\n to = main\n wait = 5ms\n}\nroute q { to = spare }\n",
 			"route \"r\": wait 0ns -> 5ms, tighter; at reload"},
 		"restart": {"", "gateway { clients { accept-ahead = 32 } }\n", "gateway.clients: accept-ahead 16 -> 32; at restart"},
-		"a limit taken away": {poolBlocks + "route r {\n to = main\n limit = 8units/s\n}\nroute q { to = spare }\n",
+		"limit removed": {poolBlocks + "route r {\n to = main\n limit = 8units/s\n}\nroute q { to = spare }\n",
 			poolBlocks + "route r { to = main }\nroute q { to = spare }\n", "route \"r\": limit 8units/s -> none; at reload"},
 		"added and removed": {poolBlocks + "route r { to = main }\nroute q { to = spare }\n",
 			poolBlocks + "route new { to = main }\nroute q { to = spare }\n",
 			"route \"r\": removed, it had to main, wait 0ns; at reload\nroute \"new\": added, to main, wait 0ns; at reload"},
-		"a pool, which needs a restart": {"pool main { nodes = [\"a\"] }\nroute q { to = main }\n", poolBlocks + "route q { to = main }\nroute r { to = spare }\n",
+		"pool added, which needs a restart": {"pool main { nodes = [\"a\"] }\nroute q { to = main }\n", poolBlocks + "route q { to = main }\nroute r { to = spare }\n",
 			"pool \"spare\": added, nodes [\"b\"], weight 100%; at restart\nroute \"r\": added, to spare, wait 0ns; at reload"},
 	} {
 		var lines []string
@@ -162,7 +163,7 @@
 	}
 }
 
-// What Show prints is a file of the same meaning.
+// The output of Show is a valid file with the same meaning.
 func TestShowOutputIsValid(t *testing.T) {
 	s := testSchema(t)
 	a := loadValid(t, s, "define i = 7s\ngateway { clients { idle = $i } }\nroute \"a \\\"b\" { to = main }\npool main { nodes = [\"x\", \"y\\n\"] }\n")
@@ -179,7 +180,7 @@
 	}
 }
 
-// A schema that is wrong by itself is no schema.
+// Invalid schemas are refused.
 func TestInvalidSchemas(t *testing.T) {
 	key := func(k operator.Key) *operator.Block {
 		return &operator.Block{Name: "b", Keys: []operator.Key{k}}
@@ -187,7 +188,7 @@
 	for name, blocks := range map[string][]*operator.Block{
 		"block twice":      {{Name: "b"}, {Name: "b"}},
 		"key twice":        {{Name: "b", Keys: []operator.Key{{Name: "k", Doc: "d", Default: "1s"}, {Name: "k", Doc: "d", Default: "1s"}}}},
-		"no words":         {key(operator.Key{Name: "k", Default: "1s"})},
+		"no description":   {key(operator.Key{Name: "k", Default: "1s"})},
 		"bad default":      {key(operator.Key{Name: "k", Doc: "d", Default: "1"})},
 		"default over":     {key(operator.Key{Name: "k", Doc: "d", Default: "2s", Max: "1s"})},
 		"bad bound":        {key(operator.Key{Name: "k", Doc: "d", Default: "2s", Max: "1KiB"})},
@@ -196,12 +197,12 @@
 		"unparsed default": {key(operator.Key{Name: "k", Doc: "d", Default: "["})},
 	} {
 		if _, err := operator.NewSchema(blocks...); err == nil {
-			t.Errorf("%s passes", name)
+			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-// What a formatter does never changes meaning, for whatever the checker takes.
+// Formatting, and the output of Show, never change the meaning of a valid file.
 func FuzzCheck(f *testing.F) {
 	for _, s := range []string{"#\n", poolBlocks + "route r { to = main }\nroute s { to = spare }\n", "define x = 1s\ngateway { clients { idle = $x } }\n",
 		"log { level = warn }\n", "gateway {\n stop { longest = 10m } }\n", "pool a { nodes = [\"\\\"\"] }\n", "define a = [1]\ndefine b = [$a, 2]\n"} {
@@ -236,6 +237,6 @@
 		if c := check([]byte(a.Show())); c == nil || len(operator.Diff(a, c)) > 0 {
 			t.Fatalf("%q and %q differ", text, a.Show())
 		}
-		tuning.FromConfig(a) // the daemon starts with it
+		tuning.FromConfig(a) // must not panic: the daemon converts it as well
 	})
 }
--- a/internal/sloe/load_test.go
+++ b/internal/sloe/load_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// writeFiles writes texts by name into a folder of its own and goes there.
+// writeFiles writes files into a temporary folder and makes it the working directory.
 func writeFiles(t *testing.T, texts map[string]string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
@@ -23,7 +23,7 @@
 	}
 }
 
-// expectDiags loads main.sloe and compares the heads of what is told: its places and messages.
+// expectDiags loads main.sloe and compares the positions and messages of its problems.
 func expectDiags(t *testing.T, want ...string) *Tree {
 	t.Helper()
 	tree, diags, err := Load("main.sloe")
@@ -47,7 +47,7 @@
 	}
 }
 
-// A circle is found by the file, not by its name.
+// An include cycle is detected by file identity, not by name.
 func TestIncludeCycleThroughSymlink(t *testing.T) {
 	writeFiles(t, map[string]string{"main.sloe": "include \"a.sloe\"\n", "a.sloe": "\ninclude \"other.sloe\"\n"})
 	symlink(t, "main.sloe", "other.sloe")
@@ -64,7 +64,7 @@
 	expectDiags(t, "main.sloe:2:9: b.sloe is included twice")
 }
 
-// No link leads out of the folder of the first file; a link within it is followed.
+// A symbolic link out of the folder of the first file is refused; one within it is followed.
 func TestSymlinkOutsideRoot(t *testing.T) {
 	outside := filepath.Join(t.TempDir(), "secret.sloe")
 	if err := os.WriteFile(outside, []byte("x { }\n"), 0o600); err != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// The first file may itself be a link: what it includes lies beside the file that it leads to.
+// The first file may be a symbolic link: its includes are relative to the link's target.
 func TestFirstFileIsSymlink(t *testing.T) {
 	writeFiles(t, map[string]string{"v2/main.sloe": "include \"a.sloe\"\n", "v2/a.sloe": "x { }\n"})
 	symlink(t, "v2/main.sloe", "main.sloe")
@@ -89,7 +89,7 @@
 	}
 }
 
-// A folder and a pattern are read in the order of names, without hidden files and other endings.
+// Files of a folder or a pattern are read in the order of their names, without hidden files and other suffixes.
 func TestFolderAndPatternOrder(t *testing.T) {
 	for _, include := range []string{"d", "d/*.sloe", "./d/"} {
 		writeFiles(t, map[string]string{"main.sloe": "include \"" + include + "\"\n", "d/20.sloe": "b { }\n", "d/10.sloe": "a { }\n", "d/9.sloe": "c { }\n",
@@ -100,32 +100,32 @@
 			names = append(names, e.(*Block).Type.Name)
 		}
 		if got := strings.Join(names, ""); got != "abc" {
-			t.Errorf("%s: read in the order %s", include, got)
+			t.Errorf("%s: read in order %s", include, got)
 		}
 	}
 }
 
-// What is huge, endless or no file ends soon and is told plainly.
+// Input that is too large, nested too deep or not text is reported with one error.
 func TestFileLimits(t *testing.T) {
 	nest := func(n int) string { return strings.Repeat("a {\n", n) + strings.Repeat("}\n", n) }
 	for name, tc := range map[string]struct {
 		texts map[string]string
 		want  []string
 	}{
-		"10 MB":         {map[string]string{"main.sloe": "include \"big.sloe\"\n", "big.sloe": strings.Repeat("x = 1\n", 10<<20/6)}, []string{"main.sloe:1:9: big.sloe: it is larger than 1024 KiB"}},
-		"1,000 levels":  {map[string]string{"main.sloe": nest(1000)}, []string{"main.sloe:17:1: blocks are nested deeper than 16 here; the rest of the file is not read"}},
-		"levels enough": {map[string]string{"main.sloe": nest(16)}, nil},
+		"10 MB":        {map[string]string{"main.sloe": "include \"big.sloe\"\n", "big.sloe": strings.Repeat("x = 1\n", 10<<20/6)}, []string{"main.sloe:1:9: big.sloe: it is larger than 1024 KiB"}},
+		"1,000 levels": {map[string]string{"main.sloe": nest(1000)}, []string{"main.sloe:17:1: blocks are nested deeper than 16 here; the rest of the file is not read"}},
+		"16 levels":    {map[string]string{"main.sloe": nest(16)}, nil},
 		"1,000 lists": {map[string]string{"main.sloe": "a {\nb = " + strings.Repeat("[", 1000) + strings.Repeat("]", 1000) + "\n}\n"},
 			[]string{"main.sloe:2:21: lists are nested deeper than 16 here; the rest of the file is not read"}},
-		"a long list":            {map[string]string{"main.sloe": "a {\nb = [" + strings.Repeat("1, ", maxListItems+1) + "]\n}\n"}, []string{"main.sloe:2:12294: the list has more than 4096 items"}},
-		"a long word":            {map[string]string{"main.sloe": "a {\nb = " + strings.Repeat("x", maxTokenBytes+1) + "\n}\n"}, []string{"main.sloe:2:5: a word, string or comment of 4097 bytes is too long; the limit is 4096"}},
-		"not UTF-8":              {map[string]string{"main.sloe": "a {\n  b = \"\xff\"\n}\n"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xFF is not valid here"}},
-		"cut within a character": {map[string]string{"main.sloe": "a {\n  b = \"\xc3"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xC3 is not valid here"}},
-		"a mark":                 {map[string]string{"main.sloe": "\xef\xbb\xbfa { }\n"}, []string{"main.sloe:1:1: the file begins with a byte-order mark: save it as UTF-8 without one"}},
-		"CR LF":                  {map[string]string{"main.sloe": "a {\r\n  b = 1 # c\r\n}\r\n"}, []string{"main.sloe:1:4: lines end in CR LF here: save the file with LF line ends"}},
-		"a lone CR":              {map[string]string{"main.sloe": "a {\n  b = 1\rc = 2\n}\n"}, []string{"main.sloe:2:8: a control character (U+000D) is not allowed here"}},
-		"a zero byte":            {map[string]string{"main.sloe": "a { b = \x00 }\n"}, []string{"main.sloe:1:9: a control character (U+0000) is not allowed here"}},
-		"empty":                  {map[string]string{"main.sloe": ""}, []string{"main.sloe:1:1: the file is empty: it may be cut short (write a comment into a file without settings)"}},
+		"long list":          {map[string]string{"main.sloe": "a {\nb = [" + strings.Repeat("1, ", maxListItems+1) + "]\n}\n"}, []string{"main.sloe:2:12294: the list has more than 4096 items"}},
+		"long word":          {map[string]string{"main.sloe": "a {\nb = " + strings.Repeat("x", maxTokenBytes+1) + "\n}\n"}, []string{"main.sloe:2:5: a word, string or comment of 4097 bytes is too long; the limit is 4096"}},
+		"not UTF-8":          {map[string]string{"main.sloe": "a {\n  b = \"\xff\"\n}\n"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xFF is not valid here"}},
+		"cut in a character": {map[string]string{"main.sloe": "a {\n  b = \"\xc3"}, []string{"main.sloe:2:8: the file is not UTF-8: byte 0xC3 is not valid here"}},
+		"byte-order mark":    {map[string]string{"main.sloe": "\xef\xbb\xbfa { }\n"}, []string{"main.sloe:1:1: the file begins with a byte-order mark: save it as UTF-8 without one"}},
+		"CR LF":              {map[string]string{"main.sloe": "a {\r\n  b = 1 # c\r\n}\r\n"}, []string{"main.sloe:1:4: lines end in CR LF here: save the file with LF line ends"}},
+		"lone CR":            {map[string]string{"main.sloe": "a {\n  b = 1\rc = 2\n}\n"}, []string{"main.sloe:2:8: a control character (U+000D) is not allowed here"}},
+		"zero byte":          {map[string]string{"main.sloe": "a { b = \x00 }\n"}, []string{"main.sloe:1:9: a control character (U+0000) is not allowed here"}},
+		"empty":              {map[string]string{"main.sloe": ""}, []string{"main.sloe:1:1: the file is empty: it may be cut short (write a comment into a file without settings)"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			writeFiles(t, tc.texts)
@@ -134,8 +134,7 @@
 	}
 }
 
-// A tree whose every file includes the next one twice is read once, and each second include is told. One that doubles
-// 30 times ends at the bound on depth, with one error.
+// If every file includes the next one twice, each file is read once and each second include is reported.
 func TestDuplicateIncludeTree(t *testing.T) {
 	texts, want := map[string]string{}, []string(nil)
 	for i := range 12 {
@@ -149,6 +148,8 @@
 	}
 }
 
+// Files that include the next one twice, 30 levels deep, stop at the depth limit with one error instead of growing
+// exponentially.
 func TestIncludeDepthLimit(t *testing.T) {
 	texts := map[string]string{"main.sloe": "include \"0.sloe\"\n"}
 	for i := range 30 {
@@ -160,7 +161,7 @@
 	}
 }
 
-// Distinct files are bounded in number, depth and bytes; the error comes once.
+// The number of files, the include depth and the total size are limited; exceeding a limit is reported once.
 func TestTotalLimits(t *testing.T) {
 	texts := map[string]string{"main.sloe": "include \"d\"\n"}
 	for i := range 300 {
@@ -184,11 +185,11 @@
 	expectDiags(t, "main.sloe:1:9: more than 8 MiB in total; nothing more is read")
 }
 
-// A pipe would keep its reader waiting, and a folder is no file.
+// A pipe, which would block the reader, and a folder are refused.
 func TestNonRegularFile(t *testing.T) {
 	writeFiles(t, map[string]string{"main.sloe": "include \"p.sloe\"\n"})
 	if err := syscall.Mkfifo("p.sloe", 0o600); err != nil {
-		t.Skip("no pipes here:", err)
+		t.Skip("cannot create a pipe:", err)
 	}
 	expectDiags(t, "main.sloe:1:9: p.sloe: it is not a regular file")
 	for _, name := range []string{"none.sloe", ".", "p.sloe"} {
@@ -198,8 +199,8 @@
 	}
 }
 
-// A file cut at any byte never parses to something without an error that the whole did not mean, but where whole
-// lines at its end, outside of all blocks, are missing.
+// A file truncated at any byte is reported as an error, unless only complete lines outside of blocks are missing at its
+// end, which can't be detected.
 func TestTruncatedFile(t *testing.T) {
 	const text = "define x = 10s # c\ngateway {\n    clients {\n        idle = $x\n        list = [1, \"two\"]\n    }\n}\nlog { level = info }\n"
 	for n := range len(text) {
@@ -211,11 +212,11 @@
 	}
 }
 
-// Many errors are told up to a bound, in order.
+// Only the first MaxShownDiags of many errors are printed, followed by the number of the rest.
 func TestDiagnosticsLimit(t *testing.T) {
 	_, diags := parse(strings.Repeat("@\n", 1000))
 	got := diags.Error()
 	if len(diags) != 1000 || !strings.HasSuffix(got, "and 800 more\n") || strings.Count(got, "is not allowed") != MaxShownDiags {
-		t.Errorf("%d problems, told:\n%s", len(diags), got[len(got)-100:])
+		t.Errorf("%d problems, printed:\n%s", len(diags), got[len(got)-100:])
 	}
 }
--- a/internal/sloe/sloe_test.go
+++ b/internal/sloe/sloe_test.go
@@ -17,7 +17,7 @@
 
 func parse(text string) (*File, Diags) { return Parse(&Source{Name: "f.sloe", Text: []byte(text)}) }
 
-// codeBlocks returns the texts between ```lang and ``` in a page.
+// codeBlocks returns the code blocks of a language in a Markdown page.
 func codeBlocks(t *testing.T, file, lang string) (all []string) {
 	t.Helper()
 	b, err := os.ReadFile(file)
@@ -48,17 +48,17 @@
 	return g
 }
 
-// matcher tells whether a text is a sentence of the grammar, by trying every way.
+// matcher decides by backtracking whether a text is a sentence of the grammar.
 type matcher struct {
 	g         ebnf.Grammar
 	text      string
 	used      map[string]bool
-	stepsLeft int // steps, so that a text with countless ways ends
+	stepsLeft int // steps left, since backtracking can take exponential time
 }
 
 func isLexical(name string) bool { return name[0] >= 'a' }
 
-// match tries an expression at a place and goes on with each end of it until one leads to the end of the text.
+// match matches an expression at an offset and calls then with each offset where it can end, until then returns true.
 func (m *matcher) match(e ebnf.Expression, at int, inToken bool, then func(int) bool) bool {
 	if m.stepsLeft--; m.stepsLeft < 0 {
 		return false
@@ -120,22 +120,22 @@
 	m.text, m.stepsLeft = text, 1<<22
 	ok := m.match(&ebnf.Name{String: "File"}, 0, false, func(at int) bool { return m.blanks(at) == len(m.text) })
 	if m.stepsLeft < 0 {
-		panic("too many ways")
+		panic("too many backtracking steps")
 	}
 	return ok
 }
 
-// What the parser takes is a sentence of the written grammar, and every production of it is used by the example in
-// the same page. What it does not take is none.
+// The parser and the grammar in the design page agree on the examples of the page and on invalid texts, and the examples
+// use every production.
 func TestParserMatchesGrammar(t *testing.T) {
 	m := &matcher{g: grammar(t), used: map[string]bool{}}
 	good := codeBlocks(t, designPage, "sloe")
 	for _, text := range good {
 		if _, diags := parse(text); len(diags) > 0 {
-			t.Errorf("an example in the note does not parse:\n%v", diags)
+			t.Errorf("an example in the page does not parse:\n%v", diags)
 		}
 		if !m.accepts(text) {
-			t.Errorf("an example in the note is no sentence of the grammar")
+			t.Errorf("an example in the page is not a sentence of the grammar")
 		}
 	}
 	for name := range m.g {
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	if !m.accepts(string(in)) {
-		t.Error("comments.in is no sentence of the grammar")
+		t.Error("comments.in is not a sentence of the grammar")
 	}
 	for _, bad := range []string{"a = \n", "a { b = 1\n", "a = 1 b = 2\n", "a = [1 2]\n", "a = \"x\n", "a = 1q\n", "a\n", "= 1\n", "}\n",
 		"a = 01\n", "a = 1.\n", "a = -1\n", "a = $1\n", "a = \"\\q\"\n", "a = 1s", "a = [1\n,2]\n", "include x\n", "define = \n", "a.b = é\n"} {
@@ -161,7 +161,7 @@
 	}
 }
 
-// sentence draws a text from the grammar.
+// generate writes a random sentence of the grammar.
 func generate(r *rand.Rand, g ebnf.Grammar, e ebnf.Expression, depth int, inToken bool, b *strings.Builder) {
 	blank := func() {
 		if !inToken {
@@ -189,7 +189,7 @@
 		if isLexical(e.String) {
 			blank()
 		} else if e.String == "List" && depth > 20 {
-			b.WriteString(" 1ms") // so that it ends
+			b.WriteString(" 1ms") // limits the nesting
 			return
 		} else if e.String == "Block" && depth > 20 {
 			b.WriteString(" end = 1")
@@ -206,7 +206,7 @@
 	}
 }
 
-// Sentences drawn from the grammar parse, and survive formatting.
+// Random sentences of the grammar parse and keep their meaning when formatted.
 func TestGeneratedSentencesParse(t *testing.T) {
 	seeds.Run(t, []uint64{1}, func(t *testing.T, seed uint64) { generatedSentencesParse(t, seeds.Rand(seed), seeds.Rounds(3000)) })
 }
@@ -219,10 +219,10 @@
 		text := b.String()
 		f, diags := parse(text)
 		if strings.TrimSpace(text) == "" {
-			continue // a sentence, but more likely a file that is cut short
+			continue // valid in the grammar, but the parser reports an empty file as truncated
 		}
 		if strings.Contains(diags.Error(), "digits") {
-			continue // a bound that the grammar does not write out
+			continue // the limit on digits is not part of the grammar
 		}
 		for _, d := range diags {
 			t.Fatalf("%q: %v", text, d)
@@ -231,8 +231,8 @@
 	}
 }
 
-// checkFormat holds the formatter to: it parses, has the same meaning and comments, and formatting it again changes
-// nothing.
+// checkFormat checks that the formatted file parses, has the same meaning and comments, and is not changed by formatting
+// it again.
 func checkFormat(t *testing.T, f *File) {
 	t.Helper()
 	once := Format(f)
@@ -251,7 +251,7 @@
 	}
 }
 
-// comments are those of a source, in order.
+// comments returns the comments of a source in order.
 func comments(src *Source) string {
 	var all []string
 	l := lexer{src: src, report: func(int, string, ...any) {}}
@@ -263,7 +263,7 @@
 	return strings.Join(all, "\n")
 }
 
-// structure is what a file means, without notes and places.
+// structure returns the content of a file without comments and positions.
 func structure(all []Entry) string {
 	var b strings.Builder
 	for _, e := range all {
@@ -331,7 +331,7 @@
 	})
 }
 
-// Quantities are exact, and each has one spelling of its own.
+// Quantities are exact and have a canonical form.
 func TestQuantities(t *testing.T) {
 	for text, want := range map[string]string{"1000ms": "1s", "1.5s": "1500ms", "90s": "90s", "60s": "1m", "0.5ms": "500us", "0s": "0ns",
 		"480units/m": "8units/s", "1units/m": "1units/m", "0.5units/s": "0.5units/s", "1024B": "1KiB", "1.5KiB": "1536B", "15%": "15%",
@@ -343,12 +343,12 @@
 		}
 		again, err := ParseQuantity(q.String())
 		if err != nil || again.Value.Cmp(q.Value) != 0 || again.Dimension != q.Dimension {
-			t.Errorf("%s: %s reads as %v, %v", text, q, again, err)
+			t.Errorf("%s: %s is parsed as %v, %v", text, q, again, err)
 		}
 	}
 	for _, text := range []string{"1m30s", "5sec", "8unit/s", "10KB", "-1s", "+1s", "01", "1.", ".5s", "1e9", "1234567890123456789", "8/s", "5units", "5units/d", "1%s", "٣"} {
 		if q, err := ParseQuantity(text); err == nil {
-			t.Errorf("%s reads as %v", text, q)
+			t.Errorf("%s is parsed as %v", text, q)
 		}
 	}
 }
