--- a/internal/daemonconfig/daemonconfig.go
+++ b/internal/daemonconfig/daemonconfig.go
@@ -27,8 +27,8 @@
 	if c == nil || platform == nil {
 		return c, diags, err
 	}
-	if more := platform.ValidateRoutes(route.FromConfig(c)); len(more) > 0 {
-		diags = append(diags, more...)
+	if routeDiags := platform.ValidateRoutes(route.FromConfig(c)); len(routeDiags) > 0 {
+		diags = append(diags, routeDiags...)
 		diags.Sort(c.Sources)
 		return nil, diags, nil
 	}
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c, more := s.Check(tree)
-	diags = append(diags, more...)
+	c, checkDiags := s.Check(tree)
+	diags = append(diags, checkDiags...)
 	diags.Sort(tree.Sources())
 	if diags.Failed() {
 		return nil, diags, nil
@@ -277,18 +277,18 @@
 	}
 	ok := true
 	for _, i := range items {
-		place := i.Pos
+		pos := i.Pos
 		if v.RefPos.Valid() {
-			place = v.RefPos
+			pos = v.RefPos
 		} else if i.RefPos.Valid() {
-			place = i.RefPos
+			pos = i.RefPos
 		}
-		it, good := c.item(k, i, place)
-		if good && slices.ContainsFunc(out.items, func(o item) bool { return o.String() == it.String() }) && k.List {
-			c.errorf(place, "%s is in the list twice", it)
-			good = false
+		it, valid := c.item(k, i, pos)
+		if valid && slices.ContainsFunc(out.items, func(o item) bool { return o.String() == it.String() }) && k.List {
+			c.errorf(pos, "%s is in the list twice", it)
+			valid = false
 		}
-		ok = ok && good
+		ok = ok && valid
 		out.items = append(out.items, it)
 	}
 	out.isSet = ok
@@ -449,12 +449,12 @@
 // closestMatch returns the word with the least edit distance, which is at most 2 and less than half of the word's length
 // (words below 3 letters count as 3), or "".
 func closestMatch(got string, words []string) string {
-	best, least := "", 3
+	best, distance := "", 3
 	sorted := slices.Clone(words)
 	slices.Sort(sorted)
 	for _, w := range sorted {
-		if d := editDistance(got, w); d < least && 2*d < max(len(w), 3) {
-			best, least = w, d
+		if d := editDistance(got, w); d < distance && 2*d < max(len(w), 3) {
+			best, distance = w, d
 		}
 	}
 	return best
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -112,17 +112,17 @@
 		return ""
 	}
 	a, b := old.items[0].quantity.Value, now.items[0].quantity.Value
-	word := "tighter"
+	change := "tighter"
 	if (b.Cmp(a) > 0) == (k.Strictness == HigherIsLooser) {
-		word = "looser"
+		change = "looser"
 	}
 	if a.Sign() == 0 {
-		return word
+		return change
 	}
 	part := new(big.Rat).Sub(b, a)
 	f, _ := part.Quo(part.Abs(part), a).Float64()
 	if f < 0.01 {
-		return word + " by less than 1%"
+		return change + " by less than 1%"
 	}
-	return fmt.Sprintf("%s by %.0f%%", word, 100*f)
+	return fmt.Sprintf("%s by %.0f%%", change, 100*f)
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -218,8 +218,8 @@
 					entries = append(entries, e)
 				}
 			}
-			c, more := s.Check(&sloe.Tree{Entries: entries, Files: []*sloe.File{file}, Unbalanced: file.Unbalanced})
-			if append(diags, more...).Failed() {
+			c, checkDiags := s.Check(&sloe.Tree{Entries: entries, Files: []*sloe.File{file}, Unbalanced: file.Unbalanced})
+			if append(diags, checkDiags...).Failed() {
 				return nil
 			}
 			return c
--- a/internal/sloe/load.go
+++ b/internal/sloe/load.go
@@ -112,22 +112,22 @@
 
 // parseFile parses a text and follows its includes.
 func (l *loader) parseFile(name, shown string, text []byte, info fs.FileInfo, by *includeStep) {
-	here := &includeStep{displayName: shown, info: info, parent: by}
-	l.loaded = append(l.loaded, here)
+	current := &includeStep{displayName: shown, info: info, parent: by}
+	l.loaded = append(l.loaded, current)
 	f, diags := Parse(&Source{Name: shown, Text: text, Modified: info.ModTime()})
 	l.tree.Files = append(l.tree.Files, f)
 	l.tree.Unbalanced = l.tree.Unbalanced || f.Unbalanced
 	l.diags = append(l.diags, diags...)
 	for _, e := range f.Entries {
 		if inc, ok := e.(*Include); ok {
-			l.include(name, inc, here)
+			l.include(name, inc, current)
 		} else {
 			l.tree.Entries = append(l.tree.Entries, e)
 		}
 	}
 }
 
-func (l *loader) include(from string, inc *Include, here *includeStep) {
+func (l *loader) include(from string, inc *Include, current *includeStep) {
 	target, at := inc.Target.Text, inc.Target.Pos
 	if target == "" || path.IsAbs(target) || strings.ContainsAny(target, "\\\x00") {
 		l.errorf(at, "an include names a file, a folder or a pattern relative to this file")
@@ -148,7 +148,7 @@
 		return
 	}
 	for _, n := range names {
-		l.includeFile(n, inc, here)
+		l.includeFile(n, inc, current)
 	}
 }
 
@@ -213,7 +213,7 @@
 }
 
 // includeFile loads one file, unless it is part of an include cycle or was included before.
-func (l *loader) includeFile(name string, inc *Include, here *includeStep) {
+func (l *loader) includeFile(name string, inc *Include, current *includeStep) {
 	if l.stopped {
 		return
 	}
@@ -223,7 +223,7 @@
 		l.errorf(at, "%s: %s", shown, l.describeError(err))
 		return
 	}
-	by := &includeStep{displayName: here.displayName, info: here.info, parent: here.parent, includePos: at}
+	by := &includeStep{displayName: current.displayName, info: current.info, parent: current.parent, includePos: at}
 	if l.reportCycle(shown, info, by) || l.reportDuplicate(shown, info, at) {
 		return
 	}
@@ -251,13 +251,13 @@
 
 // reportCycle reports a file that includes itself, directly or not and by any name, with the path of includes.
 func (l *loader) reportCycle(shown string, info fs.FileInfo, by *includeStep) bool {
-	names, way := []string{shown}, []Note(nil)
+	names, chain := []string{shown}, []Note(nil)
 	for s := by; s != nil; s = s.parent {
-		way = append(way, Note{s.includePos, fmt.Sprintf("%s includes %s", s.displayName, names[len(names)-1])})
+		chain = append(chain, Note{s.includePos, fmt.Sprintf("%s includes %s", s.displayName, names[len(names)-1])})
 		names = append(names, s.displayName)
 		if os.SameFile(s.info, info) {
-			slices.Reverse(way)
-			l.diags = append(l.diags, Diag{Pos: by.includePos, Msg: "the includes form a cycle", Notes: way})
+			slices.Reverse(chain)
+			l.diags = append(l.diags, Diag{Pos: by.includePos, Msg: "the includes form a cycle", Notes: chain})
 			return true
 		}
 	}
--- a/internal/sloe/load_test.go
+++ b/internal/sloe/load_test.go
@@ -205,8 +205,8 @@
 	const text = "define x = 10s # c\ngateway {\n    clients {\n        idle = $x\n        list = [1, \"two\"]\n    }\n}\nlog { level = info }\n"
 	for n := range len(text) {
 		f, diags := parse(text[:n])
-		whole := n > 0 && text[n-1] == '\n' && strings.Count(text[:n], "{") == strings.Count(text[:n], "}")
-		if diags.Failed() == whole {
+		complete := n > 0 && text[n-1] == '\n' && strings.Count(text[:n], "{") == strings.Count(text[:n], "}")
+		if diags.Failed() == complete {
 			t.Errorf("cut at %d: %v, %d entries", n, diags, len(f.Entries))
 		}
 	}
--- a/internal/sloe/parse.go
+++ b/internal/sloe/parse.go
@@ -142,18 +142,18 @@
 		p.skipStatement()
 		return nil
 	}
-	word := p.tok
+	name := p.tok
 	p.next()
 	var e Entry
 	switch {
 	case p.tok.kind == tEquals:
-		e = p.setting(word)
-	case word.text == keywordInclude:
-		e = p.include(word)
-	case word.text == keywordDefine:
-		e = p.define(word)
+		e = p.setting(name)
+	case name.text == keywordInclude:
+		e = p.include(name)
+	case name.text == keywordDefine:
+		e = p.define(name)
 	default:
-		e = p.block(word)
+		e = p.block(name)
 	}
 	if e != nil && !p.atStatementEnd() {
 		p.errorf(p.tok.off, "found %s, expected the end of the line", p.tok)
@@ -198,15 +198,15 @@
 	}
 }
 
-func (p *parser) setting(word token) Entry {
+func (p *parser) setting(name token) Entry {
 	p.next()
 	v := p.value(0)
-	return &Setting{Name: Ident{p.pos(word.off), word.text}, Value: v}
+	return &Setting{Name: Ident{p.pos(name.off), name.text}, Value: v}
 }
 
-func (p *parser) include(word token) Entry {
+func (p *parser) include(keyword token) Entry {
 	if len(p.openBlocks) > 0 {
-		p.errorf(word.off, "include is only allowed outside of blocks")
+		p.errorf(keyword.off, "include is only allowed outside of blocks")
 		p.skipStatement()
 		return nil
 	}
@@ -217,18 +217,18 @@
 		p.skipStatement()
 		return nil
 	}
-	return &Include{Pos: p.pos(word.off), Target: p.value(0)}
+	return &Include{Pos: p.pos(keyword.off), Target: p.value(0)}
 }
 
-func (p *parser) define(word token) Entry {
+func (p *parser) define(keyword token) Entry {
 	if len(p.openBlocks) > 0 {
-		p.errorf(word.off, "define is only allowed outside of blocks")
+		p.errorf(keyword.off, "define is only allowed outside of blocks")
 		p.skipStatement()
 		return nil
 	}
 	name := p.tok
 	if p.expect(tName, "the name of the definition") && p.expect(tEquals, "'='") {
-		return &Define{Pos: p.pos(word.off), Name: Ident{p.pos(name.off), name.text}, Value: p.value(0)}
+		return &Define{Pos: p.pos(keyword.off), Name: Ident{p.pos(name.off), name.text}, Value: p.value(0)}
 	}
 	return nil
 }
@@ -246,8 +246,8 @@
 	return false
 }
 
-func (p *parser) block(word token) Entry {
-	b := &Block{Type: Ident{p.pos(word.off), word.text}}
+func (p *parser) block(name token) Entry {
+	b := &Block{Type: Ident{p.pos(name.off), name.text}}
 	if p.tok.kind == tName || p.tok.kind == tString {
 		b.Label = &Ident{p.pos(p.tok.off), p.tok.text}
 		if p.tok.kind == tString {
@@ -258,13 +258,13 @@
 	}
 	if p.tok.kind != tOpen {
 		if p.tok.kind != tInvalid {
-			p.errorf(p.tok.off, "found %s after %q, expected '=' and a value, or '{' and a block", p.tok, truncate(word.text))
+			p.errorf(p.tok.off, "found %s after %q, expected '=' and a value, or '{' and a block", p.tok, truncate(name.text))
 		}
 		p.skipStatement()
 		return nil
 	}
 	if len(p.openBlocks) == maxNesting {
-		p.errorf(word.off, "blocks are nested deeper than %d here; the rest of the file is not read", maxNesting)
+		p.errorf(name.off, "blocks are nested deeper than %d here; the rest of the file is not read", maxNesting)
 		p.file.Unbalanced, p.stopped = true, true
 		return nil
 	}
@@ -278,7 +278,7 @@
 	if p.tok.kind != tClose { // the end of the file, reported once by reportUnclosed
 		return b
 	}
-	if line := p.lineStart(p.tok.off); p.likelyUnclosed == nil && p.firstOnLine(p.tok.off) && p.tok.off-line < p.indent(word.off) {
+	if line := p.lineStart(p.tok.off); p.likelyUnclosed == nil && p.firstOnLine(p.tok.off) && p.tok.off-line < p.indent(name.off) {
 		p.likelyUnclosed = b
 	}
 	p.openBlocks = p.openBlocks[:len(p.openBlocks)-1]
--- a/internal/sloe/sloe_test.go
+++ b/internal/sloe/sloe_test.go
@@ -129,8 +129,8 @@
 // use every production.
 func TestParserMatchesGrammar(t *testing.T) {
 	m := &matcher{g: grammar(t), used: map[string]bool{}}
-	good := codeBlocks(t, designPage, "sloe")
-	for _, text := range good {
+	examples := codeBlocks(t, designPage, "sloe")
+	for _, text := range examples {
 		if _, diags := parse(text); len(diags) > 0 {
 			t.Errorf("an example in the page does not parse:\n%v", diags)
 		}
@@ -341,9 +341,9 @@
 			t.Errorf("%s: got %v, %v, want %s", text, q, err, want)
 			continue
 		}
-		again, err := ParseQuantity(q.String())
-		if err != nil || again.Value.Cmp(q.Value) != 0 || again.Dimension != q.Dimension {
-			t.Errorf("%s: %s is parsed as %v, %v", text, q, again, err)
+		reparsed, err := ParseQuantity(q.String())
+		if err != nil || reparsed.Value.Cmp(q.Value) != 0 || reparsed.Dimension != q.Dimension {
+			t.Errorf("%s: %s is parsed as %v, %v", text, q, reparsed, err)
 		}
 	}
 	for _, text := range []string{"1m30s", "5sec", "8unit/s", "10KB", "-1s", "+1s", "01", "1.", ".5s", "1e9", "1234567890123456789", "8/s", "5units", "5units/d", "1%s", "٣"} {
