--- a/internal/operator/values.go
+++ b/internal/operator/values.go
@@ -169,7 +169,7 @@
 func (s *Section) single(key string, kind Kind) item {
 	v := s.Value(key)
 	if v.Key.Kind != kind || v.Key.List || !v.isSet {
-		panic("operator: " + key + " is not read as it is declared, or has no value")
+		panic("operator: " + key + " has another kind than the one read, or has no value")
 	}
 	return v.items[0]
 }
--- a/internal/sloe/lex.go
+++ b/internal/sloe/lex.go
@@ -31,7 +31,7 @@
 	text string // source text
 }
 
-const maxTokenBytes = 4096 // bytes of a word, a string or a comment
+const maxTokenBytes = 4096 // bytes of a word, a string or a comment; longer ones are taken for mistakes
 
 // lexer splits a source into tokens. It reports invalid input itself and returns it as tInvalid.
 type lexer struct {
