--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -10,15 +10,15 @@
 	"sloepick/internal/sloe"
 )
 
-// Load reads a file with all its includes and checks it. The Config is nil if any of the Diags is more than a
-// warning. The error tells that the file could not be read at all.
+// Load reads a file with all its includes and checks it. The Config is nil if any of the Diags is an error. The error is
+// non-nil if the file could not be read.
 func (s *Schema) Load(name string) (*Config, sloe.Diags, error) {
 	tree, diags, err := sloe.Load(name)
 	if err != nil {
 		return nil, nil, err
 	}
-	c, more := s.Check(tree)
-	diags = append(diags, more...)
+	c, checkDiags := s.Check(tree)
+	diags = append(diags, checkDiags...)
 	diags.Sort(tree.Sources())
 	if diags.Failed() {
 		return nil, diags, nil
@@ -26,50 +26,51 @@
 	return c, diags, nil
 }
 
-// checker goes through a tree once. What is wrong is told once, and nothing is told that follows from it.
+// checker checks a tree in one pass. Each error is reported once, and errors that follow from it are not reported.
 type checker struct {
-	schema  *Schema
-	diags   sloe.Diags
-	defines map[string]*defined
-	order   []*defined
-	later   map[string]*sloe.Define // all that the tree defines, also behind the place of use
-	refs    []ref
-	open    bool            // something could not be read: what seems to be unused may be used there
-	unsure  map[string]bool // types of blocks of which one may be missing because of an error that was told
+	schema          *Schema
+	diags           sloe.Diags
+	defines         map[string]*definition
+	order           []*definition
+	allDefines      map[string]*sloe.Define // all definitions of the tree, also those after their use
+	refs            []blockRef
+	usageUnknown    bool            // part of the tree was not checked and may use what seems to be unused
+	incompleteTypes map[string]bool // types of blocks of which one may be missing because of a reported error
 }
 
-type defined struct {
+type definition struct {
 	def  *sloe.Define
 	used bool
 }
 
-// ref is a name that must be the label of a block, looked up when all blocks are known.
-type ref struct {
-	key *Key
-	to  string
-	pos sloe.Pos
+// blockRef is a reference to the label of a block, resolved when all blocks are known.
+type blockRef struct {
+	key   *Key
+	label string
+	pos   sloe.Pos
 }
 
-// Check gives a tree its meaning. The Config is whole only if the tree had no errors and none comes back.
+// Check checks a tree and returns its configuration. The Config is complete only if neither the tree nor the check had
+// errors.
 func (s *Schema) Check(tree *sloe.Tree) (*Config, sloe.Diags) {
-	c := &checker{schema: s, defines: map[string]*defined{}, later: map[string]*sloe.Define{}, unsure: map[string]bool{}}
+	c := &checker{schema: s, defines: map[string]*definition{}, allDefines: map[string]*sloe.Define{}, incompleteTypes: map[string]bool{}}
 	cfg := s.Defaults()
 	cfg.Sources = tree.Sources()
 	if tree.Unbalanced {
-		return cfg, nil // what belongs to what is not known
+		return cfg, nil // the nesting of blocks is unknown
 	}
 	for _, e := range tree.Entries {
-		if d, ok := e.(*sloe.Define); ok && c.later[d.Name.Name] == nil {
-			c.later[d.Name.Name] = d
+		if d, ok := e.(*sloe.Define); ok && c.allDefines[d.Name.Name] == nil {
+			c.allDefines[d.Name.Name] = d
 		}
 	}
 	cfg.sections = c.entries(tree.Entries, s.blocks, cfg.sections, nil)
-	c.references(cfg)
+	c.checkReferences(cfg)
 	for _, sec := range cfg.sections {
-		c.cross(sec)
+		c.checkSection(sec)
 	}
 	for _, d := range c.order {
-		if !d.used && !c.open {
+		if !d.used && !c.usageUnknown {
 			c.warn(d.def.Name.Pos, "the definition %q is never used", d.def.Name.Name)
 		}
 	}
@@ -85,7 +86,7 @@
 	c.errorf(at, format, args...).Warning = true
 }
 
-// entries checks the statements of a block (in), or of the whole tree (in is nil).
+// entries checks the statements of the block in, or of the top level if in is nil.
 func (c *checker) entries(all []sloe.Entry, blocks []*Block, sections []*Section, in *Section) []*Section {
 	seen := map[string]sloe.Pos{}
 	for _, e := range all {
@@ -96,7 +97,7 @@
 			sections = c.block(e, blocks, sections, in, seen)
 		case *sloe.Setting:
 			if in == nil {
-				c.errorf(e.Name.Pos, "the setting %q stands outside of all blocks", clip(e.Name.Name))
+				c.errorf(e.Name.Pos, "the setting %q must be in a block", truncate(e.Name.Name))
 				continue
 			}
 			c.setting(e, in, seen)
@@ -108,16 +109,16 @@
 func (c *checker) define(e *sloe.Define) {
 	name := e.Name.Name
 	if first := c.defines[name]; first != nil {
-		c.errorf(e.Name.Pos, "the definition %q comes twice", name).Notes = []sloe.Note{{Pos: first.def.Name.Pos, Msg: "first defined here"}}
+		c.errorf(e.Name.Pos, "%q is defined twice", name).Notes = []sloe.Note{{Pos: first.def.Name.Pos, Msg: "first defined here"}}
 		return
 	}
 	e.Value = c.resolve(e.Value)
-	d := &defined{def: e}
+	d := &definition{def: e}
 	c.defines[name] = d
 	c.order = append(c.order, d)
 }
 
-// resolve puts values in the place of references.
+// resolve replaces references by the values that they name.
 func (c *checker) resolve(v *sloe.Value) *sloe.Value {
 	switch v.Kind {
 	case sloe.List:
@@ -138,16 +139,16 @@
 			d.used = true
 			w = *d.def.Value
 			w.Definition, w.RefPos = d.def, v.Pos
-		} else if later := c.later[v.Text]; later != nil {
-			c.open = true
-			c.errorf(v.Pos, "$%s is used before it is defined", clip(v.Text)).Notes = []sloe.Note{{Pos: later.Name.Pos, Msg: "defined here"}}
+		} else if later := c.allDefines[v.Text]; later != nil {
+			c.usageUnknown = true
+			c.errorf(v.Pos, "$%s is used before it is defined", truncate(v.Text)).Notes = []sloe.Note{{Pos: later.Name.Pos, Msg: "defined here"}}
 		} else {
 			var names []string
-			for n := range c.later {
+			for n := range c.allDefines {
 				names = append(names, n)
 			}
-			c.open = true
-			c.errorf(v.Pos, "$%s is not defined%s", clip(v.Text), near(v.Text, names, "$"))
+			c.usageUnknown = true
+			c.errorf(v.Pos, "$%s is not defined%s", truncate(v.Text), suggestion(v.Text, names, "$"))
 		}
 		return &w
 	}
@@ -155,7 +156,7 @@
 }
 
 func (c *checker) block(e *sloe.Block, blocks []*Block, sections []*Section, in *Section, seen map[string]sloe.Pos) []*Section {
-	b := find(blocks, e.Type.Name)
+	b := findBlock(blocks, e.Type.Name)
 	if b == nil {
 		where, names := "", []string(nil)
 		for _, b := range blocks {
@@ -164,19 +165,19 @@
 		if in != nil {
 			where = " in " + in.Block.Name
 			if k := in.Block.key(e.Type.Name); k != nil {
-				c.errorf(e.Type.Pos, "%q is a setting, not a block: write %s = %s", k.Name, k.Name, k.sample())
+				c.errorf(e.Type.Pos, "%q is a setting, not a block: write %s = %s", k.Name, k.Name, k.exampleValue())
 				return sections
 			}
 		}
-		c.errorf(e.Type.Pos, "unknown block %q%s%s", clip(e.Type.Name), where, near(e.Type.Name, names, ""))
-		c.open = true // what it holds is not looked at, so it may be what uses something
-		c.unsure[nearest(e.Type.Name, names)] = true
+		c.errorf(e.Type.Pos, "unknown block %q%s%s", truncate(e.Type.Name), where, suggestion(e.Type.Name, names, ""))
+		c.usageUnknown = true // its content is not checked and may use definitions and blocks
+		c.incompleteTypes[closestMatch(e.Type.Name, names)] = true
 		return sections
 	}
 	name, label := b.Name, ""
 	switch {
 	case b.Labeled && (e.Label == nil || e.Label.Name == ""):
-		c.unsure[b.Name] = true
+		c.incompleteTypes[b.Name] = true
 	}
 	switch {
 	case b.Labeled && e.Label == nil:
@@ -190,13 +191,13 @@
 		name += " " + sloe.Quote(label)
 	}
 	if first, ok := seen[name]; ok && (label != "" || !b.Labeled) {
-		c.errorf(e.Type.Pos, "the block %s comes twice", name).Notes = []sloe.Note{{Pos: first, Msg: "first defined here"}}
+		c.errorf(e.Type.Pos, "the block %s is defined twice", name).Notes = []sloe.Note{{Pos: first, Msg: "first defined here"}}
 		return sections
 	}
 	seen[name] = e.Type.Pos
 	s := newSection(b, label, e.Type.Pos)
-	s.subs = c.entries(e.Entries, b.Blocks, s.subs, s)
-	c.required(s)
+	s.subsections = c.entries(e.Entries, b.Blocks, s.subsections, s)
+	c.checkRequired(s)
 	if i := slices.IndexFunc(sections, func(o *Section) bool { return o.Block == b && !b.Labeled }); i >= 0 {
 		sections[i] = s
 		return sections
@@ -204,12 +205,12 @@
 	return append(sections, s)
 }
 
-func (c *checker) required(s *Section) {
+func (c *checker) checkRequired(s *Section) {
 	for _, v := range s.values {
-		if !v.set && !v.Key.Optional {
-			s.ok = false
-			if v.place == (sloe.Pos{}) {
-				c.errorf(s.pos, "the block %q lacks %s, which is %s", s.Block.Name, v.Key.Name, v.Key.form())
+		if !v.isSet && !v.Key.Optional {
+			s.valid = false
+			if v.pos == (sloe.Pos{}) {
+				c.errorf(s.pos, "the block %q needs %s, which is %s", s.Block.Name, v.Key.Name, v.Key.describe())
 			}
 		}
 	}
@@ -217,26 +218,26 @@
 
 func (c *checker) setting(e *sloe.Setting, in *Section, seen map[string]sloe.Pos) {
 	name := e.Name.Name
-	v := c.resolve(e.Value) // first: what it refers to is used, whatever else is wrong
+	v := c.resolve(e.Value) // before any error, so that what it refers to counts as used
 	i := slices.IndexFunc(in.values, func(v Value) bool { return v.Key.Name == name })
 	if i < 0 {
-		c.unknown(e, in)
+		c.reportUnknownKey(e, in)
 		return
 	}
 	if first, ok := seen[name]; ok {
-		c.errorf(e.Name.Pos, "%s comes twice in this block", name).Notes = []sloe.Note{{Pos: first, Msg: "first set here"}}
+		c.errorf(e.Name.Pos, "%s is set twice in this block", name).Notes = []sloe.Note{{Pos: first, Msg: "first set here"}}
 		return
 	}
 	seen[name] = e.Name.Pos
 	got, ok := c.value(in.values[i].Key, v)
-	got.place = e.Name.Pos
+	got.pos = e.Name.Pos
 	in.values[i] = got
-	in.ok = in.ok && ok
+	in.valid = in.valid && ok
 }
 
-func (c *checker) unknown(e *sloe.Setting, in *Section) {
+func (c *checker) reportUnknownKey(e *sloe.Setting, in *Section) {
 	name := e.Name.Name
-	if find(in.Block.Blocks, name) != nil {
+	if findBlock(in.Block.Blocks, name) != nil {
 		c.errorf(e.Name.Pos, "%q is a block, not a setting: write %s { ... }", name, name)
 		return
 	}
@@ -244,30 +245,30 @@
 	for _, k := range in.Block.Keys {
 		names = append(names, k.Name)
 	}
-	hint := near(name, names, "")
-	if hint == "" { // it may stand in the wrong block
+	hint := suggestion(name, names, "")
+	if hint == "" { // it may be a key of a nested block
 		for _, b := range in.Block.Blocks {
 			if b.key(name) != nil {
-				hint = fmt.Sprintf("; the block %s within has it", b.Name)
+				hint = fmt.Sprintf("; it is a key of the block %s within", b.Name)
 			}
 		}
 	}
-	c.errorf(e.Name.Pos, "unknown key %q in %s%s", clip(name), in.Block.Name, hint)
+	c.errorf(e.Name.Pos, "unknown key %q in %s%s", truncate(name), in.Block.Name, hint)
 }
 
-// value holds a value to its key. What is wrong was told where it returns false.
+// value checks a value against its key. It returns false if the value is invalid, which was then reported.
 func (c *checker) value(k *Key, v *sloe.Value) (Value, bool) {
-	out := Value{Key: k, by: v.Definition}
+	out := Value{Key: k, definition: v.Definition}
 	at := v.Pos
 	if v.RefPos.Valid() {
 		at = v.RefPos
 	}
 	if v.Kind == sloe.Invalid {
-		out.place = v.Pos
+		out.pos = v.Pos
 		return out, false
 	}
 	if k.List != (v.Kind == sloe.List) {
-		c.errorf(at, "%s takes %s, not %s", k.Name, k.form(), shape(v))
+		c.errorf(at, "%s takes %s, not %s", k.Name, k.describe(), describeValue(v))
 		return out, false
 	}
 	items := []*sloe.Value{v}
@@ -276,21 +277,21 @@
 	}
 	ok := true
 	for _, i := range items {
-		place := i.Pos
+		pos := i.Pos
 		if v.RefPos.Valid() {
-			place = v.RefPos
+			pos = v.RefPos
 		} else if i.RefPos.Valid() {
-			place = i.RefPos
+			pos = i.RefPos
 		}
-		it, good := c.item(k, i, place)
-		if good && slices.ContainsFunc(out.items, func(o item) bool { return o.String() == it.String() }) && k.List {
-			c.errorf(place, "%s stands in the list twice", it)
-			good = false
+		it, valid := c.item(k, i, pos)
+		if valid && slices.ContainsFunc(out.items, func(o item) bool { return o.String() == it.String() }) && k.List {
+			c.errorf(pos, "%s is in the list twice", it)
+			valid = false
 		}
-		ok = ok && good
+		ok = ok && valid
 		out.items = append(out.items, it)
 	}
-	out.set = ok
+	out.isSet = ok
 	return out, ok
 }
 
@@ -301,7 +302,7 @@
 			return item{text: v.Text}, true
 		}
 		if v.Kind == sloe.Word {
-			c.errorf(at, "%s is %s, not %q%s", k.Name, join(k.AllowedWords), clip(v.Text), near(v.Text, k.AllowedWords, ""))
+			c.errorf(at, "%s must be %s, not %q%s", k.Name, joinAlternatives(k.AllowedWords), truncate(v.Text), suggestion(v.Text, k.AllowedWords, ""))
 			return item{}, false
 		}
 	case Text:
@@ -310,13 +311,13 @@
 		}
 	case Ref:
 		if v.Kind == sloe.Text || v.Kind == sloe.Word {
-			c.refs = append(c.refs, ref{k, v.Text, at})
+			c.refs = append(c.refs, blockRef{k, v.Text, at})
 			return item{text: v.Text}, true
 		}
 	default:
 		return c.quantity(k, v, at)
 	}
-	c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
+	c.errorf(at, "%s takes %s, not %s", k.Name, k.describeItem(), describeValue(v))
 	return item{}, false
 }
 
@@ -324,49 +325,49 @@
 	q := v.Number
 	switch {
 	case v.Kind != sloe.Number:
-		c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
+		c.errorf(at, "%s takes %s, not %s", k.Name, k.describeItem(), describeValue(v))
 	case q.Dimension == sloe.Count && k.Kind != Count:
-		c.errorf(at, "%s needs a unit: %s takes %s", v.Raw, k.Name, k.each())
-	case q.Dimension != dims[k.Kind]:
-		c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
+		c.errorf(at, "%s needs a unit: %s takes %s", v.Raw, k.Name, k.describeItem())
+	case q.Dimension != dimensions[k.Kind]:
+		c.errorf(at, "%s takes %s, not %s", k.Name, k.describeItem(), describeValue(v))
 	case q.Dimension == sloe.Rate && q.RateItem != k.RateItem:
 		c.errorf(at, "%s counts %s, not %s", k.Name, k.RateItem, q.RateItem)
 	case k.Kind != Share && k.Kind != Rate && !q.Value.IsInt():
-		c.errorf(at, "%s is finer than %s can be", v.Raw, k.Name)
+		c.errorf(at, "%s is too precise for %s", v.Raw, k.Name)
 	case q.Value.Cmp(new(big.Rat).SetInt64(math.MaxInt64)) > 0:
-		c.errorf(at, "%s is larger than any value can be", v.Raw)
+		c.errorf(at, "%s is too large", v.Raw)
 	case k.minQuantity != nil && q.Value.Cmp(k.minQuantity.Value) < 0:
-		c.errorf(at, "%s is %s at least, not %s", k.Name, k.minQuantity, v.Raw)
+		c.errorf(at, "%s must be at least %s, not %s", k.Name, k.minQuantity, v.Raw)
 	case k.maxQuantity != nil && q.Value.Cmp(k.maxQuantity.Value) > 0:
-		c.errorf(at, "%s is %s at most, not %s", k.Name, k.maxQuantity, v.Raw)
+		c.errorf(at, "%s must be at most %s, not %s", k.Name, k.maxQuantity, v.Raw)
 	default:
-		return item{q: q}, true
+		return item{quantity: q}, true
 	}
 	return item{}, false
 }
 
-// each is form for one value of a list.
-func (k *Key) each() string {
+// describeItem is like describe, for one value of a list.
+func (k *Key) describeItem() string {
 	one := *k
 	one.List = false
-	return one.form()
+	return one.describe()
 }
 
-// sample is a value that the key takes.
-func (k *Key) sample() string {
+// exampleValue returns a value that shows what the key takes.
+func (k *Key) exampleValue() string {
 	if k.Default != "" {
 		return k.Default
 	}
-	return strings.TrimPrefix(k.form(), "one of ")
+	return strings.TrimPrefix(k.describe(), "one of ")
 }
 
-// shape is what a value looks like, in words for messages.
-func shape(v *sloe.Value) string {
+// describeValue describes a value for messages.
+func describeValue(v *sloe.Value) string {
 	switch v.Kind {
 	case sloe.Word:
-		return fmt.Sprintf("the word %s", clip(v.Text))
+		return fmt.Sprintf("the word %s", truncate(v.Text))
 	case sloe.Text:
-		return fmt.Sprintf("the text %s", sloe.Quote(clip(v.Text)))
+		return fmt.Sprintf("the text %s", sloe.Quote(truncate(v.Text)))
 	case sloe.List:
 		return "a list"
 	}
@@ -375,38 +376,38 @@
 	return names[v.Number.Dimension] + " " + v.Raw
 }
 
-// references looks up what keys of the kind Ref name, and finds blocks that serve nobody.
-func (c *checker) references(cfg *Config) {
+// checkReferences resolves the references to blocks, and warns of blocks that must be referenced but are not.
+func (c *checker) checkReferences(cfg *Config) {
 	used := map[string]bool{}
 	for _, r := range c.refs {
 		var names []string
 		for _, s := range cfg.Sections(r.key.RefBlock) {
 			names = append(names, s.Label)
 		}
-		used[r.key.RefBlock+" "+r.to] = true
-		if !slices.Contains(names, r.to) && !c.unsure[r.key.RefBlock] {
-			c.open = true
-			c.errorf(r.pos, "there is no block %s %s%s", r.key.RefBlock, sloe.Quote(clip(r.to)), near(r.to, names, ""))
+		used[r.key.RefBlock+" "+r.label] = true
+		if !slices.Contains(names, r.label) && !c.incompleteTypes[r.key.RefBlock] {
+			c.usageUnknown = true
+			c.errorf(r.pos, "there is no block %s %s%s", r.key.RefBlock, sloe.Quote(truncate(r.label)), suggestion(r.label, names, ""))
 		}
 	}
 	for _, s := range cfg.sections {
-		if s.Block.WarnIfUnused && s.Label != "" && !used[s.Block.Name+" "+s.Label] && !c.open {
+		if s.Block.WarnIfUnused && s.Label != "" && !used[s.Block.Name+" "+s.Label] && !c.usageUnknown {
 			c.warn(s.pos, "the block %s %s is never used", s.Block.Name, sloe.Quote(s.Label))
 		}
 	}
 }
 
-// cross checks what is between the values of a block and of those within it.
-func (c *checker) cross(s *Section) (ok bool) {
-	ok = s.ok
-	for _, sub := range s.subs {
-		ok = c.cross(sub) && ok
+// checkSection runs the Check functions of a block and of the blocks within it, if all their values are valid.
+func (c *checker) checkSection(s *Section) (ok bool) {
+	ok = s.valid
+	for _, sub := range s.subsections {
+		ok = c.checkSection(sub) && ok
 	}
 	if !ok || s.Block.Check == nil {
 		return ok
 	}
 	for _, p := range s.Block.Check(s) {
-		at := s.placeOf(p.Key)
+		at := s.keyPos(p.Key)
 		if !at.Valid() {
 			at = s.pos
 		}
@@ -416,58 +417,60 @@
 	return ok
 }
 
-// placeOf is where a key was set, or the block within that could have set it.
-func (s *Section) placeOf(key string) sloe.Pos {
+// keyPos returns where a key was set, or the nested block in which it could have been set.
+func (s *Section) keyPos(key string) sloe.Pos {
 	if block, rest, ok := strings.Cut(key, "."); ok {
 		sub := s.Section(block)
-		if at := sub.placeOf(rest); at.Valid() {
+		if at := sub.keyPos(rest); at.Valid() {
 			return at
 		}
 		return sub.pos
 	}
-	return s.Value(key).place
+	return s.Value(key).pos
 }
 
-const clipMost = 40 // characters of a file's text in a message
+const maxQuotedChars = 40 // characters of a file's text quoted in a message
 
-func clip(s string) string {
-	if r := []rune(s); len(r) > clipMost {
-		return string(r[:clipMost]) + "..."
+func truncate(s string) string {
+	if r := []rune(s); len(r) > maxQuotedChars {
+		return string(r[:maxQuotedChars]) + "..."
 	}
 	return s
 }
 
-// near names the word that was probably meant: one that is at most two slips away, and less than half of it.
-func near(got string, words []string, prefix string) string {
-	if best := nearest(got, words); best != "" {
+// suggestion returns "; did you mean ...?" with the closest match, or "".
+func suggestion(got string, words []string, prefix string) string {
+	if best := closestMatch(got, words); best != "" {
 		return fmt.Sprintf("; did you mean %q?", prefix+best)
 	}
 	return ""
 }
 
-// nearest is the word that was probably meant, or "".
-func nearest(got string, words []string) string {
-	best, least := "", 3
+// closestMatch returns the word with the least edit distance, which is at most 2 and less than half of the word's length
+// (words below 3 letters count as 3), or "".
+func closestMatch(got string, words []string) string {
+	best, distance := "", 3
 	sorted := slices.Clone(words)
 	slices.Sort(sorted)
 	for _, w := range sorted {
-		if d := slips(got, w); d < least && 2*d < max(len(w), 3) {
-			best, least = w, d
+		if d := editDistance(got, w); d < distance && 2*d < max(len(w), 3) {
+			best, distance = w, d
 		}
 	}
 	return best
 }
 
-const slipsMost = 64 // bytes of words that are compared
+const maxComparedBytes = 64 // longer words are not compared
 
-// Suggest is a hint at the word that was probably meant, or "".
-func Suggest(got string, words []string) string { return near(got, words, "") }
+// Suggest returns a hint for a message that names the word probably meant, or "".
+func Suggest(got string, words []string) string { return suggestion(got, words, "") }
 
-// slips counts the letters to insert, drop, change or swap between two words (optimal string alignment).
-func slips(a, b string) int {
+// editDistance counts the insertions, deletions, substitutions and transpositions between two words, regardless of case
+// (optimal string alignment distance).
+func editDistance(a, b string) int {
 	a, b = strings.ToLower(a), strings.ToLower(b)
-	if len(a) > slipsMost || len(b) > slipsMost {
-		return slipsMost
+	if len(a) > maxComparedBytes || len(b) > maxComparedBytes {
+		return maxComparedBytes
 	}
 	rows := make([][]int, len(a)+1)
 	for i := range rows {
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Change is a difference in meaning between two configurations.
+// Change is a semantic difference between two configurations.
 type Change struct {
 	Block string `json:"block"` // such as gateway.clients, or route "book"
 	Key   string `json:"key,omitempty"`
-	Old   string `json:"old,omitempty"` // "" where a block is added
-	New   string `json:"new,omitempty"` // "" where a block is removed
-	// Direction is looser or tighter with its size, or "" where neither says anything.
+	Old   string `json:"old,omitempty"` // "" if a block is added
+	New   string `json:"new,omitempty"` // "" if a block is removed
+	// Direction is looser or tighter with the relative size of the change, or "" if neither applies.
 	Direction string `json:"direction,omitempty"`
 	Applied   string `json:"takes"` // at reload, or at restart
 }
 
-// String is the change in one line.
+// String returns the change in one line.
 func (c Change) String() string {
 	switch {
 	case c.Key == "" && c.Old == "":
@@ -32,16 +32,16 @@
 	return fmt.Sprintf("%s: %s %s -> %s%s; %s", c.Block, c.Key, c.Old, c.New, dir, c.Applied)
 }
 
-// Diff tells what changes in meaning from one configuration to another of the same schema. The order of blocks,
-// spellings, comments and files are no difference.
-func Diff(from, to *Config) []Change { return diff(from.sections, to.sections, "") }
+// Diff returns the semantic changes from one configuration to another of the same schema. The order of blocks, spelling,
+// comments and the division into files make no difference.
+func Diff(from, to *Config) []Change { return diffSections(from.sections, to.sections, "") }
 
-func diff(from, to []*Section, path string) (out []Change) {
+func diffSections(from, to []*Section, path string) (out []Change) {
 	for _, a := range from {
 		name := path + a.name()
-		b := a.among(to)
+		b := a.findIn(to)
 		if b == nil {
-			out = append(out, Change{Block: name, Old: a.summary(), Applied: a.takes().String()})
+			out = append(out, Change{Block: name, Old: a.summary(), Applied: a.applied().String()})
 			continue
 		}
 		for i, v := range a.values {
@@ -50,17 +50,17 @@
 					Direction: direction(v, w), Applied: v.Key.Applied.String()})
 			}
 		}
-		out = append(out, diff(a.subs, b.subs, name+".")...)
+		out = append(out, diffSections(a.subsections, b.subsections, name+".")...)
 	}
 	for _, b := range to {
-		if b.among(from) == nil {
-			out = append(out, Change{Block: path + b.name(), New: b.summary(), Applied: b.takes().String()})
+		if b.findIn(from) == nil {
+			out = append(out, Change{Block: path + b.name(), New: b.summary(), Applied: b.applied().String()})
 		}
 	}
 	return out
 }
 
-// name is the block with its label.
+// name returns the block's name with its label.
 func (s *Section) name() string {
 	if s.Label == "" {
 		return s.Block.Name
@@ -68,7 +68,7 @@
 	return s.Block.Name + " " + fmt.Sprintf("%q", s.Label)
 }
 
-func (s *Section) among(all []*Section) *Section {
+func (s *Section) findIn(all []*Section) *Section {
 	for _, o := range all {
 		if o.Block.Name == s.Block.Name && o.Label == s.Label {
 			return o
@@ -77,15 +77,15 @@
 	return nil
 }
 
-// summary are all values of a block that is added or removed, and of those within it.
+// summary lists all values of a block that is added or removed, with those of the blocks within it.
 func (s *Section) summary() string {
 	var parts []string
 	for _, v := range s.values {
-		if v.set {
+		if v.isSet {
 			parts = append(parts, v.Key.Name+" "+v.String())
 		}
 	}
-	for _, sub := range s.subs {
+	for _, sub := range s.subsections {
 		if t := sub.summary(); t != "" {
 			parts = append(parts, sub.name()+" ("+t+")")
 		}
@@ -93,36 +93,36 @@
 	return strings.Join(parts, ", ")
 }
 
-// takes is AtRestart if anything in the block needs one.
-func (s *Section) takes() ApplyTime {
+// applied returns AtRestart if any key in the block or the blocks within it needs a restart.
+func (s *Section) applied() ApplyTime {
 	t := AtReload
 	for _, v := range s.values {
 		t = max(t, v.Key.Applied)
 	}
-	for _, sub := range s.subs {
-		t = max(t, sub.takes())
+	for _, sub := range s.subsections {
+		t = max(t, sub.applied())
 	}
 	return t
 }
 
-// direction tells whether a change lets more through, and by how much of the old value.
+// direction returns whether a change is looser or tighter, and by how much relative to the old value.
 func direction(old, now Value) string {
 	k := old.Key
-	if k.Strictness == Neutral || k.List || !old.set || !now.set || old.items[0].q.Value == nil {
+	if k.Strictness == Neutral || k.List || !old.isSet || !now.isSet || old.items[0].quantity.Value == nil {
 		return ""
 	}
-	a, b := old.items[0].q.Value, now.items[0].q.Value
-	word := "tighter"
+	a, b := old.items[0].quantity.Value, now.items[0].quantity.Value
+	change := "tighter"
 	if (b.Cmp(a) > 0) == (k.Strictness == HigherIsLooser) {
-		word = "looser"
+		change = "looser"
 	}
 	if a.Sign() == 0 {
-		return word
+		return change
 	}
 	part := new(big.Rat).Sub(b, a)
 	f, _ := part.Quo(part.Abs(part), a).Float64()
 	if f < 0.01 {
-		return word + " by less than 1%"
+		return change + " by less than 1%"
 	}
-	return fmt.Sprintf("%s by %.0f%%", word, 100*f)
+	return fmt.Sprintf("%s by %.0f%%", change, 100*f)
 }
--- a/internal/sloe/load.go
+++ b/internal/sloe/load.go
@@ -12,24 +12,25 @@
 	"strings"
 )
 
-// Bounds on a configuration of many files.
+// Limits on a configuration with its includes.
 const (
-	filesMost   = 256     // files in all
-	depthMost   = 16      // includes within includes
-	totalMost   = 8 << 20 // bytes in all
-	entriesMost = 4096    // names looked at in a folder that a pattern names
-	extension   = ".sloe"
+	maxFiles         = 256     // number of files
+	maxIncludeDepth  = 16      // nesting of includes
+	maxTotalBytes    = 8 << 20 // bytes of all files
+	maxFolderEntries = 4096    // names in a folder that is searched for a pattern
+	extension        = ".sloe"
 )
 
-// Tree is a configuration with its includes in place.
+// Tree is a configuration with its includes expanded.
 type Tree struct {
-	Entries []Entry // in the order of reading; no includes
-	Files   []*File // in the order of reading
-	// Unbalanced: in one of the files braces don't match.
+	Entries []Entry // in reading order, without includes
+	Files   []*File // in reading order
+	// Unbalanced reports mismatched braces in one of the files, or files that a limit left unread. The meaning of the
+	// configuration is not checked then.
 	Unbalanced bool
 }
 
-// Sources are the files as they were read.
+// Sources returns the sources of all files.
 func (t *Tree) Sources() []*Source {
 	var all []*Source
 	for _, f := range t.Files {
@@ -38,9 +39,9 @@
 	return all
 }
 
-// Load reads a file and all that it includes. Includes are relative to the file that they stand in, and none leads
-// out of the folder of the first file, by whatever links. What is wrong with the files is in the Diags; the error
-// tells that the first one could not be read at all.
+// Load reads a file and all that it includes. Includes are relative to the file that contains them, and must not lead
+// outside the folder of the first file, symbolic links included. Problems of the files are in the Diags; the error is
+// non-nil if the first file could not be read.
 func Load(name string) (*Tree, Diags, error) {
 	real, err := filepath.EvalSymlinks(name)
 	if err != nil {
@@ -51,32 +52,32 @@
 		return nil, nil, fmt.Errorf("reading the configuration: %w", err)
 	}
 	defer root.Close()
-	l := &loader{root: root, shown: filepath.Dir(name), tree: &Tree{}}
+	l := &loader{root: root, rootDisplayName: filepath.Dir(name), tree: &Tree{}}
 	text, info, err := l.read(filepath.Base(real))
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the configuration: %s: %w", name, err)
 	}
-	l.file(filepath.Base(real), name, text, info, nil)
+	l.parseFile(filepath.Base(real), name, text, info, nil)
 	l.diags.Sort(l.tree.Sources())
 	return l.tree, l.diags, nil
 }
 
-// step is a file on the way from the first one to the one that is being read.
-type step struct {
-	shown string
-	info  fs.FileInfo
-	from  *step
-	by    Pos // the include that led to it
+// includeStep is a file on the include path from the first file to the current one.
+type includeStep struct {
+	displayName string
+	info        fs.FileInfo
+	parent      *includeStep
+	includePos  Pos // the include in this file that leads to the next one
 }
 
 type loader struct {
-	root  *os.Root
-	shown string // the folder of the first file, as the caller named it
-	tree  *Tree
-	diags Diags
-	seen  []*step
-	bytes int
-	full  bool // a bound on the whole was passed, and told
+	root            *os.Root
+	rootDisplayName string // the folder of the first file, as given by the caller
+	tree            *Tree
+	diags           Diags
+	loaded          []*includeStep
+	totalBytes      int
+	stopped         bool // a limit on the whole configuration was exceeded and reported
 }
 
 func (l *loader) errorf(at Pos, format string, args ...any) {
@@ -84,21 +85,21 @@
 }
 
 var (
-	errKind  = errors.New("it is no ordinary file")
-	errLarge = fmt.Errorf("it has more than %d KiB", MaxFileSize>>10)
+	errNotRegular = errors.New("it is not a regular file")
+	errTooLarge   = fmt.Errorf("it is larger than %d KiB", MaxFileSize>>10)
 )
 
-// read opens a file by its path below the root.
+// read reads a file by its path below the root.
 func (l *loader) read(name string) ([]byte, fs.FileInfo, error) {
-	info, err := l.root.Stat(name) // first: opening a pipe would wait for its writer
+	info, err := l.root.Stat(name) // before Open, which would block on a pipe without a writer
 	if err != nil {
 		return nil, nil, err
 	}
 	switch {
 	case !info.Mode().IsRegular():
-		return nil, nil, errKind
+		return nil, nil, errNotRegular
 	case info.Size() > MaxFileSize:
-		return nil, nil, errLarge
+		return nil, nil, errTooLarge
 	}
 	f, err := l.root.Open(name)
 	if err != nil {
@@ -109,24 +110,24 @@
 	return text, info, err
 }
 
-// file parses a text and follows its includes.
-func (l *loader) file(name, shown string, text []byte, info fs.FileInfo, by *step) {
-	here := &step{shown: shown, info: info, from: by}
-	l.seen = append(l.seen, here)
+// parseFile parses a text and follows its includes.
+func (l *loader) parseFile(name, shown string, text []byte, info fs.FileInfo, by *includeStep) {
+	current := &includeStep{displayName: shown, info: info, parent: by}
+	l.loaded = append(l.loaded, current)
 	f, diags := Parse(&Source{Name: shown, Text: text, Modified: info.ModTime()})
 	l.tree.Files = append(l.tree.Files, f)
 	l.tree.Unbalanced = l.tree.Unbalanced || f.Unbalanced
 	l.diags = append(l.diags, diags...)
 	for _, e := range f.Entries {
 		if inc, ok := e.(*Include); ok {
-			l.include(name, inc, here)
+			l.include(name, inc, current)
 		} else {
 			l.tree.Entries = append(l.tree.Entries, e)
 		}
 	}
 }
 
-func (l *loader) include(from string, inc *Include, here *step) {
+func (l *loader) include(from string, inc *Include, current *includeStep) {
 	target, at := inc.Target.Text, inc.Target.Pos
 	if target == "" || path.IsAbs(target) || strings.ContainsAny(target, "\\\x00") {
 		l.errorf(at, "an include names a file, a folder or a pattern relative to this file")
@@ -134,12 +135,12 @@
 	}
 	name := path.Join(path.Dir(from), target)
 	if name == ".." || strings.HasPrefix(name, "../") {
-		l.errorf(at, "the include leads out of the folder %s", l.shown)
+		l.errorf(at, "the include leads outside the folder %s", l.rootDisplayName)
 		return
 	}
 	names, err := l.expand(name)
 	if err != nil {
-		l.errorf(at, "%s", l.reason(err))
+		l.errorf(at, "%s", l.describeError(err))
 		return
 	}
 	if len(names) == 0 {
@@ -147,12 +148,12 @@
 		return
 	}
 	for _, n := range names {
-		l.one(n, inc, here)
+		l.includeFile(n, inc, current)
 	}
 }
 
-// expand tells the files that an include means: itself, the *.sloe files of a folder, or what matches a pattern in
-// its last part, in the order of their names' bytes.
+// expand returns the files that an include names: the file itself, the *.sloe files of a folder, or the files that match
+// a pattern in the last part of the path, sorted by name.
 func (l *loader) expand(name string) ([]string, error) {
 	dir, pattern := path.Split(name)
 	if !strings.ContainsAny(name, "*?[") {
@@ -166,26 +167,26 @@
 		dir, pattern = name, "*"+extension
 	}
 	if strings.ContainsAny(dir, "*?[") {
-		return nil, errors.New("a pattern may stand in the last part of a path only")
+		return nil, errors.New("a pattern is only allowed in the last part of a path")
 	}
 	if _, err := path.Match(pattern, ""); err != nil {
 		return nil, errors.New("the pattern is malformed")
 	}
-	return l.match(path.Clean("./"+dir), pattern)
+	return l.matchingFiles(path.Clean("./"+dir), pattern)
 }
 
-func (l *loader) match(dir, pattern string) ([]string, error) {
+func (l *loader) matchingFiles(dir, pattern string) ([]string, error) {
 	d, err := l.root.Open(dir)
 	if err != nil {
 		return nil, err
 	}
 	defer d.Close()
-	entries, err := d.ReadDir(entriesMost + 1)
+	entries, err := d.ReadDir(maxFolderEntries + 1)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
-	if len(entries) > entriesMost {
-		return nil, fmt.Errorf("the folder holds more than %d names", entriesMost)
+	if len(entries) > maxFolderEntries {
+		return nil, fmt.Errorf("the folder contains more than %d names", maxFolderEntries)
 	}
 	var names []string
 	for _, e := range entries {
@@ -197,79 +198,79 @@
 	return names, nil
 }
 
-// reason words an error of the file system for the place of the include, without the path that stands there.
-func (l *loader) reason(err error) string {
+// describeError returns the message for a file system error at an include, without the path, which the position shows.
+func (l *loader) describeError(err error) string {
 	var pe *fs.PathError
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return "there is no such file or folder"
 	case errors.As(err, &pe) && strings.Contains(pe.Err.Error(), "escapes"):
-		return "the include leads out of the folder " + l.shown
+		return "the include leads outside the folder " + l.rootDisplayName
 	case errors.As(err, &pe):
-		return fmt.Sprintf("it can't be read: %v", pe.Err)
+		return fmt.Sprintf("cannot read it: %v", pe.Err)
 	}
 	return err.Error()
 }
 
-// one includes one file, if that is neither a circle nor a second time.
-func (l *loader) one(name string, inc *Include, here *step) {
-	if l.full {
+// includeFile loads one file, unless it is part of an include cycle or was included before.
+func (l *loader) includeFile(name string, inc *Include, current *includeStep) {
+	if l.stopped {
 		return
 	}
-	at, shown := inc.Target.Pos, filepath.Join(l.shown, name)
+	at, shown := inc.Target.Pos, filepath.Join(l.rootDisplayName, name)
 	text, info, err := l.read(name)
 	if err != nil {
-		l.errorf(at, "%s: %s", shown, l.reason(err))
+		l.errorf(at, "%s: %s", shown, l.describeError(err))
 		return
 	}
-	by := &step{shown: here.shown, info: here.info, from: here.from, by: at}
-	if l.circle(shown, info, by) || l.twice(shown, info, at) {
+	by := &includeStep{displayName: current.displayName, info: current.info, parent: current.parent, includePos: at}
+	if l.reportCycle(shown, info, by) || l.reportDuplicate(shown, info, at) {
 		return
 	}
 	depth := 0
-	for s := by; s != nil; s = s.from {
+	for s := by; s != nil; s = s.parent {
 		depth++
 	}
-	l.bytes += len(text)
-	l.full = true
+	l.totalBytes += len(text)
+	l.stopped = true
 	switch {
-	case depth > depthMost:
-		l.errorf(at, "includes go deeper than %d files; nothing more is read", depthMost)
-	case len(l.seen) >= filesMost:
-		l.errorf(at, "more than %d files; nothing more is read", filesMost)
-	case l.bytes > totalMost:
-		l.errorf(at, "more than %d MiB in all; nothing more is read", totalMost>>20)
+	case depth > maxIncludeDepth:
+		l.errorf(at, "includes are nested deeper than %d files; nothing more is read", maxIncludeDepth)
+	case len(l.loaded) >= maxFiles:
+		l.errorf(at, "more than %d files; nothing more is read", maxFiles)
+	case l.totalBytes > maxTotalBytes:
+		l.errorf(at, "more than %d MiB in total; nothing more is read", maxTotalBytes>>20)
 	default:
-		l.full = false
-		l.file(name, shown, text, info, by)
+		l.stopped = false
+		l.parseFile(name, shown, text, info, by)
 	}
-	if l.full {
-		l.tree.Unbalanced = true // what is missing is not known, so nothing is to be said of meaning
+	if l.stopped {
+		l.tree.Unbalanced = true // files are missing, so the meaning can't be checked
 	}
 }
 
-// circle reports a file that includes itself, by whatever names, with the whole way.
-func (l *loader) circle(shown string, info fs.FileInfo, by *step) bool {
-	names, way := []string{shown}, []Note(nil)
-	for s := by; s != nil; s = s.from {
-		way = append(way, Note{s.by, fmt.Sprintf("%s includes %s", s.shown, names[len(names)-1])})
-		names = append(names, s.shown)
+// reportCycle reports a file that includes itself, directly or not and by any name, with the path of includes.
+func (l *loader) reportCycle(shown string, info fs.FileInfo, by *includeStep) bool {
+	names, chain := []string{shown}, []Note(nil)
+	for s := by; s != nil; s = s.parent {
+		chain = append(chain, Note{s.includePos, fmt.Sprintf("%s includes %s", s.displayName, names[len(names)-1])})
+		names = append(names, s.displayName)
 		if os.SameFile(s.info, info) {
-			slices.Reverse(way)
-			l.diags = append(l.diags, Diag{Pos: by.by, Msg: "the includes go in a circle", Notes: way})
+			slices.Reverse(chain)
+			l.diags = append(l.diags, Diag{Pos: by.includePos, Msg: "the includes form a cycle", Notes: chain})
 			return true
 		}
 	}
 	return false
 }
 
-// twice reports a file that was included before.
-func (l *loader) twice(shown string, info fs.FileInfo, at Pos) bool {
-	for _, s := range l.seen {
+// reportDuplicate reports a file that was included before, by any name.
+func (l *loader) reportDuplicate(shown string, info fs.FileInfo, at Pos) bool {
+	for _, s := range l.loaded {
 		if os.SameFile(s.info, info) {
-			d := Diag{Pos: at, Msg: fmt.Sprintf("%s is included a second time", shown)}
-			if s.from != nil {
-				d.Notes = []Note{{s.from.by, "first included here"}}
+			d := Diag{Pos: at, Msg: fmt.Sprintf("%s is included twice", shown)}
+			if s.parent != nil {
+				d.Notes = []Note{{s.parent.includePos, "first included here"}}
 			}
 			l.diags = append(l.diags, d)
 			return true
--- a/internal/sloe/parse.go
+++ b/internal/sloe/parse.go
@@ -7,45 +7,46 @@
 	"unicode/utf8"
 )
 
-// Bounds on a file. Each is told plainly when it is passed.
+// Limits on a file. Exceeding one is reported as an error.
 const (
-	MaxFileSize = 1 << 20 // bytes of one file
-	nestMost    = 16      // blocks within blocks, and lists within lists
-	itemsMost   = 4096    // of a list
+	MaxFileSize  = 1 << 20 // bytes of one file
+	maxNesting   = 16      // blocks within blocks, and lists within lists
+	maxListItems = 4096    // in a list
 )
 
 const keywordInclude, keywordDefine = "include", "define"
 
-// parser reads one file. It goes on after an error with the next line, and says nothing twice.
+// parser parses one file. After an error it continues with the next statement; errors that follow from a reported one
+// are not reported.
 type parser struct {
-	src     *Source
-	lex     lexer
-	tok     token
-	diags   Diags
-	file    *File
-	opens   []*Block // the blocks that are open
-	culprit *Block   // the first whose end seems to be missing, going by the columns of braces
-	halt    bool     // nothing more of the file is read
-	cut     bool     // the file ends within a list, which was told
+	src            *Source
+	lex            lexer
+	tok            token
+	diags          Diags
+	file           *File
+	openBlocks     []*Block // the enclosing blocks, outermost first
+	likelyUnclosed *Block   // the first block whose '}' seems to be missing, judged by the indentation of braces
+	stopped        bool     // the rest of the file is not read
+	endsInList     bool     // the file ends within a list; this was reported
 }
 
-// Parse reads a source whole. What it finds wrong is in the Diags; the File holds all that could be read.
+// Parse parses a source. The Diags are the problems found; the File holds all that could be parsed.
 func Parse(src *Source) (*File, Diags) {
 	p := &parser{src: src, file: &File{Src: src}}
-	if !p.readable() {
+	if !p.checkEncoding() {
 		p.file.Unbalanced = true
 		return p.file, p.diags
 	}
 	p.lex = lexer{src: src, report: p.errorf}
 	if bytes.HasPrefix(src.Text, []byte("\xef\xbb\xbf")) {
 		p.errorf(0, "the file begins with a byte-order mark: save it as UTF-8 without one")
-		p.lex.at = 3
+		p.lex.offset = 3
 	}
 	p.next()
 	p.file.Entries, p.file.EndComments = p.entries(nil)
-	p.unclosed()
-	if len(bytes.TrimSpace(src.Text)) == 0 { // as an editor leaves it for a moment
-		p.errorf(0, "the file is empty: it may be cut short (a comment makes it a file that says nothing)")
+	p.reportUnclosed()
+	if len(bytes.TrimSpace(src.Text)) == 0 { // as some editors leave a file for a moment while saving
+		p.errorf(0, "the file is empty: it may be cut short (write a comment into a file without settings)")
 	}
 	if t := src.Text; len(t) > 0 && t[len(t)-1] != '\n' && len(p.diags) == 0 {
 		p.errorf(len(t)-1, "the last line has no line end: the file may be cut short")
@@ -53,11 +54,11 @@
 	return p.file, p.diags
 }
 
-// readable tells what no line of a file can be made of.
-func (p *parser) readable() bool {
+// checkEncoding reports a file that is too large or not UTF-8; such a file is not parsed.
+func (p *parser) checkEncoding() bool {
 	t := p.src.Text
 	if len(t) > MaxFileSize {
-		p.errorf(0, "the file has more than %d KiB", MaxFileSize>>10)
+		p.errorf(0, "the file is larger than %d KiB", MaxFileSize>>10)
 		return false
 	}
 	if utf8.Valid(t) {
@@ -71,7 +72,7 @@
 		}
 		at += n
 	}
-	p.errorf(at, "the file is not UTF-8: byte 0x%02X can't stand here", t[at])
+	p.errorf(at, "the file is not UTF-8: byte 0x%02X is not valid here", t[at])
 	return false
 }
 
@@ -83,8 +84,8 @@
 
 func (p *parser) next() { p.tok = p.lex.next() }
 
-// lead reads line ends and comments on lines of their own.
-func (p *parser) lead() (lines []string) {
+// leadingComments reads line ends and comments on lines of their own. It returns blank lines as "".
+func (p *parser) leadingComments() (lines []string) {
 	for breaks := 0; ; p.next() {
 		switch p.tok.kind {
 		case tNewline:
@@ -100,24 +101,23 @@
 	}
 }
 
-// entries reads statements to the end of the block, or of the file. Blank lines at the edges are no one's.
+// entries parses statements up to the end of the block or the file. Blank lines at its start and end are dropped.
 func (p *parser) entries(in *Block) (all []Entry, tail []string) {
-	// A line has just ended, or the file begins: the first line end that comes is a blank line.
 	for first := true; ; first = false {
-		lead := p.lead()
-		if first && len(lead) > 0 && lead[0] == "" {
+		lead := p.leadingComments()
+		if first && len(lead) > 0 && lead[0] == "" { // a blank line at the start of the block or file
 			lead = lead[1:]
 		}
-		if p.tok.kind == tEOF || p.halt || p.tok.kind == tClose && in != nil {
+		if p.tok.kind == tEOF || p.stopped || p.tok.kind == tClose && in != nil {
 			if n := len(lead); n > 0 && lead[n-1] == "" {
 				lead = lead[:n-1]
 			}
 			return all, lead
 		}
 		if e := p.entry(); e != nil {
-			e.notes().Leading = lead
+			e.comments().Leading = lead
 			if p.tok.kind == tComment {
-				e.notes().Trailing = p.tok.text
+				e.comments().Trailing = p.tok.text
 				p.next()
 			}
 			all = append(all, e)
@@ -125,62 +125,62 @@
 	}
 }
 
-// entry reads one statement to the end of its line, or returns nil when there is none to be had.
+// entry parses one statement up to the end of its line. It returns nil if there is none that is valid.
 func (p *parser) entry() Entry {
 	switch p.tok.kind {
 	case tName:
 	case tClose:
-		p.errorf(p.tok.off, "this '}' closes nothing")
+		p.errorf(p.tok.off, "this '}' has no matching '{'")
 		p.file.Unbalanced = true
 		p.next()
 		return nil
-	case tBad:
-		p.skip()
+	case tInvalid:
+		p.skipStatement()
 		return nil
 	default:
-		p.errorf(p.tok.off, "found %s where a block or a setting begins with its name", p.tok)
-		p.skip()
+		p.errorf(p.tok.off, "found %s, expected the name of a block or a setting", p.tok)
+		p.skipStatement()
 		return nil
 	}
-	word := p.tok
+	name := p.tok
 	p.next()
 	var e Entry
 	switch {
 	case p.tok.kind == tEquals:
-		e = p.setting(word)
-	case word.text == keywordInclude:
-		e = p.include(word)
-	case word.text == keywordDefine:
-		e = p.define(word)
+		e = p.setting(name)
+	case name.text == keywordInclude:
+		e = p.include(name)
+	case name.text == keywordDefine:
+		e = p.define(name)
 	default:
-		e = p.block(word)
+		e = p.block(name)
 	}
-	if e != nil && !p.lineEnds() {
-		p.errorf(p.tok.off, "found %s where the line should end", p.tok)
-		p.skip()
+	if e != nil && !p.atStatementEnd() {
+		p.errorf(p.tok.off, "found %s, expected the end of the line", p.tok)
+		p.skipStatement()
 	}
 	return e
 }
 
-// lineEnds reports whether a statement may end here.
-func (p *parser) lineEnds() bool {
+// atStatementEnd reports whether a statement may end at the current token.
+func (p *parser) atStatementEnd() bool {
 	switch p.tok.kind {
 	case tNewline, tEOF, tComment:
 		return true
 	case tClose:
-		return len(p.opens) > 0
-	case tBad: // reported, and the only thing to be said of the line
-		p.skip()
+		return len(p.openBlocks) > 0
+	case tInvalid: // already reported; the rest of the line is skipped without another error
+		p.skipStatement()
 		return true
 	}
-	return p.halt
+	return p.stopped
 }
 
-// skip goes to the end of the line, and past the blocks that begin on it: what is in them belongs to what could
-// not be read.
-func (p *parser) skip() {
-	p.lex.muted = true
-	defer func() { p.lex.muted = false }()
+// skipStatement skips to the end of the line, and past the blocks that begin on it, since they belong to a statement
+// that could not be parsed.
+func (p *parser) skipStatement() {
+	p.lex.silent = true
+	defer func() { p.lex.silent = false }()
 	for depth := 0; p.tok.kind != tEOF; p.next() {
 		switch p.tok.kind {
 		case tOpen:
@@ -198,56 +198,56 @@
 	}
 }
 
-func (p *parser) setting(word token) Entry {
+func (p *parser) setting(name token) Entry {
 	p.next()
 	v := p.value(0)
-	return &Setting{Name: Ident{p.pos(word.off), word.text}, Value: v}
+	return &Setting{Name: Ident{p.pos(name.off), name.text}, Value: v}
 }
 
-func (p *parser) include(word token) Entry {
-	if len(p.opens) > 0 {
-		p.errorf(word.off, "include stands outside of all blocks")
-		p.skip()
+func (p *parser) include(keyword token) Entry {
+	if len(p.openBlocks) > 0 {
+		p.errorf(keyword.off, "include is only allowed outside of blocks")
+		p.skipStatement()
 		return nil
 	}
 	if p.tok.kind != tString {
-		if p.tok.kind != tBad {
-			p.errorf(p.tok.off, "found %s where include needs a file, a folder or a pattern in quotes", p.tok)
+		if p.tok.kind != tInvalid {
+			p.errorf(p.tok.off, "found %s, expected a file, a folder or a pattern in quotes after include", p.tok)
 		}
-		p.skip()
+		p.skipStatement()
 		return nil
 	}
-	return &Include{Pos: p.pos(word.off), Target: p.value(0)}
+	return &Include{Pos: p.pos(keyword.off), Target: p.value(0)}
 }
 
-func (p *parser) define(word token) Entry {
-	if len(p.opens) > 0 {
-		p.errorf(word.off, "define stands outside of all blocks")
-		p.skip()
+func (p *parser) define(keyword token) Entry {
+	if len(p.openBlocks) > 0 {
+		p.errorf(keyword.off, "define is only allowed outside of blocks")
+		p.skipStatement()
 		return nil
 	}
 	name := p.tok
 	if p.expect(tName, "the name of the definition") && p.expect(tEquals, "'='") {
-		return &Define{Pos: p.pos(word.off), Name: Ident{p.pos(name.off), name.text}, Value: p.value(0)}
+		return &Define{Pos: p.pos(keyword.off), Name: Ident{p.pos(name.off), name.text}, Value: p.value(0)}
 	}
 	return nil
 }
 
-// expect takes a token, or reports that another stands in its place and skips the line.
-func (p *parser) expect(k kind, what string) bool {
+// expect consumes a token of kind k, or reports the token found instead and skips the statement.
+func (p *parser) expect(k tokenKind, what string) bool {
 	if p.tok.kind == k {
 		p.next()
 		return true
 	}
-	if p.tok.kind != tBad {
-		p.errorf(p.tok.off, "found %s where %s should stand", p.tok, what)
+	if p.tok.kind != tInvalid {
+		p.errorf(p.tok.off, "found %s, expected %s", p.tok, what)
 	}
-	p.skip()
+	p.skipStatement()
 	return false
 }
 
-func (p *parser) block(word token) Entry {
-	b := &Block{Type: Ident{p.pos(word.off), word.text}}
+func (p *parser) block(name token) Entry {
+	b := &Block{Type: Ident{p.pos(name.off), name.text}}
 	if p.tok.kind == tName || p.tok.kind == tString {
 		b.Label = &Ident{p.pos(p.tok.off), p.tok.text}
 		if p.tok.kind == tString {
@@ -257,15 +257,15 @@
 		p.next()
 	}
 	if p.tok.kind != tOpen {
-		if p.tok.kind != tBad {
-			p.errorf(p.tok.off, "found %s behind %q where '=' and a value, or '{' and a block, should stand", p.tok, clip(word.text))
+		if p.tok.kind != tInvalid {
+			p.errorf(p.tok.off, "found %s after %q, expected '=' and a value, or '{' and a block", p.tok, truncate(name.text))
 		}
-		p.skip()
+		p.skipStatement()
 		return nil
 	}
-	if len(p.opens) == nestMost {
-		p.errorf(word.off, "blocks nest deeper than %d here; the rest of the file is not read", nestMost)
-		p.file.Unbalanced, p.halt = true, true
+	if len(p.openBlocks) == maxNesting {
+		p.errorf(name.off, "blocks are nested deeper than %d here; the rest of the file is not read", maxNesting)
+		p.file.Unbalanced, p.stopped = true, true
 		return nil
 	}
 	p.next()
@@ -273,36 +273,36 @@
 		b.OpenComment = p.tok.text
 		p.next()
 	}
-	p.opens = append(p.opens, b)
+	p.openBlocks = append(p.openBlocks, b)
 	b.Entries, b.EndComments = p.entries(b)
-	if p.tok.kind != tClose { // the end of the file: told once, for the block that seems to lack its end
+	if p.tok.kind != tClose { // the end of the file, reported once by reportUnclosed
 		return b
 	}
-	if line := p.lineStart(p.tok.off); p.culprit == nil && p.firstOnLine(p.tok.off) && p.tok.off-line < p.indent(word.off) {
-		p.culprit = b
+	if line := p.lineStart(p.tok.off); p.likelyUnclosed == nil && p.firstOnLine(p.tok.off) && p.tok.off-line < p.indent(name.off) {
+		p.likelyUnclosed = b
 	}
-	p.opens = p.opens[:len(p.opens)-1]
+	p.openBlocks = p.openBlocks[:len(p.openBlocks)-1]
 	p.next()
 	return b
 }
 
-// unclosed tells once that braces are missing, at the block whose end is likely to be the missing one.
-func (p *parser) unclosed() {
-	if len(p.opens) == 0 || p.halt {
+// reportUnclosed reports missing braces once, at the block that most likely lacks its '}'.
+func (p *parser) reportUnclosed() {
+	if len(p.openBlocks) == 0 || p.stopped {
 		return
 	}
 	p.file.Unbalanced = true
-	if p.cut {
+	if p.endsInList {
 		return
 	}
-	b := p.opens[len(p.opens)-1]
-	if p.culprit != nil {
-		b = p.culprit
+	b := p.openBlocks[len(p.openBlocks)-1]
+	if p.likelyUnclosed != nil {
+		b = p.likelyUnclosed
 	}
 	p.diags = slices.DeleteFunc(p.diags, func(d Diag) bool {
-		return d.Msg == "include stands outside of all blocks" || d.Msg == "define stands outside of all blocks"
+		return d.Msg == "include is only allowed outside of blocks" || d.Msg == "define is only allowed outside of blocks"
 	})
-	p.errorf(b.Type.Pos.Off, "the block %q is not closed: a '}' is missing", clip(b.Type.Name))
+	p.errorf(b.Type.Pos.Off, "the block %q is not closed: a '}' is missing", truncate(b.Type.Name))
 }
 
 func (p *parser) lineStart(off int) int { return bytes.LastIndexByte(p.src.Text[:off], '\n') + 1 }
@@ -311,13 +311,13 @@
 	return len(bytes.TrimLeft(p.src.Text[p.lineStart(off):off], " \t")) == 0
 }
 
-// indent is how far the line of a place is indented, in bytes.
+// indent returns the indentation, in bytes, of the line that contains an offset.
 func (p *parser) indent(off int) int {
 	line := p.src.Text[p.lineStart(off):]
 	return len(line) - len(bytes.TrimLeft(line, " \t"))
 }
 
-// value reads what stands behind an '='. It always returns one; what is wrong with it was reported.
+// value parses a value. It never returns nil: an Invalid value was already reported.
 func (p *parser) value(depth int) *Value {
 	t := p.tok
 	v := &Value{Pos: p.pos(t.off), Raw: t.text}
@@ -328,7 +328,7 @@
 		v.Kind, v.Text = Reference, t.text[1:]
 	case tString:
 		v.Kind = Text
-		v.Text, _, _ = unquote(t.text) // the lexer has held it to its shape
+		v.Text, _, _ = unquote(t.text) // the lexer has already validated it
 	case tNumber:
 		q, err := ParseQuantity(t.text)
 		if v.Kind, v.Number = Number, q; err != nil {
@@ -337,12 +337,12 @@
 		}
 	case tListOpen:
 		return p.list(v, depth)
-	case tBad:
+	case tInvalid:
 		v.Kind = Invalid
 	default:
-		p.errorf(t.off, "found %s where a value should stand", t)
+		p.errorf(t.off, "found %s, expected a value", t)
 		v.Kind = Invalid
-		p.skip()
+		p.skipStatement()
 		return v
 	}
 	p.next()
@@ -352,9 +352,9 @@
 func (p *parser) list(v *Value, depth int) *Value {
 	v.Kind = List
 	open := p.tok
-	if depth == nestMost {
-		p.errorf(open.off, "lists nest deeper than %d here; the rest of the file is not read", nestMost)
-		p.file.Unbalanced, p.halt = true, true
+	if depth == maxNesting {
+		p.errorf(open.off, "lists are nested deeper than %d here; the rest of the file is not read", maxNesting)
+		p.file.Unbalanced, p.stopped = true, true
 		v.Kind = Invalid
 		p.tok = token{kind: tEOF, off: open.off}
 		return v
@@ -362,7 +362,7 @@
 	p.next()
 	for first := true; ; first = false {
 		start := p.tok.off
-		lead := p.lead()
+		lead := p.leadingComments()
 		v.Multiline = v.Multiline || p.tok.off > start && bytes.IndexByte(p.src.Text[start:p.tok.off], '\n') >= 0
 		if len(lead) > 0 && first && lead[0] == "" {
 			lead = lead[1:]
@@ -375,18 +375,18 @@
 			p.next()
 			return v
 		}
-		if p.tok.kind == tEOF || p.tok.kind == tEquals || p.tok.kind == tOpen || p.tok.kind == tClose || p.halt {
-			if !p.halt {
+		if p.tok.kind == tEOF || p.tok.kind == tEquals || p.tok.kind == tOpen || p.tok.kind == tClose || p.stopped {
+			if !p.stopped {
 				p.errorf(open.off, "the list is not closed: a ']' is missing")
-				p.cut = p.tok.kind == tEOF
-				p.skip()
+				p.endsInList = p.tok.kind == tEOF
+				p.skipStatement()
 			}
 			v.Kind = Invalid
 			return v
 		}
-		if len(v.Items) == itemsMost {
-			p.errorf(p.tok.off, "the list has more than %d items", itemsMost)
-			p.skip()
+		if len(v.Items) == maxListItems {
+			p.errorf(p.tok.off, "the list has more than %d items", maxListItems)
+			p.skipStatement()
 			v.Kind = Invalid
 			return v
 		}
@@ -396,7 +396,7 @@
 	}
 }
 
-// item reads one value of a list and the comma behind it.
+// item parses one value of a list and the comma after it. It returns false if the list ended with an error.
 func (p *parser) item(v *Value, lead []string, depth, open int) bool {
 	item := p.value(depth + 1)
 	item.Leading = lead
@@ -412,30 +412,30 @@
 		item.Trailing, v.Multiline = p.tok.text, true
 		p.next()
 	}
-	if comma || p.halt {
+	if comma || p.stopped {
 		return true
 	}
 	v.Multiline = v.Multiline || p.tok.kind == tNewline
-	v.EndComments = p.lead()
+	v.EndComments = p.leadingComments()
 	if p.tok.kind != tListClose {
 		switch p.tok.kind {
-		case tBad: // told
+		case tInvalid: // already reported
 		case tClose, tEOF, tEquals:
 			p.errorf(open, "the list is not closed: a ']' is missing")
-			p.cut = p.tok.kind == tEOF
+			p.endsInList = p.tok.kind == tEOF
 		default:
 			if item.Kind != Invalid {
-				p.errorf(p.tok.off, "found %s where ',' or ']' should stand", p.tok)
+				p.errorf(p.tok.off, "found %s, expected ',' or ']'", p.tok)
 			}
 		}
 		v.Kind = Invalid
-		p.skip()
+		p.skipStatement()
 		return false
 	}
 	return true
 }
 
-// String is the token in a message.
+// String describes the token in a message.
 func (t token) String() string {
 	switch t.kind {
 	case tEOF:
@@ -443,5 +443,5 @@
 	case tNewline, tComment:
 		return "the end of the line"
 	}
-	return fmt.Sprintf("%q", clip(t.text))
+	return fmt.Sprintf("%q", truncate(t.text))
 }
