--- a/cmd/sloectl/demo.go
+++ b/cmd/sloectl/demo.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	demoGateways = 3
-	demoNodes    = 8
-	demoSeconds  = 600 // at most: the tallies keep every request
-	redrawEvery  = 500 * time.Millisecond
-	plainEvery   = 5 * time.Second
-
-	demoFleetMost = 20
-	demoJoin      = time.Minute // for all members to have their places
-	joinLook      = 50 * time.Millisecond
+	demoGateways   = 3
+	demoNodes      = 8
+	demoSeconds    = 600 // at most: the tallies keep every request
+	redrawInterval = 500 * time.Millisecond
+	plainInterval  = 5 * time.Second
+
+	demoMaxFleet     = 20
+	demoJoinTimeout  = time.Minute // for all members to have their places
+	joinPollInterval = 50 * time.Millisecond
 )
 
 // customers are clinics, of which the first on plus floods far beyond its quota for a third of the time.
@@ -61,18 +61,18 @@
 
 // demonstration is one run.
 type demonstration struct {
-	length   time.Duration
-	seed     uint64
-	operator string
-	fleet    int // gateways that are a fleet; 0: as the platform's files number them
-	dir      string
-	site     *testbed.Site
-	gateways []*testbed.Process
-	places   []testbed.Endpoint
-	members  []testbed.Endpoint // of the fleet
-
-	mu   sync.Mutex
-	ends []testbed.RequestResult
+	length    time.Duration
+	seed      uint64
+	operator  string
+	fleet     int // gateways that are a fleet; 0: as the platform's files number them
+	dir       string
+	site      *testbed.Site
+	gateways  []*testbed.Process
+	endpoints []testbed.Endpoint
+	members   []testbed.Endpoint // of the fleet
+
+	mu      sync.Mutex
+	results []testbed.RequestResult
 }
 
 func demo(args []string, out, errs io.Writer) int {
@@ -83,16 +83,16 @@
 	keep := f.Bool("keep", false, "leave all up at the end, until interrupted, and print the addresses")
 	operator := f.String("operator", "", "the operators' file; without one the shipped example")
 	members := f.Int("fleet", 0, "so many gateways as a fleet, 2 to 20, which numbers them; 0: three that the platform numbers")
-	if !flags(f, args, errs, 0, 0) {
-		return exitTrouble
+	if !parseFlags(f, args, errs, 0, 0) {
+		return exitError
 	}
-	if *members != 0 && (*members < 2 || *members > demoFleetMost || *operator != "") {
-		fmt.Fprintf(errs, "sloectl demo: --fleet is 2 to %d, and goes without --operator\n", demoFleetMost)
-		return exitTrouble
+	if *members != 0 && (*members < 2 || *members > demoMaxFleet || *operator != "") {
+		fmt.Fprintf(errs, "sloectl demo: --fleet is 2 to %d, and goes without --operator\n", demoMaxFleet)
+		return exitError
 	}
 	if *seconds < 10 || *seconds > demoSeconds {
 		fmt.Fprintf(errs, "sloectl demo: --seconds is 10 to %d\n", demoSeconds)
-		return exitTrouble
+		return exitError
 	}
 	if *seed == 0 {
 		*seed = uint64(time.Now().UnixNano())
@@ -101,15 +101,15 @@
 	defer stop()
 	d := &demonstration{length: time.Duration(*seconds) * time.Second, seed: *seed, operator: *operator, fleet: *members}
 	fmt.Fprintf(out, "seed %d: %d gateways, %d nodes, %v\n", *seed, d.size(), demoNodes, d.length)
-	code, err := d.run(ctx, out, !*plain && terminal(out), *keep)
+	code, err := d.run(ctx, out, !*plain && isTerminal(out), *keep)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl demo:", err)
 	}
 	return code
 }
 
-// terminal reports whether what is written is seen by a person at once.
-func terminal(out io.Writer) bool {
+// isTerminal reports whether what is written is seen by a person at once.
+func isTerminal(out io.Writer) bool {
 	f, ok := out.(*os.File)
 	if !ok {
 		return false
@@ -118,58 +118,58 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func (d *demonstration) run(ctx context.Context, out io.Writer, live, keep bool) (code int, err error) {
+func (d *demonstration) run(ctx context.Context, out io.Writer, redraw, keep bool) (code int, err error) {
 	defer func() { err = errors.Join(err, d.close()) }()
 	if err := d.start(ctx); err != nil {
-		return exitTrouble, err
+		return exitError, err
 	}
 	if d.fleet > 0 {
-		fmt.Fprintf(out, "the fleet has its places; look by: sloectl fleet status %s\n", d.socket(0))
+		fmt.Fprintf(out, "the fleet has its places; look by: sloectl fleet status %s\n", d.statusSocket(0))
 	}
-	play, cancel := context.WithTimeout(ctx, d.length)
+	runCtx, cancel := context.WithTimeout(ctx, d.length)
 	defer cancel()
-	crowd := &testbed.LoadGenerator{Customers: d.customers(rand.New(rand.NewPCG(d.seed, 0))), Classes: d.site.Platform.Classes,
-		Seed: d.seed, OnResult: d.ended}
-	for _, p := range d.places {
-		crowd.Gateways = append(crowd.Gateways, p.Listen)
+	load := &testbed.LoadGenerator{Customers: d.customers(rand.New(rand.NewPCG(d.seed, 0))), Classes: d.site.Platform.Classes,
+		Seed: d.seed, OnResult: d.recordResult}
+	for _, p := range d.endpoints {
+		load.Gateways = append(load.Gateways, p.Listen)
 	}
-	start, done, failed := time.Now(), make(chan struct{}), make(chan error, 1)
+	start, done, eventsErr := time.Now(), make(chan struct{}), make(chan error, 1)
 	go func() {
 		defer close(done)
-		crowd.Run(play)
+		load.Run(runCtx)
 	}()
-	go func() { failed <- d.events(play) }()
-	d.watch(done, out, live, start)
-	if err := <-failed; err != nil {
-		return exitTrouble, err
+	go func() { eventsErr <- d.runEvents(runCtx) }()
+	d.showProgress(done, out, redraw, start)
+	if err := <-eventsErr; err != nil {
+		return exitError, err
 	}
 	if ctx.Err() != nil {
-		return exitTrouble, errors.New("interrupted")
+		return exitError, errors.New("interrupted")
 	}
 	fmt.Fprint(out, d.table(time.Since(start)))
 	code = exitOK
-	if d.fleet > 0 && !d.news(ctx, out) {
-		code = exitNo
+	if d.fleet > 0 && !d.checkPeerInfo(ctx, out) {
+		code = exitNegative
 	}
 	if keep {
-		d.leaveUp(ctx, out)
+		d.keepRunning(ctx, out)
 	}
 	for _, g := range d.gateways {
 		if err := g.Stop(); err != nil {
 			fmt.Fprintf(out, "BROKEN  a gateway's end: %v\n", err)
-			code = exitNo
+			code = exitNegative
 		}
 	}
-	if !d.verdict(out) {
-		code = exitNo
+	if !d.printVerdict(out) {
+		code = exitNegative
 	}
 	return code, nil
 }
 
-func (d *demonstration) ended(e testbed.RequestResult) {
+func (d *demonstration) recordResult(e testbed.RequestResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ends = append(d.ends, e)
+	d.results = append(d.results, e)
 }
 
 // start brings up the site and the gateways, and waits until each gateway answers.
@@ -185,22 +185,22 @@
 			return err
 		}
 	}
-	if d.places, err = testbed.AllocateEndpoints(2 * d.size()); err != nil { // of each the clients' address, and the fleet's
+	if d.endpoints, err = testbed.AllocateEndpoints(2 * d.size()); err != nil { // of each the clients' address, and the fleet's
 		return err
 	}
-	d.places, d.members = d.places[:d.size()], d.places[d.size():]
-	for i := range d.places {
+	d.endpoints, d.members = d.endpoints[:d.size()], d.endpoints[d.size():]
+	for i := range d.endpoints {
 		if err := d.startGateway(i); err != nil {
 			return err
 		}
 	}
 	for i, g := range d.gateways {
-		if err := g.WaitReady(ctx, d.places[i].Listen); err != nil {
+		if err := g.WaitReady(ctx, d.endpoints[i].Listen); err != nil {
 			return err
 		}
 	}
 	if d.fleet > 0 {
-		return d.joined(ctx)
+		return d.waitJoined(ctx)
 	}
 	return nil
 }
@@ -212,30 +212,30 @@
 	return demoGateways
 }
 
-// socket is where a member tells how it sees its fleet.
-func (d *demonstration) socket(i int) string {
+// statusSocket is where a member tells how it sees its fleet.
+func (d *demonstration) statusSocket(i int) string {
 	return filepath.Join(d.dir, fmt.Sprintf("fleet-%d.sock", i))
 }
 
-// fleetFile writes a member's operators' file and returns its path.
-func (d *demonstration) fleetFile(i int) (string, error) {
+// writeFleetFile writes a member's operators' file and returns its path.
+func (d *demonstration) writeFleetFile(i int) (string, error) {
 	text := fmt.Sprintf("fleet {\n    address = %q\n    seeds = [%q, %q]\n    places = %d\n    expect = %d\n    status = %q\n}\n\ncommons { }\n\npower {\n    keep = \"power-%d\"\n}\n",
-		d.members[i].Listen, d.members[0].Listen, d.members[1].Listen, d.fleet, d.fleet, d.socket(i), i)
+		d.members[i].Listen, d.members[0].Listen, d.members[1].Listen, d.fleet, d.fleet, d.statusSocket(i), i)
 	path := filepath.Join(d.dir, fmt.Sprintf("fleet-%d.sloe", i))
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// joined waits until all members have their places.
-func (d *demonstration) joined(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, demoJoin)
+// waitJoined waits until all members have their places.
+func (d *demonstration) waitJoined(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, demoJoinTimeout)
 	defer cancel()
 	for i := 0; i < d.fleet; {
-		r, err := gossip.ReadStatus(ctx, d.socket(i))
+		r, err := gossip.ReadStatus(ctx, d.statusSocket(i))
 		if err == nil && r.Assignment.Slot >= 0 {
 			i++
 			continue
 		}
-		if !wait(ctx, joinLook) {
+		if !sleep(ctx, joinPollInterval) {
 			return fmt.Errorf("gateway %d has no place in the fleet: %w", i, errors.Join(err, ctx.Err()))
 		}
 	}
@@ -244,7 +244,7 @@
 
 // startGateway starts a daemon: this program itself, with the verb daemon.
 func (d *demonstration) startGateway(i int) error {
-	text, err := d.site.Platform.GatewayConfig(i, d.places, d.site.Discovery.Addr().String(), d.seed, d.site.ServerList())
+	text, err := d.site.Platform.GatewayConfig(i, d.endpoints, d.site.Discovery.Addr().String(), d.seed, d.site.ServerList())
 	if err != nil {
 		return err
 	}
@@ -252,18 +252,18 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	operator := d.operator
 	if d.fleet > 0 {
-		if operator, err = d.fleetFile(i); err != nil {
+		if operator, err = d.writeFleetFile(i); err != nil {
 			return err
 		}
 	}
-	cmd := exec.Command(self, "daemon", "-operator", operator)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", selfEnv+"=1")
+	cmd := exec.Command(executable, "daemon", "-operator", operator)
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", runMainEnv+"=1")
 	g, err := testbed.StartProcess(cmd)
 	if err != nil {
 		return err
@@ -272,33 +272,33 @@
 	return nil
 }
 
-// selfEnv tells a test's binary that it stands for the program.
-const selfEnv = "SLOECTL_MAIN"
+// runMainEnv tells a test's binary that it stands for the program.
+const runMainEnv = "SLOECTL_MAIN"
 
 // writeExample puts the shipped example into a folder and returns the path of its first file.
 func writeExample(dir string) (string, error) {
-	to := filepath.Join(dir, "operator")
-	if err := os.CopyFS(to, example.Files); err != nil {
+	exampleDir := filepath.Join(dir, "operator")
+	if err := os.CopyFS(exampleDir, example.Files); err != nil {
 		return "", fmt.Errorf("writing the example: %w", err)
 	}
-	return filepath.Join(to, example.Root), nil
+	return filepath.Join(exampleDir, example.Root), nil
 }
 
-// events plays what happens to the first node: it drains, is gone, and comes back cold.
-func (d *demonstration) events(ctx context.Context) error {
-	if !wait(ctx, d.length/4) {
+// runEvents plays what happens to the first node: it drains, is gone, and comes back cold.
+func (d *demonstration) runEvents(ctx context.Context) error {
+	if !sleep(ctx, d.length/4) {
 		return nil
 	}
 	if err := d.site.Drain(0); err != nil {
 		return err
 	}
-	if !wait(ctx, d.length/6) {
+	if !sleep(ctx, d.length/6) {
 		return nil
 	}
 	return d.site.Restart(0)
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -309,27 +309,27 @@
 	}
 }
 
-// watch shows how it goes until the traffic has ended.
-func (d *demonstration) watch(done <-chan struct{}, out io.Writer, live bool, start time.Time) {
-	every := plainEvery
-	if live {
-		every = redrawEvery
+// showProgress shows how it goes until the traffic has ended.
+func (d *demonstration) showProgress(done <-chan struct{}, out io.Writer, redraw bool, start time.Time) {
+	interval := plainInterval
+	if redraw {
+		interval = redrawInterval
 	}
-	t := time.NewTicker(every)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	lines := 0
 	for {
 		select {
 		case <-done:
-			if live && lines > 0 {
+			if redraw && lines > 0 {
 				fmt.Fprintf(out, "\x1b[%dA\x1b[J", lines)
 			}
 			return
 		case <-t.C:
 		}
 		text := d.table(time.Since(start))
-		if !live {
-			fmt.Fprint(out, d.line(time.Since(start)))
+		if !redraw {
+			fmt.Fprint(out, d.progressLine(time.Since(start)))
 			continue
 		}
 		if lines > 0 {
@@ -340,16 +340,16 @@
 	}
 }
 
-// planFigures are what a plan's customers met.
-type planFigures struct {
+// planStats are what a plan's customers met.
+type planStats struct {
 	counts [4]int // by stand.Kind
 	took   []time.Duration
 }
 
-func (f *planFigures) asked() int { return f.counts[0] + f.counts[1] + f.counts[2] + f.counts[3] }
+func (f *planStats) total() int { return f.counts[0] + f.counts[1] + f.counts[2] + f.counts[3] }
 
 // quantile is the time within which so many of the served were answered.
-func (f *planFigures) quantile(q float64) time.Duration {
+func (f *planStats) quantile(q float64) time.Duration {
 	if len(f.took) == 0 {
 		return 0
 	}
@@ -357,14 +357,14 @@
 	return f.took[min(int(math.Ceil(q*float64(len(f.took)))), len(f.took))-1]
 }
 
-func (d *demonstration) figures() map[string]*planFigures {
+func (d *demonstration) statsByPlan() map[string]*planStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := map[string]*planFigures{}
+	all := map[string]*planStats{}
 	for _, p := range d.site.Platform.Plans {
-		all[p.Name] = &planFigures{}
+		all[p.Name] = &planStats{}
 	}
-	for _, e := range d.ends {
+	for _, e := range d.results {
 		f := all[e.Plan]
 		f.counts[e.Outcome]++
 		if e.Outcome == testbed.OutcomeServed {
@@ -374,15 +374,15 @@
 	return all
 }
 
-func (d *demonstration) line(since time.Duration) string {
-	var sum planFigures
-	for _, f := range d.figures() {
+func (d *demonstration) progressLine(since time.Duration) string {
+	var sum planStats
+	for _, f := range d.statsByPlan() {
 		for i, n := range f.counts {
 			sum.counts[i] += n
 		}
 		sum.took = append(sum.took, f.took...)
 	}
-	return fmt.Sprintf("%3.0f s  asked %d  served %d  refused %d  failed %d  p50 %d ms  p99 %d ms\n", since.Seconds(), sum.asked(),
+	return fmt.Sprintf("%3.0f s  asked %d  served %d  refused %d  failed %d  p50 %d ms  p99 %d ms\n", since.Seconds(), sum.total(),
 		sum.counts[testbed.OutcomeServed], sum.counts[testbed.OutcomeRefused], sum.counts[testbed.OutcomeFailed],
 		sum.quantile(0.5).Milliseconds(), sum.quantile(0.99).Milliseconds())
 }
@@ -390,10 +390,10 @@
 func (d *demonstration) table(since time.Duration) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "after %.0f s\n%-10s %7s %7s %8s %7s %8s %8s\n", since.Seconds(), "plan", "asked", "served", "refused", "failed", "p50 ms", "p99 ms")
-	all := d.figures()
+	all := d.statsByPlan()
 	for _, p := range d.site.Platform.Plans {
 		f := all[p.Name]
-		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d %8d %8d\n", p.Name, f.asked(), f.counts[testbed.OutcomeServed], f.counts[testbed.OutcomeRefused],
+		fmt.Fprintf(&b, "%-10s %7d %7d %8d %7d %8d %8d\n", p.Name, f.total(), f.counts[testbed.OutcomeServed], f.counts[testbed.OutcomeRefused],
 			f.counts[testbed.OutcomeFailed], f.quantile(0.5).Milliseconds(), f.quantile(0.99).Milliseconds())
 	}
 	fmt.Fprintf(&b, "%-10s %7s %7s %8s %7s\n", "node", "came", "ran", "away", "repeat")
@@ -404,17 +404,17 @@
 	return b.String()
 }
 
-// verdict tells whether each rule was kept, by what clients and nodes saw.
-func (d *demonstration) verdict(out io.Writer) bool {
+// printVerdict tells whether each rule was kept, by what clients and nodes saw.
+func (d *demonstration) printVerdict(out io.Writer) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	kept := true
-	for _, v := range d.site.Audit(d.ends) {
-		word := "kept"
+	for _, v := range d.site.Audit(d.results) {
+		verdict := "kept"
 		if v.Violations > 0 {
-			word, kept = "BROKEN", false
+			verdict, kept = "BROKEN", false
 		}
-		fmt.Fprintf(out, "%-7s %s (%d looked at, %d against it)\n", word, v.Rule, v.Checked, v.Violations)
+		fmt.Fprintf(out, "%-7s %s (%d looked at, %d against it)\n", verdict, v.Rule, v.Checked, v.Violations)
 		for _, c := range v.Examples {
 			fmt.Fprintf(out, "        %s\n", c)
 		}
@@ -422,14 +422,14 @@
 	return kept
 }
 
-const newsDelay = time.Second // a message between two gateways takes no longer, also on a busy machine
+const maxPeerDelay = time.Second // a message between two gateways takes no longer, also on a busy machine
 
-// news tells whether each member knows of all others, as of the stated time ago.
-func (d *demonstration) news(ctx context.Context, out io.Writer) bool {
+// checkPeerInfo tells whether each member knows of all others, as of the stated time ago.
+func (d *demonstration) checkPeerInfo(ctx context.Context, out io.Writer) bool {
 	conf := peerinfo.DefaultConfig()
-	bound, oldest, known, kept := conf.StalenessBound(d.fleet, 0, newsDelay), time.Duration(0), 0, true
+	bound, oldest, known, kept := conf.StalenessBound(d.fleet, 0, maxPeerDelay), time.Duration(0), 0, true
 	for i := range d.fleet {
-		r, err := gossip.ReadStatus(ctx, d.socket(i))
+		r, err := gossip.ReadStatus(ctx, d.statusSocket(i))
 		if err != nil || len(r.PeerInfo) != d.fleet {
 			kept = false
 			continue
@@ -439,17 +439,17 @@
 			oldest = max(oldest, row.Age)
 		}
 	}
-	word := "kept"
+	verdict := "kept"
 	if kept = kept && oldest <= bound; !kept {
-		word = "BROKEN"
+		verdict = "BROKEN"
 	}
-	fmt.Fprintf(out, "%-7s what members know of each other (%d of %d, %v old at most, bound %v)\n", word, known, d.fleet*d.fleet, oldest.Round(time.Millisecond), bound)
+	fmt.Fprintf(out, "%-7s what members know of each other (%d of %d, %v old at most, bound %v)\n", verdict, known, d.fleet*d.fleet, oldest.Round(time.Millisecond), bound)
 	return kept
 }
 
-func (d *demonstration) leaveUp(ctx context.Context, out io.Writer) {
+func (d *demonstration) keepRunning(ctx context.Context, out io.Writer) {
 	fmt.Fprintf(out, "left up until interrupted\n  discovery http://%s/v1/servers\n", d.site.Discovery.Addr())
-	for i, p := range d.places {
+	for i, p := range d.endpoints {
 		fmt.Fprintf(out, "  gateway %d  %s (process %d)\n", i, p.Listen, d.gateways[i].PID())
 	}
 	for _, n := range d.site.Nodes {
--- a/cmd/sloectl/files.go
+++ b/cmd/sloectl/files.go
@@ -17,16 +17,16 @@
 	"sloepick/internal/sloe"
 )
 
-// flags reads a verb's flags and wants between least and most files behind them. It reports false when the call
+// parseFlags reads a verb's parseFlags and wants between least and most files behind them. It reports false when the call
 // can't be used, which it has told.
-func flags(fs *flag.FlagSet, args []string, errs io.Writer, least, most int) bool {
+func parseFlags(fs *flag.FlagSet, args []string, errs io.Writer, minFiles, maxFiles int) bool {
 	fs.SetOutput(errs)
 	if fs.Parse(args) != nil {
 		return false // Parse has told it
 	}
-	if n := fs.NArg(); n < least || n > most {
-		fmt.Fprintf(errs, "sloectl %s: got %d files, want %d", fs.Name(), n, least)
-		if most > least {
+	if n := fs.NArg(); n < minFiles || n > maxFiles {
+		fmt.Fprintf(errs, "sloectl %s: got %d files, want %d", fs.Name(), n, minFiles)
+		if maxFiles > minFiles {
 			fmt.Fprint(errs, " or more")
 		}
 		fmt.Fprintln(errs)
@@ -37,8 +37,8 @@
 
 func newFlags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
-// place is a position for programs.
-type place struct {
+// position is a position for programs.
+type position struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 	Col  int    `json:"col"`
@@ -46,33 +46,33 @@
 
 // problem is a sloe.Diag for programs.
 type problem struct {
-	place
-	Severity string       `json:"severity"` // error, warning
-	Message  string       `json:"message"`
-	Notes    []problemTip `json:"notes,omitempty"`
+	position
+	Severity string        `json:"severity"` // error, warning
+	Message  string        `json:"message"`
+	Notes    []problemNote `json:"notes,omitempty"`
 }
 
-type problemTip struct {
-	place
+type problemNote struct {
+	position
 	Message string `json:"message"`
 }
 
-func placeOf(p sloe.Pos) place {
+func positionOf(p sloe.Pos) position {
 	if !p.Valid() {
-		return place{}
+		return position{}
 	}
-	return place{p.Src.Name, p.Line(), p.Col()}
+	return position{p.Src.Name, p.Line(), p.Col()}
 }
 
 func problems(diags sloe.Diags) []problem {
 	all := []problem{}
 	for _, d := range diags {
-		p := problem{place: placeOf(d.Pos), Severity: "error", Message: d.Msg}
+		p := problem{position: positionOf(d.Pos), Severity: "error", Message: d.Msg}
 		if d.Warning {
 			p.Severity = "warning"
 		}
 		for _, n := range d.Notes {
-			p.Notes = append(p.Notes, problemTip{placeOf(n.Pos), n.Msg})
+			p.Notes = append(p.Notes, problemNote{positionOf(n.Pos), n.Msg})
 		}
 		all = append(all, p)
 	}
@@ -91,18 +91,18 @@
 	fs := newFlags("check")
 	asJSON := fs.Bool("json", false, "print the problems as JSON, on standard output")
 	platform := fs.String("platform", "", "the platform's file: hold routes to its settings too")
-	if !flags(fs, args, errs, 1, 1) {
-		return exitTrouble
+	if !parseFlags(fs, args, errs, 1, 1) {
+		return exitError
 	}
-	cfg, err := platformOf(*platform)
+	cfg, err := loadPlatform(*platform)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
-		return exitTrouble
+		return exitError
 	}
 	_, diags, err := blocks.Load(fs.Arg(0), cfg)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
-		return exitTrouble
+		return exitError
 	}
 	if *asJSON {
 		err = writeJSON(out, problems(diags))
@@ -110,16 +110,16 @@
 		_, err = io.WriteString(errs, diags.Error())
 	}
 	if err != nil {
-		return exitTrouble
+		return exitError
 	}
 	if diags.Failed() {
-		return exitNo
+		return exitNegative
 	}
 	return exitOK
 }
 
-// platformOf reads a platform's file, or none.
-func platformOf(file string) (*gateway.Config, error) {
+// loadPlatform reads a platform's file, or none.
+func loadPlatform(file string) (*gateway.Config, error) {
 	if file == "" {
 		return nil, nil
 	}
@@ -132,16 +132,16 @@
 	return &c, err
 }
 
-// load is a checked file, or nil with the exit code: what is wrong was told.
-func load(name string, errs io.Writer) (*operator.Config, int) {
+// loadOperatorFile is a checked file, or nil with the exit code: what is wrong was told.
+func loadOperatorFile(name string, errs io.Writer) (*operator.Config, int) {
 	c, diags, err := blocks.Schema().Load(name)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
-		return nil, exitTrouble
+		return nil, exitError
 	}
 	io.WriteString(errs, diags.Error())
 	if c == nil {
-		return nil, exitTrouble
+		return nil, exitError
 	}
 	return c, exitOK
 }
@@ -149,21 +149,21 @@
 func diff(args []string, out, errs io.Writer) int {
 	fs := newFlags("diff")
 	asJSON := fs.Bool("json", false, "print the changes as JSON")
-	if !flags(fs, args, errs, 2, 2) {
-		return exitTrouble
+	if !parseFlags(fs, args, errs, 2, 2) {
+		return exitError
 	}
-	old, code := load(fs.Arg(0), errs)
-	now, code2 := load(fs.Arg(1), errs)
-	if old == nil || now == nil {
-		return max(code, code2)
+	old, code := loadOperatorFile(fs.Arg(0), errs)
+	updated, updatedCode := loadOperatorFile(fs.Arg(1), errs)
+	if old == nil || updated == nil {
+		return max(code, updatedCode)
 	}
-	changes := operator.Diff(old, now)
+	changes := operator.Diff(old, updated)
 	if *asJSON {
 		if changes == nil {
 			changes = []operator.Change{}
 		}
 		if writeJSON(out, changes) != nil {
-			return exitTrouble
+			return exitError
 		}
 	} else {
 		for _, c := range changes {
@@ -171,17 +171,17 @@
 		}
 	}
 	if len(changes) > 0 {
-		return exitNo
+		return exitNegative
 	}
 	return exitOK
 }
 
 func show(args []string, out, errs io.Writer) int {
 	fs := newFlags("show")
-	if !flags(fs, args, errs, 1, 1) {
-		return exitTrouble
+	if !parseFlags(fs, args, errs, 1, 1) {
+		return exitError
 	}
-	c, code := load(fs.Arg(0), errs)
+	c, code := loadOperatorFile(fs.Arg(0), errs)
 	if c != nil {
 		io.WriteString(out, c.Show())
 	}
@@ -189,8 +189,8 @@
 }
 
 func doc(args []string, out, errs io.Writer) int {
-	if !flags(newFlags("doc"), args, errs, 0, 0) {
-		return exitTrouble
+	if !parseFlags(newFlags("doc"), args, errs, 0, 0) {
+		return exitError
 	}
 	io.WriteString(out, blocks.Schema().Doc())
 	return exitOK
@@ -202,30 +202,30 @@
 	fs := newFlags("fmt")
 	list := fs.Bool("l", false, "list files that would change, and exit 1 if there are any")
 	write := fs.Bool("w", false, "write files in place of printing them")
-	if !flags(fs, args, errs, 1, 1<<20) {
-		return exitTrouble
+	if !parseFlags(fs, args, errs, 1, 1<<20) {
+		return exitError
 	}
 	code := exitOK
 	for _, name := range fs.Args() {
-		before, after, err := formatted(name, errs)
+		before, after, err := formatFile(name, errs)
 		if err != nil {
 			fmt.Fprintln(errs, "sloectl:", err)
-			code = exitTrouble
+			code = exitError
 			continue
 		}
 		if after == nil {
-			code = max(code, exitNo)
+			code = max(code, exitNegative)
 			continue
 		}
 		changed := !bytes.Equal(before, after)
 		if *list && changed {
 			fmt.Fprintln(out, name)
-			code = max(code, exitNo)
+			code = max(code, exitNegative)
 		}
 		if *write && changed {
-			if err := replace(name, after); err != nil {
+			if err := replaceFile(name, after); err != nil {
 				fmt.Fprintln(errs, "sloectl:", err)
-				code = exitTrouble
+				code = exitError
 			}
 		}
 		if !*list && !*write {
@@ -235,8 +235,8 @@
 	return code
 }
 
-// formatted is a file before and after. after is nil if the file does not parse, which was told.
-func formatted(name string, errs io.Writer) (before, after []byte, err error) {
+// formatFile is a file before and after. after is nil if the file does not parse, which was told.
+func formatFile(name string, errs io.Writer) (before, after []byte, err error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return nil, nil, err
@@ -255,17 +255,17 @@
 	return before, append([]byte{}, sloe.Format(f)...), nil
 }
 
-// replace writes a file as a whole or not at all: a daemon that reloads meets the former or the new one.
-func replace(name string, text []byte) (err error) {
-	real, err := filepath.EvalSymlinks(name)
+// replaceFile writes a file as a whole or not at all: a daemon that reloads meets the former or the new one.
+func replaceFile(name string, text []byte) (err error) {
+	target, err := filepath.EvalSymlinks(name)
 	if err != nil {
 		return err
 	}
-	info, err := os.Stat(real)
+	info, err := os.Stat(target)
 	if err != nil {
 		return err
 	}
-	tmp, err := os.CreateTemp(filepath.Dir(real), ".sloectl-*")
+	tmp, err := os.CreateTemp(filepath.Dir(target), ".sloectl-*")
 	if err != nil {
 		return err
 	}
@@ -279,7 +279,7 @@
 	if err != nil {
 		return err
 	}
-	return os.Rename(tmp.Name(), real)
+	return os.Rename(tmp.Name(), target)
 }
 
 func ignoreMissing(err error) error {
--- a/cmd/sloectl/fleet.go
+++ b/cmd/sloectl/fleet.go
@@ -15,16 +15,16 @@
 	"sloepick/internal/overshoot"
 )
 
-// fleetVerb shows how a daemon sees its fleet, fleet status SOCKET, or the work that is done on its behalf, fleet duties SOCKET.
-func fleetVerb(args []string, out, errs io.Writer) int {
+// fleetCommand shows how a daemon sees its fleet, fleet status SOCKET, or the work that is done on its behalf, fleet duties SOCKET.
+func fleetCommand(args []string, out, errs io.Writer) int {
 	if len(args) != 2 || args[0] != "status" && args[0] != "duties" {
 		fmt.Fprintln(errs, "usage: sloectl fleet status|duties SOCKET")
-		return exitTrouble
+		return exitError
 	}
 	r, err := gossip.ReadStatus(context.Background(), args[1])
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
-		return exitTrouble
+		return exitError
 	}
 	if args[0] == "duties" {
 		printDuties(out, r)
@@ -43,11 +43,11 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tOWNER\tLEASE LEFT\tHIGHEST NUMBER")
 	for _, d := range r.Duties {
-		who, left := "not known here", "-"
+		owner, leaseLeft := "not known here", "-"
 		if d.Owner != "" {
-			who, left = d.Owner, d.LeaseLeft.Round(time.Second/10).String()
+			owner, leaseLeft = d.Owner, d.LeaseLeft.Round(time.Second/10).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", d.Duty, who, left, d.Number)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", d.Duty, owner, leaseLeft, d.Number)
 	}
 	w.Flush()
 	fmt.Fprintf(out, "\nvotes, in epoch %d:", r.Electorate.Epoch)
@@ -71,9 +71,9 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tSTATE\tPLACE\tTERM\tLIFE\tCONFIGURATION\tTOLD\tNEWS\tDROPPED\tADDRESS")
-	news := map[string]string{}
+	peerInfoAge := map[string]string{}
 	for _, row := range r.PeerInfo {
-		news[row.Name] = row.Age.Round(time.Second/10).String() + " old"
+		peerInfoAge[row.Name] = row.Age.Round(time.Second/10).String() + " old"
 	}
 	for _, row := range r.Members {
 		place, term := "-", "-"
@@ -83,9 +83,9 @@
 				place += " (not held)"
 			}
 		}
-		state, told, conf := row.State.String(), (r.Now-row.LastContact).Round(time.Second/10).String()+" ago", fmt.Sprintf("%016x", row.Generation)
+		state, lastContact, conf := row.State.String(), (r.Now-row.LastContact).Round(time.Second/10).String()+" ago", fmt.Sprintf("%016x", row.Generation)
 		if row.Self {
-			state, told = state+", this one", "-"
+			state, lastContact = state+", this one", "-"
 		} else if row.State != fleet.Alive {
 			state += fmt.Sprintf(" for %v", (r.Now - row.Since).Round(time.Second))
 		}
@@ -98,25 +98,25 @@
 		} else if row.Self {
 			dropped = fmt.Sprint(r.DroppedMessages)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", row.Name, state, place, term, row.Incarnation, conf, told, cmp.Or(news[row.Name], "-"), dropped, row.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", row.Name, state, place, term, row.Incarnation, conf, lastContact, cmp.Or(peerInfoAge[row.Name], "-"), dropped, row.Addr)
 	}
 	w.Flush()
-	stands := fmt.Sprintf("%s is in place %d", r.Name, r.Assignment.Slot)
+	summary := fmt.Sprintf("%s is in place %d", r.Name, r.Assignment.Slot)
 	if r.Assignment.Slot < 0 {
-		stands = r.Name + " has no place and lets nothing in"
+		summary = r.Name + " has no place and lets nothing in"
 	}
 	if r.Assignment.Isolated {
-		stands += ", cut off: it keeps to its even part"
+		summary += ", cut off: it keeps to its even part"
 	}
 	if r.RecoveryPhase != "" {
-		stands += ", power " + r.RecoveryPhase
+		summary += ", power " + r.RecoveryPhase
 	}
-	fmt.Fprintln(out, stands)
-	printNews(out, r)
+	fmt.Fprintln(out, summary)
+	printStaleness(out, r)
 }
 
-// quietWords tells when a region is quiet, by its own clock.
-func quietWords(row gossip.RegionStatus) string {
+// describeQuietWindow tells when a region is quiet, by its own clock.
+func describeQuietWindow(row gossip.RegionStatus) string {
 	const clock = "Mon 2 Jan 15:04 MST"
 	switch {
 	case row.Remaining > 0:
@@ -127,8 +127,8 @@
 	return fmt.Sprintf("quiet next from %s to %s", row.WindowStart.Format(clock), row.WindowEnd.Format(clock))
 }
 
-// clockWords tells what the fleet's clock is.
-func clockWords(c *gossip.FleetClock) string {
+// describeClock tells what the fleet's clock is.
+func describeClock(c *gossip.FleetClock) string {
 	switch {
 	case !c.OK:
 		return fmt.Sprintf("clock: no more than %d of %d members agree: there is none, and nothing is held to be quiet", c.AgreeingMembers, c.TotalMembers)
@@ -138,24 +138,24 @@
 	return fmt.Sprintf("clock: %d of %d members agree, known up to %v", c.AgreeingMembers, c.TotalMembers, c.Uncertainty.Round(time.Millisecond))
 }
 
-const boundOver = time.Minute // for which the status tells how far limits may be passed
+const limitWindow = time.Minute // for which the status tells how far limits may be passed
 
-// printNews tells how stale this member's view is, by regions, and what that means for the limits of customers.
-func printNews(out io.Writer, r *gossip.Status) {
+// printStaleness tells how stale this member's view is, by regions, and what that means for the limits of customers.
+func printStaleness(out io.Writer, r *gossip.Status) {
 	type region struct {
 		members int
-		heard   time.Duration // of the member of it that was heard last
+		minAge  time.Duration // of the member of it that was heard last
 	}
 	regions, oldest := map[string]region{}, gossip.PeerInfoRow{Age: -1}
 	for _, row := range r.PeerInfo {
 		if row.Name == r.Name {
 			continue
 		}
-		x, known := regions[row.Zone]
-		if x.members++; !known || row.Age < x.heard {
-			x.heard = row.Age
+		reg, known := regions[row.Zone]
+		if reg.members++; !known || row.Age < reg.minAge {
+			reg.minAge = row.Age
 		}
-		regions[row.Zone] = x
+		regions[row.Zone] = reg
 		if row.Age > oldest.Age {
 			oldest = row
 		}
@@ -173,14 +173,14 @@
 	for _, name := range slices.Sorted(maps.Keys(regions)) {
 		line := fmt.Sprintf("region %s: %d other members", cmp.Or(name, "without a name"), regions[name].members)
 		if regions[name].members > 0 {
-			line += fmt.Sprintf(", last heard of %v ago", regions[name].heard.Round(time.Second/10))
+			line += fmt.Sprintf(", last heard of %v ago", regions[name].minAge.Round(time.Second/10))
 		}
 		if row, known := calendar[name]; known {
-			line += "; " + quietWords(row)
+			line += "; " + describeQuietWindow(row)
 		}
 		fmt.Fprintln(out, line)
 	}
-	fmt.Fprintln(out, clockWords(&r.Clock))
+	fmt.Fprintln(out, describeClock(&r.Clock))
 	fmt.Fprintf(out, "limits: customers that %s keeps may be %.0f %% over their rate in a minute, and a fifth of a burst, if it was silent since its news (%v old)\n",
-		oldest.Name, 100*overshoot.MaxExcessRatio(oldest.Age, boundOver), oldest.Age.Round(time.Second/10))
+		oldest.Name, 100*overshoot.MaxExcessRatio(oldest.Age, limitWindow), oldest.Age.Round(time.Second/10))
 }
--- a/cmd/sloectl/main_test.go
+++ b/cmd/sloectl/main_test.go
@@ -13,7 +13,7 @@
 
 // TestMain lets the test's own binary stand for the program, as the demonstration starts itself as gateways.
 func TestMain(m *testing.M) {
-	if os.Getenv(selfEnv) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		main()
 	}
 	os.Exit(m.Run())
@@ -34,7 +34,7 @@
 	return name
 }
 
-const shipped = "../../deploy/example/sloepick.sloe"
+const examplePath = "../../deploy/example/sloepick.sloe"
 
 // The verbs' exit codes and where they write, on good files, bad ones and none.
 func TestVerbs(t *testing.T) {
@@ -48,30 +48,30 @@
 		code      int
 		out, errs string // a piece, or "" for nothing at all
 	}{
-		{"check " + shipped, 0, "", ""},
+		{"check " + examplePath, 0, "", ""},
 		{"check " + bad, 1, "", "bad.sloe:1:1: unknown block \"lgo\"; did you mean \"log\"?\n    lgo { }\n    ^\n"},
 		{"check " + warned, 0, "", "warned.sloe:1:8: warning: the definition"},
 		{"check " + none, 2, "", "sloectl: reading the configuration"},
 		{"check", 2, "", "sloectl check: got 0 files, want 1"},
 		{"check --jsn x", 2, "", "flag provided but not defined"},
-		{"check --json " + shipped, 0, "[]\n", ""},
-		{"fmt " + shipped, 0, "log {\n", ""},
-		{"fmt -l " + shipped, 0, "", ""},
+		{"check --json " + examplePath, 0, "[]\n", ""},
+		{"fmt " + examplePath, 0, "log {\n", ""},
+		{"fmt -l " + examplePath, 0, "", ""},
 		{"fmt " + bad, 0, "lgo {\n}\n", ""},
 		{"fmt -l " + bad + " " + warned, 1, "bad.sloe\n", ""},
 		{"fmt " + none, 2, "", "none.sloe"},
 		{"fmt " + dir, 2, "", "no ordinary file"},
-		{"diff " + shipped + " " + shipped, 0, "", ""},
-		{"diff " + shipped + " " + other, 1, "log: level info -> warn; at reload\n", ""},
-		{"diff --json " + shipped + " " + shipped, 0, "[]\n", ""},
-		{"diff " + shipped + " " + bad, 2, "", "unknown block"},
-		{"diff " + none + " " + shipped, 2, "", "none.sloe"},
-		{"diff " + shipped, 2, "", "got 1 files, want 2"},
-		{"show " + shipped, 0, "sloepick.sloe:13\n", ""},
+		{"diff " + examplePath + " " + examplePath, 0, "", ""},
+		{"diff " + examplePath + " " + other, 1, "log: level info -> warn; at reload\n", ""},
+		{"diff --json " + examplePath + " " + examplePath, 0, "[]\n", ""},
+		{"diff " + examplePath + " " + bad, 2, "", "unknown block"},
+		{"diff " + none + " " + examplePath, 2, "", "none.sloe"},
+		{"diff " + examplePath, 2, "", "got 1 files, want 2"},
+		{"show " + examplePath, 0, "sloepick.sloe:13\n", ""},
 		{"show " + bad, 2, "", "unknown block"},
-		{"check --platform " + none + " " + shipped, 2, "", "none.sloe"},
+		{"check --platform " + none + " " + examplePath, 2, "", "none.sloe"},
 		{"route", 2, "", "the only verb is explain"},
-		{"route explain " + shipped, 2, "", "--platform is missing"},
+		{"route explain " + examplePath, 2, "", "--platform is missing"},
 		{"doc", 0, "## `gateway.clients`", ""},
 		{"doc x", 2, "", "got 1 files"},
 		{"demo --seconds 1", 2, "", "--seconds is 10 to 600"},
@@ -120,8 +120,8 @@
 // The proof runs with the platform's file, and explain tells which route a request gets and why no other.
 func TestRoutesWithAPlatform(t *testing.T) {
 	dir := t.TempDir()
-	places := []testbed.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
-	text, err := testbed.SmallPlatform().GatewayConfig(0, places, "127.0.0.1:3", 1, testbed.ServerList{})
+	endpoints := []testbed.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
+	text, err := testbed.SmallPlatform().GatewayConfig(0, endpoints, "127.0.0.1:3", 1, testbed.ServerList{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,15 +132,15 @@
 		code      int
 		out, errs string
 	}{
-		{"check --platform " + platform + " " + shipped, 0, "", ""},
+		{"check --platform " + platform + " " + examplePath, 0, "", ""},
 		{"check " + late, 0, "", ""},
 		{"check --platform " + platform + " " + late, 1, "", "late.sloe:2:5: route r, class slot-lookup: whole is 3s, and clients wait 1.2s"},
 		{"route explain --platform " + platform + " " + late, 2, "", "whole at most 1.19s"},
-		{"route explain --platform " + platform + " --class slot-book --patience 3s " + shipped, 0,
-			"class slot-book, plan basic, customer 0000000000000000, patience 3s\nroute bookings (" + shippedRoutes + ":18:1) matches\n  whole: 5s, cut to the request's patience of 3s\n  attempt: 2s\n", ""},
-		{"route explain --platform " + platform + " --class slot-book " + shipped, 0, "not look-ups: class slot-book is not in its list\n", ""},
-		{"route explain --platform " + platform + " --class none " + shipped, 2, "", "no class \"none\""},
-		{"route explain --platform " + shipped + " " + shipped, 2, "", "invalid character"},
+		{"route explain --platform " + platform + " --class slot-book --patience 3s " + examplePath, 0,
+			"class slot-book, plan basic, customer 0000000000000000, patience 3s\nroute bookings (" + exampleRoutesPath + ":18:1) matches\n  whole: 5s, cut to the request's patience of 3s\n  attempt: 2s\n", ""},
+		{"route explain --platform " + platform + " --class slot-book " + examplePath, 0, "not look-ups: class slot-book is not in its list\n", ""},
+		{"route explain --platform " + platform + " --class none " + examplePath, 2, "", "no class \"none\""},
+		{"route explain --platform " + examplePath + " " + examplePath, 2, "", "invalid character"},
 	} {
 		code, out, errs := call(strings.Fields(tc.args)...)
 		if code != tc.code || !strings.Contains(out, tc.out) || !strings.Contains(errs, tc.errs) || (tc.out == "") != (out == "") || (tc.errs == "") != (errs == "") {
@@ -149,7 +149,7 @@
 	}
 }
 
-const shippedRoutes = "../../deploy/example/routes.sloe"
+const exampleRoutesPath = "../../deploy/example/routes.sloe"
 
 // fmt -w writes a file as a whole, through a link and with its mode, and leaves one that does not parse alone.
 func TestFormatWrites(t *testing.T) {
@@ -190,10 +190,10 @@
 
 // The demonstration starts real gateways, breaks no rule, and leaves nothing behind.
 func TestDemo(t *testing.T) {
-	for fleet, held := range map[string]int{"0": 5, "3": 6} { // the five rules, and what members know of each other
+	for fleet, wantKept := range map[string]int{"0": 5, "3": 6} { // the five rules, and what members know of each other
 		t.Setenv("TMPDIR", t.TempDir())
 		code, out, errs := call("demo", "--plain", "--seconds", "10", "--seed", "3", "--fleet", fleet)
-		if code != 0 || errs != "" || strings.Count(out, "kept    ") != held || strings.Contains(out, "BROKEN") {
+		if code != 0 || errs != "" || strings.Count(out, "kept    ") != wantKept || strings.Contains(out, "BROKEN") {
 			t.Errorf("fleet %s: code %d\n%s%s", fleet, code, out, errs)
 		}
 		if left, err := os.ReadDir(os.Getenv("TMPDIR")); err != nil || len(left) > 0 {
@@ -209,9 +209,9 @@
 		t.Fatal(err)
 	}
 	defer site.Close()
-	d := &demonstration{site: site, ends: []testbed.RequestResult{{ID: "a", Plan: "plus", Outcome: testbed.OutcomeLost, Detail: "gone"}}}
+	d := &demonstration{site: site, results: []testbed.RequestResult{{ID: "a", Plan: "plus", Outcome: testbed.OutcomeLost, Detail: "gone"}}}
 	var out bytes.Buffer
-	if d.verdict(&out) || !strings.Contains(out.String(), "BROKEN  one answer in time") || !strings.Contains(out.String(), "a got no answer: gone") {
+	if d.printVerdict(&out) || !strings.Contains(out.String(), "BROKEN  one answer in time") || !strings.Contains(out.String(), "a got no answer: gone") {
 		t.Errorf("got %s", out.String())
 	}
 }
--- a/cmd/sloectl/power.go
+++ b/cmd/sloectl/power.go
@@ -9,30 +9,30 @@
 	"sloepick/internal/snapshot"
 )
 
-const powerShown = 20 // customers: the fullest
+const maxCustomersShown = 20 // customers: the fullest
 
-// powerVerb shows what a gateway kept for its next start: power show FILE. It changes nothing, and works beside a live gateway.
-func powerVerb(args []string, out, errs io.Writer) int {
+// powerCommand shows what a gateway kept for its next start: power show FILE. It changes nothing, and works beside a live gateway.
+func powerCommand(args []string, out, errs io.Writer) int {
 	if len(args) != 2 || args[0] != "show" {
 		fmt.Fprintln(errs, "usage: sloectl power show FILE")
-		return exitTrouble
+		return exitError
 	}
-	img, err := snapshot.Read(snapshot.OSFS{}, args[1])
+	snap, err := snapshot.Read(snapshot.OSFS{}, args[1])
 	if err != nil {
 		fmt.Fprintf(errs, "sloectl: %s: %v\n", args[1], err)
-		return exitNo
+		return exitNegative
 	}
-	printImage(out, img)
+	printSnapshot(out, snap)
 	return exitOK
 }
 
-func printImage(out io.Writer, img *recovery.Snapshot) {
-	fmt.Fprintf(out, "%s, image %d of the line begun in life %d, written %s, under boot %s\n", img.Name, img.Version.Sequence, img.Version.Lineage,
-		img.TakenAt.Wall.UTC().Format("2006-01-02 15:04:05.000 UTC"), img.TakenAt.BootID)
-	fmt.Fprintf(out, "%d customers, %.1f units answered a second, %d other members known, one image each %v\n", len(img.Buckets), img.ServedRate, len(img.Peers), img.Interval)
+func printSnapshot(out io.Writer, snap *recovery.Snapshot) {
+	fmt.Fprintf(out, "%s, image %d of the line begun in life %d, written %s, under boot %s\n", snap.Name, snap.Version.Sequence, snap.Version.Lineage,
+		snap.TakenAt.Wall.UTC().Format("2006-01-02 15:04:05.000 UTC"), snap.TakenAt.BootID)
+	fmt.Fprintf(out, "%d customers, %.1f units answered a second, %d other members known, one image each %v\n", len(snap.Buckets), snap.ServedRate, len(snap.Peers), snap.Interval)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CUSTOMER\tPLAN\tUSED OF ITS BURST")
-	for _, b := range recovery.Fullest(img.Buckets, powerShown) {
+	for _, b := range recovery.Fullest(snap.Buckets, maxCustomersShown) {
 		fmt.Fprintf(w, "%09x\t%s\t%.0f%%\n", b.Key, b.Plan, 100*b.Fill)
 	}
 	w.Flush()
--- a/cmd/sloectl/route.go
+++ b/cmd/sloectl/route.go
@@ -9,61 +9,61 @@
 	"sloepick/internal/route"
 )
 
-// routeVerb explains which route a request gets: route explain. The platform's file tells classes, plans and figures.
-func routeVerb(args []string, out, errs io.Writer) int {
+// routeCommand explains which route a request gets: route explain. The platform's file tells classes, plans and figures.
+func routeCommand(args []string, out, errs io.Writer) int {
 	if len(args) == 0 || args[0] != "explain" {
 		fmt.Fprintln(errs, "sloectl route: the only verb is explain")
-		return exitTrouble
+		return exitError
 	}
 	fs := newFlags("route explain")
 	platform := fs.String("platform", "", "the platform's file; required")
-	var a route.Request
-	fs.StringVar(&a.Class, "class", "", "the request's class; left out: the platform's first")
-	fs.StringVar(&a.Plan, "plan", "", "its customer's plan; left out: the platform's first")
-	fs.StringVar(&a.Customer, "customer", "0000000000000000", "its customer, 16 hex digits")
-	fs.DurationVar(&a.ClientTimeout, "patience", 0, "how long its client waits; left out: the class's whole time")
-	if !flags(fs, args[1:], errs, 1, 1) {
-		return exitTrouble
+	var req route.Request
+	fs.StringVar(&req.Class, "class", "", "the request's class; left out: the platform's first")
+	fs.StringVar(&req.Plan, "plan", "", "its customer's plan; left out: the platform's first")
+	fs.StringVar(&req.Customer, "customer", "0000000000000000", "its customer, 16 hex digits")
+	fs.DurationVar(&req.ClientTimeout, "patience", 0, "how long its client waits; left out: the class's whole time")
+	if !parseFlags(fs, args[1:], errs, 1, 1) {
+		return exitError
 	}
 	if *platform == "" {
 		fmt.Fprintln(errs, "sloectl route explain: --platform is missing: it tells the classes and plans")
-		return exitTrouble
+		return exitError
 	}
-	cfg, err := platformOf(*platform)
+	cfg, err := loadPlatform(*platform)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
-		return exitTrouble
+		return exitError
 	}
 	c, diags, err := blocks.Load(fs.Arg(0), cfg)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
-		return exitTrouble
+		return exitError
 	}
 	io.WriteString(errs, diags.Error())
 	if c == nil {
-		return exitTrouble
+		return exitError
 	}
-	set := &cfg.Settings.Decide
+	settings := &cfg.Settings.Decide
 	known := false
-	for _, k := range set.Classes {
-		if a.Class == "" {
-			a.Class = k.Name
+	for _, k := range settings.Classes {
+		if req.Class == "" {
+			req.Class = k.Name
 		}
-		if k.Name == a.Class {
+		if k.Name == req.Class {
 			known = true
-			if a.ClientTimeout == 0 {
-				a.ClientTimeout = k.Deadline
+			if req.ClientTimeout == 0 {
+				req.ClientTimeout = k.Deadline
 			}
 		}
 	}
-	if a.Plan == "" && len(set.Plans) > 0 {
-		a.Plan = set.Plans[0].Name
+	if req.Plan == "" && len(settings.Plans) > 0 {
+		req.Plan = settings.Plans[0].Name
 	}
-	if !known || a.ClientTimeout < 0 {
-		fmt.Fprintf(errs, "sloectl route explain: the platform has no class %q\n", a.Class)
-		return exitTrouble
+	if !known || req.ClientTimeout < 0 {
+		fmt.Fprintf(errs, "sloectl route explain: the platform has no class %q\n", req.Class)
+		return exitError
 	}
-	fmt.Fprintf(out, "class %s, plan %s, customer %s, patience %v\n", a.Class, a.Plan, a.Customer, a.ClientTimeout.Round(time.Millisecond))
-	io.WriteString(out, route.NewTable(route.FromConfig(c), set).Explain(a))
+	fmt.Fprintf(out, "class %s, plan %s, customer %s, patience %v\n", req.Class, req.Plan, req.Customer, req.ClientTimeout.Round(time.Millisecond))
+	io.WriteString(out, route.NewTable(route.FromConfig(c), settings).Explain(req))
 	return exitOK
 }
--- a/cmd/sloepick/main_test.go
+++ b/cmd/sloepick/main_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string, env ...string) *exec.Cmd {
+func testCommand(t *testing.T, config string, env ...string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -39,10 +39,10 @@
 // What can't be used is one clear line and a failure, not a stack or a gateway that serves nobody.
 func TestBadStart(t *testing.T) {
 	for name, cmd := range map[string]*exec.Cmd{
-		"no config":  program(t, "", "GW_CONFIG="),
-		"no file":    program(t, "", "GW_CONFIG="+filepath.Join(t.TempDir(), "none")),
-		"empty file": program(t, ""),
-		"no listen":  program(t, `{"discovery":"127.0.0.1:1"}`, "GW_LISTEN="),
+		"no config":  testCommand(t, "", "GW_CONFIG="),
+		"no file":    testCommand(t, "", "GW_CONFIG="+filepath.Join(t.TempDir(), "none")),
+		"empty file": testCommand(t, ""),
+		"no listen":  testCommand(t, `{"discovery":"127.0.0.1:1"}`, "GW_LISTEN="),
 	} {
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
@@ -76,7 +76,7 @@
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[]}`)
 	}))
 	defer web.Close()
-	cmd := program(t, fmt.Sprintf(config, addr, strings.TrimPrefix(web.URL, "http://")))
+	cmd := testCommand(t, fmt.Sprintf(config, addr, strings.TrimPrefix(web.URL, "http://")))
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 		return strings.TrimPrefix(web.URL, "http://")
 	}
 	first, second := at("first"), at("second")
-	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0", first), "GW_DISCOVERY="+first)
+	cmd := testCommand(t, fmt.Sprintf(config, "127.0.0.1:0", first), "GW_DISCOVERY="+first)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -23,19 +23,19 @@
 	platform := testbed.SmallPlatform()
 	platform.Rules.OverloadFactor = 1.1 // little more than a cold server can do: without slow start its even share pushes it over
 	platform.Rules.ColdDuration = 10 * time.Second
-	r := e2e.New(t, e2e.Config{Platform: platform, Nodes: nodes, Gateways: n, Seed: seed, Command: program})
+	r := e2e.New(t, e2e.Config{Platform: platform, Nodes: nodes, Gateways: n, Seed: seed, Command: testCommand})
 	r.Mesh.SetFault(faultnet.Blackhole, nil, nil)
 	r.Start(0, r.AllGateways()...)
 	rules := platform.Rules
 	platform.Rules.OverloadFactor *= 2 // of the general audit, which has no room for chance: this test counts by the rule's own terms
 	mean := meanWork(platform)
-	asked := load * nodes * float64(platform.Rules.Cores) / mean.Seconds()
-	var crowd []testbed.Customer
-	const customers = 60 // so many that none floods: quotas are not what is tested
-	for i := range customers {
-		crowd = append(crowd, testbed.Customer{ID: fmt.Sprintf("%016x", 16+i), Plan: "network", Rate: asked / customers, GatewayCount: n})
+	totalRate := load * nodes * float64(platform.Rules.Cores) / mean.Seconds()
+	var customers []testbed.Customer
+	const customerCount = 60 // so many that none floods: quotas are not what is tested
+	for i := range customerCount {
+		customers = append(customers, testbed.Customer{ID: fmt.Sprintf("%016x", 16+i), Plan: "network", Rate: totalRate / customerCount, GatewayCount: n})
 	}
-	p := r.RunLoad(crowd, seed, r.Script(
+	p := r.RunLoad(customers, seed, r.Script(
 		e2e.Event{At: 4 * time.Second, Name: "two servers start anew", Do: func() {
 			r.Must(r.Site.Restart(0))
 			r.Must(r.Site.Restart(1))
@@ -70,29 +70,29 @@
 
 // worstWindow is the most work that a server got in a window while it was cold, as a share of what may be: N requests of mean work, N being
 // what it can take in the window, and 2 sqrt(N) + 2 for chance.
-func worstWindow(tally *testbed.Recorder, rules testbed.Rules, node string, mean time.Duration) (worst float64) {
-	started := tally.StartTimes(node)
-	if len(started) == 0 {
+func worstWindow(recorder *testbed.Recorder, rules testbed.Rules, node string, mean time.Duration) (worst float64) {
+	startTimes := recorder.StartTimes(node)
+	if len(startTimes) == 0 {
 		return 0
 	}
-	start := started[0]
-	in := slices.DeleteFunc(tally.Arrivals(), func(a testbed.Arrival) bool {
+	start := startTimes[0]
+	arrivals := slices.DeleteFunc(recorder.Arrivals(), func(a testbed.Arrival) bool {
 		since := a.At.Sub(start)
 		return a.Node != node || since < 0 || since >= rules.ColdDuration
 	})
-	slices.SortFunc(in, func(a, b testbed.Arrival) int { return a.At.Compare(b.At) })
-	for i, first := range in {
-		sent := time.Duration(0)
-		for _, a := range in[i:] {
+	slices.SortFunc(arrivals, func(a, b testbed.Arrival) int { return a.At.Compare(b.At) })
+	for i, first := range arrivals {
+		work := time.Duration(0)
+		for _, a := range arrivals[i:] {
 			if a.At.Sub(first.At) > rules.OverloadWindow {
 				break
 			}
-			sent += a.Work
+			work += a.Work
 		}
-		warm := float64(first.At.Sub(start)) / float64(rules.ColdDuration)
-		speed := rules.ColdCapacity + (1-rules.ColdCapacity)*warm
-		can := rules.OverloadFactor * float64(rules.Cores) * speed * rules.OverloadWindow.Seconds() / mean.Seconds()
-		worst = max(worst, sent.Seconds()/mean.Seconds()/(can+2*math.Sqrt(can)+2))
+		progress := float64(first.At.Sub(start)) / float64(rules.ColdDuration)
+		speed := rules.ColdCapacity + (1-rules.ColdCapacity)*progress
+		capacity := rules.OverloadFactor * float64(rules.Cores) * speed * rules.OverloadWindow.Seconds() / mean.Seconds()
+		worst = max(worst, work.Seconds()/mean.Seconds()/(capacity+2*math.Sqrt(capacity)+2))
 	}
 	return worst
 }
--- a/internal/daemon/commons_test.go
+++ b/internal/daemon/commons_test.go
@@ -12,107 +12,107 @@
 	"sloepick/internal/testbed/faultnet"
 )
 
-const askEvery = 200 * time.Millisecond
+const peerInfoInterval = 200 * time.Millisecond
 
-// TestNewsIsNeverYoungerThanTold plays six processes whose messages are lost, late and doubled, one of which is cut off, one that is heard by
+// TestReportedPeerInfoAge plays six processes whose messages are lost, late and doubled, one of which is cut off, one that is heard by
 // nobody, one that stands still and one that is killed. Each tells how old its news of the others is: never less than it is, by the wall
 // clock that all of them have on one machine; and while all hear each other not more than peerinfo.Config.StalenessBound, and the machine's lateness.
-func TestNewsIsNeverYoungerThanTold(t *testing.T) {
+func TestReportedPeerInfoAge(t *testing.T) {
 	t.Parallel() // it waits more than it works
 	const n = 6
-	usual := faultnet.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
+	normalFaults := faultnet.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
 	r := newFleet(t, testbed.SmallPlatform(), n, 1, "commons {\n every = 200ms\n}\nregion floor-3 {\n clock = \"Asia/Seoul\"\n quiet = [\"daily 00:00-24:00\"]\n}\n")
-	pulse := testbed.NewSchedulingMonitor()
-	t.Cleanup(pulse.Close)
-	r.Mesh.SetFault(usual, nil, nil)
+	monitor := testbed.NewSchedulingMonitor()
+	t.Cleanup(monitor.Close)
+	r.Mesh.SetFault(normalFaults, nil, nil)
 	r.Start(0, r.AllGateways()...)
-	agreed(t, r, time.Minute, r.AllGateways()...)
+	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
 
 	conf := peerinfo.DefaultConfig()
-	conf.Interval = askEvery
-	stale := conf.StalenessBound(n, usual.Loss, usual.MaxDelay)
+	conf.Interval = peerInfoInterval
+	bound := conf.StalenessBound(n, normalFaults.Loss, normalFaults.MaxDelay)
 	var ages []time.Duration
-	// watch looks at all members that say something for a while. Where calm, all have to know all others as of stale ago.
-	watch := func(what string, took time.Duration, calm bool) (most time.Duration) {
+	// observe looks at all members that say something for a while. Where calm, all have to know all others as of stale ago.
+	observe := func(what string, duration time.Duration, connected bool) (oldest time.Duration) {
 		t.Helper()
 		rows := 0
-		for begin := time.Now(); time.Since(begin) < took; time.Sleep(20 * time.Millisecond) {
+		for start := time.Now(); time.Since(start) < duration; time.Sleep(20 * time.Millisecond) {
 			for i := range n {
-				asked := time.Now()
-				rep := report(r, i)
-				if rep == nil {
+				askedAt := time.Now()
+				status := readStatus(r, i)
+				if status == nil {
 					continue
 				}
-				late := pulse.DelayBetween(asked.Add(-stale), time.Now())
-				if calm && (!rep.Clock.OK || rep.Clock.AgreeingMembers != n || len(rep.Regions) != 1 || rep.Regions[0].Remaining < time.Hour) {
-					t.Fatalf("%s: %s has the clock %+v and the regions %+v", what, rep.Name, rep.Clock, rep.Regions)
+				delay := monitor.DelayBetween(askedAt.Add(-bound), time.Now())
+				if connected && (!status.Clock.OK || status.Clock.AgreeingMembers != n || len(status.Regions) != 1 || status.Regions[0].Remaining < time.Hour) {
+					t.Fatalf("%s: %s has the clock %+v and the regions %+v", what, status.Name, status.Clock, status.Regions)
 				}
-				if calm && len(rep.PeerInfo) != n {
-					t.Fatalf("%s: %s knows %d members of %d: %+v", what, rep.Name, len(rep.PeerInfo), n, rep.PeerInfo)
+				if connected && len(status.PeerInfo) != n {
+					t.Fatalf("%s: %s knows %d members of %d: %+v", what, status.Name, len(status.PeerInfo), n, status.PeerInfo)
 				}
-				for _, row := range rep.PeerInfo {
-					if row.Name == rep.Name {
+				for _, row := range status.PeerInfo {
+					if row.Name == status.Name {
 						continue
 					}
 					rows++
-					is := time.Duration(rep.WallMillis-row.WallMillis) * time.Millisecond
-					if row.Age < is-2*time.Millisecond { // of two clocks' rounding to whole ones
-						t.Fatalf("%s: %s tells %s's news as %v old; it is %v", what, rep.Name, row.Name, row.Age, is)
+					actual := time.Duration(status.WallMillis-row.WallMillis) * time.Millisecond
+					if row.Age < actual-2*time.Millisecond { // of two clocks' rounding to whole ones
+						t.Fatalf("%s: %s tells %s's news as %v old; it is %v", what, status.Name, row.Name, row.Age, actual)
 					}
-					if calm && row.Age > stale+late {
-						t.Errorf("%s: %s knows %s's news as of %v ago, more than %v and the machine's %v", what, rep.Name, row.Name, row.Age, stale, late)
+					if connected && row.Age > bound+delay {
+						t.Errorf("%s: %s knows %s's news as of %v ago, more than %v and the machine's %v", what, status.Name, row.Name, row.Age, bound, delay)
 					}
-					if calm {
+					if connected {
 						ages = append(ages, row.Age)
 					}
-					most = max(most, row.Age)
+					oldest = max(oldest, row.Age)
 				}
 			}
 		}
-		t.Logf("%s: %d looks at news, %v old at most", what, rows, most.Round(time.Millisecond))
+		t.Logf("%s: %d looks at news, %v old at most", what, rows, oldest.Round(time.Millisecond))
 		if rows == 0 {
 			t.Errorf("%s: nobody knows anything", what)
 		}
-		return most
+		return oldest
 	}
-	settle := func() { time.Sleep(stale) }
-	settle()
-	watch("in peace", 2*time.Second, true)
+	waitBound := func() { time.Sleep(bound) }
+	waitBound()
+	observe("in peace", 2*time.Second, true)
 
-	const cut = 3 * time.Second
+	const faultDuration = 3 * time.Second
 	r.Mesh.Partition([]int{1})
-	if most := watch("one is cut off", cut, false); most < cut/2 {
-		t.Errorf("one was cut off for %v, and nobody's news is older than %v", cut, most)
+	if oldest := observe("one is cut off", faultDuration, false); oldest < faultDuration/2 {
+		t.Errorf("one was cut off for %v, and nobody's news is older than %v", faultDuration, oldest)
 	}
-	r.Mesh.SetFault(usual, nil, nil)
+	r.Mesh.SetFault(normalFaults, nil, nil)
 	r.Mesh.SetFault(faultnet.Blackhole, []int{2}, []int{0, 1, 3, 4, 5})
-	watch("one hears and is not heard", cut, false)
-	r.Mesh.SetFault(usual, nil, nil)
-	thaw := r.Suspend(3)
-	watch("one stands still", cut, false)
-	thaw()
-	watch("it goes on", time.Second, false)
+	observe("one hears and is not heard", faultDuration, false)
+	r.Mesh.SetFault(normalFaults, nil, nil)
+	resume := r.Suspend(3)
+	observe("one stands still", faultDuration, false)
+	resume()
+	observe("it goes on", time.Second, false)
 	r.Kill(4)
-	watch("one is dead", time.Second, false)
+	observe("one is dead", time.Second, false)
 	r.Start(0, 4)
-	agreed(t, r, time.Minute, r.AllGateways()...)
-	settle()
-	watch("all are back", 2*time.Second, true)
+	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
+	waitBound()
+	observe("all are back", 2*time.Second, true)
 	slices.Sort(ages)
-	t.Logf("while all hear each other: %v in the middle, %v at the 99th of 100, bound %v", ages[len(ages)/2].Round(time.Millisecond), ages[len(ages)*99/100].Round(time.Millisecond), stale)
-	counts(t, r)
+	t.Logf("while all hear each other: %v in the middle, %v at the 99th of 100, bound %v", ages[len(ages)/2].Round(time.Millisecond), ages[len(ages)*99/100].Round(time.Millisecond), bound)
+	checkPeerInfoCounts(t, r)
 }
 
-// counts holds that nothing waited long or was dropped between a member's goroutines.
-func counts(t *testing.T, r *e2e.Harness) {
+// checkPeerInfoCounts holds that nothing waited long or was dropped between a member's goroutines.
+func checkPeerInfoCounts(t *testing.T, r *e2e.Harness) {
 	t.Helper()
 	var all gossip.PeerInfoStats
 	for i := range r.Processes {
-		if rep := report(r, i); rep != nil {
-			all.Queue.MaxDepth = max(all.Queue.MaxDepth, rep.PeerInfoStats.Queue.MaxDepth)
-			all.Queue.Dropped += rep.PeerInfoStats.Queue.Dropped
-			all.Table.Malformed += rep.PeerInfoStats.Table.Malformed
-			all.MessagesSent += rep.PeerInfoStats.MessagesSent
+		if status := readStatus(r, i); status != nil {
+			all.Queue.MaxDepth = max(all.Queue.MaxDepth, status.PeerInfoStats.Queue.MaxDepth)
+			all.Queue.Dropped += status.PeerInfoStats.Queue.Dropped
+			all.Table.Malformed += status.PeerInfoStats.Table.Malformed
+			all.MessagesSent += status.PeerInfoStats.MessagesSent
 		}
 	}
 	t.Logf("%d messages sent, %d waited at most, %d dropped", all.MessagesSent, all.Queue.MaxDepth, all.Queue.Dropped)
--- a/internal/daemon/cost_test.go
+++ b/internal/daemon/cost_test.go
@@ -33,25 +33,25 @@
 	}
 	for range 4 {
 		for name, file := range map[string]string{"no file": "", "the example": strings.Join(parts, ""), "power": "power {\n keep = \"power\"\n}\n"} {
-			r := newRig(t, file)
-			memory := r.proc("status", "VmRSS:")
-			before, n := r.ticks(), atomic.Int64{}
+			r := newHarness(t, file)
+			memory := r.procField("status", "VmRSS:")
+			before, n := r.cpuTicks(), atomic.Int64{}
 			ctx, cancel := context.WithTimeout(r.ctx, 6*time.Second)
-			crowd := testbed.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: 1, OnResult: func(testbed.RequestResult) { n.Add(1) }}
+			load := testbed.LoadGenerator{Gateways: []string{r.endpoint.Listen}, Classes: r.site.Platform.Classes, Seed: 1, OnResult: func(testbed.RequestResult) { n.Add(1) }}
 			for i := range 40 {
-				crowd.Customers = append(crowd.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 20, GatewayCount: 1})
+				load.Customers = append(load.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 20, GatewayCount: 1})
 			}
-			crowd.Run(ctx)
+			load.Run(ctx)
 			cancel()
 			t.Logf("%s: %s KB at the start, %.0f us a request over %d", name, memory,
-				float64(r.ticks()-before)*1e4/float64(n.Load()), n.Load())
+				float64(r.cpuTicks()-before)*1e4/float64(n.Load()), n.Load())
 			r.gateway.Kill()
 		}
 	}
 }
 
-// proc is a field of the gateway's process.
-func (r *rig) proc(file, field string) string {
+// procField is a field of the gateway's process.
+func (r *harness) procField(file, field string) string {
 	r.t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", r.gateway.PID(), file))
 	if err != nil {
@@ -61,8 +61,8 @@
 	return strings.Fields(rest)[0]
 }
 
-// ticks are the hundredths of a second of CPU that the gateway used.
-func (r *rig) ticks() (sum int64) {
+// cpuTicks are the hundredths of a second of CPU that the gateway used.
+func (r *harness) cpuTicks() (sum int64) {
 	r.t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.gateway.PID()))
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,19 +30,19 @@
 )
 
 const (
-	heapPart  = 0.6 // of the memory limit: the rest is for stacks, the runtime and what the kernel counts
-	gcPercent = 400 // the live heap is small, so memory is cheaper than collections
+	heapFraction = 0.6 // of the memory limit: the rest is for stacks, the runtime and what the kernel counts
+	gcPercent    = 400 // the live heap is small, so memory is cheaper than collections
 
-	steadyFor  = 25 * time.Millisecond // an operator file that reads the same twice, so far apart, is not being written
-	steadyMost = 2 * time.Second       // one that goes on changing is not taken
+	stableReadInterval = 25 * time.Millisecond // an operator file that reads the same twice, so far apart, is not being written
+	stableReadTimeout  = 2 * time.Second       // one that goes on changing is not taken
 )
 
 // Main runs the daemon with the arguments behind the program's name and returns its exit code.
 func Main(args []string, getenv func(string) string, stderr io.Writer) int {
 	if err := run(args, getenv, stderr); err != nil {
 		fmt.Fprintln(stderr, "sloepick:", err)
-		if bad := (*badFile)(nil); errors.As(err, &bad) {
-			fmt.Fprint(stderr, bad.diags.Error())
+		if fileErr := (*operatorFileError)(nil); errors.As(err, &fileErr) {
+			fmt.Fprint(stderr, fileErr.diags.Error())
 		}
 		return 1
 	}
@@ -68,88 +68,88 @@
 		return err
 	}
 	clients := resp.NewFrontend(cfg.Listen)
-	give(sockets, clientsName, &clients.Listener)
+	assignSocket(sockets, clientsSocketName, &clients.Listener)
 	cfg.Frontends, cfg.DefaultBackend = []gateway.Frontend{clients}, resp.Backend{}
 	r := reloader{file: file, cfg: &cfg, getenv: getenv, log: log, level: &level, reloads: make(chan gateway.Reload)}
 	if file != "" {
 		var warnings sloe.Diags
-		if r.now, warnings, err = r.load(); err != nil {
+		if r.current, warnings, err = r.load(); err != nil {
 			return err
 		}
-		r.warn(warnings)
-		cfg.Tuning, cfg.Routes = tuning.FromConfig(r.now), route.FromConfig(r.now)
-		level.Set(blocks.Level(r.now))
-		cfg.BackendsByKind = blocks.Backs(r.now)
-		for _, l := range blocks.Listeners(r.now) {
+		r.logWarnings(warnings)
+		cfg.Tuning, cfg.Routes = tuning.FromConfig(r.current), route.FromConfig(r.current)
+		level.Set(blocks.Level(r.current))
+		cfg.BackendsByKind = blocks.Backs(r.current)
+		for _, l := range blocks.Listeners(r.current) {
 			f, err := h2.NewFrontend(l)
 			if err != nil {
 				return err
 			}
-			give(sockets, l.Name, &f.Listener)
-			r.fronts = append(r.fronts, f)
+			assignSocket(sockets, l.Name, &f.Listener)
+			r.frontends = append(r.frontends, f)
 			cfg.Frontends = append(cfg.Frontends, f)
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	if r.now != nil {
-		if err := r.join(ctx, end); err != nil {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	if r.current != nil {
+		if err := r.joinFleet(ctx, cancel); err != nil {
 			return err
 		}
-		keep, err := r.power()
+		stopRecovery, err := r.startRecovery()
 		if err != nil {
 			return err
 		}
-		defer keep()
-		defer r.serveDuties()()
+		defer stopRecovery()
+		defer r.startDuties()()
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapPart * float64(cfg.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB<<20)))
 	for name := range sockets {
 		return fmt.Errorf("a socket %q was passed in, and nothing here has that name", name)
 	}
-	manager := systemd.NewNotifier(log, getenv)
-	r.manager = manager
+	notifier := systemd.NewNotifier(log, getenv)
+	r.notifier = notifier
 	stopped := make(chan struct{})
 	defer close(stopped)
 	cfg.OnReady = func(d *gateway.Core) {
-		manager.Ready()
-		go manager.RunWatchdog(d.Post, stopped)
+		notifier.Ready()
+		go notifier.RunWatchdog(d.Post, stopped)
 	}
-	context.AfterFunc(ctx, manager.Stopping)
+	context.AfterFunc(ctx, notifier.Stopping)
 	log.Info("starting", "listen", cfg.Listen, "servers", len(cfg.KnownServers.Servers))
 	go r.run(ctx, hup)
 	if err := gateway.Run(ctx, cfg, r.reloads, log); err != nil {
 		return err
 	}
 	log.Info("stopped")
-	if err := context.Cause(ctx); errors.Is(err, errYielded) {
+	if err := context.Cause(ctx); errors.Is(err, errSuperseded) {
 		return err
 	}
 	return nil
 }
 
-// dress changes how a member takes part before it does: tests put broken links between the members of a fleet. nil: nothing.
-var dress func(*gossip.Config) error
+// gossipConfigHook changes how a member takes part before it does: tests put broken links between the members of a fleet. nil: nothing.
+var gossipConfigHook func(*gossip.Config) error
 
-var errYielded = errors.New("a later process of this name is in the fleet")
+var errSuperseded = errors.New("a later process of this name is in the fleet")
 
-// join makes the gateway a member of a fleet, if the operators' file says so. The fleet gives it its number.
-func (r *reloader) join(ctx context.Context, end context.CancelCauseFunc) error {
-	f := blocks.Fleet(r.now)
+// joinFleet makes the gateway a member of a fleet, if the operators' file says so. The fleet gives it its number.
+func (r *reloader) joinFleet(ctx context.Context, cancel context.CancelCauseFunc) error {
+	f := blocks.Fleet(r.current)
 	if f == nil {
 		return nil
 	}
 	f.Name, f.Zone = r.cfg.Name, r.cfg.Settings.Decide.Zone
-	if dress != nil {
-		if err := dress(f); err != nil {
+	if gossipConfigHook != nil {
+		if err := gossipConfigHook(f); err != nil {
 			return err
 		}
 	}
-	if err := withDuties(f, blocks.DutiesOf(r.now)); err != nil {
+	if err := configureDuties(f, blocks.DutiesOf(r.current)); err != nil {
 		return err
 	}
 	member, err := gossip.New(*f, r.log)
@@ -157,26 +157,26 @@
 		return err
 	}
 	r.member, r.cfg.Member = member, member
-	set := &r.cfg.Settings.Decide
-	set.Rank, set.Gateways, set.Limits.PeerMessages = 0, f.Fleet.Slots, true
+	settings := &r.cfg.Settings.Decide
+	settings.Rank, settings.Gateways, settings.Limits.PeerMessages = 0, f.Fleet.Slots, true
 	go func() {
 		select {
 		case m := <-member.Superseded():
 			r.log.Error("a later process of this name is in the fleet: ending", "name", m.Name, "at", m.Addr)
-			end(errYielded)
+			cancel(errSuperseded)
 		case <-ctx.Done():
 		}
 	}()
 	return nil
 }
 
-// clientsName is the name of the socket for RESP2's clients among those that are passed in; others go by the listeners' names.
-const clientsName = "clients"
+// clientsSocketName is the name of the socket for RESP2's clients among those that are passed in; others go by the listeners' names.
+const clientsSocketName = "clients"
 
-// give hands a socket that was passed in to a front.
-func give(sockets map[string]net.Listener, name string, to *gateway.Listener) {
+// assignSocket hands a socket that was passed in to a front.
+func assignSocket(sockets map[string]net.Listener, name string, listener *gateway.Listener) {
 	if ln := sockets[name]; ln != nil {
-		to.UseSocket(ln)
+		listener.UseSocket(ln)
 		delete(sockets, name)
 	}
 }
@@ -195,23 +195,23 @@
 	return *file, nil
 }
 
-// badFile is an operator file that can't be used.
-type badFile struct {
+// operatorFileError is an operator file that can't be used.
+type operatorFileError struct {
 	file  string
 	diags sloe.Diags
 }
 
 // Error is one line, for the log: the first error and how many there are.
-func (e *badFile) Error() string {
-	n, first := 0, ""
+func (e *operatorFileError) Error() string {
+	errorCount, first := 0, ""
 	for _, d := range e.diags {
 		if !d.Warning {
-			if n++; n == 1 {
+			if errorCount++; errorCount == 1 {
 				first = fmt.Sprintf("%s: %s", d.Pos, d.Msg)
 			}
 		}
 	}
-	return fmt.Sprintf("the operator file %s can't be used: errors=%d, the first: %s", e.file, n, first)
+	return fmt.Sprintf("the operator file %s can't be used: errors=%d, the first: %s", e.file, errorCount, first)
 }
 
 // load reads the operator file and holds it to the platform's settings. What comes back beside it are warnings.
@@ -221,12 +221,12 @@
 		return nil, nil, err
 	}
 	if diags.Failed() {
-		return nil, nil, &badFile{r.file, diags}
+		return nil, nil, &operatorFileError{r.file, diags}
 	}
 	return c, diags, nil
 }
 
-func (r *reloader) warn(warnings sloe.Diags) {
+func (r *reloader) logWarnings(warnings sloe.Diags) {
 	for _, d := range warnings {
 		r.log.Warn(d.Msg, "at", d.Pos.String())
 	}
@@ -234,17 +234,17 @@
 
 // reloader reads both files again at each SIGHUP and passes on what changed.
 type reloader struct {
-	file    string          // "": none
-	cfg     *gateway.Config // as at the start: its settings hold until a restart
-	now     *operator.Config
-	getenv  func(string) string
-	log     *slog.Logger
-	level   *slog.LevelVar
-	reloads chan gateway.Reload
-	fronts  []*h2.Frontend
-	manager *systemd.Notifier
-	member  *gossip.Engine // nil: of no fleet
-	lock    *os.File       // of the state that is kept; held open for as long as the process lives
+	file      string          // "": none
+	cfg       *gateway.Config // as at the start: its settings hold until a restart
+	current   *operator.Config
+	getenv    func(string) string
+	log       *slog.Logger
+	level     *slog.LevelVar
+	reloads   chan gateway.Reload
+	frontends []*h2.Frontend
+	notifier  *systemd.Notifier
+	member    *gossip.Engine // nil: of no fleet
+	stateLock *os.File       // of the state that is kept; held open for as long as the process lives
 }
 
 func (r *reloader) run(ctx context.Context, hup <-chan os.Signal) {
@@ -254,24 +254,24 @@
 		case <-ctx.Done():
 			return
 		}
-		r.manager.Reloading()
-		next, c, err := r.read(ctx)
+		r.notifier.Reloading()
+		next, c, err := r.readFiles(ctx)
 		if err != nil {
 			r.log.Error("reload failed, the former configuration stays", "err", err)
-			r.manager.Reloaded()
+			r.notifier.Reloaded()
 			continue
 		}
-		if !r.hand(ctx, next) {
+		if !r.apply(ctx, next) {
 			return
 		}
-		r.taken(next, c)
-		r.manager.Reloaded()
+		r.finishReload(next, c)
+		r.notifier.Reloaded()
 	}
 }
 
-// read reads everything before anything changes: a slip in one file must not stop a gateway that serves, nor leave it
+// readFiles reads everything before anything changes: a slip in one file must not stop a gateway that serves, nor leave it
 // with half of a change.
-func (r *reloader) read(ctx context.Context) (gateway.Reload, *operator.Config, error) {
+func (r *reloader) readFiles(ctx context.Context) (gateway.Reload, *operator.Config, error) {
 	addr, err := gateway.LoadDiscoveryAddr(r.getenv)
 	if err != nil {
 		return gateway.Reload{}, nil, err
@@ -280,19 +280,19 @@
 	if r.file == "" {
 		return next, nil, nil
 	}
-	c, err := r.steady(ctx)
+	c, err := r.loadStable(ctx)
 	if err != nil {
 		return gateway.Reload{}, nil, err
 	}
 	t := tuning.FromConfig(c)
 	next.Tuning, next.Routes = &t, route.FromConfig(c)
-	var takes []func()
-	for _, f := range r.fronts {
-		take, err := f.Reload()
+	var applyAll []func()
+	for _, f := range r.frontends {
+		apply, err := f.Reload()
 		if err != nil {
 			return gateway.Reload{}, nil, err
 		}
-		takes = append(takes, take)
+		applyAll = append(applyAll, apply)
 	}
 	if r.member != nil {
 		if err := r.member.Reload(blocks.Generation(c), c.One("fleet").Count("expect")); err != nil {
@@ -300,16 +300,16 @@
 		}
 		r.member.SetRegions(blocks.Regions(c))
 	}
-	for _, take := range takes {
-		take()
+	for _, apply := range applyAll {
+		apply()
 	}
-	r.foresee(next.Routes)
+	r.warnAboutNextStart(next.Routes)
 	return next, c, nil
 }
 
-// foresee warns of routes that hold under the settings that this gateway started with, and not under those that stand in
+// warnAboutNextStart warns of routes that hold under the settings that this gateway started with, and not under those that stand in
 // the platform's file by now: the next start would end with them.
-func (r *reloader) foresee(routes []*route.Route) {
+func (r *reloader) warnAboutNextStart(routes []*route.Route) {
 	cfg, err := gateway.LoadConfig(r.getenv)
 	if err != nil {
 		return // told already, by the one who read the address of discovery
@@ -319,31 +319,31 @@
 	}
 }
 
-// hand gives a reload to the gateway and waits until it counts there. It reports false when the gateway ends.
-func (r *reloader) hand(ctx context.Context, next gateway.Reload) bool {
-	taken := make(chan struct{})
-	next.Applied = taken
+// apply gives a reload to the gateway and waits until it counts there. It reports false when the gateway ends.
+func (r *reloader) apply(ctx context.Context, next gateway.Reload) bool {
+	applied := make(chan struct{})
+	next.Applied = applied
 	select {
 	case r.reloads <- next:
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case <-taken:
+	case <-applied:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// taken tells what a reload changed. c is nil without an operator file.
-func (r *reloader) taken(next gateway.Reload, c *operator.Config) {
+// finishReload tells what a reload changed. c is nil without an operator file.
+func (r *reloader) finishReload(next gateway.Reload, c *operator.Config) {
 	if c == nil {
 		r.log.Info("reloaded", "discovery", next.Discovery)
 		return
 	}
-	changes := operator.Diff(r.now, c)
-	r.now = c
+	changes := operator.Diff(r.current, c)
+	r.current = c
 	r.level.Set(blocks.Level(c))
 	for _, ch := range changes {
 		if ch.Takes == operator.AtRestart.String() {
@@ -355,26 +355,26 @@
 	r.log.Info("reloaded", "discovery", next.Discovery, "operator", r.file, "changes", len(changes))
 }
 
-// steady reads the operator file until it reads the same twice: an editor may be in the middle of writing it.
-func (r *reloader) steady(ctx context.Context) (*operator.Config, error) {
+// loadStable reads the operator file until it reads the same twice: an editor may be in the middle of writing it.
+func (r *reloader) loadStable(ctx context.Context) (*operator.Config, error) {
 	c, _, err := r.load()
-	for end := time.Now().Add(steadyMost); time.Now().Before(end); {
+	for deadline := time.Now().Add(stableReadTimeout); time.Now().Before(deadline); {
 		select {
-		case <-time.After(steadyFor):
+		case <-time.After(stableReadInterval):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		again, warnings, errAgain := r.load()
-		if same(c, again, err, errAgain) {
-			r.warn(warnings)
-			return again, errAgain
+		reread, warnings, rereadErr := r.load()
+		if sameResult(c, reread, err, rereadErr) {
+			r.logWarnings(warnings)
+			return reread, rereadErr
 		}
-		c, err = again, errAgain
+		c, err = reread, rereadErr
 	}
 	return nil, errors.New("the operator file goes on changing while it is read")
 }
 
-func same(a, b *operator.Config, errA, errB error) bool {
+func sameResult(a, b *operator.Config, errA, errB error) bool {
 	if errA != nil || errB != nil {
 		return errA != nil && errB != nil && errA.Error() == errB.Error()
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -26,31 +26,31 @@
 // TestMain lets the test's own binary stand for the program, so that tests can start, reload and stop real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("DAEMON_TEST_MAIN") != "" {
-		dress = linked
-		off()
+		gossipConfigHook = useFaultyLinks
+		applyTestClocks()
 		os.Exit(Main(os.Args[1:], os.Getenv, os.Stderr))
 	}
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// off sets the clocks as the rig has them: the wall clock is off, and each loss of power begins another boot.
-func off() {
-	by, err := time.ParseDuration(os.Getenv(e2e.ClockEnv))
+// applyTestClocks sets the clocks as the rig has them: the wall clock is applyTestClocks, and each loss of power begins another boot.
+func applyTestClocks() {
+	offset, err := time.ParseDuration(os.Getenv(e2e.ClockEnv))
 	boot := os.Getenv(e2e.BootEnv)
 	if err != nil || boot == "" {
 		return // of no rig
 	}
-	system := clocks
-	clocks = func() recovery.ClockReading {
+	system := readClocks
+	readClocks = func() recovery.ClockReading {
 		c := system()
-		c.Wall, c.BootID = c.Wall.Add(by), boot
+		c.Wall, c.BootID = c.Wall.Add(offset), boot
 		return c
 	}
 }
 
-// linked has a member's word go by the links that its rig set up.
-func linked(c *gossip.Config) error {
+// useFaultyLinks has a member's word go by the links that its rig set up.
+func useFaultyLinks(c *gossip.Config) error {
 	text := os.Getenv(e2e.RoutesEnv)
 	if text == "" {
 		return nil
@@ -62,30 +62,30 @@
 	return err
 }
 
-// rig is a site with one gateway's process.
-type rig struct {
+// harness is a site with one gateway's process.
+type harness struct {
 	t        *testing.T
 	ctx      context.Context
 	site     *testbed.Site
-	place    testbed.Endpoint
+	endpoint testbed.Endpoint
 	platform string // the platform's file
 	operator string // the operators' file, or ""
 	gateway  *testbed.Process
 }
 
-func newRig(t *testing.T, operator string) *rig {
+func newHarness(t *testing.T, operator string) *harness {
 	t.Helper()
-	return newRigOf(t, operator, 2)
+	return newHarnessWithNodes(t, operator, 2)
 }
 
-// newRigOf is a rig with so many nodes.
-func newRigOf(t *testing.T, operator string, nodes int) *rig {
+// newHarnessWithNodes is a rig with so many nodes.
+func newHarnessWithNodes(t *testing.T, operator string, nodes int) *harness {
 	t.Helper()
-	return newRigAt(t, operator, testbed.SmallPlatform(), nodes)
+	return newHarnessOn(t, operator, testbed.SmallPlatform(), nodes)
 }
 
-// newRigAt is one of a platform.
-func newRigAt(t *testing.T, operator string, platform *testbed.Platform, nodes int) *rig {
+// newHarnessOn is one of a platform.
+func newHarnessOn(t *testing.T, operator string, platform *testbed.Platform, nodes int) *harness {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
@@ -94,20 +94,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	places, err := testbed.AllocateEndpoints(1)
+	endpoints, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	r := &rig{t: t, ctx: ctx, site: site, place: places[0], platform: filepath.Join(dir, "platform.json")}
-	text, err := site.Platform.GatewayConfig(0, places, site.Discovery.Addr().String(), 1, site.ServerList())
+	r := &harness{t: t, ctx: ctx, site: site, endpoint: endpoints[0], platform: filepath.Join(dir, "platform.json")}
+	text, err := site.Platform.GatewayConfig(0, endpoints, site.Discovery.Addr().String(), 1, site.ServerList())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.write(r.platform, string(text))
+	r.writeFile(r.platform, string(text))
 	if operator != "" {
 		r.operator = filepath.Join(dir, "operator.sloe")
-		r.write(r.operator, operator)
+		r.writeFile(r.operator, operator)
 	}
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1", "GW_CONFIG="+r.platform, "GW_OPERATOR="+r.operator, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=")
@@ -115,46 +115,46 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.gateway.Kill)
-	if err := r.gateway.WaitReady(ctx, r.place.Listen); err != nil {
+	if err := r.gateway.WaitReady(ctx, r.endpoint.Listen); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func (r *rig) write(file, text string) {
+func (r *harness) writeFile(file, text string) {
 	r.t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// replace puts a text in a file's place as a whole, as an operator should.
-func (r *rig) replace(file, text string) {
+// replaceFile puts a text in a file's place as a whole, as an operator should.
+func (r *harness) replaceFile(file, text string) {
 	r.t.Helper()
-	r.write(file+".new", text)
+	r.writeFile(file+".new", text)
 	if err := os.Rename(file+".new", file); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-func (r *rig) hup() {
+func (r *harness) sendHangup() {
 	r.t.Helper()
 	if err := r.gateway.Signal(syscall.SIGHUP); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// logs waits for the nth line of the log with a piece of text.
-func (r *rig) logs(piece string, n int) {
+// waitForLog waits for the nth line of the log with a piece of text.
+func (r *harness) waitForLog(piece string, n int) {
 	r.t.Helper()
 	if err := r.gateway.Log.WaitFor(r.ctx, piece, n); err != nil {
 		r.t.Fatalf("%v; the log is\n%s", err, r.gateway.Log)
 	}
 }
 
-func (r *rig) dial() *testbed.Client {
+func (r *harness) dial() *testbed.Client {
 	r.t.Helper()
-	c, err := testbed.Dial(r.place.Listen)
+	c, err := testbed.Dial(r.endpoint.Listen)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 	return c
 }
 
-func (r *rig) ping(c *testbed.Client) {
+func (r *harness) ping(c *testbed.Client) {
 	r.t.Helper()
 	if err := c.Send("PING"); err != nil {
 		r.t.Fatal(err)
@@ -176,17 +176,17 @@
 	}
 }
 
-func idle(d string) string { return "gateway { clients { idle = " + d + " } }\n" }
+func idleSetting(d string) string { return "gateway { clients { idle = " + d + " } }\n" }
 
 // A good change counts on a connection that is open already, from its next command on.
-func TestReloadTakesAGoodChange(t *testing.T) {
-	r := newRig(t, idle("1h"))
+func TestReloadAppliesToOpenConnections(t *testing.T) {
+	r := newHarness(t, idleSetting("1h"))
 	c := r.dial()
-	r.replace(r.operator, "log { level = debug }\ngateway { clients {\n idle = 100ms\n accept-ahead = 32\n} }\n")
-	r.hup()
-	r.logs("msg=reloaded", 1)
-	r.logs(`change="gateway.clients: idle 1h -> 100ms, tighter by 100%; at reload"`, 1)
-	r.logs(`msg="a change needs a restart" gateway=n0 change="gateway.clients: accept-ahead 16 -> 32; at restart"`, 1)
+	r.replaceFile(r.operator, "log { level = debug }\ngateway { clients {\n idle = 100ms\n accept-ahead = 32\n} }\n")
+	r.sendHangup()
+	r.waitForLog("msg=reloaded", 1)
+	r.waitForLog(`change="gateway.clients: idle 1h -> 100ms, tighter by 100%; at reload"`, 1)
+	r.waitForLog(`msg="a change needs a restart" gateway=n0 change="gateway.clients: accept-ahead 16 -> 32; at restart"`, 1)
 	r.ping(c)
 	if got, err := c.Read(); err == nil || err.Error() != "EOF" {
 		t.Errorf("an idle connection got %q, %v", got, err)
@@ -197,10 +197,10 @@
 }
 
 // A warning is told once at the start and once a reload, however often the file was read.
-func TestWarningsAreToldOnce(t *testing.T) {
-	r := newRig(t, "define x = 1s\n"+idle("1h"))
-	r.hup()
-	r.logs("msg=reloaded", 1)
+func TestWarningsAreLoggedOnce(t *testing.T) {
+	r := newHarness(t, "define x = 1s\n"+idleSetting("1h"))
+	r.sendHangup()
+	r.waitForLog("msg=reloaded", 1)
 	if log := r.gateway.Log.String(); strings.Count(log, `the definition \"x\" is never used`) != 2 {
 		t.Errorf("the log is\n%s", log)
 	}
@@ -208,44 +208,44 @@
 
 // One bad file, whichever, and everything stays: the values, the level and the address of discovery.
 func TestReloadIsAllOrNothing(t *testing.T) {
-	r := newRig(t, idle("1h"))
+	r := newHarness(t, idleSetting("1h"))
 	platform, err := os.ReadFile(r.platform)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := r.dial()
 	moved := strings.Replace(string(platform), r.site.Discovery.Addr().String(), "127.0.0.1:1", 1)
-	r.replace(r.platform, moved)
-	r.replace(r.operator, "log { level = error }\n"+idle("100"))
-	r.hup()
-	r.logs("reload failed", 1)
+	r.replaceFile(r.platform, moved)
+	r.replaceFile(r.operator, "log { level = error }\n"+idleSetting("100"))
+	r.sendHangup()
+	r.waitForLog("reload failed", 1)
 	if log := r.gateway.Log.String(); !strings.Contains(log, "operator.sloe:2:") || strings.Contains(log, "msg=reloaded") || strings.Contains(log, "discovery is failing") {
 		t.Errorf("the log is\n%s", log)
 	}
-	r.replace(r.platform, "{")
-	r.replace(r.operator, idle("100ms"))
-	r.hup()
-	r.logs("reload failed", 2)
+	r.replaceFile(r.platform, "{")
+	r.replaceFile(r.operator, idleSetting("100ms"))
+	r.sendHangup()
+	r.waitForLog("reload failed", 2)
 	r.ping(c)
 	time.Sleep(300 * time.Millisecond) // three times what the files that were not taken say
 	r.ping(c)
-	r.replace(r.platform, string(platform))
-	r.hup()
-	r.logs("msg=reloaded", 1) // at a level that a bad file did not raise
+	r.replaceFile(r.platform, string(platform))
+	r.sendHangup()
+	r.waitForLog("msg=reloaded", 1) // at a level that a bad file did not raise
 }
 
 // A file is not taken half, though the half would be a whole file by itself.
 func TestReloadWhileAnEditorWrites(t *testing.T) {
-	before := "log { level = debug }\n" + idle("1h")
-	r := newRig(t, before)
+	before := "log { level = debug }\n" + idleSetting("1h")
+	r := newHarness(t, before)
 	for i := range 5 {
 		half := "log { level = debug }\n"
-		r.write(r.operator, half)
-		r.hup()
-		time.Sleep(steadyFor / 3) // within the first two readings, or before or after them
-		r.write(r.operator, half+idle(fmt.Sprintf("%dm", i+1)))
-		r.hup()
-		r.logs(fmt.Sprintf("idle %s -> %dm", []string{"1h", "1m", "2m", "3m", "4m"}[i], i+1), 1)
+		r.writeFile(r.operator, half)
+		r.sendHangup()
+		time.Sleep(stableReadInterval / 3) // within the first two readings, or before or after them
+		r.writeFile(r.operator, half+idleSetting(fmt.Sprintf("%dm", i+1)))
+		r.sendHangup()
+		r.waitForLog(fmt.Sprintf("idle %s -> %dm", []string{"1h", "1m", "2m", "3m", "4m"}[i], i+1), 1)
 	}
 	if log := r.gateway.Log.String(); strings.Contains(log, "-> 5s") {
 		t.Errorf("half of a file was taken:\n%s", log)
@@ -253,8 +253,8 @@
 }
 
 // One that never stands still is not taken.
-func TestReloadOfAFileThatGoesOnChanging(t *testing.T) {
-	r := newRig(t, idle("1h"))
+func TestReloadOfAFileThatKeepsChanging(t *testing.T) {
+	r := newHarness(t, idleSetting("1h"))
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -263,12 +263,12 @@
 			case <-stop:
 				return
 			default:
-				os.WriteFile(r.operator, []byte(idle(fmt.Sprintf("%dms", 1000+i%1000))), 0o600)
+				os.WriteFile(r.operator, []byte(idleSetting(fmt.Sprintf("%dms", 1000+i%1000))), 0o600)
 			}
 		}
 	}()
-	r.hup()
-	r.logs("reload failed", 1) // as it goes on changing, or was met empty
+	r.sendHangup()
+	r.waitForLog("reload failed", 1) // as it goes on changing, or was met empty
 	close(stop)
 	<-stopped
 	if log := r.gateway.Log.String(); strings.Contains(log, "msg=changed") {
@@ -277,23 +277,23 @@
 }
 
 // A route that could break a rule is refused at a reload; one that could after the next start is warned of.
-func TestReloadHoldsRoutesToThePlatform(t *testing.T) {
+func TestReloadChecksRoutesAgainstPlatform(t *testing.T) {
 	const good = "route r {\n classes = [\"slot-lookup\"]\n whole = 1s\n}\n"
-	r := newRig(t, idle("1h")+good)
-	r.replace(r.operator, idle("2m")+strings.Replace(good, "1s", "1.2s", 1))
-	r.hup()
-	r.logs("reload failed", 1)
-	r.logs("whole at most 1.19s", 1)
+	r := newHarness(t, idleSetting("1h")+good)
+	r.replaceFile(r.operator, idleSetting("2m")+strings.Replace(good, "1s", "1.2s", 1))
+	r.sendHangup()
+	r.waitForLog("reload failed", 1)
+	r.waitForLog("whole at most 1.19s", 1)
 	platform, err := os.ReadFile(r.platform)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.replace(r.platform, strings.ReplaceAll(string(platform), "slot-lookup", "slot-find"))
-	r.replace(r.operator, idle("2m")+good)
-	r.hup()
-	r.logs("msg=reloaded", 1)
-	r.logs("the next start would fail", 1)
-	r.logs(`the platform has no class`, 1)
+	r.replaceFile(r.platform, strings.ReplaceAll(string(platform), "slot-lookup", "slot-find"))
+	r.replaceFile(r.operator, idleSetting("2m")+good)
+	r.sendHangup()
+	r.waitForLog("msg=reloaded", 1)
+	r.waitForLog("the next start would fail", 1)
+	r.waitForLog(`the platform has no class`, 1)
 }
 
 // Ten reloads a second, of good files and bad ones, while clients ask: no request is lost and no rule broken.
@@ -302,23 +302,23 @@
 }
 
 func reloadsUnderLoad(t *testing.T, seed uint64) {
-	r := newRig(t, idle("10s"))
+	r := newHarness(t, idleSetting("10s"))
 	ctx, cancel := context.WithTimeout(r.ctx, 4*time.Second)
 	defer cancel()
 	var mu sync.Mutex
-	var ends []testbed.RequestResult
-	crowd := testbed.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: r.site.Platform.Classes, Seed: seed, OnResult: func(e testbed.RequestResult) {
+	var results []testbed.RequestResult
+	load := testbed.LoadGenerator{Gateways: []string{r.endpoint.Listen}, Classes: r.site.Platform.Classes, Seed: seed, OnResult: func(e testbed.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
-		ends = append(ends, e)
+		results = append(results, e)
 	}}
 	for i := range 10 {
-		crowd.Customers = append(crowd.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "plus", Rate: 3, GatewayCount: 1})
+		load.Customers = append(load.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "plus", Rate: 3, GatewayCount: 1})
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		crowd.Run(ctx)
+		load.Run(ctx)
 	}()
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	reloads, tick := 0, time.NewTicker(100*time.Millisecond)
@@ -329,20 +329,20 @@
 		case <-ctx.Done():
 			continue
 		}
-		r.replace(r.operator, []string{
-			idle("10s"), "route r {\n whole = 1s\n attempts = 3\n}\n", "gateway { clients { descriptors = 10% } }\n", "gateway { nodes { connections = 4 } }\n",
+		r.replaceFile(r.operator, []string{
+			idleSetting("10s"), "route r {\n whole = 1s\n attempts = 3\n}\n", "gateway { clients { descriptors = 10% } }\n", "gateway { nodes { connections = 4 } }\n",
 			"gateway { clients { pipeline = 1 } }\n", "gateway { clients { idle = 1 } }\n", "gateway {\n"}[rnd.IntN(7)])
-		r.hup()
+		r.sendHangup()
 		reloads++
 	}
 	<-done
 	log := r.gateway.Log.String()
-	taken, refused := strings.Count(log, "msg=reloaded"), strings.Count(log, "reload failed")
-	t.Logf("%d requests, %d reloads: %d taken, %d refused", len(ends), reloads, taken, refused)
-	if len(ends) < 20 || taken < 3 || refused < 1 {
+	applied, refused := strings.Count(log, "msg=reloaded"), strings.Count(log, "reload failed")
+	t.Logf("%d requests, %d reloads: %d taken, %d refused", len(results), reloads, applied, refused)
+	if len(results) < 20 || applied < 3 || refused < 1 {
 		t.Error("too little happened for a test")
 	}
-	for _, v := range r.site.Audit(ends) {
+	for _, v := range r.site.Audit(results) {
 		if v.Violations > 0 {
 			t.Errorf("%s: %d against it: %v", v.Rule, v.Violations, v.Examples)
 		}
@@ -355,11 +355,11 @@
 // What can't be used ends the start with its places and exit code 1.
 func TestBadStart(t *testing.T) {
 	dir := t.TempDir()
-	site := newRig(t, "")
+	site := newHarness(t, "")
 	bad := filepath.Join(dir, "bad.sloe")
-	site.write(bad, idle("5")+"lgo { }\n")
+	site.writeFile(bad, idleSetting("5")+"lgo { }\n")
 	unsafe := filepath.Join(dir, "unsafe.sloe")
-	site.write(unsafe, "route r {\n whole = 3s\n}\n")
+	site.writeFile(unsafe, "route r {\n whole = 3s\n}\n")
 	env := map[string]string{"GW_CONFIG": site.platform}
 	for _, tc := range []struct {
 		args []string
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -11,8 +11,8 @@
 	"sloepick/internal/gossip"
 )
 
-// withDuties has a member take part in the fleet's work.
-func withDuties(f *gossip.Config, d *blocks.Duties) error {
+// configureDuties has a member take part in the fleet's work.
+func configureDuties(f *gossip.Config, d *blocks.Duties) error {
 	if d == nil {
 		return nil
 	}
@@ -26,17 +26,17 @@
 	return nil
 }
 
-// serveDuties does the fleet's work while this member owns it, until the function that it returns is called.
-func (r *reloader) serveDuties() (end func()) {
-	d := blocks.DutiesOf(r.now)
+// startDuties does the fleet's work while this member owns it, until the function that it returns is called.
+func (r *reloader) startDuties() (end func()) {
+	d := blocks.DutiesOf(r.current)
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
-	report := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
+	reporter := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
 		Body: func() any { return r.member.Status() }, Client: &http.Client{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	done.Go(func() { report.Run(ctx) })
+	done.Go(func() { reporter.Run(ctx) })
 	return func() {
 		stop()
 		done.Wait()
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -23,8 +23,8 @@
 
 var fleetSize = flag.Int("fleet", 5, "gateways of TestFleetUnderKills")
 
-// program is this test's own binary in place of the program.
-func program() *exec.Cmd {
+// testCommand is this test's own binary in place of the testCommand.
+func testCommand() *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1")
 	return cmd
@@ -32,74 +32,74 @@
 
 // newFleet builds a fleet that is not started yet. more stands in the operators' file of each behind its block fleet, with its disk's name
 // for DISK.
-func newFleet(t *testing.T, platform *testbed.Platform, n int, seed uint64, more string) *e2e.Harness {
+func newFleet(t *testing.T, platform *testbed.Platform, n int, seed uint64, extraBlocks string) *e2e.Harness {
 	t.Helper()
-	return newFleetWith(t, platform, n, seed, func(i int) string { return strings.ReplaceAll(more, "DISK", e2e.GatewayName(i)) })
+	return newFleetPerMember(t, platform, n, seed, func(i int) string { return strings.ReplaceAll(extraBlocks, "DISK", e2e.GatewayName(i)) })
 }
 
-// newFleetWith builds one whose members have each their own more.
-func newFleetWith(t *testing.T, platform *testbed.Platform, n int, seed uint64, more func(i int) string) *e2e.Harness {
+// newFleetPerMember builds one whose members have each their own more.
+func newFleetPerMember(t *testing.T, platform *testbed.Platform, n int, seed uint64, extraBlocks func(i int) string) *e2e.Harness {
 	t.Helper()
-	return newFleetHolding(t, platform, n, seed, 3*time.Minute, more)
+	return newFleetWithHold(t, platform, n, seed, 3*time.Minute, extraBlocks)
 }
 
-// newFleetHolding builds one that keeps the places of those who are gone for so long.
-func newFleetHolding(t *testing.T, platform *testbed.Platform, n int, seed uint64, hold time.Duration, more func(i int) string) *e2e.Harness {
+// newFleetWithHold builds one that keeps the places of those who are gone for so long.
+func newFleetWithHold(t *testing.T, platform *testbed.Platform, n int, seed uint64, hold time.Duration, extraBlocks func(i int) string) *e2e.Harness {
 	t.Helper()
-	return newFleetOf(t, platform, n, seed, hold, more, program)
+	return newFleetConfigured(t, platform, n, seed, hold, extraBlocks, testCommand)
 }
 
-// newFleetFrom builds one whose gateways are started by the given command.
-func newFleetFrom(t *testing.T, platform *testbed.Platform, n int, seed uint64, more func(i int) string, program func() *exec.Cmd) *e2e.Harness {
+// newFleetWithCommand builds one whose gateways are started by the given command.
+func newFleetWithCommand(t *testing.T, platform *testbed.Platform, n int, seed uint64, extraBlocks func(i int) string, command func() *exec.Cmd) *e2e.Harness {
 	t.Helper()
-	return newFleetOf(t, platform, n, seed, 3*time.Minute, more, program)
+	return newFleetConfigured(t, platform, n, seed, 3*time.Minute, extraBlocks, command)
 }
 
-func newFleetOf(t *testing.T, platform *testbed.Platform, n int, seed uint64, hold time.Duration, more func(i int) string, program func() *exec.Cmd) *e2e.Harness {
+func newFleetConfigured(t *testing.T, platform *testbed.Platform, n int, seed uint64, hold time.Duration, extraBlocks func(i int) string, command func() *exec.Cmd) *e2e.Harness {
 	t.Helper()
-	r := e2e.New(t, e2e.Config{Platform: platform, Gateways: n, Seed: seed, Command: program, OperatorFile: func(r *e2e.Harness, i int) string {
+	r := e2e.New(t, e2e.Config{Platform: platform, Gateways: n, Seed: seed, Command: command, OperatorFile: func(r *e2e.Harness, i int) string {
 		return fmt.Sprintf("fleet {\n address = %q\n places = %d\n expect = %d\n hold = %ds\n seeds = [%q, %q]\n keys = \"keys\"\n state = \"%s/state\"\n status = %q\n}\n%s",
-			r.MemberAddrs[i], n, n, int(hold.Seconds()), r.MemberAddrs[0], r.MemberAddrs[1], e2e.GatewayName(i), e2e.GatewayName(i)+".sock", more(i))
+			r.MemberAddrs[i], n, n, int(hold.Seconds()), r.MemberAddrs[0], r.MemberAddrs[1], e2e.GatewayName(i), e2e.GatewayName(i)+".sock", extraBlocks(i))
 	}})
 	r.WriteFile(r.FilePath("keys"), base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))+"\n")
 	return r
 }
 
-// report asks a gateway how it sees the fleet; nil: it does not say.
-func report(r *e2e.Harness, i int) *gossip.Status {
+// readStatus asks a gateway how it sees the fleet; nil: it does not say.
+func readStatus(r *e2e.Harness, i int) *gossip.Status {
 	ctx, cancel := context.WithTimeout(r.Ctx, time.Second)
 	defer cancel()
-	rep, err := gossip.ReadStatus(ctx, r.FilePath(e2e.GatewayName(i)+".sock"))
+	status, err := gossip.ReadStatus(ctx, r.FilePath(e2e.GatewayName(i)+".sock"))
 	if err != nil {
 		return nil
 	}
-	return rep
+	return status
 }
 
-// agreed waits until those gateways have a place, and the same table.
-func agreed(t *testing.T, r *e2e.Harness, within time.Duration, which ...int) time.Duration {
+// waitForAgreement waits until those gateways have a place, and the same table.
+func waitForAgreement(t *testing.T, r *e2e.Harness, within time.Duration, gateways ...int) time.Duration {
 	t.Helper()
-	for from := time.Now(); ; time.Sleep(50 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		var first []fleet.Holder
 		n, why := 0, ""
-		for _, i := range which {
-			rep := report(r, i)
+		for _, i := range gateways {
+			status := readStatus(r, i)
 			switch {
-			case rep == nil:
+			case status == nil:
 				why = fmt.Sprintf("g%d says nothing", i)
-			case rep.Assignment.Slot < 0 || rep.Assignment.Isolated:
-				why = fmt.Sprintf("g%d stands at %+v", i, rep.Assignment)
-			case first != nil && !slices.Equal(first, rep.Assignment.Holders):
-				why = fmt.Sprintf("g%d sees %v, others %v", i, rep.Assignment.Holders, first)
+			case status.Assignment.Slot < 0 || status.Assignment.Isolated:
+				why = fmt.Sprintf("g%d stands at %+v", i, status.Assignment)
+			case first != nil && !slices.Equal(first, status.Assignment.Holders):
+				why = fmt.Sprintf("g%d sees %v, others %v", i, status.Assignment.Holders, first)
 			default:
-				first = rep.Assignment.Holders
+				first = status.Assignment.Holders
 				n++
 			}
 		}
-		if n == len(which) {
-			return time.Since(from)
+		if n == len(gateways) {
+			return time.Since(start)
 		}
-		if time.Since(from) > within {
+		if time.Since(start) > within {
 			for i, p := range r.Processes {
 				t.Logf("g%d: %s", i, p.Log)
 			}
@@ -108,40 +108,40 @@
 	}
 }
 
-// use is a time in which a process had a place.
-type use struct {
-	place    int
-	who      string
+// slotUse is a time in which a process had a place.
+type slotUse struct {
+	slot     int
+	name     string
 	from, to time.Time
 }
 
-// uses reads from the logs of all processes so far which place each had when.
-func uses(r *e2e.Harness) (all []use) {
-	for i, lives := range r.History {
-		for _, life := range lives {
-			last := use{place: -1, who: e2e.GatewayName(i)}
+// slotUses reads from the logs of all processes so far which place each had when.
+func slotUses(r *e2e.Harness) (all []slotUse) {
+	for i, incarnations := range r.History {
+		for _, process := range incarnations {
+			current := slotUse{slot: -1, name: e2e.GatewayName(i)}
 			end := func(at time.Time) {
-				if last.to = at; last.place >= 0 {
-					all = append(all, last)
+				if current.to = at; current.slot >= 0 {
+					all = append(all, current)
 				}
 			}
-			for _, line := range strings.Split(life.Log.String(), "\n") {
-				var at string
-				if n, _ := fmt.Sscanf(line, "time=%s", &at); n != 1 || !strings.Contains(line, "fleet: standing\"") {
+			for _, line := range strings.Split(process.Log.String(), "\n") {
+				var timestamp string
+				if n, _ := fmt.Sscanf(line, "time=%s", &timestamp); n != 1 || !strings.Contains(line, "fleet: standing\"") {
 					continue
 				}
-				when, err := time.Parse(time.RFC3339Nano, at)
+				when, err := time.Parse(time.RFC3339Nano, timestamp)
 				if err != nil {
 					continue // the last line, cut by a kill
 				}
 				_, rest, _ := strings.Cut(line, " place=")
 				end(when)
-				if n, _ := fmt.Sscanf(rest, "%d", &last.place); n != 1 {
-					last.place = -1
+				if n, _ := fmt.Sscanf(rest, "%d", &current.slot); n != 1 {
+					current.slot = -1
 				}
-				last.from = when
+				current.from = when
 			}
-			to := life.EndedAt
+			to := process.EndedAt
 			if to.IsZero() {
 				to = time.Now()
 			}
@@ -151,14 +151,14 @@
 	return all
 }
 
-// ownPlaces holds that no place was used by two at a time. While one stands still it does not use what it has.
-func ownPlaces(t *testing.T, r *e2e.Harness, still ...string) {
+// checkSlotsExclusive holds that no place was used by two at a time. While one stands still it does not use what it has.
+func checkSlotsExclusive(t *testing.T, r *e2e.Harness, suspended ...string) {
 	t.Helper()
-	all := uses(r)
+	all := slotUses(r)
 	for i, a := range all {
 		for _, b := range all[:i] {
-			if a.place == b.place && a.who != b.who && a.from.Before(b.to) && b.from.Before(a.to) && !slices.Contains(still, a.who) && !slices.Contains(still, b.who) {
-				t.Errorf("place %d was used by %s from %v to %v and by %s from %v to %v", a.place, a.who, a.from, a.to, b.who, b.from, b.to)
+			if a.slot == b.slot && a.name != b.name && a.from.Before(b.to) && b.from.Before(a.to) && !slices.Contains(suspended, a.name) && !slices.Contains(suspended, b.name) {
+				t.Errorf("place %d was used by %s from %v to %v and by %s from %v to %v", a.slot, a.name, a.from, a.to, b.name, b.from, b.to)
 			}
 		}
 	}
@@ -167,17 +167,17 @@
 	}
 }
 
-// floodsAndCalm are two customers of each plan, one at so many times its quota and one at half of it.
-func floodsAndCalm(platform *testbed.Platform, n int, times float64) (all []testbed.Customer) {
+// overAndUnderQuota are two customers of each plan, one at so many times its quota and one at half of it.
+func overAndUnderQuota(platform *testbed.Platform, n int, factor float64) (all []testbed.Customer) {
 	for i, plan := range platform.Plans {
-		for k, share := range []float64{times, 0.5} {
-			all = append(all, testbed.Customer{ID: fmt.Sprintf("%016x", 2*i+k+1), Plan: plan.Name, Rate: share * plan.Rate / unitsEach, GatewayCount: n})
+		for k, share := range []float64{factor, 0.5} {
+			all = append(all, testbed.Customer{ID: fmt.Sprintf("%016x", 2*i+k+1), Plan: plan.Name, Rate: share * plan.Rate / meanUnits, GatewayCount: n})
 		}
 	}
 	return all
 }
 
-const unitsEach = 1.38 // of a clinic's mean request
+const meanUnits = 1.38 // of a clinic's mean request
 
 // TestFleetUnderKills plays clinics, one of them at five times its quota, against a fleet of real processes that are killed,
 // stopped, let stand still and started again. Each request that a living gateway took has one answer, no key ran twice, the
@@ -191,54 +191,54 @@
 	platform := testbed.SmallPlatform()
 	r := newFleet(t, platform, n, seed, "")
 	r.Start(0, r.AllGateways()...)
-	t.Logf("%d processes have their places %v after the last start", n, agreed(t, r, time.Minute, r.AllGateways()...))
+	t.Logf("%d processes have their places %v after the last start", n, waitForAgreement(t, r, time.Minute, r.AllGateways()...))
 	rnd := seeds.Rand(seed)
-	p := r.RunLoad(floodsAndCalm(platform, n, 5), seed, func() {
-		for _, how := range []string{"kill", "stand still", "stop", "kill half"} {
+	p := r.RunLoad(overAndUnderQuota(platform, n, 5), seed, func() {
+		for _, fault := range []string{"kill", "stand still", "stop", "kill half"} {
 			time.Sleep(2 * time.Second)
 			i := rnd.IntN(n)
-			disturb(r, how, i)
-			t.Logf("%s g%d: whole again after %v", how, i, agreed(t, r, time.Minute, r.AllGateways()...))
+			injectFault(r, fault, i)
+			t.Logf("%s g%d: whole again after %v", fault, i, waitForAgreement(t, r, time.Minute, r.AllGateways()...))
 		}
 		time.Sleep(2 * time.Second)
 	})
-	ownPlaces(t, r)
+	checkSlotsExclusive(t, r)
 	for _, c := range p.Customers {
 		quota, got := p.QuotaUsage(&c)
-		t.Logf("%s, asks for %.1f units a second: got %.0f units of %.0f", c.Plan, c.Rate*unitsEach, got, quota)
+		t.Logf("%s, asks for %.1f units a second: got %.0f units of %.0f", c.Plan, c.Rate*meanUnits, got, quota)
 		if got > 1.1*quota+p.Plan(&c).Burst/2 {
 			t.Errorf("customer %s on %s got %.0f units of %.0f", c.ID, c.Plan, got, quota)
 		}
 	}
 }
 
-// disturb does something to a gateway.
-func disturb(r *e2e.Harness, how string, i int) {
-	switch how {
+// injectFault does something to a gateway.
+func injectFault(r *e2e.Harness, fault string, i int) {
+	switch fault {
 	case "kill":
-		back := r.MarkDown(i)
+		markUp := r.MarkDown(i)
 		r.Kill(i)
 		r.Start(0, i)
-		back()
+		markUp()
 	case "stand still":
-		thaw := r.Suspend(i)
+		resume := r.Suspend(i)
 		time.Sleep(4 * time.Second)
-		thaw()
+		resume()
 		r.Must(r.Processes[i].Log.WaitFor(r.Ctx, "standing aside until the fleet is heard", 1))
 	case "stop":
-		back := r.MarkDown(i)
+		markUp := r.MarkDown(i)
 		r.Must(r.Processes[i].Stop())
 		r.Start(0, i)
-		back()
+		markUp()
 	case "kill half":
 		var half []int
 		for k := range len(r.Processes) / 2 {
 			half = append(half, (i+k)%len(r.Processes))
 		}
-		back := r.MarkDown(half...)
+		markUp := r.MarkDown(half...)
 		r.Kill(half...)
 		r.Start(0, half...)
-		back()
+		markUp()
 	}
 }
 
@@ -249,18 +249,18 @@
 	}
 }
 
-// TestMembersTalkByLinks: what members of a fleet say to each other goes by the links between their processes: one that is cut off by
+// TestMembersUseMeshLinks: what members of a fleet say to each other goes by the links between their processes: one that is cut off by
 // them knows it, and is one of all again when they are mended.
-func TestMembersTalkByLinks(t *testing.T) {
+func TestMembersUseMeshLinks(t *testing.T) {
 	t.Parallel() // it waits more than it works
 	r := newFleet(t, testbed.SmallPlatform(), 3, 1, "")
 	r.Start(0, r.AllGateways()...)
-	agreed(t, r, time.Minute, r.AllGateways()...)
+	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
 	r.Mesh.Partition([]int{2})
 	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: true", 2)) // as it was at its start
 	r.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: false", 2))
-	agreed(t, r, time.Minute, r.AllGateways()...)
+	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
 	if c := r.Mesh.Counts(); c.Forwarded == 0 || c.Lost == 0 {
 		t.Errorf("the links passed and lost %+v", c)
 	}
--- a/internal/daemon/mixedbuilds_test.go
+++ b/internal/daemon/mixedbuilds_test.go
@@ -25,18 +25,18 @@
 		t.Skip("needs -other-build")
 	}
 	const n = 6
-	out := newOutside(t)
+	out := newFencedServer(t)
 	var current int // the gateway whose operators' file was written last; it is started next
 	var isOther [n]bool
 	for i := range n {
 		isOther[i] = i%2 == 1
 	}
-	more := keeps + fmt.Sprintf(dutiesOfThree, strings.TrimPrefix(out.URL, "http://")) + "commons {\n}\n"
+	extraBlocks := powerBlock + fmt.Sprintf(dutiesBlock, strings.TrimPrefix(out.URL, "http://")) + "commons {\n}\n"
 	platform := testbed.SmallPlatform()
-	b := &blackout{t: t, platform: platform}
-	r := newFleetFrom(t, platform, n, 1, func(i int) string {
+	b := &powerLossTest{t: t, platform: platform}
+	r := newFleetWithCommand(t, platform, n, 1, func(i int) string {
 		current = i
-		return strings.ReplaceAll(more, "DISK", e2e.GatewayName(i))
+		return strings.ReplaceAll(extraBlocks, "DISK", e2e.GatewayName(i))
 	}, func() *exec.Cmd {
 		binary := os.Args[0]
 		if isOther[current] {
@@ -48,38 +48,38 @@
 	})
 	b.Harness = r
 	b.Start(0, b.AllGateways()...)
-	t.Logf("agreed %v after the last start", agreed(t, r, time.Minute, b.AllGateways()...))
-	out.next(t)
-	b.judge(b.RunLoad(floodsAndCalm(platform, n, 5), 1, func() {
+	t.Logf("agreed %v after the last start", waitForAgreement(t, r, time.Minute, b.AllGateways()...))
+	out.waitForOwner(t)
+	b.checkQuotas(b.RunLoad(overAndUnderQuota(platform, n, 5), 1, func() {
 		time.Sleep(3 * time.Second)
 		for _, i := range []int{0, 1} {
-			disturb(r, "kill", i)
-			agreed(t, r, time.Minute, b.AllGateways()...)
+			injectFault(r, "kill", i)
+			waitForAgreement(t, r, time.Minute, b.AllGateways()...)
 		}
 		for _, i := range []int{2, 3} {
-			disturb(r, "stop", i)
-			agreed(t, r, time.Minute, b.AllGateways()...)
+			injectFault(r, "stop", i)
+			waitForAgreement(t, r, time.Minute, b.AllGateways()...)
 		}
-		t.Logf("the work goes on after %v", out.goesOn(t))
+		t.Logf("the work goes on after %v", out.waitForProgress(t))
 		b.Mesh.SetFault(faultnet.Blackhole, []int{4}, []int{5})
 		b.Mesh.SetFault(faultnet.Blackhole, []int{5}, []int{4})
 		time.Sleep(4 * time.Second)
 		b.Mesh.SetFault(faultnet.Fault{}, nil, nil)
-		agreed(t, r, time.Minute, b.AllGateways()...)
+		waitForAgreement(t, r, time.Minute, b.AllGateways()...)
 		for range 2 {
-			b.lose(0, func() {
+			b.losePower(0, func() {
 				for i := range n {
 					isOther[i] = !isOther[i]
 				}
 			})
-			agreed(t, r, time.Minute, b.AllGateways()...)
+			waitForAgreement(t, r, time.Minute, b.AllGateways()...)
 			for i := range n {
 				must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: full", 1))
 				if log := b.Processes[i].Log.String(); strings.Contains(log, "disk absent") || strings.Contains(log, "set aside") || strings.Contains(log, "not a whole image") {
 					t.Errorf("%s (other build: %v) does not use the other build's state:\n%s", e2e.GatewayName(i), isOther[i], log)
 				}
 			}
-			t.Logf("the work goes on after %v", out.goesOn(t))
+			t.Logf("the work goes on after %v", out.waitForProgress(t))
 		}
 		time.Sleep(2 * time.Second)
 	}))
--- a/internal/daemon/power_test.go
+++ b/internal/daemon/power_test.go
@@ -16,20 +16,20 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// keeps is the block power with all as it is by default.
-const keeps = "power {\n keep = \"DISK/power\"\n}\n"
+// powerBlock is the block power with all as it is by default.
+const powerBlock = "power {\n keep = \"DISK/power\"\n}\n"
 
-// slack is what a customer may get beyond rate x time + burst over losses of power, as docs/operate/power.md has it: what sharing over
+// quotaSlack is what a customer may get beyond rate x time + burst over losses of power, as docs/operate/power.md has it: what sharing over
 // gateways errs by in peace, and at each loss 5 % of a burst and what leaks in two snapshots' time; and half of the part of a burst that
 // members have whose disk proves nothing.
-func slack(plan *testbed.Plan, took time.Duration, losses, unproven float64) float64 {
-	return 0.1*plan.Rate*took.Seconds() + losses*(0.05*plan.Burst+2*every.Seconds()*plan.Rate) + unproven*plan.Burst/2
+func quotaSlack(plan *testbed.Plan, took time.Duration, losses, unproven float64) float64 {
+	return 0.1*plan.Rate*took.Seconds() + losses*(0.05*plan.Burst+2*snapshotInterval.Seconds()*plan.Rate) + unproven*plan.Burst/2
 }
 
-const every = 250 * time.Millisecond // from one snapshot to the next, by default
+const snapshotInterval = 250 * time.Millisecond // from one snapshot to the next, by default
 
-// blackout is a rig whose power is lost under a crowd at five times its quota.
-type blackout struct {
+// powerLossTest is a rig whose power is lost under a crowd at five times its quota.
+type powerLossTest struct {
 	*e2e.Harness
 	t        *testing.T
 	platform *testbed.Platform
@@ -37,28 +37,28 @@
 	unproven float64 // members of which nothing is proven, of all, summed over the losses
 }
 
-func newBlackout(t *testing.T, n int, seed uint64, block string) *blackout {
+func newPowerLossTest(t *testing.T, n int, seed uint64, block string) *powerLossTest {
 	platform := testbed.SmallPlatform()
-	b := &blackout{Harness: newFleet(t, platform, n, seed, block), t: t, platform: platform}
+	b := &powerLossTest{Harness: newFleet(t, platform, n, seed, block), t: t, platform: platform}
 	b.Start(0, b.AllGateways()...)
-	agreed(t, b.Harness, time.Minute, b.AllGateways()...)
+	waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 	return b
 }
 
-// lose has all lose their power, and start again one so long after the other.
-func (b *blackout) lose(spacing time.Duration, meanwhile func()) {
+// losePower has all losePower their power, and start again one so long after the other.
+func (b *powerLossTest) losePower(spacing time.Duration, whileDown func()) {
 	b.losses++
-	back := b.PowerLoss()
-	meanwhile()
+	markUp := b.PowerLoss()
+	whileDown()
 	b.Start(spacing, b.AllGateways()...)
-	back()
+	markUp()
 }
 
-// loseNodesToo has nodes lose their power with the gateways: half of them are back before these, which nobody tells of, and half after.
-func (b *blackout) loseNodesToo() {
+// losePowerWithNodes has nodes lose their power with the gateways: half of them are back before these, which nobody tells of, and half after.
+func (b *powerLossTest) losePowerWithNodes() {
 	b.t.Helper()
 	half := len(b.Site.Nodes) / 2
-	b.lose(0, func() {
+	b.losePower(0, func() {
 		for _, n := range b.Site.Nodes[:half] {
 			_, err := n.Restart()
 			must(b.t, err)
@@ -69,43 +69,43 @@
 	}
 }
 
-func nothing() {}
+func noop() {}
 
-func (b *blackout) said(i int, piece string) {
+func (b *powerLossTest) checkLogged(i int, piece string) {
 	b.t.Helper()
 	if !strings.Contains(b.Processes[i].Log.String(), piece) {
 		b.t.Errorf("%s does not say %q:\n%s", e2e.GatewayName(i), piece, b.Processes[i].Log)
 	}
 }
 
-// tell logs what those who flood got beyond rate x time since a moment, in bursts.
-func (b *blackout) tell(name string, from time.Time, before map[string]float64) {
-	took, over := time.Since(from).Seconds(), ""
+// logExcess logs what those who flood got beyond rate x time since a moment, in bursts.
+func (b *powerLossTest) logExcess(name string, from time.Time, before map[string]float64) {
+	took, excess := time.Since(from).Seconds(), ""
 	for _, plan := range b.platform.Plans {
-		got := b.Site.Recorder.Units(flooding(b.platform, plan.Name)) - before[plan.Name] - plan.Rate*took
-		over += fmt.Sprintf(", %s %.2f", plan.Name, got/plan.Burst)
+		got := b.Site.Recorder.Units(overQuotaCustomer(b.platform, plan.Name)) - before[plan.Name] - plan.Rate*took
+		excess += fmt.Sprintf(", %s %.2f", plan.Name, got/plan.Burst)
 	}
-	b.t.Logf("%s: bursts beyond rate x time in %.1f s%s", name, took, over)
+	b.t.Logf("%s: bursts beyond rate x time in %.1f s%s", name, took, excess)
 }
 
-func (b *blackout) units() map[string]float64 {
+func (b *powerLossTest) overQuotaUnits() map[string]float64 {
 	all := map[string]float64{}
 	for _, plan := range b.platform.Plans {
-		all[plan.Name] = b.Site.Recorder.Units(flooding(b.platform, plan.Name))
+		all[plan.Name] = b.Site.Recorder.Units(overQuotaCustomer(b.platform, plan.Name))
 	}
 	return all
 }
 
-// judge holds each customer to its quota and the slack, and places to one user each.
-func (b *blackout) judge(p *e2e.LoadResult) {
+// checkQuotas holds each customer to its quota and the slack, and places to one user each.
+func (b *powerLossTest) checkQuotas(p *e2e.LoadResult) {
 	b.t.Helper()
-	ownPlaces(b.t, b.Harness)
+	checkSlotsExclusive(b.t, b.Harness)
 	for _, c := range p.Customers {
 		quota, got := p.QuotaUsage(&c)
-		may := quota + slack(p.Plan(&c), p.Elapsed, b.losses, b.unproven)
-		b.t.Logf("%s, asks for %.1f units a second: got %.0f units of %.0f, and a slack to %.0f", c.Plan, c.Rate*unitsEach, got, quota, may)
-		if got > may {
-			b.t.Errorf("customer %s on %s got %.0f units, %.0f may be", c.ID, c.Plan, got, may)
+		limit := quota + quotaSlack(p.Plan(&c), p.Elapsed, b.losses, b.unproven)
+		b.t.Logf("%s, asks for %.1f units a second: got %.0f units of %.0f, and a slack to %.0f", c.Plan, c.Rate*meanUnits, got, quota, limit)
+		if got > limit {
+			b.t.Errorf("customer %s on %s got %.0f units, %.0f may be", c.ID, c.Plan, got, limit)
 		}
 	}
 }
@@ -117,33 +117,33 @@
 
 func fleetPowerLoss(t *testing.T, seed uint64) {
 	n := max(8, *fleetSize)
-	b := newBlackout(t, n, seed, keeps)
-	old := ""
-	ways := []struct {
+	b := newPowerLossTest(t, n, seed, powerBlock)
+	oldDisk := ""
+	scenarios := []struct {
 		name string
 		do   func()
 	}{
-		{"at once", func() { b.lose(0, nothing) }},
-		{"one after the other", func() { b.lose(300*time.Millisecond, nothing) }},
+		{"at once", func() { b.losePower(0, noop) }},
+		{"one after the other", func() { b.losePower(300*time.Millisecond, noop) }},
 		{"again in the trickle, three times", func() {
 			for range 3 {
-				b.lose(0, nothing)
+				b.losePower(0, noop)
 				time.Sleep(300 * time.Millisecond)
 			}
 		}},
 		{"disks lost, old, a neighbour's, torn", func() {
 			b.unproven += 4 / float64(n)
-			b.lose(0, func() {
+			b.losePower(0, func() {
 				b.WipeDisk(0)
-				b.ReplaceDisk(1, old)
+				b.ReplaceDisk(1, oldDisk)
 				b.ReplaceDisk(2, b.DiskDir(3))
 				b.TruncateFiles(4, 0.5)
 			})
-			agreed(t, b.Harness, time.Minute, b.AllGateways()...)
-			b.said(0, "disk absent")
-			b.said(1, "older than others know it")
-			b.said(2, "is another member's and is set aside")
-			b.said(4, "not a whole image")
+			waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
+			b.checkLogged(0, "disk absent")
+			b.checkLogged(1, "older than others know it")
+			b.checkLogged(2, "is another member's and is set aside")
+			b.checkLogged(4, "not a whole image")
 			for _, i := range []int{2, 4} {
 				for _, name := range []string{"power.bad", "state.bad"} {
 					if _, err := os.Stat(filepath.Join(b.DiskDir(i), name)); err != nil {
@@ -154,39 +154,39 @@
 		}},
 		{"clocks an hour back, and never set", func() {
 			b.ClockOffsets[5], b.ClockOffsets[6] = -time.Hour, -time.Since(time.Unix(0, 0))
-			b.lose(0, nothing)
+			b.losePower(0, noop)
 		}},
 		{"over links that lose a third, and a way that is cut", func() {
 			b.Mesh.SetFault(faultnet.Fault{Loss: 0.3, MaxDelay: 20 * time.Millisecond}, nil, nil)
 			b.Mesh.SetFault(faultnet.Blackhole, []int{1}, []int{4})
-			b.lose(0, nothing)
-			agreed(t, b.Harness, time.Minute, b.AllGateways()...)
+			b.losePower(0, noop)
+			waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 			b.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 		}},
 		{"but one, which stands still", func() {
 			b.losses++
 			others := b.AllGateways()[:n-1]
-			thaw := b.Suspend(n - 1)
-			back := b.MarkDown(others...)
+			resume := b.Suspend(n - 1)
+			markUp := b.MarkDown(others...)
 			b.Kill(others...)
 			b.Start(0, others...)
-			back()
+			markUp()
 			time.Sleep(3 * time.Second)
-			thaw()
+			resume()
 			must(t, b.Processes[n-1].Log.WaitFor(b.Ctx, "standing aside until the fleet is heard", 1))
 		}},
 	}
-	b.judge(b.RunLoad(floodsAndCalm(b.platform, n, 5), seed, func() {
+	b.checkQuotas(b.RunLoad(overAndUnderQuota(b.platform, n, 5), seed, func() {
 		time.Sleep(3 * time.Second) // buckets are at their marks
-		old = b.CopyDisk(1)
-		for i, w := range ways {
-			before, from := b.units(), time.Now()
-			w.do()
-			if i < len(ways)-1 { // the frozen one's engine takes its time over who is who
-				agreed(t, b.Harness, time.Minute, b.AllGateways()...)
+		oldDisk = b.CopyDisk(1)
+		for i, scenario := range scenarios {
+			before, from := b.overQuotaUnits(), time.Now()
+			scenario.do()
+			if i < len(scenarios)-1 { // the frozen one's engine takes its time over who is who
+				waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 			}
 			time.Sleep(2 * time.Second)
-			b.tell(w.name, from, before)
+			b.logExcess(scenario.name, from, before)
 		}
 	}))
 }
@@ -197,26 +197,26 @@
 
 func coldNodes(t *testing.T, seed uint64) {
 	const n = 4
-	b := newBlackout(t, n, seed, keeps)
-	lost, up := time.Duration(0), time.Duration(0)
-	p := b.RunLoad(floodsAndCalm(b.platform, n, 5), seed, func() {
-		began := time.Now()
+	b := newPowerLossTest(t, n, seed, powerBlock)
+	lostAt, returnedAt := time.Duration(0), time.Duration(0)
+	p := b.RunLoad(overAndUnderQuota(b.platform, n, 5), seed, func() {
+		start := time.Now()
 		time.Sleep(4 * time.Second)
-		lost = time.Since(began)
-		b.loseNodesToo()
-		up = time.Since(began)
+		lostAt = time.Since(start)
+		b.losePowerWithNodes()
+		returnedAt = time.Since(start)
 		time.Sleep(10 * time.Second)
 	})
-	b.judge(p)
+	b.checkQuotas(p)
 	for i := range n {
-		b.said(i, "power: trickle")
+		b.checkLogged(i, "power: trickle")
 	}
 	share := func(from, to time.Duration) float64 {
 		s, asked := p.ServedShare(from, to, nil)
 		t.Logf("%v to %v: %.2f of %d served", from.Round(time.Millisecond), to.Round(time.Millisecond), s, asked)
 		return s
 	}
-	before, first, last := share(2*time.Second, lost), share(up, up+3*time.Second), share(up+7*time.Second, up+10*time.Second)
+	before, first, last := share(2*time.Second, lostAt), share(returnedAt, returnedAt+3*time.Second), share(returnedAt+7*time.Second, returnedAt+10*time.Second)
 	if before == 0 || last < 0.4*before || first > last+0.1 {
 		t.Errorf("%.2f of the requests were served before the loss, %.2f at first and %.2f at last", before, first, last)
 	}
@@ -227,14 +227,14 @@
 func TestPowerReturnsWithoutDiscovery(t *testing.T) {
 	t.Parallel() // it waits more than it works
 	const n = 5
-	b := newBlackout(t, n, 1, keeps)
-	var lost time.Time
-	p := b.RunLoad(floodsAndCalm(b.platform, n, 5), 1, func() {
+	b := newPowerLossTest(t, n, 1, powerBlock)
+	var lostAt time.Time
+	p := b.RunLoad(overAndUnderQuota(b.platform, n, 5), 1, func() {
 		time.Sleep(3 * time.Second)
 		b.losses++
-		lost = time.Now()
-		back := b.PowerLoss()
-		speak := b.Site.Discovery.Pause()
+		lostAt = time.Now()
+		markUp := b.PowerLoss()
+		resumeDiscovery := b.Site.Discovery.Pause()
 		for i := range b.Site.Nodes {
 			if i%2 == 0 {
 				must(t, b.Site.Replace(i))
@@ -243,18 +243,18 @@
 			}
 		}
 		b.Start(0, 2, 3, 4, 1, 0)
-		back()
-		agreed(t, b.Harness, time.Minute, b.AllGateways()...)
+		markUp()
+		waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 		for i := range n {
 			must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: trickle", 1))
 		}
 		time.Sleep(5 * time.Second)
-		speak()
+		resumeDiscovery()
 		time.Sleep(4 * time.Second)
 	})
-	b.judge(p)
+	b.checkQuotas(p)
 	for i := range n {
-		if warm := b.platform.Rules.ColdDuration * 9 / 10; time.Since(lost) < warm && strings.Contains(b.Processes[i].Log.String(), "power: full") {
+		if warmUp := b.platform.Rules.ColdDuration * 9 / 10; time.Since(lostAt) < warmUp && strings.Contains(b.Processes[i].Log.String(), "power: full") {
 			t.Errorf("%s is in full service while the nodes are cold", e2e.GatewayName(i))
 		}
 	}
@@ -263,32 +263,32 @@
 	}
 }
 
-// TestPowerReturnsOnTwoSides: power returns while a cut parts the fleet in halves, so that neither has a majority. Each member takes up its
+// TestPowerReturnsDuringPartition: power returns while a cut parts the fleet in halves, so that neither has a majority. Each member takes up its
 // own place after the stated time, as those on the other side can't have a majority either, and serves at its even part; together they
 // let in no more than the quota. When the cut is healed all is whole again.
-func TestPowerReturnsOnTwoSides(t *testing.T) {
+func TestPowerReturnsDuringPartition(t *testing.T) {
 	t.Parallel() // it waits more than it works
 	const n = 4
-	b := newBlackout(t, n, 1, keeps)
-	b.judge(b.RunLoad(floodsAndCalm(b.platform, n, 5), 1, func() {
+	b := newPowerLossTest(t, n, 1, powerBlock)
+	b.checkQuotas(b.RunLoad(overAndUnderQuota(b.platform, n, 5), 1, func() {
 		time.Sleep(2 * time.Second)
-		b.lose(0, func() { b.Mesh.Partition([]int{0, 1}) })
+		b.losePower(0, func() { b.Mesh.Partition([]int{0, 1}) })
 		for i := range n {
 			must(t, b.Processes[i].Log.WaitFor(b.Ctx, "is taken up alone", 1))
 			must(t, b.Processes[i].Log.WaitFor(b.Ctx, "power: full", 1))
 		}
 		time.Sleep(2 * time.Second)
 		b.Mesh.SetFault(faultnet.Fault{}, nil, nil)
-		agreed(t, b.Harness, time.Minute, b.AllGateways()...)
+		waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 		time.Sleep(time.Second)
 	}))
 }
 
-// TestExpectLoweredByHand: one of three comes back, and gets its place when its operators say that no more are to be expected. Another
+// TestExpectLoweredByOperator: one of three comes back, and gets its place when its operators say that no more are to be expected. Another
 // process on its disk ends with a line that says why.
-func TestExpectLoweredByHand(t *testing.T) {
+func TestExpectLoweredByOperator(t *testing.T) {
 	t.Parallel() // it waits more than it works
-	b := newBlackout(t, 3, 1, keeps)
+	b := newPowerLossTest(t, 3, 1, powerBlock)
 	b.PowerLoss()
 	b.Start(0, 0)
 	must(t, b.Processes[0].Log.WaitFor(b.Ctx, "cut off: true; 1 of 3", 1))
@@ -298,12 +298,12 @@
 	b.WriteFile(file, strings.Replace(string(text), "expect = 3", "expect = 1", 1))
 	must(t, b.Processes[0].Signal(syscall.SIGHUP))
 	must(t, b.Processes[0].Log.WaitFor(b.Ctx, "power: full", 1))
-	for rep := report(b.Harness, 0); rep == nil || rep.RecoveryPhase != "full" || rep.Assignment.Slot < 0; rep = report(b.Harness, 0) { // told at its next tick
+	for status := readStatus(b.Harness, 0); status == nil || status.RecoveryPhase != "full" || status.Assignment.Slot < 0; status = readStatus(b.Harness, 0) { // told at its next tick
 		if time.Sleep(50 * time.Millisecond); b.Ctx.Err() != nil {
-			t.Fatalf("the status is %+v", rep)
+			t.Fatalf("the status is %+v", status)
 		}
 	}
-	second := program()
+	second := testCommand()
 	second.Env = append(second.Env, "GW_CONFIG="+b.FilePath(e2e.GatewayName(0)+".json"), "GW_OPERATOR="+b.FilePath("second.sloe"), "GW_NAME="+e2e.GatewayName(0))
 	b.WriteFile(b.FilePath("second.sloe"), "power {\n keep = \"g0/power\"\n}\n")
 	if out, err := second.CombinedOutput(); err == nil || !strings.Contains(string(out), "another process keeps its state under") {
@@ -312,13 +312,13 @@
 }
 
 var (
-	blackouts = flag.Int("blackouts", 0, "losses of power that TestPowerAtRandom plays")
-	measured  = flag.Bool("power", false, "measure losses of power with and without the block power, in turn")
+	powerLosses      = flag.Int("blackouts", 0, "losses of power that TestPowerAtRandom plays")
+	measurePowerLoss = flag.Bool("power", false, "measure losses of power with and without the block power, in turn")
 )
 
 // TestPowerAtRandom plays losses of power drawn by a seed: who comes back when, with which disk, clock and links.
 func TestPowerAtRandom(t *testing.T) {
-	if *blackouts == 0 {
+	if *powerLosses == 0 {
 		t.Skip("a long form; -blackouts runs it")
 	}
 	seeds.Run(t, []uint64{1, 2}, powerAtRandom)
@@ -326,18 +326,18 @@
 
 func powerAtRandom(t *testing.T, seed uint64) {
 	const n = 8
-	b := newBlackout(t, n, seed, keeps)
+	b := newPowerLossTest(t, n, seed, powerBlock)
 	rnd := seeds.Rand(seed)
-	b.judge(b.RunLoad(floodsAndCalm(b.platform, n, 5), seed, func() {
+	b.checkQuotas(b.RunLoad(overAndUnderQuota(b.platform, n, 5), seed, func() {
 		time.Sleep(2 * time.Second)
-		old := b.CopyDisk(0)
-		for k := range *blackouts {
+		oldDisk := b.CopyDisk(0)
+		for k := range *powerLosses {
 			b.Mesh.SetFault(faultnet.Fault{Loss: 0.3 * rnd.Float64(), Duplicate: 0.1, MaxDelay: time.Duration(rnd.IntN(30)) * time.Millisecond}, nil, nil)
-			from, before, name := time.Now(), b.units(), ""
-			b.lose(time.Duration(rnd.IntN(200))*time.Millisecond, func() {
+			from, before, name := time.Now(), b.overQuotaUnits(), ""
+			b.losePower(time.Duration(rnd.IntN(200))*time.Millisecond, func() {
 				for i := range n {
 					b.ClockOffsets[i] = 0
-					switch fate := rnd.IntN(12); fate {
+					switch draw := rnd.IntN(12); draw {
 					case 0:
 						b.WipeDisk(i)
 					case 1:
@@ -345,7 +345,7 @@
 					case 2:
 						b.ReplaceDisk(i, b.DiskDir((i+1)%n))
 					case 3:
-						b.ReplaceDisk(i, old) // of the others: another's, in its former life
+						b.ReplaceDisk(i, oldDisk) // of the others: another's, in its former life
 					case 4:
 						b.ClockOffsets[i] = -time.Duration(rnd.IntN(3600)) * time.Second
 						name += fmt.Sprintf(" g%d's clock %v", i, b.ClockOffsets[i])
@@ -358,64 +358,64 @@
 				}
 			})
 			if rnd.IntN(3) > 0 { // else it is lost again before they agree
-				agreed(t, b.Harness, time.Minute, b.AllGateways()...)
+				waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 			}
 			time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
-			b.tell(fmt.Sprintf("loss %d,%s", k, name), from, before)
+			b.logExcess(fmt.Sprintf("loss %d,%s", k, name), from, before)
 		}
 	}))
 }
 
 // TestPowerMeasured plays one loss of power of gateways and nodes with and without the block, in turn, and tells how service came back.
 func TestPowerMeasured(t *testing.T) {
-	if !*measured {
+	if !*measurePowerLoss {
 		t.Skip("a measurement; -power runs it")
 	}
 	for round := range 2 {
-		for _, block := range []string{"", keeps} {
-			t.Run(fmt.Sprintf("round=%d/power=%v", round, block != ""), func(t *testing.T) { measurePower(t, max(8, *fleetSize), block) })
+		for _, block := range []string{"", powerBlock} {
+			t.Run(fmt.Sprintf("round=%d/power=%v", round, block != ""), func(t *testing.T) { measureReturn(t, max(8, *fleetSize), block) })
 		}
 	}
 }
 
-func measurePower(t *testing.T, n int, block string) {
+func measureReturn(t *testing.T, n int, block string) {
 	const window = 500 * time.Millisecond
-	b := newBlackout(t, n, 1, block)
-	var lost, up time.Duration
+	b := newPowerLossTest(t, n, 1, block)
+	var lostAt, returnedAt time.Duration
 	var sent faultnet.Counts
-	p := b.RunLoad(floodsAndCalm(b.platform, n, 5), 1, func() {
-		began := time.Now()
+	p := b.RunLoad(overAndUnderQuota(b.platform, n, 5), 1, func() {
+		start := time.Now()
 		time.Sleep(6 * time.Second)
-		from, before := time.Now(), b.units()
-		lost, sent = time.Since(began), b.Mesh.Counts()
-		b.loseNodesToo()
-		up = time.Since(began)
+		from, before := time.Now(), b.overQuotaUnits()
+		lostAt, sent = time.Since(start), b.Mesh.Counts()
+		b.losePowerWithNodes()
+		returnedAt = time.Since(start)
 		time.Sleep(2 * time.Second)
-		b.tell("from before the loss to 2 s after it", from, before)
+		b.logExcess("from before the loss to 2 s after it", from, before)
 		now := b.Mesh.Counts()
 		t.Logf("%d datagrams and %d bytes by streams of a member meanwhile", (now.Forwarded-sent.Forwarded)/n, (now.StreamBytes-sent.StreamBytes)/n)
 		time.Sleep(16 * time.Second)
 	})
-	worth := func(from, to time.Duration) float64 { // by plan's price, a second
+	servedWorth := func(from, to time.Duration) float64 { // by plan's price, a second
 		sum := 0.0
 		for i := range p.Results {
 			if e := &p.Results[i]; e.Outcome == testbed.OutcomeServed && e.EndedAt.Sub(p.StartedAt) >= from && e.EndedAt.Sub(p.StartedAt) < to {
-				sum += b.platform.Plans[indexOf(b.platform, e.Plan)].Price
+				sum += b.platform.Plans[planIndex(b.platform, e.Plan)].Price
 			}
 		}
 		return sum / (to - from).Seconds()
 	}
-	before := worth(3*time.Second, lost)
+	before := servedWorth(3*time.Second, lostAt)
 	for _, share := range []float64{0.01, 0.5, 0.9} {
-		at := up
-		for worth(at, at+2*window) < share*before && at < p.Elapsed {
+		at := returnedAt
+		for servedWorth(at, at+2*window) < share*before && at < p.Elapsed {
 			at += window
 		}
-		t.Logf("%.0f%% of the worth served before: %v after the return", 100*share, (at - up).Round(window))
+		t.Logf("%.0f%% of the worth served before: %v after the return", 100*share, (at - returnedAt).Round(window))
 	}
 }
 
-// flooding is the customer of a plan that asks for far more than its quota.
-func flooding(platform *testbed.Platform, plan string) string {
-	return fmt.Sprintf("%016x", 2*indexOf(platform, plan)+1)
+// overQuotaCustomer is the customer of a plan that asks for far more than its quota.
+func overQuotaCustomer(platform *testbed.Platform, plan string) string {
+	return fmt.Sprintf("%016x", 2*planIndex(platform, plan)+1)
 }
--- a/internal/daemon/protocols_test.go
+++ b/internal/daemon/protocols_test.go
@@ -26,15 +26,15 @@
 )
 
 var (
-	protocols = flag.Bool("protocols", false, "measure what a look-up costs by each protocol")
-	lookups   = flag.Int("lookups", 20000, "of each of its runs")
+	protocols   = flag.Bool("protocols", false, "measure what a look-up costs by each protocol")
+	lookupCount = flag.Int("lookups", 20000, "of each of its runs")
 )
 
 const (
-	costRounds = 3
-	pause      = 10 * time.Millisecond // after a refusal
-	costOpen   = 100                   // requests open at once, over all connections
-	costNodes  = 40                    // so many that this does not press them
+	costRounds   = 3
+	refusalPause = 10 * time.Millisecond // after a refusal
+	openRequests = 100                   // requests open at once, over all connections
+	nodeCount    = 40                    // so many that this does not press them
 )
 
 // TestCostByProtocol plays the same look-ups by RESP2 and by HTTP/2, in turn, with 100 open at once: RESP2 on 100
@@ -49,32 +49,32 @@
 				if streams == 0 && secure {
 					continue
 				}
-				t.Run(fmt.Sprintf("round=%d/streams=%d/tls=%v", round, streams, secure), func(t *testing.T) { t.Log(costOf(t, streams, secure)) })
+				t.Run(fmt.Sprintf("round=%d/streams=%d/tls=%v", round, streams, secure), func(t *testing.T) { t.Log(measureCost(t, streams, secure)) })
 			}
 		}
 	}
 }
 
-func costOf(t *testing.T, streams int, secure bool) string {
-	places, err := testbed.AllocateEndpoints(1)
+func measureCost(t *testing.T, streams int, secure bool) string {
+	endpoints, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	file := fmt.Sprintf("listener h2 {\n address = %q\n", places[0].Listen)
+	file := fmt.Sprintf("listener h2 {\n address = %q\n", endpoints[0].Listen)
 	if secure {
 		selfSigned(t, dir)
 		file += fmt.Sprintf(" tls {\n certificate = %q\n key = %q\n }\n", filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"))
 	}
-	r := newRigOf(t, file+"}\n", costNodes)
+	r := newHarnessWithNodes(t, file+"}\n", nodeCount)
 	for _, n := range r.site.Nodes {
 		n.SkipWork()
 	}
-	conns := costOpen
+	conns := openRequests
 	if streams > 0 {
-		conns = costOpen / streams
+		conns = openRequests / streams
 	}
-	each := *lookups / costOpen
+	each := *lookupCount / openRequests
 	var took []time.Duration
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -89,22 +89,22 @@
 		}
 		wg.Wait()
 	}
-	call := func(conn, open, n int) []time.Duration { return respLookups(t, r.place.Listen, conn, n) }
+	call := func(conn, open, n int) []time.Duration { return respLookups(t, r.endpoint.Listen, conn, n) }
 	if streams > 0 {
-		var by *tls.Config
+		var tlsConfig *tls.Config
 		if secure {
-			by = &tls.Config{InsecureSkipVerify: true} // its own certificate, made a moment ago
+			tlsConfig = &tls.Config{InsecureSkipVerify: true} // its own certificate, made a moment ago
 		}
 		call = func(conn, open, n int) []time.Duration {
-			return h2Lookups(t, places[0].Listen, by, conn, open, n*open)
+			return h2Lookups(t, endpoints[0].Listen, tlsConfig, conn, open, n*open)
 		}
 	}
-	before, calls := r.ticks(), r.calls()
+	before, calls := r.cpuTicks(), r.ioCalls()
 	run(each, call)
 	n := float64(len(took))
 	slices.Sort(took)
-	return fmt.Sprintf("%.1f us CPU, %.2f reads and writes a request; p50 %v p99 %v; %d of %d served", float64(r.ticks()-before)*1e4/n,
-		float64(r.calls()-calls)/n, took[len(took)/2].Round(10*time.Microsecond), took[len(took)*99/100].Round(10*time.Microsecond), len(took), *lookups)
+	return fmt.Sprintf("%.1f us CPU, %.2f reads and writes a request; p50 %v p99 %v; %d of %d served", float64(r.cpuTicks()-before)*1e4/n,
+		float64(r.ioCalls()-calls)/n, took[len(took)/2].Round(10*time.Microsecond), took[len(took)*99/100].Round(10*time.Microsecond), len(took), *lookupCount)
 }
 
 // TestMemoryByProtocol tells what 1,000 idle connections and 10,000 streams whose requests are not whole cost the gateway.
@@ -112,15 +112,15 @@
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
 	}
-	places, err := testbed.AllocateEndpoints(1)
+	endpoints, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := testbed.SmallPlatform()
 	p.Sockets = 4096
-	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\ngateway {\n clients {\n first-command = 1m\n write = 1m\n }\n}\n", places[0].Listen), p, 2)
+	r := newHarnessOn(t, fmt.Sprintf("listener h2 {\n address = %q\n}\ngateway {\n clients {\n first-command = 1m\n write = 1m\n }\n}\n", endpoints[0].Listen), p, 2)
 	rss := func() int {
-		n, err := strconv.Atoi(r.proc("status", "VmRSS:"))
+		n, err := strconv.Atoi(r.procField("status", "VmRSS:"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 	}
 	dial := func(n int) (all []*testbed.H2Client) {
 		for range n {
-			c, err := testbed.DialH2(places[0].Listen, nil)
+			c, err := testbed.DialH2(endpoints[0].Listen, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -136,7 +136,7 @@
 			all = append(all, c)
 		}
 		for _, c := range all {
-			synced(t, c)
+			waitForPing(t, c)
 		}
 		return all
 	}
@@ -153,13 +153,13 @@
 		}
 	}
 	for _, c := range conns[:100] {
-		synced(t, c)
+		waitForPing(t, c)
 	}
 	t.Logf("%.1f KiB an idle connection of 1,000, %.2f KiB an open stream of 10,000", float64(idle-before)/1000, float64(rss()-idle)/10000)
 }
 
-// synced waits until the gateway has taken all that was sent.
-func synced(t *testing.T, c *testbed.H2Client) {
+// waitForPing waits until the gateway has taken all that was sent.
+func waitForPing(t *testing.T, c *testbed.H2Client) {
 	t.Helper()
 	if err := c.Framer.WritePing(false, [8]byte{7}); err != nil {
 		t.Fatal(err)
@@ -181,13 +181,13 @@
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
 	}
-	places, err := testbed.AllocateEndpoints(1)
+	endpoints, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := testbed.SmallPlatform()
 	p.H2Nodes = 4
-	r := newRigAt(t, fmt.Sprintf("listener h2 {\n address = %q\n}\nback %s {\n}\n", places[0].Listen, testbed.H2NodeKind), p, 4)
+	r := newHarnessOn(t, fmt.Sprintf("listener h2 {\n address = %q\n}\nback %s {\n}\n", endpoints[0].Listen, testbed.H2NodeKind), p, 4)
 	large := strings.Repeat("x", 64<<10)
 	for _, n := range r.site.Nodes {
 		n.SkipWork()
@@ -200,8 +200,8 @@
 		})
 	}
 	for round := range costRounds {
-		for _, beside := range []bool{false, true} {
-			c, err := testbed.DialH2(places[0].Listen, nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
+		for _, withLarge := range []bool{false, true} {
+			c, err := testbed.DialH2(endpoints[0].Listen, nil, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -211,19 +211,19 @@
 			var took []time.Duration
 			for i := range 2000 {
 				q := testbed.H2Request{Path: "/v1/ask/slot-lookup", Customer: costCustomer(round, i), Plan: "network", Patience: 1200 * time.Millisecond, Units: "1"}
-				if beside {
+				if withLarge {
 					q.ID = fmt.Sprintf("large-%d-%d", round, i)
 					if _, err := c.Send(q); err != nil {
 						t.Fatal(err)
 					}
 				}
-				q.ID, q.Customer = fmt.Sprintf("small-%d-%d-%v", round, i, beside), costCustomer(round+costRounds, i)
+				q.ID, q.Customer = fmt.Sprintf("small-%d-%d-%v", round, i, withLarge), costCustomer(round+costRounds, i)
 				start := time.Now()
 				id, err := c.Send(q)
 				if err != nil {
 					t.Fatal(err)
 				}
-				for n := 0; n < 1+b2i(beside); n++ {
+				for n := 0; n < 1+boolToInt(withLarge); n++ {
 					a, err := c.Read()
 					if err != nil {
 						t.Fatal(err)
@@ -235,23 +235,23 @@
 			}
 			c.Close()
 			slices.Sort(took)
-			t.Logf("round %d, beside large answers %v: p50 %v p99 %v over %d", round, beside, took[len(took)/2], took[len(took)*99/100], len(took))
+			t.Logf("round %d, beside large answers %v: p50 %v p99 %v over %d", round, withLarge, took[len(took)/2], took[len(took)*99/100], len(took))
 		}
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// calls are the reads and writes that the gateway asked of the kernel (proc(5): /proc/pid/io).
-func (r *rig) calls() (sum int64) {
+// ioCalls are the reads and writes that the gateway asked of the kernel (proc(5): /proc/pid/io).
+func (r *harness) ioCalls() (sum int64) {
 	r.t.Helper()
 	for _, field := range []string{"syscr:", "syscw:"} {
-		n, err := strconv.ParseInt(r.proc("io", field), 10, 64)
+		n, err := strconv.ParseInt(r.procField("io", field), 10, 64)
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -282,7 +282,7 @@
 			return took
 		}
 		if got[0] == '-' { // the gateway does not know its nodes yet
-			time.Sleep(pause)
+			time.Sleep(refusalPause)
 			continue
 		}
 		took = append(took, time.Since(start))
@@ -290,8 +290,8 @@
 	return took
 }
 
-func h2Lookups(t *testing.T, addr string, by *tls.Config, conn, open, n int) (took []time.Duration) {
-	c, err := testbed.DialH2(addr, by, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
+func h2Lookups(t *testing.T, addr string, tlsConfig *tls.Config, conn, open, n int) (took []time.Duration) {
+	c, err := testbed.DialH2(addr, tlsConfig, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 20})
 	if err != nil {
 		t.Error(err)
 		return nil
@@ -317,7 +317,7 @@
 		if a.Status == 200 {
 			took = append(took, time.Since(starts[a.Stream]))
 		} else {
-			time.Sleep(pause)
+			time.Sleep(refusalPause)
 		}
 		delete(starts, a.Stream)
 	}
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -13,19 +13,19 @@
 	"sloepick/internal/testbed"
 )
 
-// manager is a stand-in for the service manager: it takes notices, and holds a socket that it passes on to one process after
+// serviceManager is a stand-in for the service serviceManager: it takes notices, and holds a socket that it passes on to one process after
 // another.
-type manager struct {
-	t       *testing.T
-	notices *net.UnixConn
-	socket  string
-	ln      *os.File
-	addr    string
+type serviceManager struct {
+	t        *testing.T
+	notices  *net.UnixConn
+	socket   string
+	listener *os.File
+	addr     string
 }
 
-func newManager(t *testing.T) *manager {
+func newServiceManager(t *testing.T) *serviceManager {
 	t.Helper()
-	m := &manager{t: t, socket: filepath.Join(t.TempDir(), "notify")}
+	m := &serviceManager{t: t, socket: filepath.Join(t.TempDir(), "notify")}
 	var err error
 	if m.notices, err = net.ListenUnixgram("unixgram", &net.UnixAddr{Name: m.socket, Net: "unixgram"}); err != nil {
 		t.Fatal(err)
@@ -36,16 +36,16 @@
 		t.Fatal(err)
 	}
 	m.addr = ln.Addr().String()
-	if m.ln, err = ln.(*net.TCPListener).File(); err != nil {
+	if m.listener, err = ln.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
 	}
 	ln.Close() // the file stays
-	t.Cleanup(func() { m.ln.Close() })
+	t.Cleanup(func() { m.listener.Close() })
 	return m
 }
 
 // next is the next notice that is none of life.
-func (m *manager) next() string {
+func (m *serviceManager) next() string {
 	m.t.Helper()
 	for {
 		if text := m.read(); text != "WATCHDOG=1" {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (m *manager) read() string {
+func (m *serviceManager) read() string {
 	m.t.Helper()
 	if err := m.notices.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		m.t.Fatal(err)
@@ -67,7 +67,7 @@
 	return string(b[:n])
 }
 
-func (m *manager) want(notice string) {
+func (m *serviceManager) expect(notice string) {
 	m.t.Helper()
 	if got := m.next(); !strings.HasPrefix(got, notice) {
 		m.t.Fatalf("got the notice %q, want %q", got, notice)
@@ -75,10 +75,10 @@
 }
 
 // start starts the daemon as the manager does; a shell learns the process's id for LISTEN_PID.
-func (m *manager) start(platform, names string) *testbed.Process {
+func (m *serviceManager) start(platform, names string) *testbed.Process {
 	m.t.Helper()
 	cmd := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0"`, os.Args[0])
-	cmd.ExtraFiles = []*os.File{m.ln}
+	cmd.ExtraFiles = []*os.File{m.listener}
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1", "GW_CONFIG="+platform, "GW_OPERATOR=", "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=",
 		"NOTIFY_SOCKET="+m.socket, "WATCHDOG_USEC=100000", "LISTEN_FDS=1", "LISTEN_FDNAMES="+names)
 	p, err := testbed.StartProcess(cmd)
@@ -97,20 +97,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	places, err := testbed.AllocateEndpoints(1)
+	endpoints, err := testbed.AllocateEndpoints(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := site.Platform.GatewayConfig(0, places, site.Discovery.Addr().String(), 1, site.ServerList())
+	text, err := site.Platform.GatewayConfig(0, endpoints, site.Discovery.Addr().String(), 1, site.ServerList())
 	if err != nil {
 		t.Fatal(err)
 	}
 	platform := filepath.Join(t.TempDir(), "platform.json")
 	must(t, os.WriteFile(platform, text, 0o600))
-	m := newManager(t)
+	m := newServiceManager(t)
 
 	p := m.start(platform, "clients")
-	m.want("READY=1")
+	m.expect("READY=1")
 	ask := func(id string) {
 		t.Helper()
 		c, err := testbed.Dial(m.addr)
@@ -127,23 +127,23 @@
 		t.Errorf("got %q, want a sign of life", got)
 	}
 	must(t, p.Signal(syscall.SIGHUP))
-	m.want("RELOADING=1\nMONOTONIC_USEC=")
-	m.want("READY=1")
+	m.expect("RELOADING=1\nMONOTONIC_USEC=")
+	m.expect("READY=1")
 	must(t, p.Signal(syscall.SIGTERM))
-	m.want("STOPPING=1")
-	asked := make(chan struct{})
+	m.expect("STOPPING=1")
+	served := make(chan struct{})
 	must(t, p.Stop())
 	go func() { // in the gap: it waits in the socket
-		defer close(asked)
+		defer close(served)
 		ask("00000002")
 	}()
 	m.start(platform, "clients")
-	m.want("READY=1")
-	<-asked
+	m.expect("READY=1")
+	<-served
 
-	odd := m.start(platform, "nobody")
-	must(t, odd.Log.WaitFor(t.Context(), `a socket "nobody" was passed in, and nothing here has that name`, 1))
-	if err := odd.Stop(); err == nil {
+	misnamed := m.start(platform, "nobody")
+	must(t, misnamed.Log.WaitFor(t.Context(), `a socket "nobody" was passed in, and nothing here has that name`, 1))
+	if err := misnamed.Stop(); err == nil {
 		t.Error("a socket that nobody knows is no error")
 	}
 }
--- a/internal/daemon/tail_test.go
+++ b/internal/daemon/tail_test.go
@@ -35,59 +35,59 @@
 		{"after 100 ms", base + " copy { after = 100ms }\n}\n"},
 		{"after the 95% quantile", base + " copy {\n  after = 100ms\n  quantile = 95%\n }\n}\n"},
 	}
-	scenes := []struct {
+	scenarios := []struct {
 		name         string
 		nodes, oneOf int
 	}{{"one slow node", 1, 2}, {"every node stalls at times", 10, 50}}
-	for _, scene := range scenes {
+	for _, scenario := range scenarios {
 		for _, v := range slices.Concat(variants, variants) {
-			r := newRigOf(t, v.file, 10)
+			r := newHarnessWithNodes(t, v.file, 10)
 			var mu sync.Mutex
 			rnd := rand.New(rand.NewPCG(seed, 7))
-			for _, n := range r.site.Nodes[:scene.nodes] {
+			for _, n := range r.site.Nodes[:scenario.nodes] {
 				n.SetExtraDelay(func(testbed.Arrival) time.Duration {
 					mu.Lock()
 					defer mu.Unlock()
-					if rnd.IntN(scene.oneOf) == 0 {
+					if rnd.IntN(scenario.oneOf) == 0 {
 						return 250 * time.Millisecond
 					}
 					return 0
 				})
 			}
-			t.Logf("%-26s %-22s %s", scene.name, v.name, r.lookups(seed))
+			t.Logf("%-26s %-22s %s", scenario.name, v.name, r.measureLookups(seed))
 			r.gateway.Kill()
 			r.site.Close()
 		}
 	}
 }
 
-// lookups plays look-ups alone and tells how long they took and what came to the nodes.
-func (r *rig) lookups(seed uint64) string {
+// measureLookups plays look-ups alone and tells how long they took and what came to the nodes.
+func (r *harness) measureLookups(seed uint64) string {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.ctx, time.Duration(*tailSeconds)*time.Second)
 	defer cancel()
 	var mu sync.Mutex
 	var took []time.Duration
-	all := 0
+	sent := 0
 	class := r.site.Platform.Classes[0]
 	class.Share = 1
-	crowd := testbed.LoadGenerator{Gateways: []string{r.place.Listen}, Classes: []testbed.RequestClass{class}, Seed: seed, OnResult: func(e testbed.RequestResult) {
+	load := testbed.LoadGenerator{Gateways: []string{r.endpoint.Listen}, Classes: []testbed.RequestClass{class}, Seed: seed, OnResult: func(e testbed.RequestResult) {
 		mu.Lock()
 		defer mu.Unlock()
-		if all++; e.Outcome == testbed.OutcomeServed {
+		if sent++; e.Outcome == testbed.OutcomeServed {
 			took = append(took, e.EndedAt.Sub(e.SentAt))
 		}
 	}}
 	for i := range 20 {
-		crowd.Customers = append(crowd.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 9, GatewayCount: 1})
+		load.Customers = append(load.Customers, testbed.Customer{ID: fmt.Sprintf("%016x", i+1), Plan: "network", Rate: 9, GatewayCount: 1})
 	}
-	crowd.Run(ctx)
+	load.Run(ctx)
 	slices.Sort(took)
-	at := func(q float64) int64 { return took[min(len(took)-1, int(q*float64(len(took))))].Milliseconds() }
-	came := 0
+	percentile := func(q float64) int64 { return took[min(len(took)-1, int(q*float64(len(took))))].Milliseconds() }
+	received := 0
 	for _, n := range r.site.Nodes {
-		came += n.Counts().Received
+		received += n.Counts().Received
 	}
-	return fmt.Sprintf("%d of %d served, p50 %d ms, p99 %d ms, p99.9 %d ms, attempts a request %.3f", len(took), all, at(0.5), at(0.99), at(0.999),
-		float64(came)/float64(all))
+	return fmt.Sprintf("%d of %d served, p50 %d ms, p99 %d ms, p99.9 %d ms, attempts a request %.3f", len(took), sent, percentile(0.5), percentile(0.99), percentile(0.999),
+		float64(received)/float64(sent))
 }
