--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is the program round the gateway: its start, its reload by SIGHUP and its end by SIGTERM.
+// Package daemon runs the gateway as a process: it starts it, reloads its configuration on SIGHUP and stops it on SIGTERM.
 package daemon
 
 import (
@@ -30,14 +30,14 @@
 )
 
 const (
-	heapFraction = 0.6 // of the memory limit: the rest is for stacks, the runtime and what the kernel counts
-	gcPercent    = 400 // the live heap is small, so memory is cheaper than collections
+	heapFraction = 0.6 // of the memory limit; the rest is for stacks, the runtime and memory that the kernel accounts to the process
+	gcPercent    = 400 // the live heap is small, so spending memory costs less than collecting more often
 
-	stableReadInterval = 25 * time.Millisecond // an operator file that reads the same twice, so far apart, is not being written
-	stableReadTimeout  = 2 * time.Second       // one that goes on changing is not taken
+	stableReadInterval = 25 * time.Millisecond // an operator file that is unchanged over this interval is not being written
+	stableReadTimeout  = 2 * time.Second       // a file that still changes after this time is rejected
 )
 
-// Main runs the daemon with the arguments behind the program's name and returns its exit code.
+// Main runs the daemon with args, the arguments after the program name, and returns its exit code.
 func Main(args []string, getenv func(string) string, stderr io.Writer) int {
 	if err := run(args, getenv, stderr); err != nil {
 		fmt.Fprintln(stderr, "sloepick:", err)
@@ -50,7 +50,7 @@
 }
 
 func run(args []string, getenv func(string) string, stderr io.Writer) error {
-	hup := make(chan os.Signal, 1) // from the first moment on: the default is to die of it
+	hup := make(chan os.Signal, 1) // registered first, as an unhandled SIGHUP terminates the process
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	file, err := operatorFile(args, getenv)
@@ -109,7 +109,7 @@
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB<<20)))
 	for name := range sockets {
-		return fmt.Errorf("a socket %q was passed in, and nothing here has that name", name)
+		return fmt.Errorf("a socket named %q was passed in, but no listener has that name", name)
 	}
 	notifier := systemd.NewNotifier(log, getenv)
 	r.notifier = notifier
@@ -132,12 +132,13 @@
 	return nil
 }
 
-// gossipConfigHook changes how a member takes part before it does: tests put broken links between the members of a fleet. nil: nothing.
+// gossipConfigHook, if not nil, modifies the gossip configuration before the member is created. Tests use it to put faulty
+// links between the members of a fleet.
 var gossipConfigHook func(*gossip.Config) error
 
-var errSuperseded = errors.New("a later process of this name is in the fleet")
+var errSuperseded = errors.New("a later process with this name has joined the fleet")
 
-// joinFleet makes the gateway a member of a fleet, if the operators' file says so. The fleet gives it its number.
+// joinFleet makes the gateway a member of a fleet if the operators' file configures one. The fleet assigns its rank.
 func (r *reloader) joinFleet(ctx context.Context, cancel context.CancelCauseFunc) error {
 	f := blocks.Fleet(r.current)
 	if f == nil {
@@ -162,7 +163,7 @@
 	go func() {
 		select {
 		case m := <-member.Superseded():
-			r.log.Error("a later process of this name is in the fleet: ending", "name", m.Name, "at", m.Addr)
+			r.log.Error("a later process with this name has joined the fleet; shutting down", "name", m.Name, "at", m.Addr)
 			cancel(errSuperseded)
 		case <-ctx.Done():
 		}
@@ -170,10 +171,10 @@
 	return nil
 }
 
-// clientsSocketName is the name of the socket for RESP2's clients among those that are passed in; others go by the listeners' names.
+// clientsSocketName is the name of the inherited socket for RESP2 clients. Other inherited sockets have the names of their listeners.
 const clientsSocketName = "clients"
 
-// assignSocket hands a socket that was passed in to a front.
+// assignSocket gives a listener the inherited socket of that name, if there is one, and removes it from sockets.
 func assignSocket(sockets map[string]net.Listener, name string, listener *gateway.Listener) {
 	if ln := sockets[name]; ln != nil {
 		listener.UseSocket(ln)
@@ -181,11 +182,11 @@
 	}
 }
 
-// operatorFile is the file that the flag names, or else the environment, or none.
+// operatorFile returns the path of the operators' file from the flag or else from the environment, or "" without one.
 func operatorFile(args []string, getenv func(string) string) (string, error) {
 	fs := flag.NewFlagSet("sloepick", flag.ContinueOnError)
-	fs.SetOutput(io.Discard) // the error is told once, as any other
-	file := fs.String("operator", getenv("GW_OPERATOR"), "the operators' file")
+	fs.SetOutput(io.Discard) // Main reports the error, as it does any other
+	file := fs.String("operator", getenv("GW_OPERATOR"), "path of the operators' file")
 	if err := fs.Parse(args); err != nil {
 		return "", err
 	}
@@ -195,13 +196,13 @@
 	return *file, nil
 }
 
-// operatorFileError is an operator file that can't be used.
+// operatorFileError reports an operators' file that can't be used.
 type operatorFileError struct {
 	file  string
 	diags sloe.Diags
 }
 
-// Error is one line, for the log: the first error and how many there are.
+// Error returns one line for the log: the number of errors and the first of them.
 func (e *operatorFileError) Error() string {
 	errorCount, first := 0, ""
 	for _, d := range e.diags {
@@ -214,7 +215,7 @@
 	return fmt.Sprintf("the operator file %s can't be used: errors=%d, the first: %s", e.file, errorCount, first)
 }
 
-// load reads the operator file and holds it to the platform's settings. What comes back beside it are warnings.
+// load reads the operators' file and validates it against the platform's settings. The diagnostics that it returns are warnings.
 func (r *reloader) load() (*operator.Config, sloe.Diags, error) {
 	c, diags, err := blocks.Load(r.file, r.cfg)
 	if err != nil {
@@ -232,10 +233,10 @@
 	}
 }
 
-// reloader reads both files again at each SIGHUP and passes on what changed.
+// reloader reads the platform's and the operators' file again at each SIGHUP and applies what changed.
 type reloader struct {
-	file      string          // "": none
-	cfg       *gateway.Config // as at the start: its settings hold until a restart
+	file      string          // path of the operators' file; "" without one
+	cfg       *gateway.Config // as read at the start; its settings apply until a restart
 	current   *operator.Config
 	getenv    func(string) string
 	log       *slog.Logger
@@ -243,8 +244,8 @@
 	reloads   chan gateway.Reload
 	frontends []*h2.Frontend
 	notifier  *systemd.Notifier
-	member    *gossip.Engine // nil: of no fleet
-	stateLock *os.File       // of the state that is kept; held open for as long as the process lives
+	member    *gossip.Engine // nil outside a fleet
+	stateLock *os.File       // lock file of the saved state; open until the process ends
 }
 
 func (r *reloader) run(ctx context.Context, hup <-chan os.Signal) {
@@ -257,7 +258,7 @@
 		r.notifier.Reloading()
 		next, c, err := r.readFiles(ctx)
 		if err != nil {
-			r.log.Error("reload failed, the former configuration stays", "err", err)
+			r.log.Error("reload failed, keeping the previous configuration", "err", err)
 			r.notifier.Reloaded()
 			continue
 		}
@@ -269,8 +270,8 @@
 	}
 }
 
-// readFiles reads everything before anything changes: a slip in one file must not stop a gateway that serves, nor leave it
-// with half of a change.
+// readFiles reads and validates all files before anything changes: an error in one of them must neither stop a running
+// gateway nor leave a change half applied.
 func (r *reloader) readFiles(ctx context.Context) (gateway.Reload, *operator.Config, error) {
 	addr, err := gateway.LoadDiscoveryAddr(r.getenv)
 	if err != nil {
@@ -307,19 +308,19 @@
 	return next, c, nil
 }
 
-// warnAboutNextStart warns of routes that hold under the settings that this gateway started with, and not under those that stand in
-// the platform's file by now: the next start would end with them.
+// warnAboutNextStart warns of routes that are valid under the settings that this gateway started with but not under those
+// that the platform's file has now: with them the next start would fail.
 func (r *reloader) warnAboutNextStart(routes []*route.Route) {
 	cfg, err := gateway.LoadConfig(r.getenv)
 	if err != nil {
-		return // told already, by the one who read the address of discovery
+		return // LoadDiscoveryAddr has already reported a bad platform file to the caller
 	}
 	for _, d := range cfg.ValidateRoutes(routes) {
 		r.log.Warn("the platform's settings have changed: the next start would fail", "why", d.Msg, "at", d.Pos.String())
 	}
 }
 
-// apply gives a reload to the gateway and waits until it counts there. It reports false when the gateway ends.
+// apply passes a reload to the gateway and waits until it is in effect. It reports false if the gateway stops first.
 func (r *reloader) apply(ctx context.Context, next gateway.Reload) bool {
 	applied := make(chan struct{})
 	next.Applied = applied
@@ -336,7 +337,7 @@
 	}
 }
 
-// finishReload tells what a reload changed. c is nil without an operator file.
+// finishReload makes c the current configuration and logs what the reload changed. c is nil without an operators' file.
 func (r *reloader) finishReload(next gateway.Reload, c *operator.Config) {
 	if c == nil {
 		r.log.Info("reloaded", "discovery", next.Discovery)
@@ -355,7 +356,7 @@
 	r.log.Info("reloaded", "discovery", next.Discovery, "operator", r.file, "changes", len(changes))
 }
 
-// loadStable reads the operator file until it reads the same twice: an editor may be in the middle of writing it.
+// loadStable reads the operators' file until two readings in a row are the same: an editor may be in the middle of writing it.
 func (r *reloader) loadStable(ctx context.Context) (*operator.Config, error) {
 	c, _, err := r.load()
 	for deadline := time.Now().Add(stableReadTimeout); time.Now().Before(deadline); {
@@ -371,7 +372,7 @@
 		}
 		c, err = reread, rereadErr
 	}
-	return nil, errors.New("the operator file goes on changing while it is read")
+	return nil, errors.New("the operator file keeps changing while it is read")
 }
 
 func sameResult(a, b *operator.Config, errA, errB error) bool {
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -11,7 +11,7 @@
 	"sloepick/internal/gossip"
 )
 
-// configureDuties has a member take part in the fleet's work.
+// configureDuties makes a member take part in electing the owners of the fleet's duties.
 func configureDuties(f *gossip.Config, d *blocks.Duties) error {
 	if d == nil {
 		return nil
@@ -21,12 +21,12 @@
 		f.Election.Duties = append(f.Election.Duties, fleetreport.DutyName)
 	}
 	if len(f.Election.Duties) == 0 {
-		return errors.New("the block duties has no duty")
+		return errors.New("the block duties declares no duty")
 	}
 	return nil
 }
 
-// startDuties does the fleet's work while this member owns it, until the function that it returns is called.
+// startDuties performs the fleet's duties whenever this member owns them, until the returned function is called.
 func (r *reloader) startDuties() (end func()) {
 	d := blocks.DutiesOf(r.current)
 	if d == nil || d.Report == nil || r.member == nil {
--- a/internal/daemon/power.go
+++ b/internal/daemon/power.go
@@ -18,10 +18,10 @@
 	"sloepick/internal/snapshot"
 )
 
-const bootIDFile = "/proc/sys/kernel/random/boot_id" // proc(5)
+const bootIDFile = "/proc/sys/kernel/random/boot_id" // see proc(5)
 
-// readClocks is what readClocks show now: the wall clock, and the boot's own, which goes on while the machine sleeps (CLOCK_BOOTTIME,
-// clock_gettime(2)). A system without them tells the wall clock alone.
+// readClocks reads the wall clock, the boot's ID and the time since the boot, which includes suspended time (CLOCK_BOOTTIME,
+// clock_gettime(2)). On a system without these it reads the wall clock alone. It is a variable so that tests can shift the clocks.
 var readClocks = func() recovery.ClockReading {
 	c := recovery.ClockReading{Wall: time.Now().Round(0)}
 	id, err := os.ReadFile(bootIDFile)
@@ -32,8 +32,9 @@
 	return c
 }
 
-// startRecovery makes the gateway come back as the operators' file says, and be asked by others of its fleet, if it is in one. What is kept is
-// written until the function that it returns is called, and once more then.
+// startRecovery sets up the gateway's recovery after a restart if the operators' file has the block power: it loads the saved
+// state, and lets other members of the fleet, if there is one, request it. Snapshots are written until the returned function is
+// called, which writes a last one if anything has changed.
 func (r *reloader) startRecovery() (end func(), err error) {
 	b := blocks.PowerOf(r.current)
 	if b == nil {
@@ -53,7 +54,7 @@
 			return nil, err
 		}
 		if saved, status, err = snapshot.Load(snapshot.OSFS{}, b.File); err != nil {
-			r.log.Error("power: the state is not used", "file", b.File, "err", err)
+			r.log.Error("power: the saved state cannot be used", "file", b.File, "err", err)
 		}
 	}
 	store := snapshot.NewStore(snapshot.Config{FS: snapshot.OSFS{}, Path: b.File, Interval: b.Every, MaxCustomers: b.Customers, Member: self.Name,
@@ -64,7 +65,7 @@
 	} else if saved != nil {
 		r.log.Error("power: the state is another member's and is set aside", "file", b.File, "member", saved.Name)
 		if err := snapshot.SetAside(snapshot.OSFS{}, b.File); err != nil {
-			r.log.Error("power: the state was not set aside", "err", err)
+			r.log.Error("power: setting the state file aside failed", "err", err)
 		}
 	}
 	phase := &atomic.Int64{}
@@ -88,7 +89,7 @@
 	}, nil
 }
 
-// highestPlanPrice is the highest price of a plan.
+// highestPlanPrice returns the highest price of any plan.
 func highestPlanPrice(cfg *gateway.Config) (price float64) {
 	for _, p := range cfg.Settings.Decide.Plans {
 		price = max(price, p.Price)
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -142,7 +142,7 @@
 	<-served
 
 	misnamed := m.start(platform, "nobody")
-	must(t, misnamed.Log.WaitFor(t.Context(), `a socket "nobody" was passed in, and nothing here has that name`, 1))
+	must(t, misnamed.Log.WaitFor(t.Context(), `a socket named "nobody" was passed in, but no listener has that name`, 1))
 	if err := misnamed.Stop(); err == nil {
 		t.Error("a socket that nobody knows is no error")
 	}
