--- a/cmd/sloectl/demo.go
+++ b/cmd/sloectl/demo.go
@@ -26,20 +26,20 @@
 const (
 	demoGateways   = 3
 	demoNodes      = 8
-	demoSeconds    = 600 // at most: the tallies keep every request
+	demoSeconds    = 600 // maximum; the result of every request is kept in memory
 	redrawInterval = 500 * time.Millisecond
 	plainInterval  = 5 * time.Second
 
 	demoMaxFleet     = 20
-	demoJoinTimeout  = time.Minute // for all members to have their places
+	demoJoinTimeout  = time.Minute // for all members to have a place in the fleet
 	joinPollInterval = 50 * time.Millisecond
 )
 
-// customers are clinics, of which the first on plus floods far beyond its quota for a third of the time.
-// In a fleet each comes in everywhere: who has which number is the fleet's to say.
+// customers returns the simulated customers. The first one on the plan plus exceeds its quota by far for a third of the time.
+// In a fleet each customer uses all gateways, because the fleet assigns their numbers only at run time.
 func (d *demonstration) customers(r *rand.Rand) (all []testbed.Customer) {
 	p, length := d.site.Platform, d.length
-	units := 0.0 // of a mean request
+	units := 0.0 // per request, on average
 	for _, c := range p.Classes {
 		units += c.Share * c.Units
 	}
@@ -59,17 +59,17 @@
 	return all
 }
 
-// demonstration is one run.
+// demonstration is one run of the demo.
 type demonstration struct {
 	length    time.Duration
 	seed      uint64
 	operator  string
-	fleet     int // gateways that are a fleet; 0: as the platform's files number them
+	fleet     int // gateways that form a fleet; 0: no fleet, the platform's files number the gateways
 	dir       string
 	site      *testbed.Site
 	gateways  []*testbed.Process
 	endpoints []testbed.Endpoint
-	members   []testbed.Endpoint // of the fleet
+	members   []testbed.Endpoint // addresses for the traffic between members of the fleet
 
 	mu      sync.Mutex
 	results []testbed.RequestResult
@@ -77,17 +77,17 @@
 
 func demo(args []string, out, errs io.Writer) int {
 	f := newFlags("demo")
-	seconds := f.Int("seconds", 60, "how long to play, 10 to 600")
-	seed := f.Uint64("seed", 0, "of the traffic; 0 draws one")
-	plain := f.Bool("plain", false, "print lines in place of a table that is drawn anew")
-	keep := f.Bool("keep", false, "leave all up at the end, until interrupted, and print the addresses")
-	operator := f.String("operator", "", "the operators' file; without one the shipped example")
-	members := f.Int("fleet", 0, "so many gateways as a fleet, 2 to 20, which numbers them; 0: three that the platform numbers")
+	seconds := f.Int("seconds", 60, "how long the demo runs, 10 to 600")
+	seed := f.Uint64("seed", 0, "seed of the traffic; 0 draws one")
+	plain := f.Bool("plain", false, "print lines instead of a table that is redrawn")
+	keep := f.Bool("keep", false, "keep everything running at the end until interrupted, and print the addresses")
+	operator := f.String("operator", "", "the operators' file; default: the shipped example")
+	members := f.Int("fleet", 0, "number of gateways in a fleet, 2 to 20; 0: no fleet, three gateways that the platform numbers")
 	if !parseFlags(f, args, errs, 0, 0) {
 		return exitError
 	}
 	if *members != 0 && (*members < 2 || *members > demoMaxFleet || *operator != "") {
-		fmt.Fprintf(errs, "sloectl demo: --fleet is 2 to %d, and goes without --operator\n", demoMaxFleet)
+		fmt.Fprintf(errs, "sloectl demo: --fleet is 2 to %d, and excludes --operator\n", demoMaxFleet)
 		return exitError
 	}
 	if *seconds < 10 || *seconds > demoSeconds {
@@ -108,7 +108,7 @@
 	return code
 }
 
-// isTerminal reports whether what is written is seen by a person at once.
+// isTerminal reports whether out is a terminal (or another character device).
 func isTerminal(out io.Writer) bool {
 	f, ok := out.(*os.File)
 	if !ok {
@@ -124,7 +124,7 @@
 		return exitError, err
 	}
 	if d.fleet > 0 {
-		fmt.Fprintf(out, "the fleet has its places; look by: sloectl fleet status %s\n", d.statusSocket(0))
+		fmt.Fprintf(out, "all members of the fleet have a place; see: sloectl fleet status %s\n", d.statusSocket(0))
 	}
 	runCtx, cancel := context.WithTimeout(ctx, d.length)
 	defer cancel()
@@ -156,7 +156,7 @@
 	}
 	for _, g := range d.gateways {
 		if err := g.Stop(); err != nil {
-			fmt.Fprintf(out, "BROKEN  a gateway's end: %v\n", err)
+			fmt.Fprintf(out, "BROKEN  a gateway's shutdown: %v\n", err)
 			code = exitNegative
 		}
 	}
@@ -172,7 +172,7 @@
 	d.results = append(d.results, e)
 }
 
-// start brings up the site and the gateways, and waits until each gateway answers.
+// start starts the site and the gateways, and waits until each gateway responds.
 func (d *demonstration) start(ctx context.Context) (err error) {
 	if d.site, err = testbed.NewSite(testbed.SmallPlatform(), demoNodes); err != nil {
 		return err
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	if d.endpoints, err = testbed.AllocateEndpoints(2 * d.size()); err != nil { // of each the clients' address, and the fleet's
+	if d.endpoints, err = testbed.AllocateEndpoints(2 * d.size()); err != nil { // for each gateway one address for clients and one for the fleet
 		return err
 	}
 	d.endpoints, d.members = d.endpoints[:d.size()], d.endpoints[d.size():]
@@ -212,7 +212,7 @@
 	return demoGateways
 }
 
-// statusSocket is where a member tells how it sees its fleet.
+// statusSocket returns the path of the socket on which a member serves its status.
 func (d *demonstration) statusSocket(i int) string {
 	return filepath.Join(d.dir, fmt.Sprintf("fleet-%d.sock", i))
 }
@@ -225,7 +225,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// waitJoined waits until all members have their places.
+// waitJoined waits until all members have a place in the fleet.
 func (d *demonstration) waitJoined(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, demoJoinTimeout)
 	defer cancel()
@@ -242,7 +242,7 @@
 	return nil
 }
 
-// startGateway starts a daemon: this program itself, with the verb daemon.
+// startGateway starts a gateway as a process: this executable with the subcommand daemon.
 func (d *demonstration) startGateway(i int) error {
 	text, err := d.site.Platform.GatewayConfig(i, d.endpoints, d.site.Discovery.Addr().String(), d.seed, d.site.ServerList())
 	if err != nil {
@@ -272,10 +272,10 @@
 	return nil
 }
 
-// runMainEnv tells a test's binary that it stands for the program.
+// runMainEnv is the environment variable that makes a test binary run main instead of the tests.
 const runMainEnv = "SLOECTL_MAIN"
 
-// writeExample puts the shipped example into a folder and returns the path of its first file.
+// writeExample writes the shipped example into a directory and returns the path of its root file.
 func writeExample(dir string) (string, error) {
 	exampleDir := filepath.Join(dir, "operator")
 	if err := os.CopyFS(exampleDir, example.Files); err != nil {
@@ -284,7 +284,7 @@
 	return filepath.Join(exampleDir, example.Root), nil
 }
 
-// runEvents plays what happens to the first node: it drains, is gone, and comes back cold.
+// runEvents drains the first node during the run and later restarts it, so that it comes back cold.
 func (d *demonstration) runEvents(ctx context.Context) error {
 	if !sleep(ctx, d.length/4) {
 		return nil
@@ -309,7 +309,7 @@
 	}
 }
 
-// showProgress shows how it goes until the traffic has ended.
+// showProgress prints the progress until the traffic ends.
 func (d *demonstration) showProgress(done <-chan struct{}, out io.Writer, redraw bool, start time.Time) {
 	interval := plainInterval
 	if redraw {
@@ -340,15 +340,15 @@
 	}
 }
 
-// planStats are what a plan's customers met.
+// planStats counts the results of a plan's customers.
 type planStats struct {
-	counts [4]int // by stand.Kind
+	counts [4]int // by testbed.Outcome
 	took   []time.Duration
 }
 
 func (f *planStats) total() int { return f.counts[0] + f.counts[1] + f.counts[2] + f.counts[3] }
 
-// quantile is the time within which so many of the served were answered.
+// quantile returns the time within which the share q of the served requests was answered.
 func (f *planStats) quantile(q float64) time.Duration {
 	if len(f.took) == 0 {
 		return 0
@@ -404,7 +404,7 @@
 	return b.String()
 }
 
-// printVerdict tells whether each rule was kept, by what clients and nodes saw.
+// printVerdict prints whether each rule was kept, judged by what clients and nodes observed. It reports whether all were.
 func (d *demonstration) printVerdict(out io.Writer) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -414,7 +414,7 @@
 		if v.Violations > 0 {
 			verdict, kept = "BROKEN", false
 		}
-		fmt.Fprintf(out, "%-7s %s (%d looked at, %d against it)\n", verdict, v.Rule, v.Checked, v.Violations)
+		fmt.Fprintf(out, "%-7s %s (%d checked, %d violations)\n", verdict, v.Rule, v.Checked, v.Violations)
 		for _, c := range v.Examples {
 			fmt.Fprintf(out, "        %s\n", c)
 		}
@@ -422,9 +422,9 @@
 	return kept
 }
 
-const maxPeerDelay = time.Second // a message between two gateways takes no longer, also on a busy machine
+const maxPeerDelay = time.Second // upper bound on a message between two gateways, even on a busy machine
 
-// checkPeerInfo tells whether each member knows of all others, as of the stated time ago.
+// checkPeerInfo prints and reports whether each member has information about all others that is no older than the bound.
 func (d *demonstration) checkPeerInfo(ctx context.Context, out io.Writer) bool {
 	conf := peerinfo.DefaultConfig()
 	bound, oldest, known, kept := conf.StalenessBound(d.fleet, 0, maxPeerDelay), time.Duration(0), 0, true
@@ -448,7 +448,7 @@
 }
 
 func (d *demonstration) keepRunning(ctx context.Context, out io.Writer) {
-	fmt.Fprintf(out, "left up until interrupted\n  discovery http://%s/v1/servers\n", d.site.Discovery.Addr())
+	fmt.Fprintf(out, "running until interrupted\n  discovery http://%s/v1/servers\n", d.site.Discovery.Addr())
 	for i, p := range d.endpoints {
 		fmt.Fprintf(out, "  gateway %d  %s (process %d)\n", i, p.Listen, d.gateways[i].PID())
 	}
@@ -466,7 +466,7 @@
 		d.site.Close()
 	}
 	if err := os.RemoveAll(d.dir); err != nil {
-		return fmt.Errorf("clearing up: %w", err)
+		return fmt.Errorf("removing the temporary directory: %w", err)
 	}
 	return nil
 }
--- a/cmd/sloectl/files.go
+++ b/cmd/sloectl/files.go
@@ -17,12 +17,12 @@
 	"sloepick/internal/sloe"
 )
 
-// parseFlags reads a verb's parseFlags and wants between least and most files behind them. It reports false when the call
-// can't be used, which it has told.
+// parseFlags parses a subcommand's flags and requires between minFiles and maxFiles files after them. If the arguments
+// are invalid it prints why and reports false.
 func parseFlags(fs *flag.FlagSet, args []string, errs io.Writer, minFiles, maxFiles int) bool {
 	fs.SetOutput(errs)
 	if fs.Parse(args) != nil {
-		return false // Parse has told it
+		return false // Parse has printed the error
 	}
 	if n := fs.NArg(); n < minFiles || n > maxFiles {
 		fmt.Fprintf(errs, "sloectl %s: got %d files, want %d", fs.Name(), n, minFiles)
@@ -37,14 +37,14 @@
 
 func newFlags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
-// position is a position for programs.
+// position is a position in a file, as written in JSON.
 type position struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 	Col  int    `json:"col"`
 }
 
-// problem is a sloe.Diag for programs.
+// problem is a sloe.Diag, as written in JSON.
 type problem struct {
 	position
 	Severity string        `json:"severity"` // error, warning
@@ -86,11 +86,11 @@
 	return enc.Encode(v)
 }
 
-// check reports all that is wrong with a file: 0 nothing, 1 an error, 2 it can't be read.
+// check prints all problems of a file. It exits with 0 if there is no error, 1 if there is one, and 2 if the file can't be read.
 func check(args []string, out, errs io.Writer) int {
 	fs := newFlags("check")
 	asJSON := fs.Bool("json", false, "print the problems as JSON, on standard output")
-	platform := fs.String("platform", "", "the platform's file: hold routes to its settings too")
+	platform := fs.String("platform", "", "the platform's file: also check routes against its settings")
 	if !parseFlags(fs, args, errs, 1, 1) {
 		return exitError
 	}
@@ -118,7 +118,7 @@
 	return exitOK
 }
 
-// loadPlatform reads a platform's file, or none.
+// loadPlatform reads a platform's file. Without a file name it returns nil.
 func loadPlatform(file string) (*gateway.Config, error) {
 	if file == "" {
 		return nil, nil
@@ -132,7 +132,7 @@
 	return &c, err
 }
 
-// loadOperatorFile is a checked file, or nil with the exit code: what is wrong was told.
+// loadOperatorFile loads and checks an operators' file. It prints all problems, and returns nil and the exit code if the file has errors.
 func loadOperatorFile(name string, errs io.Writer) (*operator.Config, int) {
 	c, diags, err := blocks.Schema().Load(name)
 	if err != nil {
@@ -196,12 +196,11 @@
 	return exitOK
 }
 
-// format brings files into the usual form, each by itself: includes are not followed. A file that does not parse
-// stays as it is.
+// format formats files, each by itself: includes are not followed. A file that does not parse is left unchanged.
 func format(args []string, out, errs io.Writer) int {
 	fs := newFlags("fmt")
 	list := fs.Bool("l", false, "list files that would change, and exit 1 if there are any")
-	write := fs.Bool("w", false, "write files in place of printing them")
+	write := fs.Bool("w", false, "write files instead of printing them")
 	if !parseFlags(fs, args, errs, 1, 1<<20) {
 		return exitError
 	}
@@ -235,14 +234,14 @@
 	return code
 }
 
-// formatFile is a file before and after. after is nil if the file does not parse, which was told.
+// formatFile returns a file's text before and after formatting. after is nil if the file does not parse; the problems are printed.
 func formatFile(name string, errs io.Writer) (before, after []byte, err error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !info.Mode().IsRegular() || info.Size() > sloe.FileMost {
-		return nil, nil, fmt.Errorf("%s is no ordinary file of %d KiB at most", name, sloe.FileMost>>10)
+		return nil, nil, fmt.Errorf("%s is not a regular file of at most %d KiB", name, sloe.FileMost>>10)
 	}
 	if before, err = os.ReadFile(name); err != nil {
 		return nil, nil, err
@@ -255,7 +254,7 @@
 	return before, append([]byte{}, sloe.Format(f)...), nil
 }
 
-// replaceFile writes a file as a whole or not at all: a daemon that reloads meets the former or the new one.
+// replaceFile replaces a file atomically, so that a daemon that reloads reads either the old or the new text.
 func replaceFile(name string, text []byte) (err error) {
 	target, err := filepath.EvalSymlinks(name)
 	if err != nil {
--- a/cmd/sloectl/fleet.go
+++ b/cmd/sloectl/fleet.go
@@ -15,7 +15,7 @@
 	"sloepick/internal/overshoot"
 )
 
-// fleetCommand shows how a daemon sees its fleet, fleet status SOCKET, or the work that is done on its behalf, fleet duties SOCKET.
+// fleetCommand prints a daemon's view of its fleet (fleet status SOCKET) or of the fleet's duties (fleet duties SOCKET).
 func fleetCommand(args []string, out, errs io.Writer) int {
 	if len(args) != 2 || args[0] != "status" && args[0] != "duties" {
 		fmt.Fprintln(errs, "usage: sloectl fleet status|duties SOCKET")
@@ -34,7 +34,7 @@
 	return exitOK
 }
 
-// printDuties is a table of the fleet's work, as far as this member knows of it.
+// printDuties prints a table of the fleet's duties and their owners, as far as this member knows them.
 func printDuties(out io.Writer, r *gossip.Status) {
 	if len(r.Duties) == 0 {
 		fmt.Fprintf(out, "%s has no duties\n", r.Name)
@@ -61,7 +61,7 @@
 	fmt.Fprintln(out)
 }
 
-// printFleet is a table of the members, and a line on this one.
+// printFleet prints a table of the members, and a summary of the one that was asked.
 func printFleet(out io.Writer, r *gossip.Status) {
 	generation := uint64(0)
 	for _, row := range r.Members {
@@ -103,10 +103,10 @@
 	w.Flush()
 	summary := fmt.Sprintf("%s is in place %d", r.Name, r.Assignment.Slot)
 	if r.Assignment.Slot < 0 {
-		summary = r.Name + " has no place and lets nothing in"
+		summary = r.Name + " has no place and admits no requests"
 	}
 	if r.Assignment.Isolated {
-		summary += ", cut off: it keeps to its even part"
+		summary += ", cut off: limited to its even share of each quota"
 	}
 	if r.RecoveryPhase != "" {
 		summary += ", power " + r.RecoveryPhase
@@ -115,7 +115,7 @@
 	printStaleness(out, r)
 }
 
-// describeQuietWindow tells when a region is quiet, by its own clock.
+// describeQuietWindow describes a region's current or next maintenance window, in the region's local time.
 func describeQuietWindow(row gossip.RegionStatus) string {
 	const clock = "Mon 2 Jan 15:04 MST"
 	switch {
@@ -127,24 +127,25 @@
 	return fmt.Sprintf("quiet next from %s to %s", row.WindowStart.Format(clock), row.WindowEnd.Format(clock))
 }
 
-// describeClock tells what the fleet's clock is.
+// describeClock describes how well the members' clocks agree.
 func describeClock(c *gossip.FleetClock) string {
 	switch {
 	case !c.OK:
-		return fmt.Sprintf("clock: no more than %d of %d members agree: there is none, and nothing is held to be quiet", c.AgreeingMembers, c.TotalMembers)
+		return fmt.Sprintf("clock: only %d of %d members agree: there is no fleet clock, and no region counts as quiet", c.AgreeingMembers, c.TotalMembers)
 	case c.LocalClockOff:
 		return fmt.Sprintf("clock: %d of %d members agree; this one is off by %v", c.AgreeingMembers, c.TotalMembers, -c.Offset.Round(time.Second/10))
 	}
 	return fmt.Sprintf("clock: %d of %d members agree, known up to %v", c.AgreeingMembers, c.TotalMembers, c.Uncertainty.Round(time.Millisecond))
 }
 
-const limitWindow = time.Minute // for which the status tells how far limits may be passed
+const limitWindow = time.Minute // period over which the status states how far customers may exceed their limits
 
-// printStaleness tells how stale this member's view is, by regions, and what that means for the limits of customers.
+// printStaleness prints, by region, how stale this member's information about its peers is, and how far customers may exceed
+// their limits because of it.
 func printStaleness(out io.Writer, r *gossip.Status) {
 	type region struct {
 		members int
-		minAge  time.Duration // of the member of it that was heard last
+		minAge  time.Duration // age of the region's most recent information
 	}
 	regions, oldest := map[string]region{}, gossip.PeerInfoRow{Age: -1}
 	for _, row := range r.PeerInfo {
@@ -173,7 +174,7 @@
 	for _, name := range slices.Sorted(maps.Keys(regions)) {
 		line := fmt.Sprintf("region %s: %d other members", cmp.Or(name, "without a name"), regions[name].members)
 		if regions[name].members > 0 {
-			line += fmt.Sprintf(", last heard of %v ago", regions[name].minAge.Round(time.Second/10))
+			line += fmt.Sprintf(", last contact %v ago", regions[name].minAge.Round(time.Second/10))
 		}
 		if row, known := calendar[name]; known {
 			line += "; " + describeQuietWindow(row)
@@ -181,6 +182,6 @@
 		fmt.Fprintln(out, line)
 	}
 	fmt.Fprintln(out, describeClock(&r.Clock))
-	fmt.Fprintf(out, "limits: customers that %s keeps may be %.0f %% over their rate in a minute, and a fifth of a burst, if it was silent since its news (%v old)\n",
+	fmt.Fprintf(out, "limits: customers that %s coordinates may be %.0f %% over their rate in a minute, and a fifth of a burst, if it has been silent since its last message (%v ago)\n",
 		oldest.Name, 100*overshoot.MaxExcessRatio(oldest.Age, limitWindow), oldest.Age.Round(time.Second/10))
 }
--- a/cmd/sloectl/main.go
+++ b/cmd/sloectl/main.go
@@ -1,5 +1,5 @@
-// Command sloectl is the operators' tool: it checks, formats, compares and explains their files, and plays a
-// demonstration of the whole gateway on one machine.
+// Command sloectl is the operators' tool: it checks, formats, compares and explains their files, shows the state of running
+// gateways, and runs a demonstration of the whole gateway on one machine.
 package main
 
 import (
@@ -11,14 +11,14 @@
 	"sloepick/internal/daemon"
 )
 
-// The exit codes. 1 is an answer (an error in a file, a difference, a broken rule), 2 is trouble with the call itself.
+// The exit codes. 1 is a negative result (an error in a file, a difference, a broken rule); 2 means that the command itself failed.
 const (
 	exitOK       = 0
 	exitNegative = 1
 	exitError    = 2
 )
 
-// subcommand is a subcommand.
+// subcommand is an entry of the command table and of the usage text.
 type subcommand struct {
 	name, args, doc string
 	run             func(args []string, out, errs io.Writer) int
@@ -26,15 +26,15 @@
 
 func subcommands() []subcommand {
 	return []subcommand{
-		{"check", "[--json] [--platform FILE] FILE", "report all that is wrong with a file and its includes", check},
-		{"fmt", "[-l] [-w] FILE...", "print files in the one usual form; -w writes them, -l lists those that would change", format},
-		{"diff", "[--json] OLD NEW", "tell what changes in meaning; exit 0 the same, 1 different, 2 trouble", diff},
-		{"show", "FILE", "print all values that hold, each with where it came from", show},
-		{"route", "explain --platform FILE [--class C] [--plan P] [--customer HEX] [--patience 5s] FILE", "tell which route a request gets, and why no other", routeCommand},
-		{"fleet", "status|duties SOCKET", "show how a daemon sees its fleet: members, places, terms, configurations; or who does its work", fleetCommand},
-		{"power", "show FILE", "show what a gateway kept for its next start", powerCommand},
+		{"check", "[--json] [--platform FILE] FILE", "report all problems of a file and its includes", check},
+		{"fmt", "[-l] [-w] FILE...", "print files in the standard format; -w writes them, -l lists those that would change", format},
+		{"diff", "[--json] OLD NEW", "print what changes in meaning; exit 0 if nothing does, 1 if something does, 2 on an error", diff},
+		{"show", "FILE", "print all values in effect, each with its origin", show},
+		{"route", "explain --platform FILE [--class C] [--plan P] [--customer HEX] [--patience 5s] FILE", "explain which route a request gets, and why no other", routeCommand},
+		{"fleet", "status|duties SOCKET", "show a daemon's view of its fleet: members, places, terms, configurations; or who owns its duties", fleetCommand},
+		{"power", "show FILE", "show what a gateway has saved for its next start", powerCommand},
 		{"doc", "", "print the reference page of all blocks and keys", doc},
-		{"demo", "[--seconds N] [--seed N] [--plain] [--keep] [--fleet N] [--operator FILE]", "play a day with three gateways, nodes and clients on loopback", demo},
+		{"demo", "[--seconds N] [--seed N] [--plain] [--keep] [--fleet N] [--operator FILE]", "run a demonstration with gateways, nodes and clients on loopback", demo},
 		{"daemon", "[-operator FILE]", "run the gateway in this process, as sloepick does", runDaemon},
 	}
 }
--- a/cmd/sloectl/main_test.go
+++ b/cmd/sloectl/main_test.go
@@ -11,7 +11,7 @@
 	"sloepick/internal/testbed"
 )
 
-// TestMain lets the test's own binary stand for the program, as the demonstration starts itself as gateways.
+// TestMain lets the test binary run as the program, because the demo starts its own executable as the gateways.
 func TestMain(m *testing.M) {
 	if os.Getenv(runMainEnv) != "" {
 		main()
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// call runs a verb.
+// call runs a subcommand and returns its exit code and output.
 func call(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(args, &o, &e)
@@ -36,8 +36,8 @@
 
 const examplePath = "../../deploy/example/sloepick.sloe"
 
-// The verbs' exit codes and where they write, on good files, bad ones and none.
-func TestVerbs(t *testing.T) {
+// TestSubcommands checks the subcommands' exit codes, and whether they write to standard output or error, for valid, invalid and missing files.
+func TestSubcommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := write(t, filepath.Join(dir, "bad.sloe"), "lgo { }\n")
 	warned := write(t, filepath.Join(dir, "warned.sloe"), "define x = 1s\n")
@@ -46,7 +46,7 @@
 	for _, tc := range []struct {
 		args      string
 		code      int
-		out, errs string // a piece, or "" for nothing at all
+		out, errs string // a substring, or "" for no output
 	}{
 		{"check " + examplePath, 0, "", ""},
 		{"check " + bad, 1, "", "bad.sloe:1:1: unknown block \"lgo\"; did you mean \"log\"?\n    lgo { }\n    ^\n"},
@@ -60,7 +60,7 @@
 		{"fmt " + bad, 0, "lgo {\n}\n", ""},
 		{"fmt -l " + bad + " " + warned, 1, "bad.sloe\n", ""},
 		{"fmt " + none, 2, "", "none.sloe"},
-		{"fmt " + dir, 2, "", "no ordinary file"},
+		{"fmt " + dir, 2, "", "not a regular file"},
 		{"diff " + examplePath + " " + examplePath, 0, "", ""},
 		{"diff " + examplePath + " " + other, 1, "log: level info -> warn; at reload\n", ""},
 		{"diff --json " + examplePath + " " + examplePath, 0, "[]\n", ""},
@@ -91,7 +91,7 @@
 	}
 }
 
-// What is for programs can be read by them.
+// TestJSON checks the fields of the JSON output of check and diff.
 func TestJSON(t *testing.T) {
 	dir := t.TempDir()
 	a := write(t, filepath.Join(dir, "a.sloe"), "log { level = info }\nlog { level = \"<b>\" }\n")
@@ -117,7 +117,8 @@
 	}
 }
 
-// The proof runs with the platform's file, and explain tells which route a request gets and why no other.
+// TestRoutesWithAPlatform checks that check validates routes against a platform's file, and that explain says which route a request
+// gets and why no other.
 func TestRoutesWithAPlatform(t *testing.T) {
 	dir := t.TempDir()
 	endpoints := []testbed.Endpoint{{Listen: "127.0.0.1:1", Peer: "127.0.0.1:2"}}
@@ -151,7 +152,8 @@
 
 const exampleRoutesPath = "../../deploy/example/routes.sloe"
 
-// fmt -w writes a file as a whole, through a link and with its mode, and leaves one that does not parse alone.
+// TestFormatWrites checks that fmt -w writes through a symbolic link, keeps the file's mode, leaves a file that does not parse
+// unchanged and removes its temporary file.
 func TestFormatWrites(t *testing.T) {
 	dir := t.TempDir()
 	file := write(t, filepath.Join(dir, "a.sloe"), "log{level=info}")
@@ -159,7 +161,7 @@
 		t.Fatal(err)
 	}
 	if code, _, errs := call("fmt", "-w", file); code != 1 || !strings.Contains(errs, "no line end") {
-		t.Errorf("a file that is cut short: %d, %s", code, errs)
+		t.Errorf("a truncated file: %d, %s", code, errs)
 	}
 	write(t, file, "log{level=info}\n")
 	if err := os.Chmod(file, 0o640); err != nil {
@@ -188,9 +190,9 @@
 	}
 }
 
-// The demonstration starts real gateways, breaks no rule, and leaves nothing behind.
+// TestDemo checks that the demo, with real gateway processes, breaks no rule and leaves no files behind.
 func TestDemo(t *testing.T) {
-	for fleet, wantKept := range map[string]int{"0": 5, "3": 6} { // the five rules, and what members know of each other
+	for fleet, wantKept := range map[string]int{"0": 5, "3": 6} { // the five rules of the audit, and in a fleet the check of what members know of each other
 		t.Setenv("TMPDIR", t.TempDir())
 		code, out, errs := call("demo", "--plain", "--seconds", "10", "--seed", "3", "--fleet", fleet)
 		if code != 0 || errs != "" || strings.Count(out, "kept    ") != wantKept || strings.Contains(out, "BROKEN") {
@@ -202,8 +204,8 @@
 	}
 }
 
-// A rule that broke is told and is the verdict.
-func TestDemoTellsWhatBroke(t *testing.T) {
+// TestDemoReportsBrokenRule checks that a broken rule is printed with its examples and fails the verdict.
+func TestDemoReportsBrokenRule(t *testing.T) {
 	site, err := testbed.NewSite(testbed.SmallPlatform(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -216,7 +218,7 @@
 	}
 }
 
-// An operators' file that can't be used ends the demonstration with what the gateway said.
+// TestDemoWithABadFile checks that an invalid operators' file ends the demo with the gateway's error.
 func TestDemoWithABadFile(t *testing.T) {
 	bad := write(t, filepath.Join(t.TempDir(), "bad.sloe"), "lgo { }\n")
 	code, _, errs := call("demo", "--plain", "--seconds", "10", "--operator", bad)
--- a/cmd/sloectl/power.go
+++ b/cmd/sloectl/power.go
@@ -9,9 +9,10 @@
 	"sloepick/internal/snapshot"
 )
 
-const maxCustomersShown = 20 // customers: the fullest
+const maxCustomersShown = 20 // those that have used the largest part of their burst
 
-// powerCommand shows what a gateway kept for its next start: power show FILE. It changes nothing, and works beside a live gateway.
+// powerCommand prints the state that a gateway has saved for its next start (power show FILE). It changes nothing, so that it can
+// be used while the gateway runs.
 func powerCommand(args []string, out, errs io.Writer) int {
 	if len(args) != 2 || args[0] != "show" {
 		fmt.Fprintln(errs, "usage: sloectl power show FILE")
@@ -27,9 +28,9 @@
 }
 
 func printSnapshot(out io.Writer, snap *recovery.Snapshot) {
-	fmt.Fprintf(out, "%s, image %d of the line begun in life %d, written %s, under boot %s\n", snap.Name, snap.Version.Sequence, snap.Version.Lineage,
+	fmt.Fprintf(out, "%s, snapshot %d of lineage %d, written %s, under boot %s\n", snap.Name, snap.Version.Sequence, snap.Version.Lineage,
 		snap.TakenAt.Wall.UTC().Format("2006-01-02 15:04:05.000 UTC"), snap.TakenAt.BootID)
-	fmt.Fprintf(out, "%d customers, %.1f units answered a second, %d other members known, one image each %v\n", len(snap.Buckets), snap.ServedRate, len(snap.Peers), snap.Interval)
+	fmt.Fprintf(out, "%d customers, %.1f units answered a second, %d other members known, one snapshot every %v\n", len(snap.Buckets), snap.ServedRate, len(snap.Peers), snap.Interval)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CUSTOMER\tPLAN\tUSED OF ITS BURST")
 	for _, b := range recovery.Fullest(snap.Buckets, maxCustomersShown) {
--- a/cmd/sloectl/route.go
+++ b/cmd/sloectl/route.go
@@ -9,7 +9,7 @@
 	"sloepick/internal/route"
 )
 
-// routeCommand explains which route a request gets: route explain. The platform's file tells classes, plans and figures.
+// routeCommand explains which route a request gets (route explain). Classes, plans and limits come from the platform's file.
 func routeCommand(args []string, out, errs io.Writer) int {
 	if len(args) == 0 || args[0] != "explain" {
 		fmt.Fprintln(errs, "sloectl route: the only verb is explain")
@@ -18,15 +18,15 @@
 	fs := newFlags("route explain")
 	platform := fs.String("platform", "", "the platform's file; required")
 	var req route.Request
-	fs.StringVar(&req.Class, "class", "", "the request's class; left out: the platform's first")
-	fs.StringVar(&req.Plan, "plan", "", "its customer's plan; left out: the platform's first")
+	fs.StringVar(&req.Class, "class", "", "the request's class; default: the platform's first")
+	fs.StringVar(&req.Plan, "plan", "", "its customer's plan; default: the platform's first")
 	fs.StringVar(&req.Customer, "customer", "0000000000000000", "its customer, 16 hex digits")
-	fs.DurationVar(&req.ClientTimeout, "patience", 0, "how long its client waits; left out: the class's whole time")
+	fs.DurationVar(&req.ClientTimeout, "patience", 0, "how long its client waits; default: the class's deadline")
 	if !parseFlags(fs, args[1:], errs, 1, 1) {
 		return exitError
 	}
 	if *platform == "" {
-		fmt.Fprintln(errs, "sloectl route explain: --platform is missing: it tells the classes and plans")
+		fmt.Fprintln(errs, "sloectl route explain: --platform is missing: it declares the classes and plans")
 		return exitError
 	}
 	cfg, err := loadPlatform(*platform)
--- a/cmd/sloepick/main.go
+++ b/cmd/sloepick/main.go
@@ -1,5 +1,5 @@
-// Command sloepick is an API gateway: it keeps customers' quotas together with its peers, chooses servers and
-// passes requests on to them over RESP2. Package decide makes its decisions; package gateway is its sockets.
+// Command sloepick is an API gateway: it enforces customers' quotas together with its peers, chooses servers and forwards
+// requests to them. Package decide makes its decisions; package gateway does its network I/O.
 package main
 
 import (
--- a/cmd/sloepick/main_test.go
+++ b/cmd/sloepick/main_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// TestMain lets the test's own binary stand for the program, so that a test can start and stop a real process.
+// TestMain lets the test binary run as the program, so that a test can start and stop a real process.
 func TestMain(m *testing.M) {
 	if os.Getenv("SLOEPICK_TEST_MAIN") != "" {
 		main()
@@ -36,7 +36,8 @@
 	return cmd
 }
 
-// What can't be used is one clear line and a failure, not a stack or a gateway that serves nobody.
+// TestBadStart checks that an unusable configuration ends the start with exit code 1 and a one-line error: no stack trace, and no
+// gateway that runs without serving.
 func TestBadStart(t *testing.T) {
 	for name, cmd := range map[string]*exec.Cmd{
 		"no config":  testCommand(t, "", "GW_CONFIG="),
@@ -51,7 +52,7 @@
 			t.Errorf("%s: ended with %v, want exit code 1", name, err)
 		}
 		if s := stderr.String(); !strings.HasPrefix(s, "sloepick: ") || strings.Count(s, "\n") != 1 {
-			t.Errorf("%s: said %q, want one line", name, s)
+			t.Errorf("%s: printed %q, want one line", name, s)
 		}
 	}
 }
@@ -60,7 +61,7 @@
 "known":{},"settings":{"Instances":1,"Rank":0,"Limits":{"SendCap":1,"ConnectTimeoutNs":250000000},"Safety":{},
 "Classes":[{"Name":"look","Effect":"safe","AimNs":1000000000}],"TiersOfService":[{"Name":"p"}]}}`
 
-// SIGTERM ends the program with exit code 0 and its connections in order.
+// TestSigterm checks that SIGTERM closes client connections with EOF and ends the program with exit code 0.
 func TestSigterm(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +71,7 @@
 	ln.Close()
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.RawQuery != "" {
-			<-req.Context().Done() // no news
+			<-req.Context().Done() // no changes
 			return
 		}
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[]}`)
@@ -116,14 +117,14 @@
 	}
 }
 
-// SIGHUP moves a real process to where the file says discovery is, GW_DISCOVERY or not; a file that can't be used
-// is one log line and changes nothing. Without a handler the signal ends the process.
+// TestSighup checks that SIGHUP makes a process use the discovery address of the rewritten file, even if GW_DISCOVERY is set, and
+// that an invalid file is logged and changes nothing. Without a handler the signal would end the process.
 func TestSighup(t *testing.T) {
 	called := make(chan string, 64)
 	at := func(name string) string {
 		web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			if req.URL.RawQuery != "" {
-				<-req.Context().Done() // no news
+				<-req.Context().Done() // no changes
 				return
 			}
 			called <- name
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -313,7 +313,7 @@
 func (r *reloader) warnAboutNextStart(routes []*route.Route) {
 	cfg, err := gateway.LoadConfig(r.getenv)
 	if err != nil {
-		return // LoadDiscoveryAddr has already reported a bad platform file to the caller
+		return // readFiles has reported it already: LoadDiscoveryAddr loads the same file
 	}
 	for _, d := range cfg.ValidateRoutes(routes) {
 		r.log.Warn("the platform's settings have changed: the next start would fail", "why", d.Msg, "at", d.Pos.String())
