--- a/internal/daemon/cold_test.go
+++ b/internal/daemon/cold_test.go
@@ -13,49 +13,49 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// TestColdServersUnderManyGateways plays twenty processes, none of which hears another, while servers start anew one after the
-// other: what all of them together send a cold server, by its own tally, stays within what it can take and chance.
+// TestColdServersUnderManyGateways runs twenty gateway processes that receive no messages from each other, while servers restart. What
+// they send together to a cold server, as counted there, has to stay within its capacity and an allowance for chance.
 func TestColdServersUnderManyGateways(t *testing.T) { seeds.Run(t, []uint64{1}, coldServers) }
 
 func coldServers(t *testing.T, seed uint64) {
 	const n, nodes = 20, 4
-	const load = 0.6 // of what all servers can do when they are warm
+	const load = 0.6 // of the capacity of all servers when they are warm
 	platform := testbed.SmallPlatform()
-	platform.Rules.OverloadFactor = 1.1 // little more than a cold server can do: without slow start its even share pushes it over
+	platform.Rules.OverloadFactor = 1.1 // little above a cold server's capacity: without slow start, an even share of the load overloads it
 	platform.Rules.ColdDuration = 10 * time.Second
 	r := e2e.New(t, e2e.Config{Platform: platform, Nodes: nodes, Gateways: n, Seed: seed, Command: testCommand})
 	r.Mesh.SetFault(faultnet.Blackhole, nil, nil)
 	r.Start(0, r.AllGateways()...)
 	rules := platform.Rules
-	platform.Rules.OverloadFactor *= 2 // of the general audit, which has no room for chance: this test counts by the rule's own terms
+	platform.Rules.OverloadFactor *= 2 // relaxes the general audit, which has no allowance for chance; this test checks the original rules
 	mean := meanWork(platform)
 	totalRate := load * nodes * float64(platform.Rules.Cores) / mean.Seconds()
 	var customers []testbed.Customer
-	const customerCount = 60 // so many that none floods: quotas are not what is tested
+	const customerCount = 60 // so many that none exceeds its quota: this test is not about quotas
 	for i := range customerCount {
 		customers = append(customers, testbed.Customer{ID: fmt.Sprintf("%016x", 16+i), Plan: "network", Rate: totalRate / customerCount, GatewayCount: n})
 	}
 	p := r.RunLoad(customers, seed, r.Script(
-		e2e.Event{At: 4 * time.Second, Name: "two servers start anew", Do: func() {
+		e2e.Event{At: 4 * time.Second, Name: "two servers restart", Do: func() {
 			r.Must(r.Site.Restart(0))
 			r.Must(r.Site.Restart(1))
 		}},
-		e2e.Event{At: 10 * time.Second, Name: "a third one starts anew", Do: func() { r.Must(r.Site.Restart(2)) }},
+		e2e.Event{At: 10 * time.Second, Name: "a third server restarts", Do: func() { r.Must(r.Site.Restart(2)) }},
 		e2e.Event{At: 16 * time.Second, Name: "the end", Do: func() {}}))
 	share, sent := p.ServedShare(2*time.Second, 4*time.Second, nil)
-	t.Logf("served before the first start: %.2f of %d", share, sent)
+	t.Logf("served before the first restart: %.2f of %d", share, sent)
 	if share < 0.5 {
-		t.Error("what is asked hardly reaches the servers: the test shows nothing")
+		t.Error("too few requests reach the servers for the test to be meaningful")
 	}
 	for node := range 3 {
 		id := r.Site.Nodes[node].ID()
 		worst := worstWindow(r.Site.Recorder, rules, id, mean)
-		t.Logf("%s: %.2f of what may be, in the worst window of %v", id, worst, rules.OverloadWindow)
+		t.Logf("%s: %.2f of the limit in the worst window of %v", id, worst, rules.OverloadWindow)
 		if worst > 1 {
-			t.Errorf("%s was pushed over: %.2f times what may be", id, worst)
+			t.Errorf("%s was overloaded: %.2f times the limit", id, worst)
 		}
 		if worst == 0 {
-			t.Errorf("%s got nothing after its start", id)
+			t.Errorf("%s got no request after its restart", id)
 		}
 	}
 }
@@ -68,8 +68,8 @@
 	return time.Duration(mean)
 }
 
-// worstWindow is the most work that a server got in a window while it was cold, as a share of what may be: N requests of mean work, N being
-// what it can take in the window, and 2 sqrt(N) + 2 for chance.
+// worstWindow returns the most work that a server got in one window while it was cold, as a share of the limit. The limit is the N
+// requests of mean work that it can handle in the window, and an allowance of 2 sqrt(N) + 2 for chance.
 func worstWindow(recorder *testbed.Recorder, rules testbed.Rules, node string, mean time.Duration) (worst float64) {
 	startTimes := recorder.StartTimes(node)
 	if len(startTimes) == 0 {
--- a/internal/daemon/commons_test.go
+++ b/internal/daemon/commons_test.go
@@ -14,11 +14,12 @@
 
 const peerInfoInterval = 200 * time.Millisecond
 
-// TestReportedPeerInfoAge plays six processes whose messages are lost, late and doubled, one of which is cut off, one that is heard by
-// nobody, one that stands still and one that is killed. Each tells how old its news of the others is: never less than it is, by the wall
-// clock that all of them have on one machine; and while all hear each other not more than peerinfo.Config.StalenessBound, and the machine's lateness.
+// TestReportedPeerInfoAge runs six processes whose messages are lost, delayed and duplicated. One of them is isolated, one is received by
+// nobody, one is suspended and one is killed. The age that each reports for its information about the others must never be below the
+// actual age, by the wall clock that they share on one machine. While all are connected it must not exceed
+// peerinfo.Config.StalenessBound and the machine's scheduling delay.
 func TestReportedPeerInfoAge(t *testing.T) {
-	t.Parallel() // it waits more than it works
+	t.Parallel() // mostly waits
 	const n = 6
 	normalFaults := faultnet.Fault{Loss: 0.05, Duplicate: 0.02, MinDelay: 3 * time.Millisecond, MaxDelay: 20 * time.Millisecond}
 	r := newFleet(t, testbed.SmallPlatform(), n, 1, "commons {\n every = 200ms\n}\nregion floor-3 {\n clock = \"Asia/Seoul\"\n quiet = [\"daily 00:00-24:00\"]\n}\n")
@@ -32,7 +33,8 @@
 	conf.Interval = peerInfoInterval
 	bound := conf.StalenessBound(n, normalFaults.Loss, normalFaults.MaxDelay)
 	var ages []time.Duration
-	// observe looks at all members that say something for a while. Where calm, all have to know all others as of stale ago.
+	// observe checks the status of all members that respond for the given duration. If connected, all members must have information
+	// about all others that is no older than bound.
 	observe := func(what string, duration time.Duration, connected bool) (oldest time.Duration) {
 		t.Helper()
 		rows := 0
@@ -56,11 +58,11 @@
 					}
 					rows++
 					actual := time.Duration(status.WallMillis-row.WallMillis) * time.Millisecond
-					if row.Age < actual-2*time.Millisecond { // of two clocks' rounding to whole ones
-						t.Fatalf("%s: %s tells %s's news as %v old; it is %v", what, status.Name, row.Name, row.Age, actual)
+					if row.Age < actual-2*time.Millisecond { // both timestamps are rounded to milliseconds
+						t.Fatalf("%s: %s reports information about %s as %v old; it is %v old", what, status.Name, row.Name, row.Age, actual)
 					}
 					if connected && row.Age > bound+delay {
-						t.Errorf("%s: %s knows %s's news as of %v ago, more than %v and the machine's %v", what, status.Name, row.Name, row.Age, bound, delay)
+						t.Errorf("%s: the information of %s about %s is %v old, more than the bound %v and the machine's delay %v", what, status.Name, row.Name, row.Age, bound, delay)
 					}
 					if connected {
 						ages = append(ages, row.Age)
@@ -69,41 +71,41 @@
 				}
 			}
 		}
-		t.Logf("%s: %d looks at news, %v old at most", what, rows, oldest.Round(time.Millisecond))
+		t.Logf("%s: %d samples, %v old at most", what, rows, oldest.Round(time.Millisecond))
 		if rows == 0 {
-			t.Errorf("%s: nobody knows anything", what)
+			t.Errorf("%s: no member has information about another", what)
 		}
 		return oldest
 	}
 	waitBound := func() { time.Sleep(bound) }
 	waitBound()
-	observe("in peace", 2*time.Second, true)
+	observe("connected", 2*time.Second, true)
 
 	const faultDuration = 3 * time.Second
 	r.Mesh.Partition([]int{1})
-	if oldest := observe("one is cut off", faultDuration, false); oldest < faultDuration/2 {
-		t.Errorf("one was cut off for %v, and nobody's news is older than %v", faultDuration, oldest)
+	if oldest := observe("one is isolated", faultDuration, false); oldest < faultDuration/2 {
+		t.Errorf("one was isolated for %v, and no information is older than %v", faultDuration, oldest)
 	}
 	r.Mesh.SetFault(normalFaults, nil, nil)
 	r.Mesh.SetFault(faultnet.Blackhole, []int{2}, []int{0, 1, 3, 4, 5})
-	observe("one hears and is not heard", faultDuration, false)
+	observe("one receives and is not received", faultDuration, false)
 	r.Mesh.SetFault(normalFaults, nil, nil)
 	resume := r.Suspend(3)
-	observe("one stands still", faultDuration, false)
+	observe("one is suspended", faultDuration, false)
 	resume()
-	observe("it goes on", time.Second, false)
+	observe("it is resumed", time.Second, false)
 	r.Kill(4)
-	observe("one is dead", time.Second, false)
+	observe("one is killed", time.Second, false)
 	r.Start(0, 4)
 	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
 	waitBound()
 	observe("all are back", 2*time.Second, true)
 	slices.Sort(ages)
-	t.Logf("while all hear each other: %v in the middle, %v at the 99th of 100, bound %v", ages[len(ages)/2].Round(time.Millisecond), ages[len(ages)*99/100].Round(time.Millisecond), bound)
+	t.Logf("while connected: median %v, 99th percentile %v, bound %v", ages[len(ages)/2].Round(time.Millisecond), ages[len(ages)*99/100].Round(time.Millisecond), bound)
 	checkPeerInfoCounts(t, r)
 }
 
-// checkPeerInfoCounts holds that nothing waited long or was dropped between a member's goroutines.
+// checkPeerInfoCounts checks that no message was dropped between a member's goroutines or malformed.
 func checkPeerInfoCounts(t *testing.T, r *e2e.Harness) {
 	t.Helper()
 	var all gossip.PeerInfoStats
@@ -115,8 +117,8 @@
 			all.MessagesSent += status.PeerInfoStats.MessagesSent
 		}
 	}
-	t.Logf("%d messages sent, %d waited at most, %d dropped", all.MessagesSent, all.Queue.MaxDepth, all.Queue.Dropped)
+	t.Logf("%d messages sent, queue depth at most %d, %d dropped", all.MessagesSent, all.Queue.MaxDepth, all.Queue.Dropped)
 	if all.Queue.Dropped+all.Table.Malformed > 0 || all.MessagesSent == 0 {
-		t.Errorf("news got lost inside a member: %+v", all)
+		t.Errorf("messages got lost inside a member: %+v", all)
 	}
 }
--- a/internal/daemon/cost_test.go
+++ b/internal/daemon/cost_test.go
@@ -15,10 +15,10 @@
 	"sloepick/internal/testbed"
 )
 
-var cost = flag.Bool("cost", false, "measure what the operators' file costs")
+var cost = flag.Bool("cost", false, "measure the cost of the operators' file")
 
-// TestCostOfTheFile starts gateways without a file, with the shipped example and with what outlives a loss of power in turn, plays the
-// same traffic and tells memory at the start and CPU a request of each.
+// TestCostOfTheFile starts gateways without an operators' file, with the shipped example and with the block power, in turn, runs the same
+// traffic against each, and logs its memory at the start and its CPU time per request.
 func TestCostOfTheFile(t *testing.T) {
 	if !*cost {
 		t.Skip("a measurement; -cost runs it")
@@ -43,14 +43,14 @@
 			}
 			load.Run(ctx)
 			cancel()
-			t.Logf("%s: %s KB at the start, %.0f us a request over %d", name, memory,
+			t.Logf("%s: %s KB at the start, %.0f us per request over %d", name, memory,
 				float64(r.cpuTicks()-before)*1e4/float64(n.Load()), n.Load())
 			r.gateway.Kill()
 		}
 	}
 }
 
-// procField is a field of the gateway's process.
+// procField returns the value after field in /proc/PID/file of the gateway's process.
 func (r *harness) procField(file, field string) string {
 	r.t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", r.gateway.PID(), file))
@@ -61,7 +61,7 @@
 	return strings.Fields(rest)[0]
 }
 
-// cpuTicks are the hundredths of a second of CPU that the gateway used.
+// cpuTicks returns the CPU time that the gateway has used, in hundredths of a second.
 func (r *harness) cpuTicks() (sum int64) {
 	r.t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.gateway.PID()))
@@ -69,7 +69,7 @@
 		r.t.Skip(err)
 	}
 	fields := strings.Fields(string(b[strings.LastIndexByte(string(b), ')'):]))
-	for _, f := range fields[12:14] { // utime and stime: fields 14 and 15 of all (proc(5))
+	for _, f := range fields[12:14] { // utime and stime, fields 14 and 15 of the line (proc(5))
 		n, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
 			r.t.Fatal(err)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -23,7 +23,7 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// TestMain lets the test's own binary stand for the program, so that tests can start, reload and stop real processes.
+// TestMain lets the test binary run as the program, so that tests can start, reload and stop real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("DAEMON_TEST_MAIN") != "" {
 		gossipConfigHook = useFaultyLinks
@@ -34,12 +34,13 @@
 	os.Exit(m.Run())
 }
 
-// applyTestClocks sets the clocks as the rig has them: the wall clock is applyTestClocks, and each loss of power begins another boot.
+// applyTestClocks makes the process read the clocks that its test harness set: a wall clock with an offset, and a boot ID that
+// changes with each power loss.
 func applyTestClocks() {
 	offset, err := time.ParseDuration(os.Getenv(e2e.ClockEnv))
 	boot := os.Getenv(e2e.BootEnv)
 	if err != nil || boot == "" {
-		return // of no rig
+		return // not started by the e2e harness
 	}
 	system := readClocks
 	readClocks = func() recovery.ClockReading {
@@ -49,7 +50,7 @@
 	}
 }
 
-// useFaultyLinks has a member's word go by the links that its rig set up.
+// useFaultyLinks makes a member send its messages over the faulty links that its test harness set up.
 func useFaultyLinks(c *gossip.Config) error {
 	text := os.Getenv(e2e.RoutesEnv)
 	if text == "" {
@@ -62,14 +63,14 @@
 	return err
 }
 
-// harness is a site with one gateway's process.
+// harness is a site with one gateway process.
 type harness struct {
 	t        *testing.T
 	ctx      context.Context
 	site     *testbed.Site
 	endpoint testbed.Endpoint
-	platform string // the platform's file
-	operator string // the operators' file, or ""
+	platform string // path of the platform's file
+	operator string // path of the operators' file, or ""
 	gateway  *testbed.Process
 }
 
@@ -78,13 +79,13 @@
 	return newHarnessWithNodes(t, operator, 2)
 }
 
-// newHarnessWithNodes is a rig with so many nodes.
+// newHarnessWithNodes starts a harness with the given number of nodes.
 func newHarnessWithNodes(t *testing.T, operator string, nodes int) *harness {
 	t.Helper()
 	return newHarnessOn(t, operator, testbed.SmallPlatform(), nodes)
 }
 
-// newHarnessOn is one of a platform.
+// newHarnessOn starts a harness with the given platform and number of nodes.
 func newHarnessOn(t *testing.T, operator string, platform *testbed.Platform, nodes int) *harness {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -128,7 +129,7 @@
 	}
 }
 
-// replaceFile puts a text in a file's place as a whole, as an operator should.
+// replaceFile replaces a file atomically, as an operator should.
 func (r *harness) replaceFile(file, text string) {
 	r.t.Helper()
 	r.writeFile(file+".new", text)
@@ -144,7 +145,7 @@
 	}
 }
 
-// waitForLog waits for the nth line of the log with a piece of text.
+// waitForLog waits for the nth line of the log that contains piece.
 func (r *harness) waitForLog(piece string, n int) {
 	r.t.Helper()
 	if err := r.gateway.Log.WaitFor(r.ctx, piece, n); err != nil {
@@ -178,7 +179,7 @@
 
 func idleSetting(d string) string { return "gateway { clients { idle = " + d + " } }\n" }
 
-// A good change counts on a connection that is open already, from its next command on.
+// TestReloadAppliesToOpenConnections checks that a valid change applies to a connection that is already open, from its next command on.
 func TestReloadAppliesToOpenConnections(t *testing.T) {
 	r := newHarness(t, idleSetting("1h"))
 	c := r.dial()
@@ -196,7 +197,7 @@
 	}
 }
 
-// A warning is told once at the start and once a reload, however often the file was read.
+// TestWarningsAreLoggedOnce checks that a warning is logged once at the start and once per reload, however often the file was read.
 func TestWarningsAreLoggedOnce(t *testing.T) {
 	r := newHarness(t, "define x = 1s\n"+idleSetting("1h"))
 	r.sendHangup()
@@ -206,7 +207,8 @@
 	}
 }
 
-// One bad file, whichever, and everything stays: the values, the level and the address of discovery.
+// TestReloadIsAllOrNothing checks that one invalid file, either of the two, leaves everything unchanged: the values, the log level
+// and the discovery address.
 func TestReloadIsAllOrNothing(t *testing.T) {
 	r := newHarness(t, idleSetting("1h"))
 	platform, err := os.ReadFile(r.platform)
@@ -227,14 +229,14 @@
 	r.sendHangup()
 	r.waitForLog("reload failed", 2)
 	r.ping(c)
-	time.Sleep(300 * time.Millisecond) // three times what the files that were not taken say
+	time.Sleep(300 * time.Millisecond) // three times the idle time-out of the rejected files
 	r.ping(c)
 	r.replaceFile(r.platform, string(platform))
 	r.sendHangup()
-	r.waitForLog("msg=reloaded", 1) // at a level that a bad file did not raise
+	r.waitForLog("msg=reloaded", 1) // logged only if the rejected file did not raise the level to error
 }
 
-// A file is not taken half, though the half would be a whole file by itself.
+// TestReloadWhileAnEditorWrites checks that a half-written file is not applied, even if the half is a valid file by itself.
 func TestReloadWhileAnEditorWrites(t *testing.T) {
 	before := "log { level = debug }\n" + idleSetting("1h")
 	r := newHarness(t, before)
@@ -242,17 +244,17 @@
 		half := "log { level = debug }\n"
 		r.writeFile(r.operator, half)
 		r.sendHangup()
-		time.Sleep(stableReadInterval / 3) // within the first two readings, or before or after them
+		time.Sleep(stableReadInterval / 3) // the second write may come before, between or after the first two readings
 		r.writeFile(r.operator, half+idleSetting(fmt.Sprintf("%dm", i+1)))
 		r.sendHangup()
 		r.waitForLog(fmt.Sprintf("idle %s -> %dm", []string{"1h", "1m", "2m", "3m", "4m"}[i], i+1), 1)
 	}
 	if log := r.gateway.Log.String(); strings.Contains(log, "-> 5s") {
-		t.Errorf("half of a file was taken:\n%s", log)
+		t.Errorf("half of a file was applied:\n%s", log)
 	}
 }
 
-// One that never stands still is not taken.
+// TestReloadOfAFileThatKeepsChanging checks that a file that is rewritten all the time is not applied.
 func TestReloadOfAFileThatKeepsChanging(t *testing.T) {
 	r := newHarness(t, idleSetting("1h"))
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -268,15 +270,16 @@
 		}
 	}()
 	r.sendHangup()
-	r.waitForLog("reload failed", 1) // as it goes on changing, or was met empty
+	r.waitForLog("reload failed", 1) // because the file keeps changing, or was read while empty
 	close(stop)
 	<-stopped
 	if log := r.gateway.Log.String(); strings.Contains(log, "msg=changed") {
-		t.Errorf("it was taken:\n%s", log)
+		t.Errorf("it was applied:\n%s", log)
 	}
 }
 
-// A route that could break a rule is refused at a reload; one that could after the next start is warned of.
+// TestReloadChecksRoutesAgainstPlatform checks that a reload rejects a route that is invalid under the running settings, and warns
+// of one that will be invalid under the platform's new settings at the next start.
 func TestReloadChecksRoutesAgainstPlatform(t *testing.T) {
 	const good = "route r {\n classes = [\"slot-lookup\"]\n whole = 1s\n}\n"
 	r := newHarness(t, idleSetting("1h")+good)
@@ -296,7 +299,8 @@
 	r.waitForLog(`the platform has no class`, 1)
 }
 
-// Ten reloads a second, of good files and bad ones, while clients ask: no request is lost and no rule broken.
+// TestReloadsUnderLoad reloads ten times a second, with valid and invalid files, while clients send requests. No request may be lost
+// and no rule broken.
 func TestReloadsUnderLoad(t *testing.T) {
 	seeds.Run(t, []uint64{1}, reloadsUnderLoad)
 }
@@ -338,13 +342,13 @@
 	<-done
 	log := r.gateway.Log.String()
 	applied, refused := strings.Count(log, "msg=reloaded"), strings.Count(log, "reload failed")
-	t.Logf("%d requests, %d reloads: %d taken, %d refused", len(results), reloads, applied, refused)
+	t.Logf("%d requests, %d reloads: %d applied, %d rejected", len(results), reloads, applied, refused)
 	if len(results) < 20 || applied < 3 || refused < 1 {
-		t.Error("too little happened for a test")
+		t.Error("too few requests or reloads for the test to be meaningful")
 	}
 	for _, v := range r.site.Audit(results) {
 		if v.Violations > 0 {
-			t.Errorf("%s: %d against it: %v", v.Rule, v.Violations, v.Examples)
+			t.Errorf("%s: %d violations: %v", v.Rule, v.Violations, v.Examples)
 		}
 	}
 	if err := r.gateway.Stop(); err != nil {
@@ -352,7 +356,7 @@
 	}
 }
 
-// What can't be used ends the start with its places and exit code 1.
+// TestBadStart checks that an unusable configuration ends the start with exit code 1 and the positions of its errors.
 func TestBadStart(t *testing.T) {
 	dir := t.TempDir()
 	site := newHarness(t, "")
@@ -380,7 +384,7 @@
 		}
 		for _, w := range tc.want {
 			if !strings.Contains(errs.String(), w) {
-				t.Errorf("%q: said %q, want %q", tc.args, errs.String(), w)
+				t.Errorf("%q: printed %q, want %q", tc.args, errs.String(), w)
 			}
 		}
 	}
--- a/internal/daemon/duties_test.go
+++ b/internal/daemon/duties_test.go
@@ -19,7 +19,8 @@
 	"sloepick/internal/testbed/faultnet"
 )
 
-// fencedServer is an fencedServer system that takes steps of duties, keeps the highest number and records all that it took.
+// fencedServer is an external system that receives the steps of duties, rejects fencing numbers below the highest, and records all
+// steps.
 type fencedServer struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -50,7 +51,7 @@
 	return o
 }
 
-// acceptedOwners are the names whose steps were taken, each time that it changed, and how many steps.
+// acceptedOwners returns the owners of the accepted steps, one entry for each change of owner, and the number of steps.
 func (o *fencedServer) acceptedOwners() (names []string, steps int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,7 +63,7 @@
 	return names, len(o.accepted)
 }
 
-// waitForOwner waits until a step of another than those is taken, and returns its number.
+// waitForOwner waits until the last accepted step is of a gateway that is not excluded, and returns the gateway's number.
 func (o *fencedServer) waitForOwner(t *testing.T, exclude ...int) int {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -74,15 +75,15 @@
 		}
 	}
 	names, steps := o.acceptedOwners()
-	t.Fatalf("no step of another than %v: %v, %d steps", exclude, names, steps)
+	t.Fatalf("no step of an owner other than %v: %v, %d steps", exclude, names, steps)
 	return -1
 }
 
-// TestLateStepOfFormerOwnerIsRejected: an owner stands still with a step on its way, and so does the one after it; the first goes on when a third has taken
-// over, and its step arrives at last. It is turned away, by name. Then an owner is cut off, and all lose their power. What the outside system took
-// has rising numbers, each of one owner, and every owner's steps in their order.
+// TestLateStepOfFormerOwnerIsRejected suspends an owner while one of its steps is on the way, and then its successor. The step arrives
+// when a third member has taken over, and has to be rejected. Then an owner is isolated, and then all lose their power. The accepted
+// steps have rising numbers with one owner each, and the steps of each owner are in order.
 func TestLateStepOfFormerOwnerIsRejected(t *testing.T) {
-	t.Parallel() // it waits more than it works
+	t.Parallel() // mostly waits
 	const n = 5
 	out := newFencedServer(t)
 	var faults [n]faultnet.RelayFaults
@@ -100,19 +101,19 @@
 	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
 	a := out.waitForOwner(t)
 	faults[a].Set(faultnet.Fault{Stall: true}, faultnet.Fault{})
-	time.Sleep(300 * time.Millisecond) // a step of it is on its way
+	time.Sleep(300 * time.Millisecond) // until one of its steps is on the way
 	resumeA := r.Suspend(a)
 	suspendedAt := time.Now()
 	b := out.waitForOwner(t, a)
-	t.Logf("g%d stands still with a step on its way; g%d owns %v later", a, b, time.Since(suspendedAt).Round(time.Millisecond))
+	t.Logf("g%d is suspended with a step on its way; g%d owns %v later", a, b, time.Since(suspendedAt).Round(time.Millisecond))
 	if slices.Contains(electedVoters(t, r, a), a) {
-		t.Logf("g%d votes no more %v later", a, waitForNewVoters(t, r, a).Round(time.Millisecond))
+		t.Logf("g%d is replaced as a voter %v later", a, waitForNewVoters(t, r, a).Round(time.Millisecond))
 		b = out.waitForOwner(t, a)
 	}
 	resumeB := r.Suspend(b)
 	suspendedAt = time.Now()
 	c := out.waitForOwner(t, a, b)
-	t.Logf("g%d stands still; g%d owns %v later", b, c, time.Since(suspendedAt).Round(time.Millisecond))
+	t.Logf("g%d is suspended; g%d owns %v later", b, c, time.Since(suspendedAt).Round(time.Millisecond))
 	faults[a].Set(faultnet.Fault{}, faultnet.Fault{})
 	for end := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
 		out.mu.Lock()
@@ -120,7 +121,7 @@
 		arrived := slices.ContainsFunc(out.rejected, func(s fleetreport.Payload) bool { return strings.HasPrefix(s.Owner, e2e.GatewayName(a)+".") })
 		out.mu.Unlock()
 		if arrived {
-			t.Logf("the late step arrived and was turned away: %v", rejected)
+			t.Logf("the late step arrived and was rejected: %v", rejected)
 			break
 		}
 		if time.Now().After(end) {
@@ -133,7 +134,7 @@
 	d := out.waitForOwner(t)
 	r.Mesh.Partition([]int{d})
 	e := out.waitForOwner(t, d)
-	t.Logf("g%d is cut off; g%d owns", d, e)
+	t.Logf("g%d is isolated; g%d owns", d, e)
 	r.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 	markUp := r.PowerLoss()
 	_, before := out.acceptedOwners()
@@ -144,29 +145,29 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("nobody owns after the loss of power")
+			t.Fatal("no owner after the power loss")
 		}
 	}
 	out.audit(t)
 	if status := readStatus(r, 0); status == nil || len(status.Duties) != 1 || status.Duties[0].Duty != fleetreport.DutyName {
-		t.Errorf("the status tells %+v", status)
+		t.Errorf("the status is %+v", status)
 	}
 }
 
-// audit holds that what was taken has rising numbers, each of one owner, and every owner's steps in their order.
+// audit checks that the accepted steps have rising numbers with one owner each, and that the steps of each owner are in order.
 func (o *fencedServer) audit(t *testing.T) {
 	t.Helper()
 	names, steps := o.acceptedOwners()
-	t.Logf("%d steps taken, of %v; turned away %v", steps, names, o.fence.Rejected)
+	t.Logf("%d steps accepted, of %v; rejected %v", steps, names, o.fence.Rejected)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	last := map[string]fleetreport.Payload{}
 	for i, s := range o.accepted {
 		if i > 0 && (s.Number < o.accepted[i-1].Number || s.Number == o.accepted[i-1].Number && s.Owner != o.accepted[i-1].Owner) {
-			t.Errorf("a step of %s under %d was taken after one of %s under %d", s.Owner, s.Number, o.accepted[i-1].Owner, o.accepted[i-1].Number)
+			t.Errorf("a step of %s under %d was accepted after one of %s under %d", s.Owner, s.Number, o.accepted[i-1].Owner, o.accepted[i-1].Number)
 		}
 		if o, ok := last[s.Owner]; ok && s.Sequence <= o.Sequence {
-			t.Errorf("step %d of %s was taken after step %d", s.Sequence, s.Owner, o.Sequence)
+			t.Errorf("step %d of %s was accepted after step %d", s.Sequence, s.Owner, o.Sequence)
 		}
 		last[s.Owner] = s
 	}
@@ -174,7 +175,7 @@
 
 const dutiesBlock = "duties {\n voters = 3\n lease = 2s\n report {\n url = \"http://%s/\"\n every = 100ms\n }\n}\n"
 
-// electedVoters are the gateways that vote, as one of those that are there tells it, by number.
+// electedVoters returns the numbers of the gateways that vote, from the status of the first gateway that responds and is not excluded.
 func electedVoters(t *testing.T, r *e2e.Harness, exclude ...int) (voters []int) {
 	t.Helper()
 	for _, i := range r.AllGateways() {
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// waitForNewVoters waits until those who stand still vote no more, and returns how long that took.
+// waitForNewVoters waits until there are three voters without the suspended gateways, and returns how long that took.
 func waitForNewVoters(t *testing.T, r *e2e.Harness, suspended ...int) time.Duration {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
@@ -202,21 +203,21 @@
 			return time.Since(start)
 		}
 		if time.Since(start) > time.Minute {
-			t.Fatalf("%v stand still, and %v vote", suspended, current)
+			t.Fatalf("%v are suspended, and the voters are %v", suspended, current)
 		}
 	}
 }
 
-var suspendedPairs = flag.Int("still", 1, "pairs of voters that TestTwoOfThreeVotersStandStill draws for each of its forms, 3 at most")
+var suspendedPairs = flag.Int("still", 1, "number of pairs of voters that TestTwoOfThreeVotersSuspended suspends in each of its variants, 3 at most")
 
-// TestTwoOfThreeVotersSuspended: two of three voters of a fleet of five stand still, one after the other as soon as the first was replaced, or
-// both at once. The work goes on, others vote, and what the two do when they wake up is turned away or in order. While voters were those in the
-// lowest places nobody owned anything for as long as the two stood still.
+// TestTwoOfThreeVotersSuspended suspends two of three voters of a fleet of five, one by one as soon as the first is replaced, or both at
+// once. Other members become voters, the duties continue, and the steps of the two after they resume are rejected or in order. If the
+// voters were always the members in the lowest places, there would be no owner for as long as the two are suspended.
 func TestTwoOfThreeVotersSuspended(t *testing.T) {
 	for _, form := range []string{"one after the other", "at once"} {
 		for k := range *suspendedPairs {
 			t.Run(fmt.Sprintf("%s, pair %d", form, k), func(t *testing.T) {
-				t.Parallel() // it waits more than it works
+				t.Parallel() // mostly waits
 				const n = 5
 				out := newFencedServer(t)
 				r := newFleetWithHold(t, testbed.SmallPlatform(), n, uint64(k), 15*time.Second, func(int) string {
@@ -227,17 +228,17 @@
 				out.waitForOwner(t)
 				initial := electedVoters(t, r)
 				if len(initial) != 3 {
-					t.Fatalf("%v vote", initial)
+					t.Fatalf("the voters are %v", initial)
 				}
 				a, b := initial[k%3], initial[(k+1)%3]
 				resumeA := r.Suspend(a)
 				if form == "one after the other" {
-					t.Logf("g%d stands still; others vote %v later", a, waitForNewVoters(t, r, a).Round(time.Millisecond))
+					t.Logf("g%d is suspended; it is replaced as a voter %v later", a, waitForNewVoters(t, r, a).Round(time.Millisecond))
 				}
 				resumeB := r.Suspend(b)
 				took := waitForNewVoters(t, r, a, b)
 				resumedAfter := out.waitForProgress(t, a, b)
-				t.Logf("g%d and g%d stand still; others vote %v later, and the work goes on %v after that", a, b, took.Round(time.Millisecond), resumedAfter.Round(time.Millisecond))
+				t.Logf("g%d and g%d are suspended; other voters %v later, and progress %v after that", a, b, took.Round(time.Millisecond), resumedAfter.Round(time.Millisecond))
 				resumeA()
 				resumeB()
 				waitForAgreement(t, r, time.Minute, r.AllGateways()...)
@@ -248,7 +249,7 @@
 	}
 }
 
-// waitForProgress waits until others than those have taken some steps from now on.
+// waitForProgress waits until three more steps of owners that are not excluded are accepted, and returns how long that took.
 func (o *fencedServer) waitForProgress(t *testing.T, exclude ...int) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -268,7 +269,7 @@
 			return time.Since(start)
 		}
 		if time.Since(start) > time.Minute {
-			t.Fatalf("%d steps by others than %v in a minute", steps, exclude)
+			t.Fatalf("%d steps of owners other than %v in a minute", steps, exclude)
 		}
 	}
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -21,35 +21,35 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-var fleetSize = flag.Int("fleet", 5, "gateways of TestFleetUnderKills")
+var fleetSize = flag.Int("fleet", 5, "number of gateways in TestFleetUnderKills")
 
-// testCommand is this test's own binary in place of the testCommand.
+// testCommand returns a command that runs this test binary as the program.
 func testCommand() *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "DAEMON_TEST_MAIN=1")
 	return cmd
 }
 
-// newFleet builds a fleet that is not started yet. more stands in the operators' file of each behind its block fleet, with its disk's name
-// for DISK.
+// newFleet builds a fleet that is not started yet. extraBlocks follows the block fleet in the operators' file of each member, with
+// DISK replaced by the name of the member's disk.
 func newFleet(t *testing.T, platform *testbed.Platform, n int, seed uint64, extraBlocks string) *e2e.Harness {
 	t.Helper()
 	return newFleetPerMember(t, platform, n, seed, func(i int) string { return strings.ReplaceAll(extraBlocks, "DISK", e2e.GatewayName(i)) })
 }
 
-// newFleetPerMember builds one whose members have each their own more.
+// newFleetPerMember builds a fleet with different extraBlocks for each member.
 func newFleetPerMember(t *testing.T, platform *testbed.Platform, n int, seed uint64, extraBlocks func(i int) string) *e2e.Harness {
 	t.Helper()
 	return newFleetWithHold(t, platform, n, seed, 3*time.Minute, extraBlocks)
 }
 
-// newFleetWithHold builds one that keeps the places of those who are gone for so long.
+// newFleetWithHold builds a fleet that holds the places of members that are gone for the given time.
 func newFleetWithHold(t *testing.T, platform *testbed.Platform, n int, seed uint64, hold time.Duration, extraBlocks func(i int) string) *e2e.Harness {
 	t.Helper()
 	return newFleetConfigured(t, platform, n, seed, hold, extraBlocks, testCommand)
 }
 
-// newFleetWithCommand builds one whose gateways are started by the given command.
+// newFleetWithCommand builds a fleet whose gateways are started by the given command.
 func newFleetWithCommand(t *testing.T, platform *testbed.Platform, n int, seed uint64, extraBlocks func(i int) string, command func() *exec.Cmd) *e2e.Harness {
 	t.Helper()
 	return newFleetConfigured(t, platform, n, seed, 3*time.Minute, extraBlocks, command)
@@ -65,7 +65,7 @@
 	return r
 }
 
-// readStatus asks a gateway how it sees the fleet; nil: it does not say.
+// readStatus returns a gateway's status of the fleet, or nil if the gateway does not respond.
 func readStatus(r *e2e.Harness, i int) *gossip.Status {
 	ctx, cancel := context.WithTimeout(r.Ctx, time.Second)
 	defer cancel()
@@ -76,7 +76,7 @@
 	return status
 }
 
-// waitForAgreement waits until those gateways have a place, and the same table.
+// waitForAgreement waits until the given gateways have a place each and the same table of places, and returns how long that took.
 func waitForAgreement(t *testing.T, r *e2e.Harness, within time.Duration, gateways ...int) time.Duration {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
@@ -86,9 +86,9 @@
 			status := readStatus(r, i)
 			switch {
 			case status == nil:
-				why = fmt.Sprintf("g%d says nothing", i)
+				why = fmt.Sprintf("g%d does not respond", i)
 			case status.Assignment.Slot < 0 || status.Assignment.Isolated:
-				why = fmt.Sprintf("g%d stands at %+v", i, status.Assignment)
+				why = fmt.Sprintf("g%d has the assignment %+v", i, status.Assignment)
 			case first != nil && !slices.Equal(first, status.Assignment.Holders):
 				why = fmt.Sprintf("g%d sees %v, others %v", i, status.Assignment.Holders, first)
 			default:
@@ -108,14 +108,14 @@
 	}
 }
 
-// slotUse is a time in which a process had a place.
+// slotUse is a period in which a process had a place.
 type slotUse struct {
 	slot     int
 	name     string
 	from, to time.Time
 }
 
-// slotUses reads from the logs of all processes so far which place each had when.
+// slotUses reads from the logs of all processes, running or ended, which place each had when.
 func slotUses(r *e2e.Harness) (all []slotUse) {
 	for i, incarnations := range r.History {
 		for _, process := range incarnations {
@@ -132,7 +132,7 @@
 				}
 				when, err := time.Parse(time.RFC3339Nano, timestamp)
 				if err != nil {
-					continue // the last line, cut by a kill
+					continue // the last line, truncated by a kill
 				}
 				_, rest, _ := strings.Cut(line, " place=")
 				end(when)
@@ -151,7 +151,8 @@
 	return all
 }
 
-// checkSlotsExclusive holds that no place was used by two at a time. While one stands still it does not use what it has.
+// checkSlotsExclusive checks that no place was used by two members at a time. The suspended members are left out, as they do not use
+// their places while suspended.
 func checkSlotsExclusive(t *testing.T, r *e2e.Harness, suspended ...string) {
 	t.Helper()
 	all := slotUses(r)
@@ -163,11 +164,11 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Error("nobody had a place")
+		t.Error("no member had a place")
 	}
 }
 
-// overAndUnderQuota are two customers of each plan, one at so many times its quota and one at half of it.
+// overAndUnderQuota returns two customers of each plan, one at factor times its quota and one at half of it.
 func overAndUnderQuota(platform *testbed.Platform, n int, factor float64) (all []testbed.Customer) {
 	for i, plan := range platform.Plans {
 		for k, share := range []float64{factor, 0.5} {
@@ -177,11 +178,11 @@
 	return all
 }
 
-const meanUnits = 1.38 // of a clinic's mean request
+const meanUnits = 1.38 // of a customer's mean request
 
-// TestFleetUnderKills plays clinics, one of them at five times its quota, against a fleet of real processes that are killed,
-// stopped, let stand still and started again. Each request that a living gateway took has one answer, no key ran twice, the
-// ceiling holds, and no customer gets more than its quota and a stated slack.
+// TestFleetUnderKills runs customers, one of each plan at five times its quota, against a fleet of real processes that are killed,
+// stopped, suspended and restarted. Each request that a running gateway accepted has one response, no key runs twice, the ceiling
+// holds, and no customer gets more than its quota and a stated slack.
 func TestFleetUnderKills(t *testing.T) {
 	seeds.Run(t, []uint64{1}, fleetUnderKills)
 }
@@ -194,11 +195,11 @@
 	t.Logf("%d processes have their places %v after the last start", n, waitForAgreement(t, r, time.Minute, r.AllGateways()...))
 	rnd := seeds.Rand(seed)
 	p := r.RunLoad(overAndUnderQuota(platform, n, 5), seed, func() {
-		for _, fault := range []string{"kill", "stand still", "stop", "kill half"} {
+		for _, fault := range []string{"kill", "suspend", "stop", "kill half"} {
 			time.Sleep(2 * time.Second)
 			i := rnd.IntN(n)
 			injectFault(r, fault, i)
-			t.Logf("%s g%d: whole again after %v", fault, i, waitForAgreement(t, r, time.Minute, r.AllGateways()...))
+			t.Logf("%s g%d: agreement again after %v", fault, i, waitForAgreement(t, r, time.Minute, r.AllGateways()...))
 		}
 		time.Sleep(2 * time.Second)
 	})
@@ -212,7 +213,7 @@
 	}
 }
 
-// injectFault does something to a gateway.
+// injectFault kills, stops or suspends gateway i, or kills half of the fleet from i on, and brings all back.
 func injectFault(r *e2e.Harness, fault string, i int) {
 	switch fault {
 	case "kill":
@@ -220,7 +221,7 @@
 		r.Kill(i)
 		r.Start(0, i)
 		markUp()
-	case "stand still":
+	case "suspend":
 		resume := r.Suspend(i)
 		time.Sleep(4 * time.Second)
 		resume()
@@ -249,20 +250,20 @@
 	}
 }
 
-// TestMembersUseMeshLinks: what members of a fleet say to each other goes by the links between their processes: one that is cut off by
-// them knows it, and is one of all again when they are mended.
+// TestMembersUseMeshLinks checks that messages between members go over the mesh's links: a member whose links are cut knows that it is
+// isolated, and rejoins when they are restored.
 func TestMembersUseMeshLinks(t *testing.T) {
-	t.Parallel() // it waits more than it works
+	t.Parallel() // mostly waits
 	r := newFleet(t, testbed.SmallPlatform(), 3, 1, "")
 	r.Start(0, r.AllGateways()...)
 	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
 	r.Mesh.Partition([]int{2})
-	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: true", 2)) // as it was at its start
+	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: true", 2)) // the first was at its start
 	r.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 	r.Must(r.Processes[2].Log.WaitFor(r.Ctx, "cut off: false", 2))
 	waitForAgreement(t, r, time.Minute, r.AllGateways()...)
 	if c := r.Mesh.Counts(); c.Forwarded == 0 || c.Lost == 0 {
-		t.Errorf("the links passed and lost %+v", c)
+		t.Errorf("the links forwarded and lost %+v", c)
 	}
 	if _, err := os.Stat(filepath.Join(r.DiskDir(2), "state")); err != nil {
 		t.Error(err)
--- a/internal/daemon/power_test.go
+++ b/internal/daemon/power_test.go
@@ -16,25 +16,25 @@
 	"sloepick/internal/testbed/seeds"
 )
 
-// powerBlock is the block power with all as it is by default.
+// powerBlock is the block power with default values.
 const powerBlock = "power {\n keep = \"DISK/power\"\n}\n"
 
-// quotaSlack is what a customer may get beyond rate x time + burst over losses of power, as docs/operate/power.md has it: what sharing over
-// gateways errs by in peace, and at each loss 5 % of a burst and what leaks in two snapshots' time; and half of the part of a burst that
-// members have whose disk proves nothing.
+// quotaSlack is what a customer may get beyond rate x time + burst when power is lost, as docs/operate/power.md states it: the usual
+// error of sharing a quota over gateways, for each loss 5 % of a burst and what leaks in two snapshot intervals, and half of the
+// part of a burst that belongs to members whose disk has no valid state.
 func quotaSlack(plan *testbed.Plan, took time.Duration, losses, unproven float64) float64 {
 	return 0.1*plan.Rate*took.Seconds() + losses*(0.05*plan.Burst+2*snapshotInterval.Seconds()*plan.Rate) + unproven*plan.Burst/2
 }
 
-const snapshotInterval = 250 * time.Millisecond // from one snapshot to the next, by default
+const snapshotInterval = 250 * time.Millisecond // the default
 
-// powerLossTest is a rig whose power is lost under a crowd at five times its quota.
+// powerLossTest is a fleet that loses its power under customers at five times their quotas.
 type powerLossTest struct {
 	*e2e.Harness
 	t        *testing.T
 	platform *testbed.Platform
 	losses   float64
-	unproven float64 // members of which nothing is proven, of all, summed over the losses
+	unproven float64 // share of the members without a valid state on disk, summed over the losses
 }
 
 func newPowerLossTest(t *testing.T, n int, seed uint64, block string) *powerLossTest {
@@ -45,7 +45,7 @@
 	return b
 }
 
-// losePower has all losePower their power, and start again one so long after the other.
+// losePower ends all gateways at once as a power loss does, calls whileDown, and restarts them one by one, spaced by spacing.
 func (b *powerLossTest) losePower(spacing time.Duration, whileDown func()) {
 	b.losses++
 	markUp := b.PowerLoss()
@@ -54,7 +54,8 @@
 	markUp()
 }
 
-// losePowerWithNodes has nodes lose their power with the gateways: half of them are back before these, which nobody tells of, and half after.
+// losePowerWithNodes makes the nodes lose their power with the gateways. Half of them are back before the gateways, unknown to discovery,
+// and all are restarted after them.
 func (b *powerLossTest) losePowerWithNodes() {
 	b.t.Helper()
 	half := len(b.Site.Nodes) / 2
@@ -74,11 +75,11 @@
 func (b *powerLossTest) checkLogged(i int, piece string) {
 	b.t.Helper()
 	if !strings.Contains(b.Processes[i].Log.String(), piece) {
-		b.t.Errorf("%s does not say %q:\n%s", e2e.GatewayName(i), piece, b.Processes[i].Log)
+		b.t.Errorf("%s does not log %q:\n%s", e2e.GatewayName(i), piece, b.Processes[i].Log)
 	}
 }
 
-// logExcess logs what those who flood got beyond rate x time since a moment, in bursts.
+// logExcess logs what the over-quota customers got beyond rate x time since a moment, in bursts.
 func (b *powerLossTest) logExcess(name string, from time.Time, before map[string]float64) {
 	took, excess := time.Since(from).Seconds(), ""
 	for _, plan := range b.platform.Plans {
@@ -96,23 +97,23 @@
 	return all
 }
 
-// checkQuotas holds each customer to its quota and the slack, and places to one user each.
+// checkQuotas checks that no customer got more than its quota and the slack, and that no place was used by two members at a time.
 func (b *powerLossTest) checkQuotas(p *e2e.LoadResult) {
 	b.t.Helper()
 	checkSlotsExclusive(b.t, b.Harness)
 	for _, c := range p.Customers {
 		quota, got := p.QuotaUsage(&c)
 		limit := quota + quotaSlack(p.Plan(&c), p.Elapsed, b.losses, b.unproven)
-		b.t.Logf("%s, asks for %.1f units a second: got %.0f units of %.0f, and a slack to %.0f", c.Plan, c.Rate*meanUnits, got, quota, limit)
+		b.t.Logf("%s, asks for %.1f units a second: got %.0f units, quota %.0f, limit with slack %.0f", c.Plan, c.Rate*meanUnits, got, quota, limit)
 		if got > limit {
-			b.t.Errorf("customer %s on %s got %.0f units, %.0f may be", c.ID, c.Plan, got, limit)
+			b.t.Errorf("customer %s on %s got %.0f units, limit %.0f", c.ID, c.Plan, got, limit)
 		}
 	}
 }
 
-// TestFleetPowerLoss: power is lost again and again under a crowd at five times its quota, and comes back in one way after the other. Each
-// request that a living gateway took has one answer, no key runs twice, ceilings hold; who floods gets no more at a loss than its page
-// allows.
+// TestFleetPowerLoss makes a fleet lose its power repeatedly under customers at five times their quotas, and return in a different way
+// each time. Each request that a running gateway accepted has one response, no key runs twice, the ceilings hold, and at each loss an
+// over-quota customer gets no more than quotaSlack allows.
 func TestFleetPowerLoss(t *testing.T) { seeds.Run(t, []uint64{1}, fleetPowerLoss) }
 
 func fleetPowerLoss(t *testing.T, seed uint64) {
@@ -124,14 +125,14 @@
 		do   func()
 	}{
 		{"at once", func() { b.losePower(0, noop) }},
-		{"one after the other", func() { b.losePower(300*time.Millisecond, noop) }},
-		{"again in the trickle, three times", func() {
+		{"one by one", func() { b.losePower(300*time.Millisecond, noop) }},
+		{"again during the trickle phase, three times", func() {
 			for range 3 {
 				b.losePower(0, noop)
 				time.Sleep(300 * time.Millisecond)
 			}
 		}},
-		{"disks lost, old, a neighbour's, torn", func() {
+		{"disks wiped, outdated, another member's, truncated", func() {
 			b.unproven += 4 / float64(n)
 			b.losePower(0, func() {
 				b.WipeDisk(0)
@@ -147,23 +148,23 @@
 			for _, i := range []int{2, 4} {
 				for _, name := range []string{"power.bad", "state.bad"} {
 					if _, err := os.Stat(filepath.Join(b.DiskDir(i), name)); err != nil {
-						t.Errorf("what was spoilt is not set aside: %v", err)
+						t.Errorf("an invalid file is not set aside: %v", err)
 					}
 				}
 			}
 		}},
-		{"clocks an hour back, and never set", func() {
+		{"one clock an hour back, one at 1970", func() {
 			b.ClockOffsets[5], b.ClockOffsets[6] = -time.Hour, -time.Since(time.Unix(0, 0))
 			b.losePower(0, noop)
 		}},
-		{"over links that lose a third, and a way that is cut", func() {
+		{"over links that lose a third, one of them cut in one direction", func() {
 			b.Mesh.SetFault(faultnet.Fault{Loss: 0.3, MaxDelay: 20 * time.Millisecond}, nil, nil)
 			b.Mesh.SetFault(faultnet.Blackhole, []int{1}, []int{4})
 			b.losePower(0, noop)
 			waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 			b.Mesh.SetFault(faultnet.Fault{}, nil, nil)
 		}},
-		{"but one, which stands still", func() {
+		{"all but one, which is suspended", func() {
 			b.losses++
 			others := b.AllGateways()[:n-1]
 			resume := b.Suspend(n - 1)
@@ -177,12 +178,12 @@
 		}},
 	}
 	b.checkQuotas(b.RunLoad(overAndUnderQuota(b.platform, n, 5), seed, func() {
-		time.Sleep(3 * time.Second) // buckets are at their marks
+		time.Sleep(3 * time.Second) // until the buckets are at their high water marks
 		oldDisk = b.CopyDisk(1)
 		for i, scenario := range scenarios {
 			before, from := b.overQuotaUnits(), time.Now()
 			scenario.do()
-			if i < len(scenarios)-1 { // the frozen one's engine takes its time over who is who
+			if i < len(scenarios)-1 { // the member that was suspended in the last one takes longer to agree on the members
 				waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 			}
 			time.Sleep(2 * time.Second)
@@ -191,8 +192,8 @@
 	}))
 }
 
-// TestPowerReturnsToColdNodes: the nodes lose their power too and come back cold, half of them before the gateways and half after. None is
-// pushed over, service rises with their speed, and refusals tell to return.
+// TestPowerReturnsToColdNodes makes the nodes lose their power as well; they come back cold, half of them before the gateways and half
+// after. No node may be overloaded, the share of served requests has to rise with the nodes' speed, and refusals say when to retry.
 func TestPowerReturnsToColdNodes(t *testing.T) { seeds.Run(t, []uint64{1}, coldNodes) }
 
 func coldNodes(t *testing.T, seed uint64) {
@@ -222,10 +223,11 @@
 	}
 }
 
-// TestPowerReturnsWithoutDiscovery: the seeds come back last, discovery answers nobody for seconds, half of the nodes are others at the
-// addresses of before and all are cold. Nodes count as started at the return until discovery speaks, then as it tells; none is pushed over.
+// TestPowerReturnsWithoutDiscovery makes power return with the seed members last, a discovery that does not respond for seconds, and cold
+// nodes, half of which are new nodes at the old addresses. Until discovery responds, the gateways treat the nodes as started when power
+// returned, and then as discovery reports. No node may be overloaded.
 func TestPowerReturnsWithoutDiscovery(t *testing.T) {
-	t.Parallel() // it waits more than it works
+	t.Parallel() // mostly waits
 	const n = 5
 	b := newPowerLossTest(t, n, 1, powerBlock)
 	var lostAt time.Time
@@ -263,11 +265,11 @@
 	}
 }
 
-// TestPowerReturnsDuringPartition: power returns while a cut parts the fleet in halves, so that neither has a majority. Each member takes up its
-// own place after the stated time, as those on the other side can't have a majority either, and serves at its even part; together they
-// let in no more than the quota. When the cut is healed all is whole again.
+// TestPowerReturnsDuringPartition makes power return while the fleet is partitioned into halves, so that neither has a majority. After the
+// IsolatedRestoreDelay of package fleet each member takes its own place again, as the other side can't have a majority either, and serves at its even share;
+// together they admit no more than the quota. When the partition is healed all members agree again.
 func TestPowerReturnsDuringPartition(t *testing.T) {
-	t.Parallel() // it waits more than it works
+	t.Parallel() // mostly waits
 	const n = 4
 	b := newPowerLossTest(t, n, 1, powerBlock)
 	b.checkQuotas(b.RunLoad(overAndUnderQuota(b.platform, n, 5), 1, func() {
@@ -284,10 +286,10 @@
 	}))
 }
 
-// TestExpectLoweredByOperator: one of three comes back, and gets its place when its operators say that no more are to be expected. Another
-// process on its disk ends with a line that says why.
+// TestExpectLoweredByOperator checks that one member of three that comes back gets its place when its operators lower the number of
+// expected members to one. A second process that uses the same disk ends with an error that says why.
 func TestExpectLoweredByOperator(t *testing.T) {
-	t.Parallel() // it waits more than it works
+	t.Parallel() // mostly waits
 	b := newPowerLossTest(t, 3, 1, powerBlock)
 	b.PowerLoss()
 	b.Start(0, 0)
@@ -298,7 +300,7 @@
 	b.WriteFile(file, strings.Replace(string(text), "expect = 3", "expect = 1", 1))
 	must(t, b.Processes[0].Signal(syscall.SIGHUP))
 	must(t, b.Processes[0].Log.WaitFor(b.Ctx, "power: full", 1))
-	for status := readStatus(b.Harness, 0); status == nil || status.RecoveryPhase != "full" || status.Assignment.Slot < 0; status = readStatus(b.Harness, 0) { // told at its next tick
+	for status := readStatus(b.Harness, 0); status == nil || status.RecoveryPhase != "full" || status.Assignment.Slot < 0; status = readStatus(b.Harness, 0) { // the status is updated at the next tick
 		if time.Sleep(50 * time.Millisecond); b.Ctx.Err() != nil {
 			t.Fatalf("the status is %+v", status)
 		}
@@ -312,11 +314,11 @@
 }
 
 var (
-	powerLosses      = flag.Int("blackouts", 0, "losses of power that TestPowerAtRandom plays")
-	measurePowerLoss = flag.Bool("power", false, "measure losses of power with and without the block power, in turn")
+	powerLosses      = flag.Int("blackouts", 0, "number of power losses in TestPowerAtRandom")
+	measurePowerLoss = flag.Bool("power", false, "measure power losses with and without the block power, in turn")
 )
 
-// TestPowerAtRandom plays losses of power drawn by a seed: who comes back when, with which disk, clock and links.
+// TestPowerAtRandom runs power losses drawn from a seed: which member returns when, and with which disk, clock and links.
 func TestPowerAtRandom(t *testing.T) {
 	if *powerLosses == 0 {
 		t.Skip("a long form; -blackouts runs it")
@@ -345,7 +347,7 @@
 					case 2:
 						b.ReplaceDisk(i, b.DiskDir((i+1)%n))
 					case 3:
-						b.ReplaceDisk(i, oldDisk) // of the others: another's, in its former life
+						b.ReplaceDisk(i, oldDisk) // an earlier state of g0's disk; for the others, another member's
 					case 4:
 						b.ClockOffsets[i] = -time.Duration(rnd.IntN(3600)) * time.Second
 						name += fmt.Sprintf(" g%d's clock %v", i, b.ClockOffsets[i])
@@ -357,7 +359,7 @@
 					name += fmt.Sprintf(" g%d's disk", i)
 				}
 			})
-			if rnd.IntN(3) > 0 { // else it is lost again before they agree
+			if rnd.IntN(3) > 0 { // otherwise power is lost again before they agree
 				waitForAgreement(t, b.Harness, time.Minute, b.AllGateways()...)
 			}
 			time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
@@ -366,7 +368,7 @@
 	}))
 }
 
-// TestPowerMeasured plays one loss of power of gateways and nodes with and without the block, in turn, and tells how service came back.
+// TestPowerMeasured runs one power loss of gateways and nodes with and without the block power, in turn, and logs how service returned.
 func TestPowerMeasured(t *testing.T) {
 	if !*measurePowerLoss {
 		t.Skip("a measurement; -power runs it")
@@ -393,10 +395,10 @@
 		time.Sleep(2 * time.Second)
 		b.logExcess("from before the loss to 2 s after it", from, before)
 		now := b.Mesh.Counts()
-		t.Logf("%d datagrams and %d bytes by streams of a member meanwhile", (now.Forwarded-sent.Forwarded)/n, (now.StreamBytes-sent.StreamBytes)/n)
+		t.Logf("%d datagrams and %d stream bytes per member meanwhile", (now.Forwarded-sent.Forwarded)/n, (now.StreamBytes-sent.StreamBytes)/n)
 		time.Sleep(16 * time.Second)
 	})
-	servedWorth := func(from, to time.Duration) float64 { // by plan's price, a second
+	servedWorth := func(from, to time.Duration) float64 { // weighted by the plan's price, per second
 		sum := 0.0
 		for i := range p.Results {
 			if e := &p.Results[i]; e.Outcome == testbed.OutcomeServed && e.EndedAt.Sub(p.StartedAt) >= from && e.EndedAt.Sub(p.StartedAt) < to {
@@ -415,7 +417,7 @@
 	}
 }
 
-// overQuotaCustomer is the customer of a plan that asks for far more than its quota.
+// overQuotaCustomer returns the ID of a plan's customer that exceeds its quota.
 func overQuotaCustomer(platform *testbed.Platform, plan string) string {
 	return fmt.Sprintf("%016x", 2*planIndex(platform, plan)+1)
 }
--- a/internal/daemon/protocols_test.go
+++ b/internal/daemon/protocols_test.go
@@ -26,19 +26,20 @@
 )
 
 var (
-	protocols   = flag.Bool("protocols", false, "measure what a look-up costs by each protocol")
-	lookupCount = flag.Int("lookups", 20000, "of each of its runs")
+	protocols   = flag.Bool("protocols", false, "measure the cost of a look-up by protocol")
+	lookupCount = flag.Int("lookups", 20000, "number of look-ups in each run of TestCostByProtocol")
 )
 
 const (
 	costRounds   = 3
 	refusalPause = 10 * time.Millisecond // after a refusal
 	openRequests = 100                   // requests open at once, over all connections
-	nodeCount    = 40                    // so many that this does not press them
+	nodeCount    = 40                    // enough that this does not load them
 )
 
-// TestCostByProtocol plays the same look-ups by RESP2 and by HTTP/2, in turn, with 100 open at once: RESP2 on 100
-// connections, HTTP/2 with 1, 10 and 100 streams on a connection (0 in a name: RESP2), plain and by TLS. It tells the gateway's CPU a request.
+// TestCostByProtocol sends the same look-ups over RESP2 and over HTTP/2, in turn, with 100 open at once: RESP2 on 100 connections, and
+// HTTP/2 with 1, 10 and 100 streams per connection, with and without TLS. In the names of the runs 0 streams stands for RESP2. It logs
+// the gateway's CPU time per request.
 func TestCostByProtocol(t *testing.T) {
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
@@ -93,7 +94,7 @@
 	if streams > 0 {
 		var tlsConfig *tls.Config
 		if secure {
-			tlsConfig = &tls.Config{InsecureSkipVerify: true} // its own certificate, made a moment ago
+			tlsConfig = &tls.Config{InsecureSkipVerify: true} // the test's own self-signed certificate
 		}
 		call = func(conn, open, n int) []time.Duration {
 			return h2Lookups(t, endpoints[0].Listen, tlsConfig, conn, open, n*open)
@@ -103,11 +104,11 @@
 	run(each, call)
 	n := float64(len(took))
 	slices.Sort(took)
-	return fmt.Sprintf("%.1f us CPU, %.2f reads and writes a request; p50 %v p99 %v; %d of %d served", float64(r.cpuTicks()-before)*1e4/n,
+	return fmt.Sprintf("%.1f us CPU, %.2f reads and writes per request; p50 %v p99 %v; %d of %d served", float64(r.cpuTicks()-before)*1e4/n,
 		float64(r.ioCalls()-calls)/n, took[len(took)/2].Round(10*time.Microsecond), took[len(took)*99/100].Round(10*time.Microsecond), len(took), *lookupCount)
 }
 
-// TestMemoryByProtocol tells what 1,000 idle connections and 10,000 streams whose requests are not whole cost the gateway.
+// TestMemoryByProtocol logs the gateway's memory for 1,000 idle connections and for 10,000 streams with incomplete requests.
 func TestMemoryByProtocol(t *testing.T) {
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
@@ -155,10 +156,10 @@
 	for _, c := range conns[:100] {
 		waitForPing(t, c)
 	}
-	t.Logf("%.1f KiB an idle connection of 1,000, %.2f KiB an open stream of 10,000", float64(idle-before)/1000, float64(rss()-idle)/10000)
+	t.Logf("%.1f KiB per idle connection of 1,000, %.2f KiB per open stream of 10,000", float64(idle-before)/1000, float64(rss()-idle)/10000)
 }
 
-// waitForPing waits until the gateway has taken all that was sent.
+// waitForPing waits until the gateway has read all that was sent, by the acknowledgement of a PING.
 func waitForPing(t *testing.T, c *testbed.H2Client) {
 	t.Helper()
 	if err := c.Framer.WritePing(false, [8]byte{7}); err != nil {
@@ -175,9 +176,9 @@
 	}
 }
 
-// TestBesideLargeAnswers tells the 99th percentile of small look-ups on a connection by itself, and beside answers of 64 KiB
-// on the same connection, in turn.
-func TestBesideLargeAnswers(t *testing.T) {
+// TestBesideLargeResponses logs the 99th percentile latency of small look-ups, alone on a connection and beside 64 KiB responses on the
+// same connection, in turn.
+func TestBesideLargeResponses(t *testing.T) {
 	if !*protocols {
 		t.Skip("a measurement; -protocols runs it")
 	}
@@ -235,7 +236,7 @@
 			}
 			c.Close()
 			slices.Sort(took)
-			t.Logf("round %d, beside large answers %v: p50 %v p99 %v over %d", round, withLarge, took[len(took)/2], took[len(took)*99/100], len(took))
+			t.Logf("round %d, beside large responses %v: p50 %v p99 %v over %d", round, withLarge, took[len(took)/2], took[len(took)*99/100], len(took))
 		}
 	}
 }
@@ -247,7 +248,7 @@
 	return 0
 }
 
-// ioCalls are the reads and writes that the gateway asked of the kernel (proc(5): /proc/pid/io).
+// ioCalls returns the number of read and write system calls of the gateway (/proc/PID/io, see proc(5)).
 func (r *harness) ioCalls() (sum int64) {
 	r.t.Helper()
 	for _, field := range []string{"syscr:", "syscw:"} {
@@ -260,7 +261,7 @@
 	return sum
 }
 
-// costCustomer spreads look-ups over so many customers that no quota is met.
+// costCustomer returns a different customer for each look-up, so that no quota is reached.
 func costCustomer(conn, i int) string { return fmt.Sprintf("%016x", 1+conn*100000+i) }
 
 func respLookups(t *testing.T, addr string, conn, n int) (took []time.Duration) {
--- a/internal/daemon/service_test.go
+++ b/internal/daemon/service_test.go
@@ -13,8 +13,8 @@
 	"sloepick/internal/testbed"
 )
 
-// serviceManager is a stand-in for the service serviceManager: it takes notices, and holds a socket that it passes on to one process after
-// another.
+// serviceManager is a fake service manager: it receives notifications, and holds a listening socket that it passes to one process
+// after another.
 type serviceManager struct {
 	t        *testing.T
 	notices  *net.UnixConn
@@ -39,12 +39,12 @@
 	if m.listener, err = ln.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
 	}
-	ln.Close() // the file stays
+	ln.Close() // the duplicate in m.listener stays open
 	t.Cleanup(func() { m.listener.Close() })
 	return m
 }
 
-// next is the next notice that is none of life.
+// next returns the next notification other than a watchdog ping.
 func (m *serviceManager) next() string {
 	m.t.Helper()
 	for {
@@ -70,11 +70,11 @@
 func (m *serviceManager) expect(notice string) {
 	m.t.Helper()
 	if got := m.next(); !strings.HasPrefix(got, notice) {
-		m.t.Fatalf("got the notice %q, want %q", got, notice)
+		m.t.Fatalf("got the notification %q, want %q", got, notice)
 	}
 }
 
-// start starts the daemon as the manager does; a shell learns the process's id for LISTEN_PID.
+// start starts the daemon as a service manager does. The shell sets LISTEN_PID, as its process ID is that of the daemon.
 func (m *serviceManager) start(platform, names string) *testbed.Process {
 	m.t.Helper()
 	cmd := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0"`, os.Args[0])
@@ -89,8 +89,8 @@
 	return p
 }
 
-// A service manager hears when the daemon is ready, reloads, lives and ends; and as the socket is the manager's, no client is
-// refused while one process ends and the next one starts.
+// TestServiceManager checks that a service manager is notified when the daemon is ready, reloads, is alive and stops. As the socket
+// belongs to the manager, no client is refused between the end of one process and the start of the next.
 func TestServiceManager(t *testing.T) {
 	site, err := testbed.NewSite(testbed.SmallPlatform(), 2)
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 	ask("00000001")
 	if got := m.read(); got != "WATCHDOG=1" {
-		t.Errorf("got %q, want a sign of life", got)
+		t.Errorf("got %q, want a watchdog ping", got)
 	}
 	must(t, p.Signal(syscall.SIGHUP))
 	m.expect("RELOADING=1\nMONOTONIC_USEC=")
@@ -133,7 +133,7 @@
 	m.expect("STOPPING=1")
 	served := make(chan struct{})
 	must(t, p.Stop())
-	go func() { // in the gap: it waits in the socket
+	go func() { // between the processes the connection waits in the socket's backlog
 		defer close(served)
 		ask("00000002")
 	}()
@@ -144,6 +144,6 @@
 	misnamed := m.start(platform, "nobody")
 	must(t, misnamed.Log.WaitFor(t.Context(), `a socket named "nobody" was passed in, but no listener has that name`, 1))
 	if err := misnamed.Stop(); err == nil {
-		t.Error("a socket that nobody knows is no error")
+		t.Error("a socket without a listener is no error")
 	}
 }
--- a/internal/daemon/tail_test.go
+++ b/internal/daemon/tail_test.go
@@ -15,12 +15,12 @@
 )
 
 var (
-	tail        = flag.Bool("tail", false, "measure the slowest answers with and without second copies")
-	tailSeconds = flag.Int("seconds", 20, "of each of its runs")
+	tail        = flag.Bool("tail", false, "measure the tail latency with and without hedging")
+	tailSeconds = flag.Int("seconds", 20, "length of each run of TestTail, in seconds")
 )
 
-// TestTail plays look-ups at ten nodes through a gateway without second copies, with a fixed delay and with a quantile,
-// in turn: once one node takes 250 ms longer for half of them, once every node does for one of fifty.
+// TestTail sends look-ups to ten nodes through a gateway without hedging, with hedging after a fixed delay and after a quantile, in
+// turn. In one scenario one node takes 250 ms longer for half of them, in the other every node does for one in fifty.
 func TestTail(t *testing.T) {
 	if !*tail {
 		t.Skip("a measurement; -tail runs it")
@@ -31,14 +31,14 @@
 func measureTail(t *testing.T, seed uint64) {
 	const base = "route look {\n classes = [\"slot-lookup\"]\n attempts = 2\n again = [never-ran, error]\n budget = 10%\n"
 	variants := []struct{ name, file string }{
-		{"no second copy", base + "}\n"},
+		{"no hedging", base + "}\n"},
 		{"after 100 ms", base + " copy { after = 100ms }\n}\n"},
 		{"after the 95% quantile", base + " copy {\n  after = 100ms\n  quantile = 95%\n }\n}\n"},
 	}
 	scenarios := []struct {
 		name         string
 		nodes, oneOf int
-	}{{"one slow node", 1, 2}, {"every node stalls at times", 10, 50}}
+	}{{"one slow node", 1, 2}, {"every node is slow at times", 10, 50}}
 	for _, scenario := range scenarios {
 		for _, v := range slices.Concat(variants, variants) {
 			r := newHarnessWithNodes(t, v.file, 10)
@@ -61,7 +61,7 @@
 	}
 }
 
-// measureLookups plays look-ups alone and tells how long they took and what came to the nodes.
+// measureLookups sends look-ups only, and returns a line with their latencies and the attempts per request at the nodes.
 func (r *harness) measureLookups(seed uint64) string {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.ctx, time.Duration(*tailSeconds)*time.Second)
@@ -88,6 +88,6 @@
 	for _, n := range r.site.Nodes {
 		received += n.Counts().Received
 	}
-	return fmt.Sprintf("%d of %d served, p50 %d ms, p99 %d ms, p99.9 %d ms, attempts a request %.3f", len(took), sent, percentile(0.5), percentile(0.99), percentile(0.999),
+	return fmt.Sprintf("%d of %d served, p50 %d ms, p99 %d ms, p99.9 %d ms, attempts per request %.3f", len(took), sent, percentile(0.5), percentile(0.99), percentile(0.999),
 		float64(received)/float64(sent))
 }
