--- a/cmd/sloectl/files.go
+++ b/cmd/sloectl/files.go
@@ -192,7 +192,7 @@
 	if !parseFlags(newFlags("doc"), args, errs, 0, 0) {
 		return exitError
 	}
-	io.WriteString(out, blocks.Schema().Doc())
+	io.WriteString(out, blocks.Schema().ReferencePage())
 	return exitOK
 }
 
@@ -240,8 +240,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > sloe.FileMost {
-		return nil, nil, fmt.Errorf("%s is not a regular file of at most %d KiB", name, sloe.FileMost>>10)
+	if !info.Mode().IsRegular() || info.Size() > sloe.MaxFileSize {
+		return nil, nil, fmt.Errorf("%s is not a regular file of at most %d KiB", name, sloe.MaxFileSize>>10)
 	}
 	if before, err = os.ReadFile(name); err != nil {
 		return nil, nil, err
--- a/internal/blocks/blocks.go
+++ b/internal/blocks/blocks.go
@@ -37,13 +37,13 @@
 func logBlock() *operator.Block {
 	return &operator.Block{
 		Name: "log", Doc: "The daemon's log, on standard error.",
-		Keys: []operator.Key{{Name: "level", Kind: operator.Word, Words: []string{"debug", "info", "warn", "error"}, Default: "info",
+		Keys: []operator.Key{{Name: "level", Kind: operator.Word, AllowedWords: []string{"debug", "info", "warn", "error"}, Default: "info",
 			Doc: "The least that is logged."}},
 	}
 }
 
-// Level is the log's level.
-func Level(c *operator.Config) slog.Level {
+// LogLevel is the log's level.
+func LogLevel(c *operator.Config) slog.Level {
 	return map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn,
-		"error": slog.LevelError}[c.One("log").Word("level")]
+		"error": slog.LevelError}[c.Section("log").Text("level")]
 }
--- a/internal/blocks/blocks_test.go
+++ b/internal/blocks/blocks_test.go
@@ -49,7 +49,7 @@
 // The reference page is what the schema says, and the examples in the operators' page are good.
 func TestPages(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/configuration-reference.md")
-	if err != nil || string(page) != Schema().Doc() {
+	if err != nil || string(page) != Schema().ReferencePage() {
 		t.Errorf("docs/operate/configuration-reference.md is not what sloectl doc prints (%v)", err)
 	}
 	for _, name := range []string{"configuration.md", "duties.md", "fleet.md", "http2.md", "limits.md", "power.md", "routes.md"} {
@@ -94,7 +94,7 @@
 }
 
 func TestLevel(t *testing.T) {
-	if got := Level(Schema().Defaults()); got != slog.LevelInfo {
+	if got := LogLevel(Schema().Defaults()); got != slog.LevelInfo {
 		t.Errorf("got %v", got)
 	}
 }
--- a/internal/blocks/commons.go
+++ b/internal/blocks/commons.go
@@ -11,10 +11,10 @@
 		Name: "commons", Check: checkCommons,
 		Doc: "What the members of a fleet know of each other, with an age that is never told younger than it is. It needs the block fleet. Without it members know who is there, and no more.",
 		Keys: []operator.Key{
-			{Name: "every", Kind: operator.Duration, Default: "500ms", Least: "50ms", Most: "1m", Takes: operator.AtRestart,
+			{Name: "every", Kind: operator.Duration, Default: "500ms", Min: "50ms", Max: "1m", Applied: operator.AtRestart,
 				Doc: "Time from one question to the next, and from one word of this member to the next."},
-			{Name: "fan", Kind: operator.Count, Default: "2", Least: "1", Most: "16", Takes: operator.AtRestart, Doc: "Members that are asked each time, any of those that are there."},
-			{Name: "keep", Kind: operator.Duration, Default: "10m", Least: "10s", Most: "24h", Takes: operator.AtRestart,
+			{Name: "fan", Kind: operator.Count, Default: "2", Min: "1", Max: "16", Applied: operator.AtRestart, Doc: "Members that are asked each time, any of those that are there."},
+			{Name: "keep", Kind: operator.Duration, Default: "10m", Min: "10s", Max: "24h", Applied: operator.AtRestart,
 				Doc: "What is older is forgotten. At least ten times every."},
 		},
 	}
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// Commons reads how a member takes part in what all know; nil: it does not.
-func Commons(c *operator.Config) *peerinfo.Config {
-	s := c.One("commons")
+// PeerInfo reads how a member takes part in what all know; nil: it does not.
+func PeerInfo(c *operator.Config) *peerinfo.Config {
+	s := c.Section("commons")
 	if !s.Present() {
 		return nil
 	}
--- a/internal/blocks/listener.go
+++ b/internal/blocks/listener.go
@@ -13,22 +13,22 @@
 // listenerBlock declares the block listener.
 func listenerBlock() *operator.Block {
 	return &operator.Block{
-		Name: "listener", Labels: true, Check: checkListener,
+		Name: "listener", Labeled: true, Check: checkListener,
 		Doc: "A listener for clients that speak HTTP/2, beside RESP2's, which the platform's file names. Without one there is none.",
 		Keys: []operator.Key{
-			{Name: "address", Kind: operator.Text, Takes: operator.AtRestart, Doc: "Where it listens, as \"host:port\"."},
-			{Name: "streams", Kind: operator.Count, Default: "100", Least: "1", Most: "1000", Sense: operator.MoreIsLooser, Takes: operator.AtRestart,
+			{Name: "address", Kind: operator.Text, Applied: operator.AtRestart, Doc: "Where it listens, as \"host:port\"."},
+			{Name: "streams", Kind: operator.Count, Default: "100", Min: "1", Max: "1000", Strictness: operator.HigherIsLooser, Applied: operator.AtRestart,
 				Doc: "Requests open at once on a connection; more are refused by REFUSED_STREAM."},
 		},
 		Blocks: []*operator.Block{{
 			Name: "tls", Doc: "The listener's identity. Without the block it is plain TCP, for clients with prior knowledge. The files are read again at each reload.",
 			Keys: []operator.Key{
-				{Name: "certificate", Kind: operator.Text, Optional: true, Takes: operator.AtRestart, Doc: "A file of PEM: the certificate and those between it and its authority. Paths are relative to the file that names them."},
-				{Name: "key", Kind: operator.Text, Optional: true, Takes: operator.AtRestart, Doc: "A file of PEM: its key."},
-				{Name: "clients", Kind: operator.Text, Optional: true, Takes: operator.AtRestart, Doc: "A file of PEM: authorities. Clients must show a certificate of theirs. Left out: none is asked for."},
-				{Name: "bind", Kind: operator.Word, Words: []string{"none", "customer"}, Default: "none", Takes: operator.AtRestart,
+				{Name: "certificate", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "A file of PEM: the certificate and those between it and its authority. Paths are relative to the file that names them."},
+				{Name: "key", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "A file of PEM: its key."},
+				{Name: "clients", Kind: operator.Text, Optional: true, Applied: operator.AtRestart, Doc: "A file of PEM: authorities. Clients must show a certificate of theirs. Left out: none is asked for."},
+				{Name: "bind", Kind: operator.Word, AllowedWords: []string{"none", "customer"}, Default: "none", Applied: operator.AtRestart,
 					Doc: "customer: a client may ask only for the customer that is the common name of its certificate."},
-				{Name: "handshake", Kind: operator.Duration, Default: "2s", Least: "100ms", Most: "1m", Sense: operator.MoreIsLooser, Takes: operator.AtRestart,
+				{Name: "handshake", Kind: operator.Duration, Default: "2s", Min: "100ms", Max: "1m", Strictness: operator.HigherIsLooser, Applied: operator.AtRestart,
 					Doc: "Time for a TLS handshake."},
 			},
 		}},
@@ -36,19 +36,19 @@
 }
 
 func checkListener(s *operator.Section) (out []operator.Problem) {
-	if msg := badAddress(s.Word("address")); msg != "" {
+	if msg := badAddress(s.Text("address")); msg != "" {
 		out = append(out, operator.Problem{Key: "address", Msg: msg})
 	}
-	t := s.One("tls")
+	t := s.Section("tls")
 	if !t.Present() {
 		return out
 	}
 	for _, key := range []string{"certificate", "key"} {
-		if !t.Has(key) {
+		if !t.IsSet(key) {
 			out = append(out, operator.Problem{Key: "tls." + key, Msg: "tls needs a certificate and a key"})
 		}
 	}
-	if t.Word("bind") == "customer" && !t.Has("clients") {
+	if t.Text("bind") == "customer" && !t.IsSet("clients") {
 		out = append(out, operator.Problem{Key: "tls.bind", Msg: "to bind clients to customers their certificates must be asked for: name clients"})
 	}
 	return out
@@ -69,12 +69,12 @@
 
 // Listeners reads the listeners of a checked configuration.
 func Listeners(c *operator.Config) (all []h2.FrontendConfig) {
-	for _, s := range c.All("listener") {
-		l := h2.FrontendConfig{Name: s.Label, Address: s.Word("address"), MaxStreams: s.Count("streams")}
-		if t := s.One("tls"); t.Present() {
+	for _, s := range c.Sections("listener") {
+		l := h2.FrontendConfig{Name: s.Label, Address: s.Text("address"), MaxStreams: s.Count("streams")}
+		if t := s.Section("tls"); t.Present() {
 			l.HandshakeTimeout = t.Duration("handshake")
-			l.TLS = &h2.TLSFiles{Certificate: beside(t, "certificate"), Key: beside(t, "key"), BindCustomer: t.Word("bind") == "customer"}
-			if t.Has("clients") {
+			l.TLS = &h2.TLSFiles{Certificate: beside(t, "certificate"), Key: beside(t, "key"), BindCustomer: t.Text("bind") == "customer"}
+			if t.IsSet("clients") {
 				l.TLS.ClientCAs = beside(t, "clients")
 			}
 		}
@@ -85,7 +85,7 @@
 
 // beside is a path as the file means it that names it.
 func beside(s *operator.Section, key string) string {
-	path := s.Word(key)
+	path := s.Text(key)
 	if filepath.IsAbs(path) {
 		return path
 	}
--- a/internal/blocks/regions.go
+++ b/internal/blocks/regions.go
@@ -11,7 +11,7 @@
 // regionBlock declares the block region.
 func regionBlock() *operator.Block {
 	return &operator.Block{
-		Name: "region", Labels: true, Check: checkRegion,
+		Name: "region", Labeled: true, Check: checkRegion,
 		Doc: "A region, by the zone that the platform's settings name, and its quiet hours, by its own clock. The same in the files of all members.",
 		Keys: []operator.Key{
 			{Name: "clock", Kind: operator.Text, Default: "\"UTC\"", Doc: "The time zone of its clock, as \"Asia/Seoul\" (IANA)."},
@@ -31,15 +31,15 @@
 func hoursOf(s *operator.Section) (h *maintenance.Calendar, out []operator.Problem) {
 	h = &maintenance.Calendar{Excluded: map[maintenance.Date]bool{}, Extra: map[maintenance.Date][]maintenance.Span{}}
 	var err error
-	if h.Zone, err = time.LoadLocation(s.Word("clock")); err != nil || s.Word("clock") == "Local" {
+	if h.Zone, err = time.LoadLocation(s.Text("clock")); err != nil || s.Text("clock") == "Local" {
 		out = append(out, operator.Problem{Key: "clock", Msg: "there is no such time zone; want a name such as \"Asia/Seoul\""})
 		h.Zone = time.UTC
 	}
 	each := func(key string, take func(text string) error) {
-		if !s.Has(key) {
+		if !s.IsSet(key) {
 			return
 		}
-		for _, text := range s.Words(key) {
+		for _, text := range s.Texts(key) {
 			if err := take(text); err != nil {
 				out = append(out, operator.Problem{Key: key, Msg: err.Error()})
 			}
@@ -66,7 +66,7 @@
 // Regions are the calendars of the regions that have one, by their names.
 func Regions(c *operator.Config) map[string]*maintenance.Calendar {
 	all := map[string]*maintenance.Calendar{}
-	for _, s := range c.All("region") {
+	for _, s := range c.Sections("region") {
 		all[s.Label], _ = hoursOf(s)
 	}
 	return all
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,8 +78,8 @@
 		}
 		r.logWarnings(warnings)
 		cfg.Tuning, cfg.Routes = tuning.FromConfig(r.current), route.FromConfig(r.current)
-		level.Set(blocks.Level(r.current))
-		cfg.BackendsByKind = blocks.Backs(r.current)
+		level.Set(blocks.LogLevel(r.current))
+		cfg.BackendsByKind = blocks.Backends(r.current)
 		for _, l := range blocks.Listeners(r.current) {
 			f, err := h2.NewFrontend(l)
 			if err != nil {
@@ -150,7 +150,7 @@
 			return err
 		}
 	}
-	if err := configureDuties(f, blocks.DutiesOf(r.current)); err != nil {
+	if err := configureDuties(f, blocks.Duties(r.current)); err != nil {
 		return err
 	}
 	member, err := gossip.New(*f, r.log)
@@ -296,7 +296,7 @@
 		applyAll = append(applyAll, apply)
 	}
 	if r.member != nil {
-		if err := r.member.Reload(blocks.Generation(c), c.One("fleet").Count("expect")); err != nil {
+		if err := r.member.Reload(blocks.SourcesHash(c), c.Section("fleet").Count("expect")); err != nil {
 			return gateway.Reload{}, nil, err
 		}
 		r.member.SetRegions(blocks.Regions(c))
@@ -345,9 +345,9 @@
 	}
 	changes := operator.Diff(r.current, c)
 	r.current = c
-	r.level.Set(blocks.Level(c))
+	r.level.Set(blocks.LogLevel(c))
 	for _, ch := range changes {
-		if ch.Takes == operator.AtRestart.String() {
+		if ch.Applied == operator.AtRestart.String() {
 			r.log.Warn("a change needs a restart", "change", ch.String())
 		} else {
 			r.log.Info("changed", "change", ch.String())
@@ -379,5 +379,5 @@
 	if errA != nil || errB != nil {
 		return errA != nil && errB != nil && errA.Error() == errB.Error()
 	}
-	return sloe.Steady(a.Sources, b.Sources)
+	return sloe.SameSources(a.Sources, b.Sources)
 }
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -12,11 +12,11 @@
 )
 
 // configureDuties makes a member take part in electing the owners of the fleet's duties.
-func configureDuties(f *gossip.Config, d *blocks.Duties) error {
+func configureDuties(f *gossip.Config, d *blocks.DutiesConfig) error {
 	if d == nil {
 		return nil
 	}
-	f.Election = d.Owner
+	f.Election = d.Election
 	if d.Report != nil {
 		f.Election.Duties = append(f.Election.Duties, fleetreport.DutyName)
 	}
@@ -28,11 +28,11 @@
 
 // startDuties performs the fleet's duties whenever this member owns them, until the returned function is called.
 func (r *reloader) startDuties() (end func()) {
-	d := blocks.DutiesOf(r.current)
+	d := blocks.Duties(r.current)
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
-	reporter := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Every, Timeout: d.Owner.Lease / 3, Election: r.member, Log: r.log,
+	reporter := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Interval, Timeout: d.Election.Lease / 3, Election: r.member, Log: r.log,
 		Body: func() any { return r.member.Status() }, Client: &http.Client{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -36,7 +36,7 @@
 // state, and lets other members of the fleet, if there is one, request it. Snapshots are written until the returned function is
 // called, which writes a last one if anything has changed.
 func (r *reloader) startRecovery() (end func(), err error) {
-	b := blocks.PowerOf(r.current)
+	b := blocks.Power(r.current)
 	if b == nil {
 		return func() {}, nil
 	}
@@ -49,28 +49,28 @@
 	}
 	var saved *recovery.Snapshot
 	status := recovery.SnapshotMissing
-	if b.File != "" {
-		if r.stateLock, err = snapshot.Lock(b.File + ".lock"); err != nil {
+	if b.SnapshotFile != "" {
+		if r.stateLock, err = snapshot.Lock(b.SnapshotFile + ".lock"); err != nil {
 			return nil, err
 		}
-		if saved, status, err = snapshot.Load(snapshot.OSFS{}, b.File); err != nil {
-			r.log.Error("power: the saved state cannot be used", "file", b.File, "err", err)
+		if saved, status, err = snapshot.Load(snapshot.OSFS{}, b.SnapshotFile); err != nil {
+			r.log.Error("power: the saved state cannot be used", "file", b.SnapshotFile, "err", err)
 		}
 	}
-	store := snapshot.NewStore(snapshot.Config{FS: snapshot.OSFS{}, Path: b.File, Interval: b.Every, MaxCustomers: b.Customers, Member: self.Name,
+	store := snapshot.NewStore(snapshot.Config{FS: snapshot.OSFS{}, Path: b.SnapshotFile, Interval: b.SnapshotInterval, MaxCustomers: b.MaxCustomers, Member: self.Name,
 		Incarnation: incarnation, Plans: settings.Plans, Clock: readClocks}, r.log)
 	collector := recovery.NewCollector(self, now, saved, status)
 	if saved != nil && saved.Name == self.Name {
 		store.SetPrevious(saved)
 	} else if saved != nil {
-		r.log.Error("power: the state is another member's and is set aside", "file", b.File, "member", saved.Name)
-		if err := snapshot.SetAside(snapshot.OSFS{}, b.File); err != nil {
+		r.log.Error("power: the state is another member's and is set aside", "file", b.SnapshotFile, "member", saved.Name)
+		if err := snapshot.SetAside(snapshot.OSFS{}, b.SnapshotFile); err != nil {
 			r.log.Error("power: setting the state file aside failed", "err", err)
 		}
 	}
 	phase := &atomic.Int64{}
 	settings.TrackChanges = true
-	r.cfg.Recovery = &gateway.RecoveryConfig{Start: collector, Store: store, SaveInterval: b.Every, Clock: readClocks,
+	r.cfg.Recovery = &gateway.RecoveryConfig{Start: collector, Store: store, SaveInterval: b.SnapshotInterval, Clock: readClocks,
 		Service: recovery.AdmissionConfig{ColdCapacity: settings.Safety.ColdCapacity, ColdDuration: settings.Safety.ColdDuration, ColdLoadFactor: decide.ColdLoadFactor(settings.Safety), MaxRetryAfter: settings.Limits.MaxRetryAfter,
 			MaxUnits: settings.MaxUnits, MaxPrice: highestPlanPrice(r.cfg), Seed: uint64(r.cfg.Seed)},
 		OnPhase: func(p recovery.Phase) { phase.Store(int64(p)) }}
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -125,19 +125,19 @@
 		w.Items = nil
 		for _, i := range v.Items {
 			r := c.resolve(i)
-			if r.Kind == sloe.Broken {
-				w.Kind = sloe.Broken
+			if r.Kind == sloe.Invalid {
+				w.Kind = sloe.Invalid
 			}
 			w.Items = append(w.Items, r)
 		}
 		return &w
 	case sloe.Reference:
 		w := *v
-		w.Kind = sloe.Broken
+		w.Kind = sloe.Invalid
 		if d := c.defines[v.Text]; d != nil {
 			d.used = true
 			w = *d.def.Value
-			w.Origin, w.RefPos = d.def, v.Pos
+			w.Definition, w.RefPos = d.def, v.Pos
 		} else if later := c.later[v.Text]; later != nil {
 			c.open = true
 			c.errorf(v.Pos, "$%s is used before it is defined", clip(v.Text)).Notes = []sloe.Note{{Pos: later.Name.Pos, Msg: "defined here"}}
@@ -175,21 +175,21 @@
 	}
 	name, label := b.Name, ""
 	switch {
-	case b.Labels && (e.Label == nil || e.Label.Name == ""):
+	case b.Labeled && (e.Label == nil || e.Label.Name == ""):
 		c.unsure[b.Name] = true
 	}
 	switch {
-	case b.Labels && e.Label == nil:
+	case b.Labeled && e.Label == nil:
 		c.errorf(e.Type.Pos, "the block %q needs a name: %s NAME { ... }", b.Name, b.Name)
-	case !b.Labels && e.Label != nil:
+	case !b.Labeled && e.Label != nil:
 		c.errorf(e.Label.Pos, "the block %q takes no name", b.Name)
-	case b.Labels && e.Label.Name == "":
+	case b.Labeled && e.Label.Name == "":
 		c.errorf(e.Label.Pos, "the name of the block %q is empty", b.Name)
-	case b.Labels:
+	case b.Labeled:
 		label = e.Label.Name
 		name += " " + sloe.Quote(label)
 	}
-	if first, ok := seen[name]; ok && (label != "" || !b.Labels) {
+	if first, ok := seen[name]; ok && (label != "" || !b.Labeled) {
 		c.errorf(e.Type.Pos, "the block %s comes twice", name).Notes = []sloe.Note{{Pos: first, Msg: "first defined here"}}
 		return sections
 	}
@@ -197,7 +197,7 @@
 	s := newSection(b, label, e.Type.Pos)
 	s.subs = c.entries(e.Entries, b.Blocks, s.subs, s)
 	c.required(s)
-	if i := slices.IndexFunc(sections, func(o *Section) bool { return o.Block == b && !b.Labels }); i >= 0 {
+	if i := slices.IndexFunc(sections, func(o *Section) bool { return o.Block == b && !b.Labeled }); i >= 0 {
 		sections[i] = s
 		return sections
 	}
@@ -257,12 +257,12 @@
 
 // value holds a value to its key. What is wrong was told where it returns false.
 func (c *checker) value(k *Key, v *sloe.Value) (Value, bool) {
-	out := Value{Key: k, by: v.Origin}
+	out := Value{Key: k, by: v.Definition}
 	at := v.Pos
 	if v.RefPos.Valid() {
 		at = v.RefPos
 	}
-	if v.Kind == sloe.Broken {
+	if v.Kind == sloe.Invalid {
 		out.place = v.Pos
 		return out, false
 	}
@@ -297,11 +297,11 @@
 func (c *checker) item(k *Key, v *sloe.Value, at sloe.Pos) (item, bool) {
 	switch k.Kind {
 	case Word:
-		if v.Kind == sloe.Word && slices.Contains(k.Words, v.Text) {
+		if v.Kind == sloe.Word && slices.Contains(k.AllowedWords, v.Text) {
 			return item{text: v.Text}, true
 		}
 		if v.Kind == sloe.Word {
-			c.errorf(at, "%s is %s, not %q%s", k.Name, join(k.Words), clip(v.Text), near(v.Text, k.Words, ""))
+			c.errorf(at, "%s is %s, not %q%s", k.Name, join(k.AllowedWords), clip(v.Text), near(v.Text, k.AllowedWords, ""))
 			return item{}, false
 		}
 	case Text:
@@ -325,20 +325,20 @@
 	switch {
 	case v.Kind != sloe.Number:
 		c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
-	case q.Dim == sloe.Count && k.Kind != Count:
+	case q.Dimension == sloe.Count && k.Kind != Count:
 		c.errorf(at, "%s needs a unit: %s takes %s", v.Raw, k.Name, k.each())
-	case q.Dim != dims[k.Kind]:
+	case q.Dimension != dims[k.Kind]:
 		c.errorf(at, "%s takes %s, not %s", k.Name, k.each(), shape(v))
-	case q.Dim == sloe.Rate && q.Of != k.Of:
-		c.errorf(at, "%s counts %s, not %s", k.Name, k.Of, q.Of)
+	case q.Dimension == sloe.Rate && q.RateItem != k.RateItem:
+		c.errorf(at, "%s counts %s, not %s", k.Name, k.RateItem, q.RateItem)
 	case k.Kind != Share && k.Kind != Rate && !q.Value.IsInt():
 		c.errorf(at, "%s is finer than %s can be", v.Raw, k.Name)
 	case q.Value.Cmp(new(big.Rat).SetInt64(math.MaxInt64)) > 0:
 		c.errorf(at, "%s is larger than any value can be", v.Raw)
-	case k.least != nil && q.Value.Cmp(k.least.Value) < 0:
-		c.errorf(at, "%s is %s at least, not %s", k.Name, k.least, v.Raw)
-	case k.most != nil && q.Value.Cmp(k.most.Value) > 0:
-		c.errorf(at, "%s is %s at most, not %s", k.Name, k.most, v.Raw)
+	case k.minQuantity != nil && q.Value.Cmp(k.minQuantity.Value) < 0:
+		c.errorf(at, "%s is %s at least, not %s", k.Name, k.minQuantity, v.Raw)
+	case k.maxQuantity != nil && q.Value.Cmp(k.maxQuantity.Value) > 0:
+		c.errorf(at, "%s is %s at most, not %s", k.Name, k.maxQuantity, v.Raw)
 	default:
 		return item{q: q}, true
 	}
@@ -370,9 +370,9 @@
 	case sloe.List:
 		return "a list"
 	}
-	names := map[sloe.Dim]string{sloe.Time: "the time", sloe.Size: "the size", sloe.Share: "the share", sloe.Count: "the count",
+	names := map[sloe.Dimension]string{sloe.Time: "the time", sloe.Size: "the size", sloe.Share: "the share", sloe.Count: "the count",
 		sloe.Rate: "the rate"}
-	return names[v.Number.Dim] + " " + v.Raw
+	return names[v.Number.Dimension] + " " + v.Raw
 }
 
 // references looks up what keys of the kind Ref name, and finds blocks that serve nobody.
@@ -380,17 +380,17 @@
 	used := map[string]bool{}
 	for _, r := range c.refs {
 		var names []string
-		for _, s := range cfg.All(r.key.To) {
+		for _, s := range cfg.Sections(r.key.RefBlock) {
 			names = append(names, s.Label)
 		}
-		used[r.key.To+" "+r.to] = true
-		if !slices.Contains(names, r.to) && !c.unsure[r.key.To] {
+		used[r.key.RefBlock+" "+r.to] = true
+		if !slices.Contains(names, r.to) && !c.unsure[r.key.RefBlock] {
 			c.open = true
-			c.errorf(r.pos, "there is no block %s %s%s", r.key.To, sloe.Quote(clip(r.to)), near(r.to, names, ""))
+			c.errorf(r.pos, "there is no block %s %s%s", r.key.RefBlock, sloe.Quote(clip(r.to)), near(r.to, names, ""))
 		}
 	}
 	for _, s := range cfg.sections {
-		if s.Block.MustServe && s.Label != "" && !used[s.Block.Name+" "+s.Label] && !c.open {
+		if s.Block.WarnIfUnused && s.Label != "" && !used[s.Block.Name+" "+s.Label] && !c.open {
 			c.warn(s.pos, "the block %s %s is never used", s.Block.Name, sloe.Quote(s.Label))
 		}
 	}
@@ -419,7 +419,7 @@
 // placeOf is where a key was set, or the block within that could have set it.
 func (s *Section) placeOf(key string) sloe.Pos {
 	if block, rest, ok := strings.Cut(key, "."); ok {
-		sub := s.One(block)
+		sub := s.Section(block)
 		if at := sub.placeOf(rest); at.Valid() {
 			return at
 		}
@@ -460,8 +460,8 @@
 
 const slipsMost = 64 // bytes of words that are compared
 
-// Near is a hint at the word that was probably meant, or "".
-func Near(got string, words []string) string { return near(got, words, "") }
+// Suggest is a hint at the word that was probably meant, or "".
+func Suggest(got string, words []string) string { return near(got, words, "") }
 
 // slips counts the letters to insert, drop, change or swap between two words (optimal string alignment).
 func slips(a, b string) int {
--- a/internal/operator/diff.go
+++ b/internal/operator/diff.go
@@ -14,22 +14,22 @@
 	New   string `json:"new,omitempty"` // "" where a block is removed
 	// Direction is looser or tighter with its size, or "" where neither says anything.
 	Direction string `json:"direction,omitempty"`
-	Takes     string `json:"takes"` // at reload, or at restart
+	Applied   string `json:"takes"` // at reload, or at restart
 }
 
 // String is the change in one line.
 func (c Change) String() string {
 	switch {
 	case c.Key == "" && c.Old == "":
-		return fmt.Sprintf("%s: added, %s; %s", c.Block, c.New, c.Takes)
+		return fmt.Sprintf("%s: added, %s; %s", c.Block, c.New, c.Applied)
 	case c.Key == "":
-		return fmt.Sprintf("%s: removed, it had %s; %s", c.Block, c.Old, c.Takes)
+		return fmt.Sprintf("%s: removed, it had %s; %s", c.Block, c.Old, c.Applied)
 	}
 	dir := ""
 	if c.Direction != "" {
 		dir = ", " + c.Direction
 	}
-	return fmt.Sprintf("%s: %s %s -> %s%s; %s", c.Block, c.Key, c.Old, c.New, dir, c.Takes)
+	return fmt.Sprintf("%s: %s %s -> %s%s; %s", c.Block, c.Key, c.Old, c.New, dir, c.Applied)
 }
 
 // Diff tells what changes in meaning from one configuration to another of the same schema. The order of blocks,
@@ -41,20 +41,20 @@
 		name := path + a.name()
 		b := a.among(to)
 		if b == nil {
-			out = append(out, Change{Block: name, Old: a.summary(), Takes: a.takes().String()})
+			out = append(out, Change{Block: name, Old: a.summary(), Applied: a.takes().String()})
 			continue
 		}
 		for i, v := range a.values {
 			if w := b.values[i]; v.String() != w.String() {
 				out = append(out, Change{Block: name, Key: v.Key.Name, Old: v.String(), New: w.String(),
-					Direction: direction(v, w), Takes: v.Key.Takes.String()})
+					Direction: direction(v, w), Applied: v.Key.Applied.String()})
 			}
 		}
 		out = append(out, diff(a.subs, b.subs, name+".")...)
 	}
 	for _, b := range to {
 		if b.among(from) == nil {
-			out = append(out, Change{Block: path + b.name(), New: b.summary(), Takes: b.takes().String()})
+			out = append(out, Change{Block: path + b.name(), New: b.summary(), Applied: b.takes().String()})
 		}
 	}
 	return out
@@ -94,10 +94,10 @@
 }
 
 // takes is AtRestart if anything in the block needs one.
-func (s *Section) takes() Takes {
+func (s *Section) takes() ApplyTime {
 	t := AtReload
 	for _, v := range s.values {
-		t = max(t, v.Key.Takes)
+		t = max(t, v.Key.Applied)
 	}
 	for _, sub := range s.subs {
 		t = max(t, sub.takes())
@@ -108,12 +108,12 @@
 // direction tells whether a change lets more through, and by how much of the old value.
 func direction(old, now Value) string {
 	k := old.Key
-	if k.Sense == Neutral || k.List || !old.set || !now.set || old.items[0].q.Value == nil {
+	if k.Strictness == Neutral || k.List || !old.set || !now.set || old.items[0].q.Value == nil {
 		return ""
 	}
 	a, b := old.items[0].q.Value, now.items[0].q.Value
 	word := "tighter"
-	if (b.Cmp(a) > 0) == (k.Sense == MoreIsLooser) {
+	if (b.Cmp(a) > 0) == (k.Strictness == HigherIsLooser) {
 		word = "looser"
 	}
 	if a.Sign() == 0 {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -17,15 +17,15 @@
 // fixture is the shipped schema and two blocks such as a later subsystem declares: routes that lead to pools.
 func fixture(t testing.TB) *operator.Schema {
 	t.Helper()
-	pool := &operator.Block{Name: "pool", Doc: "Nodes.", Labels: true, MustServe: true, Keys: []operator.Key{
+	pool := &operator.Block{Name: "pool", Doc: "Nodes.", Labeled: true, WarnIfUnused: true, Keys: []operator.Key{
 		{Name: "nodes", Kind: operator.Text, List: true, Doc: "Their names."},
-		{Name: "weight", Kind: operator.Share, Default: "100%", Doc: "Its weight.", Takes: operator.AtRestart}}}
-	route := &operator.Block{Name: "route", Doc: "A route.", Labels: true, Keys: []operator.Key{
-		{Name: "to", Kind: operator.Ref, To: "pool", Doc: "Where it leads."},
-		{Name: "limit", Kind: operator.Rate, Of: "units", Optional: true, Least: "1units/h", Doc: "Its limit.", Sense: operator.MoreIsLooser},
-		{Name: "wait", Kind: operator.Duration, Default: "0s", Doc: "A wait.", Sense: operator.LessIsLooser}}}
+		{Name: "weight", Kind: operator.Share, Default: "100%", Doc: "Its weight.", Applied: operator.AtRestart}}}
+	route := &operator.Block{Name: "route", Doc: "A route.", Labeled: true, Keys: []operator.Key{
+		{Name: "to", Kind: operator.Ref, RefBlock: "pool", Doc: "Where it leads."},
+		{Name: "limit", Kind: operator.Rate, RateItem: "units", Optional: true, Min: "1units/h", Doc: "Its limit.", Strictness: operator.HigherIsLooser},
+		{Name: "wait", Kind: operator.Duration, Default: "0s", Doc: "A wait.", Strictness: operator.LowerIsLooser}}}
 	level := &operator.Block{Name: "log", Doc: "The log.", Keys: []operator.Key{
-		{Name: "level", Kind: operator.Word, Words: []string{"debug", "info", "warn", "error"}, Default: "info", Doc: "Its level."}}}
+		{Name: "level", Kind: operator.Word, AllowedWords: []string{"debug", "info", "warn", "error"}, Default: "info", Doc: "Its level."}}}
 	s, err := operator.NewSchema(tuning.Block(), level, pool, route)
 	if err != nil {
 		t.Fatal(err)
@@ -189,10 +189,10 @@
 		"key twice":        {{Name: "b", Keys: []operator.Key{{Name: "k", Doc: "d", Default: "1s"}, {Name: "k", Doc: "d", Default: "1s"}}}},
 		"no words":         {key(operator.Key{Name: "k", Default: "1s"})},
 		"bad default":      {key(operator.Key{Name: "k", Doc: "d", Default: "1"})},
-		"default over":     {key(operator.Key{Name: "k", Doc: "d", Default: "2s", Most: "1s"})},
-		"bad bound":        {key(operator.Key{Name: "k", Doc: "d", Default: "2s", Most: "1KiB"})},
+		"default over":     {key(operator.Key{Name: "k", Doc: "d", Default: "2s", Max: "1s"})},
+		"bad bound":        {key(operator.Key{Name: "k", Doc: "d", Default: "2s", Max: "1KiB"})},
 		"no default":       {key(operator.Key{Name: "k", Doc: "d"})},
-		"unknown target":   {key(operator.Key{Name: "k", Doc: "d", Kind: operator.Ref, To: "x", Optional: true})},
+		"unknown target":   {key(operator.Key{Name: "k", Doc: "d", Kind: operator.Ref, RefBlock: "x", Optional: true})},
 		"unparsed default": {key(operator.Key{Name: "k", Doc: "d", Default: "["})},
 	} {
 		if _, err := operator.NewSchema(blocks...); err == nil {
--- a/internal/operator/pages.go
+++ b/internal/operator/pages.go
@@ -30,7 +30,7 @@
 		for _, v := range s.values {
 			if v.set {
 				line := fmt.Sprintf("%s    %s = %s", indent, v.Key.Name, v)
-				fmt.Fprintf(b, "%-*s # %s\n", valueColumn, line, v.From())
+				fmt.Fprintf(b, "%-*s # %s\n", valueColumn, line, v.Origin())
 			}
 		}
 		show(b, s.subs, indent+"    ")
@@ -38,8 +38,8 @@
 	}
 }
 
-// Doc is the reference page of the schema, in Markdown.
-func (s *Schema) Doc() string {
+// ReferencePage is the reference page of the schema, in Markdown.
+func (s *Schema) ReferencePage() string {
 	var b strings.Builder
 	b.WriteString("# Configuration reference\n\nMade by `sloectl doc` from the schema that also checks files.\n")
 	doc(&b, s.blocks, "")
@@ -49,7 +49,7 @@
 func doc(b *strings.Builder, blocks []*Block, path string) {
 	for _, k := range blocks {
 		name, label := path+k.Name, ""
-		if k.Labels {
+		if k.Labeled {
 			label = " NAME"
 		}
 		fmt.Fprintf(b, "\n## `%s%s`\n\n%s\n", name, label, k.Doc)
@@ -58,7 +58,7 @@
 		}
 		for i := range k.Keys {
 			key := &k.Keys[i]
-			fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Name, key.form(), key.defaultDoc(), key.bounds(), key.Takes, key.Doc)
+			fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Name, key.form(), key.defaultDoc(), key.bounds(), key.Applied, key.Doc)
 		}
 		doc(b, k.Blocks, name+".")
 	}
@@ -76,12 +76,12 @@
 
 func (k *Key) bounds() string {
 	switch {
-	case k.least != nil && k.most != nil:
-		return fmt.Sprintf("%s to %s", k.least, k.most)
-	case k.least != nil:
-		return fmt.Sprintf("%s at least", k.least)
-	case k.most != nil:
-		return fmt.Sprintf("%s at most", k.most)
+	case k.minQuantity != nil && k.maxQuantity != nil:
+		return fmt.Sprintf("%s to %s", k.minQuantity, k.maxQuantity)
+	case k.minQuantity != nil:
+		return fmt.Sprintf("%s at least", k.minQuantity)
+	case k.maxQuantity != nil:
+		return fmt.Sprintf("%s at most", k.maxQuantity)
 	}
 	return ""
 }
--- a/internal/operator/schema.go
+++ b/internal/operator/schema.go
@@ -33,60 +33,60 @@
 var examples = map[Kind]string{Duration: "250ms", Size: "64KiB", Share: "15%", Count: "3"}
 
 // dims are the dimensions of the kinds that are quantities.
-var dims = map[Kind]sloe.Dim{Duration: sloe.Time, Size: sloe.Size, Share: sloe.Share, Count: sloe.Count, Rate: sloe.Rate}
+var dims = map[Kind]sloe.Dimension{Duration: sloe.Time, Size: sloe.Size, Share: sloe.Share, Count: sloe.Count, Rate: sloe.Rate}
 
-// Takes tells when a changed value counts.
-type Takes int
+// ApplyTime tells when a changed value counts.
+type ApplyTime int
 
 // When a change is taken.
 const (
-	AtReload Takes = iota
+	AtReload ApplyTime = iota
 	AtRestart
 )
 
-func (t Takes) String() string {
+func (t ApplyTime) String() string {
 	if t == AtRestart {
 		return "at restart"
 	}
 	return "at reload"
 }
 
-// Sense tells what more of a value does to what it limits.
-type Sense int
+// Strictness tells what more of a value does to what it limits.
+type Strictness int
 
 // The senses.
 const (
-	Neutral Sense = iota
-	MoreIsLooser
-	LessIsLooser
+	Neutral Strictness = iota
+	HigherIsLooser
+	LowerIsLooser
 )
 
 // Key declares a setting. Default, Least and Most are written as in a file.
 type Key struct {
-	Name, Doc   string
-	Kind        Kind
-	List        bool // of such values, in brackets
-	Of          string
-	Words       []string
-	To          string
-	Default     string // "": the key is required, or absent if Optional
-	Optional    bool
-	Least, Most string
-	Takes       Takes
-	Sense       Sense
-
-	least, most *sloe.Quantity
-	value       Value // the default
+	Name, Doc    string
+	Kind         Kind
+	List         bool // of such values, in brackets
+	RateItem     string
+	AllowedWords []string
+	RefBlock     string
+	Default      string // "": the key is required, or absent if Optional
+	Optional     bool
+	Min, Max     string
+	Applied      ApplyTime
+	Strictness   Strictness
+
+	minQuantity, maxQuantity *sloe.Quantity
+	value                    Value // the default
 }
 
 // Block declares a block. A block with Labels may come several times, each under a name of its own; one without
 // stands at most once, and its defaults hold where it is left out.
 type Block struct {
-	Name, Doc string
-	Labels    bool
-	MustServe bool // one that no Ref names is warned of
-	Keys      []Key
-	Blocks    []*Block
+	Name, Doc    string
+	Labeled      bool
+	WarnIfUnused bool // one that no Ref names is warned of
+	Keys         []Key
+	Blocks       []*Block
 	// Check tells what is wrong between the values of a block, each of which is good by itself.
 	Check func(*Section) []Problem
 }
@@ -125,7 +125,7 @@
 				return fmt.Errorf("the key %s%s is declared twice", at, k.Name)
 			}
 			keys = append(keys, k.Name)
-			if !b.Labels && k.Default == "" && !k.Optional {
+			if !b.Labeled && k.Default == "" && !k.Optional {
 				return fmt.Errorf("the key %s%s has no default, and its block may be left out", at, k.Name)
 			}
 			if err := s.prepareKey(k); err != nil {
@@ -143,18 +143,18 @@
 	if k.Doc == "" {
 		return errors.New("it has no words that explain it")
 	}
-	if k.Kind == Ref && !slices.ContainsFunc(s.blocks, func(b *Block) bool { return b.Name == k.To && b.Labels }) {
-		return fmt.Errorf("no block %q with labels is declared", k.To)
+	if k.Kind == Ref && !slices.ContainsFunc(s.blocks, func(b *Block) bool { return b.Name == k.RefBlock && b.Labeled }) {
+		return fmt.Errorf("no block %q with labels is declared", k.RefBlock)
 	}
 	for _, bound := range []struct {
 		text string
 		to   **sloe.Quantity
-	}{{k.Least, &k.least}, {k.Most, &k.most}} {
+	}{{k.Min, &k.minQuantity}, {k.Max, &k.maxQuantity}} {
 		if bound.text == "" {
 			continue
 		}
 		q, err := sloe.ParseQuantity(bound.text)
-		if err != nil || q.Dim != dims[k.Kind] {
+		if err != nil || q.Dimension != dims[k.Kind] {
 			return fmt.Errorf("the bound %q: %w", bound.text, errors.Join(err, errors.New("not of its kind")))
 		}
 		*bound.to = &q
@@ -203,11 +203,11 @@
 	}
 	switch k.Kind {
 	case Rate:
-		what += " such as 8" + k.Of + "/s"
+		what += " such as 8" + k.RateItem + "/s"
 	case Word:
-		what = "one of " + join(k.Words)
+		what = "one of " + join(k.AllowedWords)
 	case Ref:
-		what = "the name of a block " + k.To
+		what = "the name of a block " + k.RefBlock
 	}
 	if k.List {
 		return "a list in brackets, each " + what
--- a/internal/operator/values.go
+++ b/internal/operator/values.go
@@ -50,8 +50,8 @@
 	return parts[0]
 }
 
-// From tells where the value came from, as FILE:LINE, or that it is the default.
-func (v Value) From() string {
+// Origin tells where the value came from, as FILE:LINE, or that it is the default.
+func (v Value) Origin() string {
 	if !v.place.Valid() {
 		return "default"
 	}
@@ -83,7 +83,7 @@
 func (s *Schema) Defaults() *Config {
 	c := &Config{schema: s}
 	for _, b := range s.blocks {
-		if !b.Labels {
+		if !b.Labeled {
 			c.sections = append(c.sections, newSection(b, "", sloe.Pos{}))
 		}
 	}
@@ -96,28 +96,28 @@
 		s.values = append(s.values, b.Keys[i].value)
 	}
 	for _, sub := range b.Blocks {
-		if !sub.Labels {
+		if !sub.Labeled {
 			s.subs = append(s.subs, newSection(sub, "", sloe.Pos{}))
 		}
 	}
 	return s
 }
 
-// One is the block without a label of that name, which the schema must declare.
-func (c *Config) One(name string) *Section { return one(c.sections, name) }
+// Section is the block without a label of that name, which the schema must declare.
+func (c *Config) Section(name string) *Section { return one(c.sections, name) }
 
-// All are the blocks with labels of that name, in the order of reading.
-func (c *Config) All(name string) []*Section { return all(c.sections, name) }
+// Sections are the blocks with labels of that name, in the order of reading.
+func (c *Config) Sections(name string) []*Section { return all(c.sections, name) }
 
-// One is the block without a label within this one.
-func (s *Section) One(name string) *Section { return one(s.subs, name) }
+// Section is the block without a label within this one.
+func (s *Section) Section(name string) *Section { return one(s.subs, name) }
 
-// All are the blocks with labels of that name within this one.
-func (s *Section) All(name string) []*Section { return all(s.subs, name) }
+// Sections are the blocks with labels of that name within this one.
+func (s *Section) Sections(name string) []*Section { return all(s.subs, name) }
 
 func one(in []*Section, name string) *Section {
 	for _, s := range in {
-		if s.Block.Name == name && !s.Block.Labels {
+		if s.Block.Name == name && !s.Block.Labeled {
 			return s
 		}
 	}
@@ -126,7 +126,7 @@
 
 func all(in []*Section, name string) (out []*Section) {
 	for _, s := range in {
-		if s.Block.Name == name && s.Block.Labels {
+		if s.Block.Name == name && s.Block.Labeled {
 			out = append(out, s)
 		}
 	}
@@ -143,8 +143,8 @@
 	panic("operator: no key " + key + " is declared in " + s.Block.Name)
 }
 
-// Has reports whether a key has a value: always, but for an optional one that was left out.
-func (s *Section) Has(key string) bool { return s.Value(key).set }
+// IsSet reports whether a key has a value: always, but for an optional one that was left out.
+func (s *Section) IsSet(key string) bool { return s.Value(key).set }
 
 // Present reports whether the block stands in a file.
 func (s *Section) Present() bool { return s.pos.Valid() }
@@ -191,11 +191,11 @@
 // Rate is the value of a key of that kind, a second.
 func (s *Section) Rate(key string) float64 { return float(s.only(key, Rate).q.Value) }
 
-// Word is the value of a key of the kinds Word, Text and Ref.
-func (s *Section) Word(key string) string { return s.only(key, s.Value(key).Key.Kind).text }
+// Text is the value of a key of the kinds Text, Text and Ref.
+func (s *Section) Text(key string) string { return s.only(key, s.Value(key).Key.Kind).text }
 
-// Words are the values of a key that takes a list of words, texts or names.
-func (s *Section) Words(key string) (all []string) {
+// Texts are the values of a key that takes a list of words, texts or names.
+func (s *Section) Texts(key string) (all []string) {
 	for _, i := range s.Value(key).items {
 		all = append(all, i.text)
 	}
--- a/internal/route/prove.go
+++ b/internal/route/prove.go
@@ -54,12 +54,12 @@
 	classes, plans := namesOf(p.cfg)
 	for _, n := range r.Classes {
 		if !slices.Contains(classes, n) {
-			p.errorf(r.at("classes"), "route %s: the platform has no class %q%s", r.Name, n, operator.Near(n, classes))
+			p.errorf(r.at("classes"), "route %s: the platform has no class %q%s", r.Name, n, operator.Suggest(n, classes))
 		}
 	}
 	for _, n := range r.Plans {
 		if !slices.Contains(plans, n) {
-			p.errorf(r.at("plans"), "route %s: the platform has no plan %q%s", r.Name, n, operator.Near(n, plans))
+			p.errorf(r.at("plans"), "route %s: the platform has no plan %q%s", r.Name, n, operator.Suggest(n, plans))
 		}
 	}
 	if most := p.cfg.Limits.MaxAttempts; r.MaxAttempts > most {
--- a/internal/sloe/ast.go
+++ b/internal/sloe/ast.go
@@ -6,54 +6,54 @@
 	Name string
 }
 
-// Notes are the comments of an entry or a value. A Lead of "" is a blank line.
-type Notes struct {
-	Lead  []string // the lines before it
-	Trail string   // behind it on its line, or ""
+// Comments are the comments of an entry or a value. A Lead of "" is a blank line.
+type Comments struct {
+	Leading  []string // the lines before it
+	Trailing string   // behind it on its line, or ""
 }
 
 // Entry is a statement of a file: *Include, *Define, *Block or *Setting.
 type Entry interface {
-	notes() *Notes
+	notes() *Comments
 	at() Pos
 }
 
 type (
 	// Include stands for the entries of other files.
 	Include struct {
-		Notes
+		Comments
 		Pos    Pos // of the word
 		Target *Value
 	}
 	// Define gives a value a name: define NAME = VALUE, used as $NAME.
 	Define struct {
-		Notes
+		Comments
 		Pos   Pos
 		Name  Ident
 		Value *Value
 	}
 	// Block is a named group of settings and blocks.
 	Block struct {
-		Notes
-		Type    Ident
-		Label   *Ident // or nil
-		Quoted  bool   // the label stands in quotes
-		Open    string // the comment behind the opening brace
-		Entries []Entry
-		Tail    []string // comments before the closing brace
+		Comments
+		Type        Ident
+		Label       *Ident // or nil
+		Quoted      bool   // the label stands in quotes
+		OpenComment string // the comment behind the opening brace
+		Entries     []Entry
+		EndComments []string // comments before the closing brace
 	}
 	// Setting is NAME = VALUE.
 	Setting struct {
-		Notes
+		Comments
 		Name  Ident
 		Value *Value
 	}
 )
 
-func (e *Include) notes() *Notes { return &e.Notes }
-func (e *Define) notes() *Notes  { return &e.Notes }
-func (e *Block) notes() *Notes   { return &e.Notes }
-func (e *Setting) notes() *Notes { return &e.Notes }
+func (e *Include) notes() *Comments { return &e.Comments }
+func (e *Define) notes() *Comments  { return &e.Comments }
+func (e *Block) notes() *Comments   { return &e.Comments }
+func (e *Setting) notes() *Comments { return &e.Comments }
 
 func (e *Include) at() Pos { return e.Pos }
 func (e *Define) at() Pos  { return e.Pos }
@@ -70,29 +70,29 @@
 	Number
 	List
 	Reference
-	Broken // it was reported; nothing more is to be said of it
+	Invalid // it was reported; nothing more is to be said of it
 )
 
 // Value is what stands behind an '='.
 type Value struct {
-	Notes  // inside a list
-	Kind   ValueKind
-	Pos    Pos
-	Raw    string // as it is spelled, but for lists
-	Text   string // of a word, a text, or the name that a reference names
-	Number Quantity
-	Items  []*Value
-	Spread bool     // a list that is written over several lines
-	Tail   []string // comments before the closing bracket
-	Origin *Define  // the definition that a resolved reference came from
-	RefPos Pos      // where that reference stands
+	Comments    // inside a list
+	Kind        ValueKind
+	Pos         Pos
+	Raw         string // as it is spelled, but for lists
+	Text        string // of a word, a text, or the name that a reference names
+	Number      Quantity
+	Items       []*Value
+	Multiline   bool     // a list that is written over several lines
+	EndComments []string // comments before the closing bracket
+	Definition  *Define  // the definition that a resolved reference came from
+	RefPos      Pos      // where that reference stands
 }
 
 // File is a parsed source.
 type File struct {
-	Src     *Source
-	Entries []Entry
-	Tail    []string // comments behind the last entry
+	Src         *Source
+	Entries     []Entry
+	EndComments []string // comments behind the last entry
 	// Unbalanced: braces don't match, so what belongs to what is not known and nothing is to be said of meaning.
 	Unbalanced bool
 }
--- a/internal/sloe/diag.go
+++ b/internal/sloe/diag.go
@@ -81,8 +81,8 @@
 
 const (
 	excerptMost = 160 // bytes of a source line that are shown
-	// DiagsMost is how many problems are told in one run; the rest are counted.
-	DiagsMost = 200
+	// MaxShownDiags is how many problems are told in one run; the rest are counted.
+	MaxShownDiags = 200
 )
 
 // String is FILE:LINE:COL: message, the line with a caret below the place, and a line for each note.
@@ -161,7 +161,7 @@
 func (ds Diags) Error() string {
 	var b strings.Builder
 	for i, d := range ds {
-		if i == DiagsMost {
+		if i == MaxShownDiags {
 			fmt.Fprintf(&b, "and %d more\n", len(ds)-i)
 			break
 		}
@@ -170,8 +170,8 @@
 	return b.String()
 }
 
-// Steady reports whether two readings brought the same files with the same texts, which nobody wrote in between.
-func Steady(a, b []*Source) bool {
+// SameSources reports whether two readings brought the same files with the same texts, which nobody wrote in between.
+func SameSources(a, b []*Source) bool {
 	return slices.EqualFunc(a, b, func(a, b *Source) bool {
 		return a.Name == b.Name && bytes.Equal(a.Text, b.Text) && a.Modified.Equal(b.Modified)
 	})
--- a/internal/sloe/format.go
+++ b/internal/sloe/format.go
@@ -9,7 +9,7 @@
 func Format(f *File) []byte {
 	w := &writer{}
 	w.entries(f.Entries, "")
-	w.lead(f.Tail, "", len(f.Entries) == 0)
+	w.lead(f.EndComments, "", len(f.Entries) == 0)
 	return w.Bytes()
 }
 
@@ -46,18 +46,18 @@
 func (w *writer) entries(all []Entry, indent string) {
 	for i, e := range all {
 		n := e.notes()
-		w.lead(n.Lead, indent, i == 0)
+		w.lead(n.Leading, indent, i == 0)
 		switch e := e.(type) {
 		case *Include:
-			w.line(indent, keywordInclude, " ", Quote(e.Target.Text), behind(n.Trail))
+			w.line(indent, keywordInclude, " ", Quote(e.Target.Text), behind(n.Trailing))
 		case *Define:
 			w.WriteString(indent + keywordDefine + " " + e.Name.Name + " = ")
 			w.value(e.Value, indent)
-			w.line(behind(n.Trail))
+			w.line(behind(n.Trailing))
 		case *Setting:
 			w.WriteString(indent + e.Name.Name + " = ")
 			w.value(e.Value, indent)
-			w.line(behind(n.Trail))
+			w.line(behind(n.Trailing))
 		case *Block:
 			w.block(e, indent)
 		}
@@ -73,10 +73,10 @@
 			w.WriteString(" " + label)
 		}
 	}
-	w.line(" {", behind(b.Open))
+	w.line(" {", behind(b.OpenComment))
 	w.entries(b.Entries, indent+indentBy)
-	w.lead(b.Tail, indent+indentBy, len(b.Entries) == 0)
-	w.line(indent, "}", behind(b.Trail))
+	w.lead(b.EndComments, indent+indentBy, len(b.Entries) == 0)
+	w.line(indent, "}", behind(b.Trailing))
 }
 
 func (w *writer) value(v *Value, indent string) {
@@ -88,12 +88,12 @@
 	case v.spread():
 		w.line("[")
 		for i, item := range v.Items {
-			w.lead(item.Lead, indent+indentBy, i == 0)
+			w.lead(item.Leading, indent+indentBy, i == 0)
 			w.WriteString(indent + indentBy)
 			w.value(item, indent+indentBy)
-			w.line(",", behind(item.Trail))
+			w.line(",", behind(item.Trailing))
 		}
-		w.lead(v.Tail, indent+indentBy, len(v.Items) == 0)
+		w.lead(v.EndComments, indent+indentBy, len(v.Items) == 0)
 		w.WriteString(indent + "]")
 	default:
 		w.WriteString("[")
@@ -109,7 +109,7 @@
 
 // spread reports whether a list takes more than a line: as it did, or because a comment in it needs one.
 func (v *Value) spread() bool {
-	if v.Spread && len(v.Items)+len(v.Tail) > 0 {
+	if v.Multiline && len(v.Items)+len(v.EndComments) > 0 {
 		return true
 	}
 	for _, i := range v.Items {
--- a/internal/sloe/load.go
+++ b/internal/sloe/load.go
@@ -85,7 +85,7 @@
 
 var (
 	errKind  = errors.New("it is no ordinary file")
-	errLarge = fmt.Errorf("it has more than %d KiB", FileMost>>10)
+	errLarge = fmt.Errorf("it has more than %d KiB", MaxFileSize>>10)
 )
 
 // read opens a file by its path below the root.
@@ -97,7 +97,7 @@
 	switch {
 	case !info.Mode().IsRegular():
 		return nil, nil, errKind
-	case info.Size() > FileMost:
+	case info.Size() > MaxFileSize:
 		return nil, nil, errLarge
 	}
 	f, err := l.root.Open(name)
@@ -105,7 +105,7 @@
 		return nil, nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, FileMost+1))
+	text, err := io.ReadAll(io.LimitReader(f, MaxFileSize+1))
 	return text, info, err
 }
 
--- a/internal/sloe/load_test.go
+++ b/internal/sloe/load_test.go
@@ -215,7 +215,7 @@
 func TestManyErrors(t *testing.T) {
 	_, diags := parse(strings.Repeat("@\n", 1000))
 	got := diags.Error()
-	if len(diags) != 1000 || !strings.HasSuffix(got, "and 800 more\n") || strings.Count(got, "can't stand") != DiagsMost {
+	if len(diags) != 1000 || !strings.HasSuffix(got, "and 800 more\n") || strings.Count(got, "can't stand") != MaxShownDiags {
 		t.Errorf("%d problems, told:\n%s", len(diags), got[len(got)-100:])
 	}
 }
--- a/internal/sloe/parse.go
+++ b/internal/sloe/parse.go
@@ -9,9 +9,9 @@
 
 // Bounds on a file. Each is told plainly when it is passed.
 const (
-	FileMost  = 1 << 20 // bytes of one file
-	nestMost  = 16      // blocks within blocks, and lists within lists
-	itemsMost = 4096    // of a list
+	MaxFileSize = 1 << 20 // bytes of one file
+	nestMost    = 16      // blocks within blocks, and lists within lists
+	itemsMost   = 4096    // of a list
 )
 
 const keywordInclude, keywordDefine = "include", "define"
@@ -42,7 +42,7 @@
 		p.lex.at = 3
 	}
 	p.next()
-	p.file.Entries, p.file.Tail = p.entries(nil)
+	p.file.Entries, p.file.EndComments = p.entries(nil)
 	p.unclosed()
 	if len(bytes.TrimSpace(src.Text)) == 0 { // as an editor leaves it for a moment
 		p.errorf(0, "the file is empty: it may be cut short (a comment makes it a file that says nothing)")
@@ -56,8 +56,8 @@
 // readable tells what no line of a file can be made of.
 func (p *parser) readable() bool {
 	t := p.src.Text
-	if len(t) > FileMost {
-		p.errorf(0, "the file has more than %d KiB", FileMost>>10)
+	if len(t) > MaxFileSize {
+		p.errorf(0, "the file has more than %d KiB", MaxFileSize>>10)
 		return false
 	}
 	if utf8.Valid(t) {
@@ -115,9 +115,9 @@
 			return all, lead
 		}
 		if e := p.entry(); e != nil {
-			e.notes().Lead = lead
+			e.notes().Leading = lead
 			if p.tok.kind == tComment {
-				e.notes().Trail = p.tok.text
+				e.notes().Trailing = p.tok.text
 				p.next()
 			}
 			all = append(all, e)
@@ -270,11 +270,11 @@
 	}
 	p.next()
 	if p.tok.kind == tComment {
-		b.Open = p.tok.text
+		b.OpenComment = p.tok.text
 		p.next()
 	}
 	p.opens = append(p.opens, b)
-	b.Entries, b.Tail = p.entries(b)
+	b.Entries, b.EndComments = p.entries(b)
 	if p.tok.kind != tClose { // the end of the file: told once, for the block that seems to lack its end
 		return b
 	}
@@ -333,15 +333,15 @@
 		q, err := ParseQuantity(t.text)
 		if v.Kind, v.Number = Number, q; err != nil {
 			p.errorf(t.off, "%v", err)
-			v.Kind = Broken
+			v.Kind = Invalid
 		}
 	case tListOpen:
 		return p.list(v, depth)
 	case tBad:
-		v.Kind = Broken
+		v.Kind = Invalid
 	default:
 		p.errorf(t.off, "found %s where a value should stand", t)
-		v.Kind = Broken
+		v.Kind = Invalid
 		p.skip()
 		return v
 	}
@@ -355,7 +355,7 @@
 	if depth == nestMost {
 		p.errorf(open.off, "lists nest deeper than %d here; the rest of the file is not read", nestMost)
 		p.file.Unbalanced, p.halt = true, true
-		v.Kind = Broken
+		v.Kind = Invalid
 		p.tok = token{kind: tEOF, off: open.off}
 		return v
 	}
@@ -363,14 +363,14 @@
 	for first := true; ; first = false {
 		start := p.tok.off
 		lead := p.lead()
-		v.Spread = v.Spread || p.tok.off > start && bytes.IndexByte(p.src.Text[start:p.tok.off], '\n') >= 0
+		v.Multiline = v.Multiline || p.tok.off > start && bytes.IndexByte(p.src.Text[start:p.tok.off], '\n') >= 0
 		if len(lead) > 0 && first && lead[0] == "" {
 			lead = lead[1:]
 		}
 		if p.tok.kind == tListClose {
-			v.Tail = append(v.Tail, lead...)
-			if n := len(v.Tail); n > 0 && v.Tail[n-1] == "" {
-				v.Tail = v.Tail[:n-1]
+			v.EndComments = append(v.EndComments, lead...)
+			if n := len(v.EndComments); n > 0 && v.EndComments[n-1] == "" {
+				v.EndComments = v.EndComments[:n-1]
 			}
 			p.next()
 			return v
@@ -381,13 +381,13 @@
 				p.cut = p.tok.kind == tEOF
 				p.skip()
 			}
-			v.Kind = Broken
+			v.Kind = Invalid
 			return v
 		}
 		if len(v.Items) == itemsMost {
 			p.errorf(p.tok.off, "the list has more than %d items", itemsMost)
 			p.skip()
-			v.Kind = Broken
+			v.Kind = Invalid
 			return v
 		}
 		if !p.item(v, lead, depth, open.off) {
@@ -399,24 +399,24 @@
 // item reads one value of a list and the comma behind it.
 func (p *parser) item(v *Value, lead []string, depth, open int) bool {
 	item := p.value(depth + 1)
-	item.Lead = lead
+	item.Leading = lead
 	v.Items = append(v.Items, item)
-	if item.Kind == Broken {
-		v.Kind = Broken
+	if item.Kind == Invalid {
+		v.Kind = Invalid
 	}
 	comma := p.tok.kind == tComma
 	if comma {
 		p.next()
 	}
 	if p.tok.kind == tComment {
-		item.Trail, v.Spread = p.tok.text, true
+		item.Trailing, v.Multiline = p.tok.text, true
 		p.next()
 	}
 	if comma || p.halt {
 		return true
 	}
-	v.Spread = v.Spread || p.tok.kind == tNewline
-	v.Tail = p.lead()
+	v.Multiline = v.Multiline || p.tok.kind == tNewline
+	v.EndComments = p.lead()
 	if p.tok.kind != tListClose {
 		switch p.tok.kind {
 		case tBad: // told
@@ -424,11 +424,11 @@
 			p.errorf(open, "the list is not closed: a ']' is missing")
 			p.cut = p.tok.kind == tEOF
 		default:
-			if item.Kind != Broken {
+			if item.Kind != Invalid {
 				p.errorf(p.tok.off, "found %s where ',' or ']' should stand", p.tok)
 			}
 		}
-		v.Kind = Broken
+		v.Kind = Invalid
 		p.skip()
 		return false
 	}
--- a/internal/sloe/quantity.go
+++ b/internal/sloe/quantity.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// Dim is what a quantity measures.
-type Dim int
+// Dimension is what a quantity measures.
+type Dimension int
 
 // The dimensions. A count is a number without a unit.
 const (
-	Count Dim = iota
+	Count Dimension = iota
 	Time
 	Size
 	Share
@@ -22,9 +22,9 @@
 
 // Quantity is a number with its unit, exactly.
 type Quantity struct {
-	Dim   Dim
-	Of    string   // for Rate: what is counted, such as units
-	Value *big.Rat // in nanoseconds, bytes, parts of 1, pieces a second or pieces
+	Dimension Dimension
+	RateItem  string   // for Rate: what is counted, such as units
+	Value     *big.Rat // in nanoseconds, bytes, parts of 1, pieces a second or pieces
 }
 
 type unit struct {
@@ -40,8 +40,8 @@
 		{"h", whole(3600e9)}, {"d", whole(86400e9)}}
 	sizeUnits = []unit{{"B", whole(1)}, {"KiB", whole(1 << 10)}, {"MiB", whole(1 << 20)}, {"GiB", whole(1 << 30)}}
 	perUnits  = []unit{{"s", whole(1)}, {"m", big.NewRat(1, 60)}, {"h", big.NewRat(1, 3600)}}
-	// Counted are the things of which rates tell how many there are a second, a minute or an hour.
-	Counted = []string{"units", "msgs", "reqs", "bytes"}
+	// RateItems are the things of which rates tell how many there are a second, a minute or an hour.
+	RateItems = []string{"units", "msgs", "reqs", "bytes"}
 )
 
 // usual are spellings of units that people bring from elsewhere.
@@ -92,7 +92,7 @@
 	if u := find(sizeUnits, name); u != nil {
 		return Quantity{Size, "", v.Mul(v, u)}, nil
 	}
-	if of, per, ok := strings.Cut(name, "/"); ok && slices.Contains(Counted, of) {
+	if of, per, ok := strings.Cut(name, "/"); ok && slices.Contains(RateItems, of) {
 		if u := find(perUnits, per); u != nil {
 			return Quantity{Rate, of, v.Mul(v, u)}, nil
 		}
@@ -108,7 +108,7 @@
 		return Quantity{}, fmt.Errorf("%q is no unit here; did you mean %q?", clip(name), meant)
 	}
 	return Quantity{}, fmt.Errorf("%q is no unit: times are in ns, us, ms, s, m, h or d, sizes in B, KiB, MiB or GiB, shares in %%, rates in %s a s, m or h (8units/s)",
-		clip(name), strings.Join(Counted, ", "))
+		clip(name), strings.Join(RateItems, ", "))
 }
 
 func find(units []unit, name string) *big.Rat {
@@ -123,7 +123,7 @@
 // String is the quantity in the largest unit that needs no point, or else in the smallest that is exact. Two
 // quantities that mean the same are spelled the same.
 func (q Quantity) String() string {
-	switch q.Dim {
+	switch q.Dimension {
 	case Time:
 		return inUnits(q.Value, timeUnits, "")
 	case Size:
@@ -131,7 +131,7 @@
 	case Share:
 		return decimal(new(big.Rat).Mul(q.Value, whole(100))) + "%"
 	case Rate:
-		return inUnits(q.Value, perUnits, q.Of+"/")
+		return inUnits(q.Value, perUnits, q.RateItem+"/")
 	}
 	return decimal(q.Value)
 }
--- a/internal/sloe/sloe_test.go
+++ b/internal/sloe/sloe_test.go
@@ -342,7 +342,7 @@
 			continue
 		}
 		again, err := ParseQuantity(q.String())
-		if err != nil || again.Value.Cmp(q.Value) != 0 || again.Dim != q.Dim {
+		if err != nil || again.Value.Cmp(q.Value) != 0 || again.Dimension != q.Dimension {
 			t.Errorf("%s: %s reads as %v, %v", text, q, again, err)
 		}
 	}
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -58,23 +58,23 @@
 	return &operator.Block{
 		Name: "clients", Doc: "Connections of clients.",
 		Keys: []operator.Key{
-			{Name: "first-command", Kind: operator.Duration, Default: "2s", Least: "100ms", Most: "1m", Sense: operator.MoreIsLooser,
+			{Name: "first-command", Kind: operator.Duration, Default: "2s", Min: "100ms", Max: "1m", Strictness: operator.HigherIsLooser,
 				Doc: "Time to a connection's first command, and to the end of a command that has begun. More lets silent connections hold descriptors for longer."},
-			{Name: "idle", Kind: operator.Duration, Default: "5s", Least: "100ms", Most: "1h", Sense: operator.MoreIsLooser,
+			{Name: "idle", Kind: operator.Duration, Default: "5s", Min: "100ms", Max: "1h", Strictness: operator.HigherIsLooser,
 				Doc: "Time between commands with nothing open, after which a connection is closed."},
-			{Name: "write", Kind: operator.Duration, Default: "2s", Least: "100ms", Most: "1m", Sense: operator.MoreIsLooser,
+			{Name: "write", Kind: operator.Duration, Default: "2s", Min: "100ms", Max: "1m", Strictness: operator.HigherIsLooser,
 				Doc: "A client that takes nothing of its answers for so long is given up."},
-			{Name: "fault", Kind: operator.Duration, Default: "1s", Least: "10ms", Most: "1m", Sense: operator.MoreIsLooser,
+			{Name: "fault", Kind: operator.Duration, Default: "1s", Min: "10ms", Max: "1m", Strictness: operator.HigherIsLooser,
 				Doc: "A connection that sent what can't be read ends after this, whatever is open on it."},
-			{Name: "pipeline", Kind: operator.Count, Default: "64", Least: "1", Most: "1024", Sense: operator.MoreIsLooser,
+			{Name: "pipeline", Kind: operator.Count, Default: "64", Min: "1", Max: "1024", Strictness: operator.HigherIsLooser,
 				Doc: "Answers owed on one connection; further commands wait to be read."},
-			{Name: "unread", Kind: operator.Size, Default: "1MiB", Least: "128KiB", Most: "64MiB", Sense: operator.MoreIsLooser,
+			{Name: "unread", Kind: operator.Size, Default: "1MiB", Min: "128KiB", Max: "64MiB", Strictness: operator.HigherIsLooser,
 				Doc: "Bytes of answers that a client may leave unread before it is given up."},
-			{Name: "descriptors", Kind: operator.Share, Default: "50%", Least: "10%", Most: "90%", Sense: operator.MoreIsLooser,
+			{Name: "descriptors", Kind: operator.Share, Default: "50%", Min: "10%", Max: "90%", Strictness: operator.HigherIsLooser,
 				Doc: "Share of the descriptors for clients' connections; over it the one quiet for longest is closed."},
-			{Name: "held", Kind: operator.Share, Default: "25%", Least: "1%", Most: "50%", Sense: operator.MoreIsLooser,
+			{Name: "held", Kind: operator.Share, Default: "25%", Min: "1%", Max: "50%", Strictness: operator.HigherIsLooser,
 				Doc: "Share of the memory limit that open commands may take; over it new requests are refused."},
-			{Name: "accept-ahead", Kind: operator.Count, Default: "16", Least: "1", Most: "1024", Takes: operator.AtRestart,
+			{Name: "accept-ahead", Kind: operator.Count, Default: "16", Min: "1", Max: "1024", Applied: operator.AtRestart,
 				Doc: "Connections taken before the core has counted them."},
 		},
 	}
@@ -84,15 +84,15 @@
 	return &operator.Block{
 		Name: "nodes", Doc: "Connections to nodes.",
 		Keys: []operator.Key{
-			{Name: "connections", Kind: operator.Count, Default: "64", Least: "1", Most: "1024", Sense: operator.MoreIsLooser,
+			{Name: "connections", Kind: operator.Count, Default: "64", Min: "1", Max: "1024", Strictness: operator.HigherIsLooser,
 				Doc: "Connections to one node, open or being made; an attempt over it is not made and not held against the node."},
-			{Name: "rest", Kind: operator.Duration, Default: "10ms", Least: "10ms", Most: "1s",
+			{Name: "rest", Kind: operator.Duration, Default: "10ms", Min: "10ms", Max: "1s",
 				Doc: "A connection is used again only after it has stood for so long with nothing unread: a late second answer must not pass for the next one's."},
-			{Name: "idle-part", Kind: operator.Count, Default: "3", Least: "2", Most: "100",
+			{Name: "idle-part", Kind: operator.Count, Default: "3", Min: "2", Max: "100",
 				Doc: "An idle connection is retired after one part in so many of the nodes' own idle limit, so that no request is written to one that is being closed."},
-			{Name: "answer", Kind: operator.Duration, Default: "250ms", Least: "10ms", Most: "1m", Sense: operator.MoreIsLooser,
+			{Name: "answer", Kind: operator.Duration, Default: "250ms", Min: "10ms", Max: "1m", Strictness: operator.HigherIsLooser,
 				Doc: "Time from the first byte of a node's answer to its last."},
-			{Name: "descriptors", Kind: operator.Share, Default: "50%", Least: "10%", Most: "90%", Sense: operator.MoreIsLooser,
+			{Name: "descriptors", Kind: operator.Share, Default: "50%", Min: "10%", Max: "90%", Strictness: operator.HigherIsLooser,
 				Doc: "Share of the descriptors for connections to nodes."},
 		},
 	}
@@ -102,18 +102,18 @@
 	return &operator.Block{
 		Name: "stop", Doc: "The end of the gateway, at SIGTERM.",
 		Keys: []operator.Key{
-			{Name: "accept", Kind: operator.Duration, Default: "500ms", Least: "0s", Most: "1m",
+			{Name: "accept", Kind: operator.Duration, Default: "500ms", Min: "0s", Max: "1m",
 				Doc: "New connections are taken for so long: fronts go on sending them for a while."},
-			{Name: "last-call", Kind: operator.Duration, Default: "200ms", Least: "10ms", Most: "1m",
+			{Name: "last-call", Kind: operator.Duration, Default: "200ms", Min: "10ms", Max: "1m",
 				Doc: "A connection that came in as the listener closed has so long to its command."},
-			{Name: "longest", Kind: operator.Duration, Default: "10s", Least: "1s", Most: "10m",
+			{Name: "longest", Kind: operator.Duration, Default: "10s", Min: "1s", Max: "10m",
 				Doc: "What is owed after that is failed. It is never less than the longest wait of a client."},
 		},
 	}
 }
 
 func check(s *operator.Section) (out []operator.Problem) {
-	a, b := s.One("clients").Share("descriptors"), s.One("nodes").Share("descriptors")
+	a, b := s.Section("clients").Share("descriptors"), s.Section("nodes").Share("descriptors")
 	if a+b > 1 {
 		key := "nodes.descriptors"
 		if b == 0.5 {
@@ -122,7 +122,7 @@
 		out = append(out, operator.Problem{Key: key,
 			Msg: fmt.Sprintf("the shares of descriptors of clients (%.4g%%) and nodes (%.4g%%) come to more than 100%%", 100*a, 100*b)})
 	}
-	stop := s.One("stop")
+	stop := s.Section("stop")
 	if need := stop.Duration("accept") + stop.Duration("last-call"); stop.Duration("longest") <= need {
 		out = append(out, operator.Problem{Key: "stop.longest",
 			Msg: fmt.Sprintf("longest (%v) must be more than accept and last-call together (%v)", stop.Duration("longest"), need)})
@@ -132,8 +132,8 @@
 
 // FromConfig reads a checked configuration.
 func FromConfig(c *operator.Config) Tuning {
-	g := c.One("gateway")
-	clients, nodes, stop := g.One("clients"), g.One("nodes"), g.One("stop")
+	g := c.Section("gateway")
+	clients, nodes, stop := g.Section("clients"), g.Section("nodes"), g.Section("stop")
 	return Tuning{
 		Clients: Clients{ReadTimeout: clients.Duration("first-command"), IdleTimeout: clients.Duration("idle"),
 			WriteTimeout: clients.Duration("write"), ProtocolErrorTimeout: clients.Duration("fault"), MaxPipeline: clients.Count("pipeline"),
