--- a/cmd/sloectl/files.go
+++ b/cmd/sloectl/files.go
@@ -11,7 +11,7 @@
 	"os"
 	"path/filepath"
 
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/gateway"
 	"sloepick/internal/operator"
 	"sloepick/internal/sloe"
@@ -99,7 +99,7 @@
 		fmt.Fprintln(errs, "sloectl:", err)
 		return exitError
 	}
-	_, diags, err := blocks.Load(fs.Arg(0), cfg)
+	_, diags, err := daemonconfig.Load(fs.Arg(0), cfg)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
 		return exitError
@@ -134,7 +134,7 @@
 
 // loadOperatorFile loads and checks an operators' file. It prints all problems, and returns nil and the exit code if the file has errors.
 func loadOperatorFile(name string, errs io.Writer) (*operator.Config, int) {
-	c, diags, err := blocks.Schema().Load(name)
+	c, diags, err := daemonconfig.Schema().Load(name)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
 		return nil, exitError
@@ -192,7 +192,7 @@
 	if !parseFlags(newFlags("doc"), args, errs, 0, 0) {
 		return exitError
 	}
-	io.WriteString(out, blocks.Schema().ReferencePage())
+	io.WriteString(out, daemonconfig.Schema().ReferencePage())
 	return exitOK
 }
 
--- a/cmd/sloectl/route.go
+++ b/cmd/sloectl/route.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/route"
 )
 
@@ -34,7 +34,7 @@
 		fmt.Fprintln(errs, "sloectl:", err)
 		return exitError
 	}
-	c, diags, err := blocks.Load(fs.Arg(0), cfg)
+	c, diags, err := daemonconfig.Load(fs.Arg(0), cfg)
 	if err != nil {
 		fmt.Fprintln(errs, "sloectl:", err)
 		return exitError
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/gateway"
 	"sloepick/internal/gossip"
 	"sloepick/internal/h2"
@@ -78,9 +78,9 @@
 		}
 		r.logWarnings(warnings)
 		cfg.Tuning, cfg.Routes = tuning.FromConfig(r.current), route.FromConfig(r.current)
-		level.Set(blocks.LogLevel(r.current))
-		cfg.BackendsByKind = blocks.Backends(r.current)
-		for _, l := range blocks.Listeners(r.current) {
+		level.Set(daemonconfig.LogLevel(r.current))
+		cfg.BackendsByKind = daemonconfig.Backends(r.current)
+		for _, l := range daemonconfig.Listeners(r.current) {
 			f, err := h2.NewFrontend(l)
 			if err != nil {
 				return err
@@ -140,7 +140,7 @@
 
 // joinFleet makes the gateway a member of a fleet if the operators' file configures one. The fleet assigns its rank.
 func (r *reloader) joinFleet(ctx context.Context, cancel context.CancelCauseFunc) error {
-	f := blocks.Fleet(r.current)
+	f := daemonconfig.Fleet(r.current)
 	if f == nil {
 		return nil
 	}
@@ -150,7 +150,7 @@
 			return err
 		}
 	}
-	if err := configureDuties(f, blocks.Duties(r.current)); err != nil {
+	if err := configureDuties(f, daemonconfig.Duties(r.current)); err != nil {
 		return err
 	}
 	member, err := gossip.New(*f, r.log)
@@ -217,7 +217,7 @@
 
 // load reads the operators' file and validates it against the platform's settings. The diagnostics that it returns are warnings.
 func (r *reloader) load() (*operator.Config, sloe.Diags, error) {
-	c, diags, err := blocks.Load(r.file, r.cfg)
+	c, diags, err := daemonconfig.Load(r.file, r.cfg)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -296,10 +296,10 @@
 		applyAll = append(applyAll, apply)
 	}
 	if r.member != nil {
-		if err := r.member.Reload(blocks.SourcesHash(c), c.Section("fleet").Count("expect")); err != nil {
+		if err := r.member.Reload(daemonconfig.SourcesHash(c), c.Section("fleet").Count("expect")); err != nil {
 			return gateway.Reload{}, nil, err
 		}
-		r.member.SetRegions(blocks.Regions(c))
+		r.member.SetRegions(daemonconfig.Regions(c))
 	}
 	for _, apply := range applyAll {
 		apply()
@@ -345,7 +345,7 @@
 	}
 	changes := operator.Diff(r.current, c)
 	r.current = c
-	r.level.Set(blocks.LogLevel(c))
+	r.level.Set(daemonconfig.LogLevel(c))
 	for _, ch := range changes {
 		if ch.Applied == operator.AtRestart.String() {
 			r.log.Warn("a change needs a restart", "change", ch.String())
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -6,13 +6,13 @@
 	"net/http"
 	"sync"
 
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/fleetreport"
 	"sloepick/internal/gossip"
 )
 
 // configureDuties makes a member take part in electing the owners of the fleet's duties.
-func configureDuties(f *gossip.Config, d *blocks.DutiesConfig) error {
+func configureDuties(f *gossip.Config, d *daemonconfig.DutiesConfig) error {
 	if d == nil {
 		return nil
 	}
@@ -28,7 +28,7 @@
 
 // startDuties performs the fleet's duties whenever this member owns them, until the returned function is called.
 func (r *reloader) startDuties() (end func()) {
-	d := blocks.Duties(r.current)
+	d := daemonconfig.Duties(r.current)
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"sloepick/decide"
-	"sloepick/internal/blocks"
+	"sloepick/internal/daemonconfig"
 	"sloepick/internal/gateway"
 	"sloepick/internal/gossip"
 	"sloepick/internal/recovery"
@@ -36,7 +36,7 @@
 // state, and lets other members of the fleet, if there is one, request it. Snapshots are written until the returned function is
 // called, which writes a last one if anything has changed.
 func (r *reloader) startRecovery() (end func(), err error) {
-	b := blocks.Power(r.current)
+	b := daemonconfig.Power(r.current)
 	if b == nil {
 		return func() {}, nil
 	}
--- a/internal/blocks/blocks.go
+++ b/internal/daemonconfig/blocks.go
@@ -1,5 +1,5 @@
 // Package blocks lists the blocks of the operators' file that the daemon knows, for the daemon and sloectl alike.
-package blocks
+package daemonconfig
 
 import (
 	"log/slog"
--- a/internal/blocks/listener.go
+++ b/internal/daemonconfig/listener.go
@@ -1,4 +1,4 @@
-package blocks
+package daemonconfig
 
 import (
 	"fmt"
