--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -11,8 +11,8 @@
 	"sloepick/internal/gossip"
 )
 
-// withDuties has a member take part in the fleet's work.
-func withDuties(f *gossip.Config, d *daemonconfig.DutiesConfig) error {
+// configureDuties makes a member take part in electing the owners of the fleet's duties.
+func configureDuties(f *gossip.Config, d *daemonconfig.DutiesConfig) error {
 	if d == nil {
 		return nil
 	}
@@ -21,22 +21,22 @@
 		f.Election.Duties = append(f.Election.Duties, fleetreport.DutyName)
 	}
 	if len(f.Election.Duties) == 0 {
-		return errors.New("the block duties has no duty")
+		return errors.New("the block duties declares no duty")
 	}
 	return nil
 }
 
-// serveDuties does the fleet's work while this member owns it, until the function that it returns is called.
-func (r *reloader) serveDuties() (end func()) {
-	d := daemonconfig.Duties(r.now)
+// startDuties performs the fleet's duties whenever this member owns them, until the returned function is called.
+func (r *reloader) startDuties() (end func()) {
+	d := daemonconfig.Duties(r.current)
 	if d == nil || d.Report == nil || r.member == nil {
 		return func() {}
 	}
-	report := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Interval, Timeout: d.Election.Lease / 3, Election: r.member, Log: r.log,
+	reporter := &fleetreport.Reporter{URL: d.Report.URL, Interval: d.Report.Interval, Timeout: d.Election.Lease / 3, Election: r.member, Log: r.log,
 		Body: func() any { return r.member.Status() }, Client: &http.Client{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	done.Go(func() { report.Run(ctx) })
+	done.Go(func() { reporter.Run(ctx) })
 	return func() {
 		stop()
 		done.Wait()
