--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -10,11 +10,14 @@
 	"sloepick/decide"
 )
 
+// profile holds the settings of one gateway. NewKey is unknown on purpose: unknown keys are ignored.
 const profile = `{"Classes":[{"AimNs":1000000000,"Effect":"safe","GiveUpNs":4000000000,"Importance":1,"Name":"get"}],` +
 	`"Extra":{"PeerIntake":40,"UnitsTop":8},"Instances":2,"Rank":0,"Zone":"a","NewKey":{"x":1},` +
 	`"Limits":{"SendCap":3,"MayCancel":true,"Peers":true},"Safety":{"ColdNs":5000000000,"FallNs":1000000000,` +
 	`"FallMultiple":2,"ColdFrom":0.2},"TiersOfService":[{"Name":"p","Refill":100,"MostAtOnce":300,"Pays":1}]}`
 
+// start is a batch that creates a gateway and lists one server. The seed is 2^63-1 and the stamp 2^53+1, which a
+// float64 would round; the tests check that they are accepted, not that they are kept exactly.
 const start = `{"NowNs":1000000000,"batch":1,"gateways":[{"I":3,"happened":[{"m":"NewInstance","RandomSeed":9223372036854775807,` +
 	`"ProfileData":` + profile + `},{"m":"PeersKnown","Kind":"stale_copy","Stamp":9007199254740993,` +
 	`"NodesList":[{"Az":"a","StageState":"IN","Server":"10.0.0.1:80"}]}]}]}` + "\n"
@@ -26,7 +29,10 @@
 	return out.String(), err
 }
 
-func TestRoundTrip(t *testing.T) {
+// TestServeRepliesToEachBatch checks that each of four batches gets one reply, that a request is assigned to the listed
+// server, and that nothing is sent for the unknown message Later or for events of a destroyed gateway. The tag is
+// 2^63-1, the largest int64; StateCode 1 is decide.OK.
+func TestServeRepliesToEachBatch(t *testing.T) {
 	out, err := run(t, start+
 		`{"NowNs":1004000000,"batch":2,"gateways":[{"I":3,"happened":[{"m":"Query","Xid":"c:1","Tier":"p","Type":"get",`+
 		`"Account":"00000000000000aa","DeadlineNs":2000000000,"EntryPoints":2,"SizeUnits":1},{"m":"Elapsed","Tag":9223372036854775807}]}]}`+"\n"+
@@ -98,6 +104,9 @@
 	}
 }
 
+// TestActions checks the encoding of every action of decide's interface, also of those that package decide never
+// returns: Probe, CloseIdle, Subscribe, FetchServerList, IncrementCounter and Log. 9007199254740993 is 2^53+1, the
+// smallest positive integer that a float64 would round.
 func TestActions(t *testing.T) {
 	for want, a := range map[string]decide.Action{
 		`{"AllowForNs":5,"Server":"s","Xid":"x","m":"Assign"}`:        decide.SendAttempt{ID: "x", Server: "s", Timeout: 5},
@@ -119,6 +128,9 @@
 	}
 }
 
+// TestEvents checks the decoding of events. The tag 9223372036854775808 is 2^63, which needs an unsigned integer; the
+// counter 9007199254740993 is 2^53+1, which a float64 would round. A StateCode is the number of a decide.Outcome: 1 is
+// OK, 4 TimedOut, 6 Reset.
 func TestEvents(t *testing.T) {
 	for _, c := range []struct {
 		m, raw string
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -4,8 +4,9 @@
 
 // This file dispatches events to the files that decide on them: admission.go, quotacheck.go and coordinator.go decide
 // whether a request is admitted; serverchoice.go, servers.go and slowstart.go which server it goes to; retry.go
-// whether it is tried again; rules.go what the rules forbid. state.go holds a gateway's state and api.go the
-// interface; packages quota and peermsg hold what gateways know about customers' quotas and how they tell each other.
+// whether it is tried again. The rules are enforced in rules.go (effects and final answers), slowstart.go (cold
+// servers) and quotacheck.go (ceilings). state.go holds a gateway's state and api.go the interface; packages quota and
+// peermsg hold what gateways know about customers' quotas and how they tell each other.
 
 // Handle processes one event at the time now and returns the actions to carry out, in order.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
@@ -70,7 +71,8 @@
 	}
 }
 
-// tick does the periodic work: it informs the peers, sums up the servers and removes customers without any state left.
+// tick does the periodic work: it sends totals to all peers (to none where customers have coordinators or peers are off),
+// sums up the servers, and examines a part of the customers to remove those whose state equals a new one's.
 func (g *Gateway) tick() {
 	g.emit(SetTimer{g.now + g.quota.TickInterval(), tickToken})
 	g.quota.SendTotals()
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// readValue returns the value of a node's reply.
+// readValue returns the value of a node's reply, which is an array of three elements ("*3") that starts with the value.
+// Any other reply, such as an error line, is returned as it is.
 func (c *Client) readValue() (string, error) {
 	if line, err := c.Read(); err != nil || line != "*3" {
 		return line, err
@@ -88,12 +89,13 @@
 	}
 	one.Close()
 	two.Close()
-	for n.waitingCount() > 0 {
+	for n.admittedCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (n *Node) waitingCount() int {
+// admittedCount returns the number of requests that are running or queued.
+func (n *Node) admittedCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.waiting
@@ -112,7 +114,9 @@
 	}
 	for name, tc := range map[string]struct {
 		breakRule func(*observations)
-		rule      int // that is violated, or -1
+		// rule is the index in Audit's result of the rule that is violated (0: answers, 1: effects, 2: drains,
+		// 3: cold nodes, 4: ceilings), or -1.
+		rule int
 	}{
 		"no violation": {func(d *observations) {}, -1},
 		"lost":         {func(d *observations) { d.results[0].Outcome = OutcomeLost }, 0},
@@ -135,12 +139,14 @@
 			}
 		}, 3},
 		"over the ceiling": {func(d *observations) {
+			// The ceiling is 35.7 units: a depth of 30 and a slack of 3 + 0.15*18. 36 units count, not 37: at
+			// i = 32 the id is "a", that of the request that is counted already.
 			for i := range 36 {
 				d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: string(rune('A' + i)), Customer: "c", Units: 1, At: at(1)})
 			}
 		}, 4},
-		"at the ceiling": {func(d *observations) {
-			for range 100 { // further attempts of a request do not count
+		"many attempts of one request": {func(d *observations) {
+			for range 100 { // further attempts of a request do not count: one unit does
 				d.recorder.arrivals = append(d.recorder.arrivals, Arrival{Node: "n", ID: "a", Key: "k", Customer: "c", Units: 1, At: at(1)})
 			}
 		}, -1},
@@ -158,8 +164,9 @@
 	}
 }
 
-// TestLoadGeneratorClassifiesReplies checks that the load generator distinguishes replies that serve, refuse or
-// fail a request, belong to another one, or are cut off.
+// TestLoadGeneratorClassifiesReplies sends the load generator replies that serve, refuse or fail a request, belong to
+// another one, or are cut off. It ends once each of the four outcomes was counted more than three times, and hangs if
+// one never is; which reply leads to which outcome is not checked.
 func TestLoadGeneratorClassifiesReplies(t *testing.T) {
 	answers := []string{"", "-BUSY 5\r\n", "-ERR failed\r\n", "$1\r\nx\r\n", "cut"}
 	var mu sync.Mutex
@@ -200,8 +207,8 @@
 	g.Run(ctx)
 }
 
-// TestSchedulingMonitorMeasuresDelays checks that only the delays within an interval count, and that the audit
-// excuses a late reply by as much as the machine was delayed and no more.
+// TestSchedulingMonitorMeasuresDelays checks that only the delays that overlap an interval count, each in full, and
+// that the audit excuses a late reply by as much as the machine was delayed and no more.
 func TestSchedulingMonitorMeasuresDelays(t *testing.T) {
 	m := NewSchedulingMonitor()
 	defer m.Close()
