--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -19,7 +19,10 @@
 type Transport interface {
 	Start(a *Attempt)  // must report the result once, by Succeed or Fail, unless Cancel is called first
 	Cancel(a *Attempt) // no result is expected any more, and nothing more of the request may be written
-	Drain()            // open and pending connections accept no new attempts, and close when their last attempt ends
+
+	// Drain makes open connections accept no new attempts and close when their last attempt ends. A pending
+	// connection is closed as soon as it is established, and the attempts that wait for it fail.
+	Drain()
 
 	// OldestIdle returns since when the longest idle connection has been idle; false: no connection is idle.
 	OldestIdle() (since time.Duration, any bool)
@@ -66,7 +69,9 @@
 // Addr returns the node's address as host:port.
 func (e *Endpoint) Addr() string { return e.addr }
 
-// ReserveConn counts a connection that is about to be made. It reports false if a connection limit is reached.
+// ReserveConn counts a connection that is about to be made. If the limit for all nodes together is reached, it
+// first closes the connection that has been idle for longest, which may be another node's. It reports false if
+// there is still no room, or if the limit for this node is reached.
 func (e *Endpoint) ReserveConn() bool {
 	if e.pool.conns >= e.pool.connLimit() {
 		e.pool.evictIdle()
@@ -104,8 +109,8 @@
 // ReleaseConn stops counting a connection.
 func (e *Endpoint) ReleaseConn() { e.pool.releaseConn(e.server) }
 
-// OverLimit reports that there are more connections than allowed, because a reload has lowered the limit. A
-// connection that becomes idle must then be closed.
+// OverLimit reports that there are more connections than allowed, because a reload has lowered the limit. The
+// RESP2 backend then closes a connection instead of keeping it idle; the HTTP/2 backend does not check this.
 func (e *Endpoint) OverLimit() bool {
 	return e.pool.conns > e.pool.maxConns || e.server.conns > e.pool.maxConnsPerServer
 }
@@ -114,7 +119,7 @@
 func (e *Endpoint) ConnectTimeout() time.Duration { return e.pool.connectTimeout }
 
 // IdleTimeout returns how long a connection may stay idle, which is well below the time after which nodes may
-// close it; 0: no limit.
+// close it; 0: no limit. Only the RESP2 backend uses it; the HTTP/2 backend has a setting of its own.
 func (e *Endpoint) IdleTimeout() time.Duration { return e.pool.idleTimeout }
 
 // Attempt is one attempt as seen by its transport.
@@ -133,9 +138,10 @@
 func (a *Attempt) RemainingTime() time.Duration { return a.state.deadline - a.loop.clock.Now() }
 
 // Revalidate checks, before the first byte is sent, that the attempt is still needed. While a connection was
-// established, the attempt may have been cancelled or its request answered, the node may have started draining
-// or moved, or the time for which nodes remember the request's key may have run out. If Revalidate reports
-// false, the attempt has ended.
+// established, the attempt may have been cancelled or its request answered, the node may have stopped serving,
+// or the time for which nodes remember the request's key may have run out. If Revalidate reports false, the
+// attempt has ended. It does not notice that the node has moved or restarted: a transport must check for itself
+// whether Drain was called since it began to connect.
 func (a *Attempt) Revalidate() bool {
 	switch s := a.state; {
 	case s.ended:
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -17,7 +17,7 @@
 
 const (
 	pollWait            = 4 * time.Second        // how long a long poll waits for changes
-	pollGrace           = 500 * time.Millisecond // a long poll times out this much later: discovery that is down may not answer at all
+	pollGrace           = 500 * time.Millisecond // a long poll times out this much later, as discovery that is down may not answer at all; also the dial timeout
 	shortCallTimeout    = 250 * time.Millisecond // timeout of a call that doesn't wait for changes
 	retryDelay          = 50 * time.Millisecond
 	maxOlderAnswers     = 3       // in a row, after which discovery is taken to have restarted its version count
@@ -37,7 +37,7 @@
 	onUpdate     func(decide.ListKind, ServerList)
 	log          *failureLog
 	version      uint64 // of the current list
-	hasList      bool   // a list has been received
+	hasList      bool   // false: the next call requests the whole list, which is accepted whatever its version
 	olderAnswers int    // consecutive answers with an older version
 	failing      bool
 	longCall     *call // in progress beside the short calls while discovery fails; nil: none
@@ -50,10 +50,11 @@
 		wait: pollWait, grace: pollGrace, shortTimeout: shortCallTimeout, longTimeout: pollWait + pollGrace, onUpdate: onUpdate, log: &failureLog{log: log}}
 }
 
-// watchDiscovery watches discovery at an address, and after each move at the new address. On a move it cancels
-// the pending calls at the old address, waits until the old watcher has ended, and requests the whole list from
-// the new address: the version numbers of two instances are unrelated, so their changes must never be mixed.
-// Until the new address answers, the last list stays in effect.
+// watchDiscovery watches discovery at an address, and then at each address received from moves. Every reload
+// sends one, even if it is unchanged. watchDiscovery then cancels the pending calls at the old address, waits
+// until the old watcher has ended, and requests the whole list from the new address: the version numbers of two
+// instances are unrelated, so their changes must never be mixed. Until the new address answers, the last list
+// stays in effect.
 func watchDiscovery(ctx context.Context, addr netip.AddrPort, moves <-chan netip.AddrPort, onUpdate func(decide.ListKind, ServerList), log *slog.Logger) {
 	for ctx.Err() == nil {
 		watchCtx, cancel := context.WithCancel(ctx)
@@ -72,9 +73,9 @@
 }
 
 // run requests the whole list and then long-polls for changes until the context ends, each call directly after
-// the last one. A long poll cannot tell discovery that is down from a fleet without changes. Therefore, after a
-// failure, short calls, which are answered at once, detect when discovery is back. Without them, the gateway
-// would learn of a draining server only seconds later and keep sending to it.
+// the last one. A long poll cannot tell discovery that is down from a list of servers without changes. Therefore,
+// after a failure, short calls, which are answered at once, detect when discovery is back. Without them, the
+// gateway would learn of a draining server only seconds later and keep sending to it.
 func (w *watcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	defer w.endLongCall()
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -25,27 +25,32 @@
 type ClientConn interface {
 	Idle() bool              // no response is owed on it, so it may be drained to make room for another one
 	LastUsed() time.Duration // when it was last answered; if it never was, when it was accepted
-	Drain()                  // reads what has arrived, answers everything and closes
-	Close()                  // closes at once and abandons open requests
+
+	// Drain reads what has arrived, answers everything and closes. Over HTTP/2, only a shutdown leaves time to
+	// read: otherwise streams that have not been read yet are ignored, and the client is told so.
+	Drain()
+	Close() // closes at once and abandons open requests
 }
 
 // Responder receives the response to a request. Respond is called once, on the event loop, possibly before
 // Submit returns.
 type Responder interface{ Respond(r Response) }
 
-// RequestHandle identifies an open request. The zero value identifies none: the request has been answered.
+// RequestHandle identifies a request. The zero value identifies none.
 type RequestHandle struct{ r *requestState }
 
-// Open reports whether the handle identifies a request.
+// Open reports whether the handle identifies a request, that is, is not the zero value. It stays true after the
+// response, unless the holder sets the handle to the zero value then.
 func (h RequestHandle) Open() bool { return h.r != nil }
 
 // Core is the interface of the gateway's core for frontends, backends and fleet members. Post, Closing, Log,
-// Now, Tuning, SetMembership, DeliverMessage and DeliverRecoverySnapshot may be called from any goroutine. All
-// other methods must be called on the event loop, which also runs the functions given to Post, Schedule and
-// Defer.
+// Now, Tuning, SetMembership, DeliverMessage and DeliverRecoverySnapshot may also be called from other goroutines,
+// and those of them that post must not be called on the event loop (see Post). All other methods must be called
+// on the event loop, which also runs the functions given to Post, Schedule and Defer.
 type Core struct{ l *eventLoop }
 
-// Post runs a function on the event loop. It blocks while the inbox of the event loop is full.
+// Post runs a function on the event loop. It blocks while the inbox of the event loop is full, so the event loop
+// itself must not call it: nothing else empties the inbox.
 func (c *Core) Post(f func()) { c.l.inbox.post(f) }
 
 // postAccepted passes an accepted connection to the event loop. Only a limited number of connections is
@@ -65,7 +70,8 @@
 	}
 }
 
-// Closing returns a channel that is closed when the gateway accepts no new connections any more.
+// Closing returns a channel that is closed when a shutdown starts to drain the listeners and connections.
+// Connections from the backlog may still be admitted after that (see AdmitConn).
 func (c *Core) Closing() <-chan struct{} { return c.l.closingCh }
 
 // Log returns the gateway's logger.
@@ -107,14 +113,16 @@
 }
 
 // ProcessPending passes pending events, such as requests submitted or abandoned in this turn, to the decision
-// module at once, instead of when the current function on the event loop returns. A frontend with several
-// requests at hand calls it after each, so that each one is checked against the quota left by the one before.
+// module at once, instead of when the current function on the event loop returns. The RESP2 frontend
+// calls it after each command of a batch: if the response to a request that is answered at once can't be
+// written, the connection is closed, and the rest of the batch must not be submitted.
 func (c *Core) ProcessPending() { c.l.processPending() }
 
 // Abandon ends a request whose client has disconnected.
 func (c *Core) Abandon(h RequestHandle) { c.l.abandon(h.r) }
 
-// Allowance returns what is left of the customer's quota.
+// Allowance returns what the customer's bucket at this gateway has room for; the other gateways' buckets are not
+// considered. It reports false for an unknown plan and for one without a rate.
 func (c *Core) Allowance(customer, plan string) (decide.Allowance, bool) {
 	return c.l.decider.Allowance(c.Now(), customer, plan)
 }
@@ -124,6 +132,7 @@
 	if len(l.clients) >= descriptorShare(l.cfg.Sockets, l.tuning.Load().Clients.DescriptorShare) {
 		l.evictClient()
 	}
+	// Clients leave minSockets free: the reserve (reservedSockets), and the rest for connections to servers.
 	if len(l.clients) >= l.cfg.Sockets-minSockets {
 		return false
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -8,10 +8,10 @@
 	"net/netip"
 )
 
-const maxDatagramSize = 256 // bytes of a message between gateways
+const maxDatagramSize = 256 // bytes of a message between gateways; the same as peermsg.MaxSize
 
-// PeerTransport sends messages to the other gateways, identified by their numbers. Send never blocks; messages
-// may be lost.
+// PeerTransport sends messages to the other gateways, identified by their ranks. Messages may be lost. Send is
+// called on the event loop and must not wait for the receiver.
 type PeerTransport interface {
 	Send(to int, text string) error
 }
@@ -19,7 +19,7 @@
 // peerSocket exchanges messages with the other gateways over UDP.
 type peerSocket struct {
 	conn  *net.UDPConn
-	addrs []netip.AddrPort
+	addrs []netip.AddrPort // by rank
 	ranks map[netip.AddrPort]int
 }
 
@@ -35,7 +35,8 @@
 	return p, nil
 }
 
-// Send sends a message to a gateway. Like any datagram, it may be lost.
+// Send sends a message to the gateway of a rank. Like any datagram, it may be lost. Send waits only while the
+// socket's send buffer is full.
 func (p *peerSocket) Send(to int, text string) error {
 	if to < 0 || to >= len(p.addrs) || len(text) > maxDatagramSize {
 		return fmt.Errorf("message of %d bytes to gateway %d can't be sent", len(text), to)
@@ -56,7 +57,7 @@
 			return
 		}
 		if err != nil {
-			log.Debug("reading from the peer socket failed", "err", err) // for example because a peer that is down refused a message
+			log.Debug("reading from the peer socket failed", "err", err) // not for a peer that is down: on Linux, an unconnected socket isn't told that a message was refused
 			continue
 		}
 		rank, ok := p.ranks[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
