--- a/internal/h2/mapping.go
+++ b/internal/h2/mapping.go
@@ -29,15 +29,15 @@
 	fieldClientRetry    = "sloepick-again"  // "1" marks a retry by the client
 	fieldIdempotencyKey = "idempotency-key" // draft-ietf-httpapi-idempotency-key-header-07
 
-	fieldRan                 = "sloepick-ran"   // of a response: whether the request may have run
+	fieldRan                 = "sloepick-ran"   // of a response: ranNever or ranUnknown
 	fieldRetryAfterMs        = "sloepick-after" // ms after which to retry
 	fieldCost                = "sloepick-cost"  // units that the request takes from the quota
 	fieldUsage               = "sloepick-use"   // of a node's response: what the request used, as "used=86,units=3"
-	ranNever                 = "never"
-	ranUnknown               = "unknown"
-	fieldRateLimit           = "ratelimit" // draft-ietf-httpapi-ratelimit-headers-10
+	ranNever                 = "never"          // a repeat does no harm; the request may have run if its class allows repeats. From a node: it did not run
+	ranUnknown               = "unknown"        // the request may have run
+	fieldRateLimit           = "ratelimit"      // draft-ietf-httpapi-ratelimit-headers-10
 	fieldRateLimitPolicy     = "ratelimit-policy"
-	problemTypePrefix        = "tag:sloepick,2026:" // RFC 9457
+	problemTypePrefix        = "tag:sloepick,2026:" // of problem types (RFC 9457); a tag URI (RFC 4151), whose date part is a year
 	defaultRetryAfter        = time.Second          // where the core gives none
 	quote                    = `"`
 	contentTypeOctets        = "application/octet-stream"
@@ -104,7 +104,9 @@
 	return req, nil
 }
 
-// validListToken reports whether a value can be part of the comma-separated list that RESP2 nodes receive.
+// validListToken reports whether a value has only printable ASCII characters other than space and comma. A comma would start another
+// parameter in the comma-separated list that RESP2 nodes receive. This is stricter than RESP2 clients' lists, in which package resp
+// accepts spaces and other bytes.
 func validListToken(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == ',' || s[i] > '~' {
@@ -120,7 +122,7 @@
 	fieldPlan:     func(req *gateway.Request, s string) bool { req.Plan = s; return s != "" },
 	fieldID:       func(req *gateway.Request, s string) bool { req.ID = s; return s != "" },
 	fieldClientTimeout: func(req *gateway.Request, s string) bool {
-		ms, err := strconv.ParseUint(s, 10, 31)
+		ms, err := strconv.ParseUint(s, 10, 31) // 31 bits of ms always fit a Duration; the core checks the maximum of the class
 		req.ClientTimeout = time.Duration(ms) * time.Millisecond
 		return err == nil
 	},
@@ -131,7 +133,7 @@
 	},
 	fieldGatewaySet: func(req *gateway.Request, s string) bool {
 		countText, firstText, _ := strings.Cut(s, ";")
-		count, err := strconv.ParseUint(countText, 10, 20)
+		count, err := strconv.ParseUint(countText, 10, 20) // 20 bits, as in RESP2, always fit an int; the core compares both with the settings
 		first, err2 := strconv.ParseUint(firstText, 10, 20)
 		req.GatewayCount, req.FirstGateway = int(count), int(first)
 		return err == nil && err2 == nil && count > 0
@@ -219,7 +221,7 @@
 	return r
 }
 
-// reasonTexts replaces those of the core's reasons that name RESP2 parameters or commands.
+// reasonTexts replaces some of the core's reasons that are in terms of RESP2. Others, as "k is too long", are sent as they are.
 var reasonTexts = map[string]string{
 	"k is missing":                          fieldIdempotencyKey + " is missing",
 	"d is out of range":                     fieldClientTimeout + " is out of range",
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -41,7 +41,7 @@
 // Shutdown are the values for the gateway's shutdown.
 type Shutdown struct {
 	AcceptPeriod    time.Duration // new connections are accepted for this long after SIGTERM
-	LateConnTimeout time.Duration // until the command of a connection that arrived while the listener closed
+	LateConnTimeout time.Duration // until the command of a connection that arrived while the listener closed; also between the two GOAWAYs of HTTP/2
 	DrainTimeout    time.Duration // then all open requests fail; at least the longest client timeout is used
 }
 
